--- a/src/asking.rs
+++ b/src/asking.rs
@@ -36,7 +36,11 @@
 
 impl Default for Asking {
     fn default() -> Self {
-        Asking { failures: 0, at: f64::INFINITY, stale: false }
+        Asking {
+            failures: 0,
+            at: f64::INFINITY,
+            stale: false,
+        }
     }
 }
 
@@ -74,26 +78,41 @@
             (true, false) => (self.failures + 1).min(PATIENT),
             (false, _) => 0,
         };
-        self.stale =
-            cfg.discovery == Discovery::Ask && matches!(scope, ListScope::Cached | ListScope::Failed);
+        self.stale = cfg.discovery == Discovery::Ask
+            && matches!(scope, ListScope::Cached | ListScope::Failed);
         if !self.stale {
             return;
         }
-        let part = if late { LATER } else { [FIRST, SOON][usize::from(failed)] };
-        let mut most = (cfg.rules.ask_within / 4.0 * f64::from(1 << self.failures.min(3))).min(part * told);
+        let part = if late {
+            LATER
+        } else {
+            [FIRST, SOON][usize::from(failed)]
+        };
+        let mut most =
+            (cfg.rules.ask_within / 4.0 * f64::from(1 << self.failures.min(3))).min(part * told);
         let mut least = 0.0;
         let fleet = cfg.peers_total as f64 * APART;
         if failed && fleet > most {
             let doublings = (self.failures - PATIENT).clamp(0, DOUBLINGS);
             // Discovery may have come back while a call that was no call in turn was tried.
-            let longest = if late { LONGEST * told } else { LONGEST * told - took };
+            let longest = if late {
+                LONGEST * told
+            } else {
+                LONGEST * told - took
+            };
             most = fleet.min(longest * f64::from(1 << doublings));
             // A broken watch is no sign yet that calls wait in turn.
             least = if self.failures > 1 { most / 2.0 } else { 0.0 };
         }
         let after = rng.random_range(least..most) + cfg.tick;
-        actions.push(Action::SetTimer { after, token: SUBSCRIBE });
+        actions.push(Action::SetTimer {
+            after,
+            token: SUBSCRIBE,
+        });
         let text = format!("discovery failed, asked again in {after:.1} s");
-        actions.extend(failed.then_some(Action::Log { upstream: None, text }));
+        actions.extend(failed.then_some(Action::Log {
+            upstream: None,
+            text,
+        }));
     }
 }
--- a/src/bin/magpiechute/admin.rs
+++ b/src/bin/magpiechute/admin.rs
@@ -78,7 +78,14 @@
         budget: Rc<Budget>,
     ) -> Rc<Self> {
         let (waiting, accepted) = Default::default();
-        Rc::new(Admin { driver, server, upgrade, budget, waiting, accepted })
+        Rc::new(Admin {
+            driver,
+            server,
+            upgrade,
+            budget,
+            waiting,
+            accepted,
+        })
     }
 
     /// Takes connections until dropped.
@@ -97,7 +104,9 @@
     async fn admit(self: &Rc<Self>, accepted: Accepted) {
         let stream = match accepted.register().await {
             Ok(stream) => stream,
-            Err(error) => return log::line(format!("console: a connection can't be served: {error}")),
+            Err(error) => {
+                return log::line(format!("console: a connection can't be served: {error}"))
+            }
         };
         let mut permit = self.budget.take(Purpose::Admin);
         if permit.is_none() {
@@ -124,7 +133,9 @@
             Ok::<_, Infallible>(answer)
         });
         let mut http = http1::Builder::new();
-        http.keep_alive(false).max_buf_size(LARGEST_HEAD).max_headers(MOST_HEADERS);
+        http.keep_alive(false)
+            .max_buf_size(LARGEST_HEAD)
+            .max_headers(MOST_HEADERS);
         tokio::select! {
             // A caller that breaks off or sends nonsense has been told so by hyper.
             _ = timeout(WHOLE_CALL, http.serve_connection(socket, service)) => {}
@@ -139,8 +150,10 @@
             return text(StatusCode::NOT_FOUND, "no such call");
         };
         if head.method != method {
-            let mut answer =
-                text(StatusCode::METHOD_NOT_ALLOWED, &format!("this is asked for with {method}"));
+            let mut answer = text(
+                StatusCode::METHOD_NOT_ALLOWED,
+                &format!("this is asked for with {method}"),
+            );
             if let Ok(method) = HeaderValue::from_str(method.as_str()) {
                 answer.headers_mut().insert(ALLOW, method);
             }
@@ -178,9 +191,10 @@
                 match self.upgrade.maintain(&name, out) {
                     Ok(true) => text(StatusCode::OK, "done"),
                     Ok(false) => text(StatusCode::NOT_FOUND, "no such upstream"),
-                    Err(_) => {
-                        text(StatusCode::INTERNAL_SERVER_ERROR, "done, but an upgrade now would undo it")
-                    }
+                    Err(_) => text(
+                        StatusCode::INTERNAL_SERVER_ERROR,
+                        "done, but an upgrade now would undo it",
+                    ),
                 }
             }
         }
@@ -192,7 +206,10 @@
 fn text(status: StatusCode, text: &str) -> Answer {
     let mut response = Response::new(Full::new(Bytes::from(format!("{}\n", text.trim_end()))));
     *response.status_mut() = status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
+    response.headers_mut().insert(
+        CONTENT_TYPE,
+        HeaderValue::from_static("text/plain; charset=utf-8"),
+    );
     response
 }
 
--- a/src/bin/magpiechute/bodies.rs
+++ b/src/bin/magpiechute/bodies.rs
@@ -71,7 +71,10 @@
 
     /// Room for what is read ahead of an answer, if there is some now.
     pub fn try_take(&self) -> Option<Room> {
-        self.0.clone().try_acquire_many_owned(READ_AHEAD as u32).ok()
+        self.0
+            .clone()
+            .try_acquire_many_owned(READ_AHEAD as u32)
+            .ok()
     }
 }
 
@@ -119,7 +122,17 @@
         let read = Cell::new(ahead.len() as u64);
         let moved = Cell::new(Instant::now());
         let (spent, broken, whole) = Default::default();
-        Upload { ahead, rest: RefCell::new(rest), length, read, moved, spent, broken, whole, _room: room }
+        Upload {
+            ahead,
+            rest: RefCell::new(rest),
+            length,
+            read,
+            moved,
+            spent,
+            broken,
+            whole,
+            _room: room,
+        }
     }
 
     /// Reads ahead. Whoever has sent little so far has until `first` at the least, and nobody longer than `settled`.
@@ -141,7 +154,8 @@
         let begun = Instant::now();
         let mut ahead = BytesMut::new();
         while ahead.len() < READ_AHEAD {
-            let least = begun + HESITATION + Duration::from_secs_f64(ahead.len() as f64 / LEAST_RATE);
+            let least =
+                begun + HESITATION + Duration::from_secs_f64(ahead.len() as f64 / LEAST_RATE);
             let until = first.max(least);
             let until = settled.get().map_or(until, |settled| until.min(settled));
             match frame_by(until, &mut body).await {
@@ -157,7 +171,11 @@
             }
         }
         let rest = (!body.is_end_stream()).then_some(body);
-        let length = if rest.is_none() { Some(ahead.len() as u64) } else { length };
+        let length = if rest.is_none() {
+            Some(ahead.len() as u64)
+        } else {
+            length
+        };
         Ok(Self::new(ahead.freeze(), rest, length, room))
     }
 
@@ -201,7 +219,9 @@
     /// Reads what is left of it, to no end. Guards against a client that is still sending, and would not read its
     /// answer before that is done.
     pub async fn discard(&self) {
-        let Some(mut rest) = self.rest.borrow_mut().take() else { return };
+        let Some(mut rest) = self.rest.borrow_mut().take() else {
+            return;
+        };
         while let Ok(Some(Ok(frame))) = frame_by(Instant::now() + CLIENT_STALL, &mut rest).await {
             let count = frame.data_ref().map_or(0, |data| data.len() as u64);
             self.read.set(self.read.get() + count);
@@ -213,12 +233,16 @@
 
     fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
         let mut rest = self.rest.borrow_mut();
-        let Some(body) = rest.as_mut() else { return Poll::Ready(None) };
+        let Some(body) = rest.as_mut() else {
+            return Poll::Ready(None);
+        };
         loop {
             match ready!(Pin::new(&mut *body).poll_frame(cx)) {
                 Some(Ok(frame)) => {
                     // Trailers end here.
-                    let Ok(data) = frame.into_data() else { continue };
+                    let Ok(data) = frame.into_data() else {
+                        continue;
+                    };
                     self.spent.set(true);
                     self.moved.set(Instant::now());
                     self.read.set(self.read.get() + data.len() as u64);
@@ -261,7 +285,12 @@
 impl Sending {
     pub fn new(upload: Rc<Upload>, at_end: impl FnOnce(u64) + 'static) -> Self {
         let at_end: Option<Box<dyn FnOnce(u64)>> = Some(Box::new(at_end));
-        let mut sending = Sending { upload, begun: false, at_end, stall: Stall::new(CLIENT_STALL) };
+        let mut sending = Sending {
+            upload,
+            begun: false,
+            at_end,
+            stall: Stall::new(CLIENT_STALL),
+        };
         sending.note_end();
         sending
     }
@@ -269,7 +298,10 @@
     fn note_end(&mut self) {
         if !self.upload.is_streamed() {
             let read = self.upload.read.get();
-            self.at_end.take().into_iter().for_each(|at_end| at_end(read));
+            self.at_end
+                .take()
+                .into_iter()
+                .for_each(|at_end| at_end(read));
         }
     }
 }
@@ -309,7 +341,10 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.upload.length.map(SizeHint::with_exact).unwrap_or_default()
+        self.upload
+            .length
+            .map(SizeHint::with_exact)
+            .unwrap_or_default()
     }
 }
 
@@ -326,20 +361,35 @@
 
 impl Stall {
     fn new(most: Duration) -> Self {
-        Stall { most, sleep: Box::pin(sleep(most)), since: None, waited: Duration::ZERO }
+        Stall {
+            most,
+            sleep: Box::pin(sleep(most)),
+            since: None,
+            waited: Duration::ZERO,
+        }
     }
 
     /// Looks at the peer: ready with what it has sent, or with an error once it has taken too long, for all parts so far
     /// longer than `all`.
-    fn poll<T>(&mut self, cx: &mut Context<'_>, peer: Poll<T>, all: Duration) -> Poll<Result<T, Broken>> {
+    fn poll<T>(
+        &mut self,
+        cx: &mut Context<'_>,
+        peer: Poll<T>,
+        all: Duration,
+    ) -> Poll<Result<T, Broken>> {
         if let Poll::Ready(part) = peer {
-            self.waited += self.since.take().map_or(Duration::ZERO, |since| since.elapsed());
+            self.waited += self
+                .since
+                .take()
+                .map_or(Duration::ZERO, |since| since.elapsed());
             return Poll::Ready(Ok(part));
         }
         if self.since.is_none() {
             let now = Instant::now();
             self.since = Some(now);
-            self.sleep.as_mut().reset(now + self.most.min(all.saturating_sub(self.waited)));
+            self.sleep
+                .as_mut()
+                .reset(now + self.most.min(all.saturating_sub(self.waited)));
         }
         self.sleep.as_mut().poll(cx).map(|()| Err(Broken::Stalled))
     }
@@ -368,7 +418,15 @@
     ) -> Self {
         let read = ahead.iter().map(|data| data.len() as u64).sum();
         let stall = Stall::new(UPSTREAM_STALL);
-        let mut download = Download { ahead, rest, length, read, whole: Some(whole), stall, _room: room };
+        let mut download = Download {
+            ahead,
+            rest,
+            length,
+            read,
+            whole: Some(whole),
+            stall,
+            _room: room,
+        };
         if length == Some(read) {
             download.end();
         }
@@ -432,12 +490,22 @@
 
 impl Reply {
     pub fn whole(body: Bytes) -> Self {
-        Reply { whole: Some(body).filter(|body| !body.is_empty()), streamed: None }
+        Reply {
+            whole: Some(body).filter(|body| !body.is_empty()),
+            streamed: None,
+        }
     }
 
     /// One that is passed on as it comes; `kept` is kept until it is over.
     pub fn streamed(download: Box<Download>, counted: InFlight, kept: Box<dyn Any>) -> Self {
-        Reply { whole: None, streamed: Some(Streamed { download, counted, _kept: kept }) }
+        Reply {
+            whole: None,
+            streamed: Some(Streamed {
+                download,
+                counted,
+                _kept: kept,
+            }),
+        }
     }
 }
 
@@ -465,12 +533,20 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.whole.is_none() && self.streamed.as_ref().is_none_or(|streamed| streamed.download.is_over())
+        self.whole.is_none()
+            && self
+                .streamed
+                .as_ref()
+                .is_none_or(|streamed| streamed.download.is_over())
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.streamed {
-            Some(streamed) => streamed.download.length.map(SizeHint::with_exact).unwrap_or_default(),
+            Some(streamed) => streamed
+                .download
+                .length
+                .map(SizeHint::with_exact)
+                .unwrap_or_default(),
             None => SizeHint::with_exact(self.whole.as_ref().map_or(0, |body| body.len() as u64)),
         }
     }
--- a/src/bin/magpiechute/config.rs
+++ b/src/bin/magpiechute/config.rs
@@ -66,7 +66,10 @@
 
 impl Default for FileLimits {
     fn default() -> Self {
-        FileLimits { sockets: 1024, memory_mb: 32.0 }
+        FileLimits {
+            sockets: 1024,
+            memory_mb: 32.0,
+        }
     }
 }
 
@@ -109,7 +112,8 @@
     }
 
     fn read(again: bool) -> Result<Self, ConfigError> {
-        let path = env::var("PROXY_CONFIG").map_err(|e| ConfigError::Variable("PROXY_CONFIG", e))?;
+        let path =
+            env::var("PROXY_CONFIG").map_err(|e| ConfigError::Variable("PROXY_CONFIG", e))?;
         // While it serves, the process doesn't sleep: whoever asks it to read this again tries later.
         let read = || std::fs::read(&path);
         let text = if again { read() } else { outlasting(read) };
@@ -118,18 +122,29 @@
         Self::from_file(file, again, |name| env::var(name).ok())
     }
 
-    fn from_file(file: File, again: bool, var: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
+    fn from_file(
+        file: File,
+        again: bool,
+        var: impl Fn(&str) -> Option<String>,
+    ) -> Result<Self, ConfigError> {
         let optional = |name: &'static str, in_file: Option<String>, file_first: bool| {
-            let text = if file_first { in_file.or_else(|| var(name)) } else { var(name).or(in_file) };
+            let text = if file_first {
+                in_file.or_else(|| var(name))
+            } else {
+                var(name).or(in_file)
+            };
             let parse = |text: String| text.parse().map_err(|_| ConfigError::Address(name, text));
             text.map(parse).transpose()
         };
         let address = |name: &'static str, in_file: Option<String>, file_first: bool| {
-            optional(name, in_file, file_first)?.ok_or(ConfigError::Variable(name, VarError::NotPresent))
+            optional(name, in_file, file_first)?
+                .ok_or(ConfigError::Variable(name, VarError::NotPresent))
         };
         let seed = match file.seed.as_str() {
             "" => 0,
-            text => u64::from_str_radix(text, 16).map_err(|_| ConfigError::Seed(text.to_string()))?,
+            text => {
+                u64::from_str_radix(text, 16).map_err(|_| ConfigError::Seed(text.to_string()))?
+            }
         };
         if file.limits.sockets < LEAST_SOCKETS {
             return Err(ConfigError::Sockets(file.limits.sockets, LEAST_SOCKETS));
@@ -142,12 +157,18 @@
         }
         let mut pairs = Vec::new();
         flatten(String::new(), &file.settings, &mut pairs);
-        let mut settings = wire::settings(pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())))?;
+        let mut settings = wire::settings(
+            pairs
+                .iter()
+                .map(|(path, value)| (path.as_str(), value.as_str())),
+        )?;
         settings.rules.told = TOLD_WITHIN;
         settings.validate()?;
         let list = |key: &str| {
             let items = file.settings[key].as_array().into_iter().flatten();
-            items.filter_map(|v| v.as_str().map(str::to_string)).collect()
+            items
+                .filter_map(|v| v.as_str().map(str::to_string))
+                .collect()
         };
         let names = Names {
             zones: list("localities"),
@@ -158,7 +179,9 @@
         let sockets = file.limits.sockets;
         let most = allowed().map_or(sockets, |most| most.max(LEAST_SOCKETS));
         if most < sockets {
-            log::line(format!("the system lets this process hold {most} descriptors, not {sockets}"));
+            log::line(format!(
+                "the system lets this process hold {most} descriptors, not {sockets}"
+            ));
         }
         Ok(Config {
             name: var("PROXY_NAME").unwrap_or(file.name),
@@ -179,28 +202,45 @@
 /// for others, as more were promised than there are.
 fn allowed() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
-    let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"))?;
+    let line = limits
+        .lines()
+        .find_map(|line| line.strip_prefix("Max open files"))?;
     line.split_whitespace().next()?.parse().ok()
 }
 
 /// The simulator's form of the settings: lists of objects by number, with their count; plain lists
 /// joined by commas.
 fn flatten(path: String, value: &Value, pairs: &mut Vec<(String, String)>) {
-    let under = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let under = |name: &str| {
+        if path.is_empty() {
+            name.to_string()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, v)| flatten(under(name), v, pairs)),
+        Value::Object(fields) => fields
+            .iter()
+            .for_each(|(name, v)| flatten(under(name), v, pairs)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             pairs.push((under("count"), items.len().to_string()));
-            items.iter().enumerate().for_each(|(i, v)| flatten(under(&i.to_string()), v, pairs));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, v)| flatten(under(&i.to_string()), v, pairs));
+        }
+        Value::Array(items) => {
+            pairs.push((path, items.iter().map(plain).collect::<Vec<_>>().join(",")))
         }
-        Value::Array(items) => pairs.push((path, items.iter().map(plain).collect::<Vec<_>>().join(","))),
         Value::Null => {}
         value => pairs.push((path, plain(value))),
     }
 }
 
 fn plain(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), str::to_string)
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_string)
 }
 
 #[cfg(test)]
--- a/src/bin/magpiechute/discovery.rs
+++ b/src/bin/magpiechute/discovery.rs
@@ -81,8 +81,15 @@
 }
 
 async fn follow(driver: &RefCell<Driver>, budget: &Rc<Budget>, watch: &Watch) -> String {
-    let Watch { number, address, since, asked } = *watch;
-    let Some(permit) = budget.take(Purpose::Discovery) else { return "no descriptor is free".into() };
+    let Watch {
+        number,
+        address,
+        since,
+        asked,
+    } = *watch;
+    let Some(permit) = budget.take(Purpose::Discovery) else {
+        return "no descriptor is free".into();
+    };
     let socket = match Socket::connect(address, permit, CONNECT).await {
         Ok(socket) => socket,
         Err(error) => return format!("connect: {error}"),
@@ -94,8 +101,14 @@
     let request = Request::get(format!("/v1/servers?follow=1&since={}", since.unwrap_or(0)))
         .header("Host", address.to_string())
         .body(Empty::new());
-    let Ok(request) = request else { return "the request can't be written".into() };
-    let patience = if asked && since.is_some() { ASKED } else { PUSHED };
+    let Ok(request) = request else {
+        return "the request can't be written".into();
+    };
+    let patience = if asked && since.is_some() {
+        ASKED
+    } else {
+        PUSHED
+    };
     let mut patience = Patience::new(patience);
     let silent = || driver.borrow_mut().list_silent(number);
     let taken = Cell::new(0);
@@ -117,7 +130,9 @@
                 None => return "the watch ended".into(),
             };
             taken.set(taken.get() + 1);
-            match messages.take(&chunk, |list| driver.borrow_mut().list_changed(number, list)) {
+            match messages.take(&chunk, |list| {
+                driver.borrow_mut().list_changed(number, list)
+            }) {
                 Ok(true) => {
                     driver.borrow_mut().list_lives(number);
                     patience.renew(SILENCE);
@@ -161,7 +176,10 @@
 
 impl Patience {
     fn new(most: Duration) -> Self {
-        Patience { until: Box::pin(sleep(most)), told: false }
+        Patience {
+            until: Box::pin(sleep(most)),
+            told: false,
+        }
     }
 
     fn renew(&mut self, most: Duration) {
@@ -170,7 +188,11 @@
     }
 
     /// Waits for what is wanted, and tells once if that is silent for too long meanwhile.
-    async fn wait<T>(&mut self, wanted: &mut (impl Future<Output = T> + Unpin), tell: impl FnOnce()) -> T {
+    async fn wait<T>(
+        &mut self,
+        wanted: &mut (impl Future<Output = T> + Unpin),
+        tell: impl FnOnce(),
+    ) -> T {
         // What is there goes before what the clock says. Guards against a time that runs out just then: it is over, and
         // would be told no more if the clock were asked whether to look at it.
         tokio::select! {
@@ -222,9 +244,17 @@
                 _ => {}
             }
             if self.depth == 0 {
-                let News { index, snapshot, endpoints } =
-                    serde_json::from_slice(&self.text).map_err(|error| format!("malformed list: {error}"))?;
-                take(List { index, snapshot, endpoints });
+                let News {
+                    index,
+                    snapshot,
+                    endpoints,
+                } = serde_json::from_slice(&self.text)
+                    .map_err(|error| format!("malformed list: {error}"))?;
+                take(List {
+                    index,
+                    snapshot,
+                    endpoints,
+                });
                 self.text.clear();
                 lives = true;
             }
--- a/src/bin/magpiechute/driver.rs
+++ b/src/bin/magpiechute/driver.rs
@@ -13,8 +13,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use ryequay::{
-    Action, AttemptEnd, Balancer, Class, Discovery, Event, Knowledge, ListScope, Outcome, Request, RequestId,
-    UpstreamEntry, UpstreamId, UpstreamState,
+    Action, AttemptEnd, Balancer, Class, Discovery, Event, Knowledge, ListScope, Outcome, Request,
+    RequestId, UpstreamEntry, UpstreamId, UpstreamState,
 };
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -63,8 +63,13 @@
 
 impl Clock {
     fn new() -> Self {
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: unix.as_secs_f64() }
+        let unix = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            unix: unix.as_secs_f64(),
+        }
     }
 
     fn at(&self, moment: Instant) -> f64 {
@@ -92,7 +97,12 @@
 
 impl Recent {
     fn new(keep: Duration) -> Self {
-        Recent { keep, since: Instant::now(), new: HashSet::new(), old: HashSet::new() }
+        Recent {
+            keep,
+            since: Instant::now(),
+            new: HashSet::new(),
+            old: HashSet::new(),
+        }
     }
 
     /// Notes a name; false if it is known.
@@ -100,7 +110,11 @@
         let age = self.since.elapsed();
         if age >= self.keep {
             let last = std::mem::take(&mut self.new);
-            self.old = if age < 2 * self.keep { last } else { HashSet::new() };
+            self.old = if age < 2 * self.keep {
+                last
+            } else {
+                HashSet::new()
+            };
             self.since = Instant::now();
         }
         !self.old.contains(&name) && self.new.insert(name)
@@ -222,7 +236,9 @@
         let most_open = limits.open.min(config.sockets);
         let discovery = (config.discovery, config.settings.discovery);
         let classes = config.settings.classes.clone();
-        let longest = classes.iter().fold(0.0, |longest: f64, class| longest.max(class.deadline));
+        let longest = classes
+            .iter()
+            .fold(0.0, |longest: f64, class| longest.max(class.deadline));
         let longest = Duration::try_from_secs_f64(longest).unwrap_or(Duration::MAX / 4);
         let balancer = Balancer::new(config.settings, config.seed, clock.at(Instant::now()))?;
         let driver = Rc::new_cyclic(|me: &Weak<RefCell<Driver>>| {
@@ -256,7 +272,10 @@
                 jitter: Pcg64Mcg::seed_from_u64(config.seed),
             })
         });
-        let known = List { snapshot: true, ..config.known };
+        let known = List {
+            snapshot: true,
+            ..config.known
+        };
         driver.borrow_mut().index = known.index;
         driver.borrow_mut().apply(ListScope::Cached, known);
         if discovery.1 == Discovery::Push {
@@ -288,7 +307,8 @@
 
     /// All that operators are told in figures.
     pub fn figures(&self) -> String {
-        self.stats.render(self.targets.len(), self.balancer.excluded())
+        self.stats
+            .render(self.targets.len(), self.balancer.excluded())
     }
 
     /// The memory for what is read ahead of bodies.
@@ -303,7 +323,8 @@
 
     /// Gives the module what the one before has learned and written down this long ago.
     pub fn recall(&mut self, age: Duration, knowledge: Knowledge) {
-        self.balancer.recall(self.clock.at(Instant::now()), age.as_secs_f64(), knowledge);
+        self.balancer
+            .recall(self.clock.at(Instant::now()), age.as_secs_f64(), knowledge);
     }
 
     /// The request classes.
@@ -332,7 +353,14 @@
                 }
             });
         }
-        self.open.insert(id, Open { forward, reply: Some(reply), attempts: Vec::new() });
+        self.open.insert(
+            id,
+            Open {
+                forward,
+                reply: Some(reply),
+                attempts: Vec::new(),
+            },
+        );
         self.schedule(deadline - LAST_CALL, Due::LastCall(id));
         self.tell(Event::Request(Request {
             id,
@@ -347,7 +375,9 @@
 
     /// The last byte of a streamed body has been read: only now its upstream can begin.
     fn body_whole(&mut self, id: RequestId) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         if let Some(out) = open.attempts.last_mut().filter(|out| out.task.is_some()) {
             out.sent = Instant::now();
             self.tell(Event::Written(id));
@@ -364,9 +394,18 @@
 
     /// Discovery has sent a list, or what changed.
     pub fn list_changed(&mut self, watch: u64, list: List) {
-        let waited = self.watches.iter().any(|watching| watching.number == watch && !watching.spoke);
+        let waited = self
+            .watches
+            .iter()
+            .any(|watching| watching.number == watch && !watching.spoke);
         self.list_lives(watch);
-        let Some(watching) = self.watches.first_mut().filter(|first| first.number == watch) else { return };
+        let Some(watching) = self
+            .watches
+            .first_mut()
+            .filter(|first| first.number == watch)
+        else {
+            return;
+        };
         // What a call waited for in turn tells all since the version asked for. Guards against discovery answering
         // those that were made beside it as well.
         if waited && watching.address == self.discovery.0 {
@@ -388,12 +427,23 @@
         if !watching.broken {
             self.index = list.index;
         }
-        self.apply(if list.snapshot { ListScope::Full } else { ListScope::Delta }, list);
+        self.apply(
+            if list.snapshot {
+                ListScope::Full
+            } else {
+                ListScope::Delta
+            },
+            list,
+        );
     }
 
     /// The watch has told something. Guards against news of an old watch after those of a newer one.
     pub fn list_lives(&mut self, watch: u64) {
-        if let Some(at) = self.watches.iter().position(|watching| watching.number == watch) {
+        if let Some(at) = self
+            .watches
+            .iter()
+            .position(|watching| watching.number == watch)
+        {
             self.watches[at].spoke = true;
             self.watches.drain(..at);
         }
@@ -402,7 +452,13 @@
     /// The watch has told nothing whole for too long. Guards against news that are told between its end and the next
     /// one's beginning: it stays until another has spoken.
     pub fn list_silent(&mut self, watch: u64) {
-        let Some(at) = self.watches.iter().position(|watching| watching.number == watch) else { return };
+        let Some(at) = self
+            .watches
+            .iter()
+            .position(|watching| watching.number == watch)
+        else {
+            return;
+        };
         log::line("discovery is silent".into());
         self.watches[at].broken = true;
         match self.discovery.1 {
@@ -417,9 +473,19 @@
 
     /// The watch has ended.
     pub fn list_failed(&mut self, watch: u64, why: &str) {
-        let Some(at) = self.watches.iter().position(|watching| watching.number == watch) else { return };
+        let Some(at) = self
+            .watches
+            .iter()
+            .position(|watching| watching.number == watch)
+        else {
+            return;
+        };
         let lived = self.watches[at].opened.elapsed() >= SHORT_WATCH;
-        self.failed_watches = if lived && self.watches[at].spoke { 1 } else { self.failed_watches + 1 };
+        self.failed_watches = if lived && self.watches[at].spoke {
+            1
+        } else {
+            self.failed_watches + 1
+        };
         if self.failed_watches < MANY_FAILURES || self.failed_watches % MANY_FAILURES == 0 {
             log::line(format!("discovery failed: {why}"));
         }
@@ -437,7 +503,11 @@
         match self.discovery.1 {
             Discovery::Ask => self.tell(Event::Upstreams(ListScope::Failed, Vec::new())),
             Discovery::Push => {
-                let wait = if self.failed_watches < MANY_FAILURES { REWATCH } else { REWATCH_LATER };
+                let wait = if self.failed_watches < MANY_FAILURES {
+                    REWATCH
+                } else {
+                    REWATCH_LATER
+                };
                 self.schedule(Instant::now() + wait, Due::Rewatch);
             }
         }
@@ -449,7 +519,8 @@
         if address != self.discovery.0 {
             self.discovery.0 = address;
             // What was asked at a place between the two has told nothing, and is not waited for.
-            self.watches.retain(|watching| [self.source, address].contains(&watching.address));
+            self.watches
+                .retain(|watching| [self.source, address].contains(&watching.address));
             self.open_watch();
         }
     }
@@ -457,15 +528,26 @@
     fn apply(&mut self, scope: ListScope, list: List) {
         self.listed |= !list.endpoints.is_empty();
         if list.snapshot {
-            self.targets.values_mut().for_each(|target| target.state = UpstreamState::Off);
-        }
-        let entries = list.endpoints.into_iter().map(|endpoint| self.entry(endpoint)).collect();
-        for id in self.targets.keys().filter(|id| self.address(**id).is_none()) {
+            self.targets
+                .values_mut()
+                .for_each(|target| target.state = UpstreamState::Off);
+        }
+        let entries = list
+            .endpoints
+            .into_iter()
+            .map(|endpoint| self.entry(endpoint))
+            .collect();
+        for id in self
+            .targets
+            .keys()
+            .filter(|id| self.address(**id).is_none())
+        {
             self.pool.close(*id);
         }
         self.tell(Event::Upstreams(scope, entries));
         self.stop_unbegun();
-        self.targets.retain(|_, target| target.state != UpstreamState::Off);
+        self.targets
+            .retain(|_, target| target.state != UpstreamState::Off);
     }
 
     fn entry(&mut self, endpoint: Endpoint) -> UpstreamEntry {
@@ -483,8 +565,17 @@
         if state == UpstreamState::On && !self.out.contains_key(&id) {
             self.pool.open(id, endpoint.address);
         }
-        self.targets.insert(id, Target { name: endpoint.name, address: endpoint.address, since, state });
-        let number = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0);
+        self.targets.insert(
+            id,
+            Target {
+                name: endpoint.name,
+                address: endpoint.address,
+                since,
+                state,
+            },
+        );
+        let number =
+            |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0);
         UpstreamEntry {
             id,
             zone: number(&self.names.zones, &endpoint.zone),
@@ -497,7 +588,10 @@
 
     /// Where the upstream is, if it may have calls.
     fn address(&self, upstream: UpstreamId) -> Option<SocketAddr> {
-        let target = self.targets.get(&upstream).filter(|target| target.state == UpstreamState::On)?;
+        let target = self
+            .targets
+            .get(&upstream)
+            .filter(|target| target.state == UpstreamState::On)?;
         (!self.out.contains_key(&upstream)).then_some(target.address)
     }
 
@@ -518,7 +612,12 @@
 
     /// The operators have left these out, and no others, known or not.
     pub fn leave_out(&mut self, names: &BTreeSet<String>) {
-        let back: Vec<_> = self.out.values().filter(|name| !names.contains(*name)).cloned().collect();
+        let back: Vec<_> = self
+            .out
+            .values()
+            .filter(|name| !names.contains(*name))
+            .cloned()
+            .collect();
         back.iter().for_each(|name| self.set_out(name, false));
         let is_new = |name: &&String| !self.out.contains_key(&UpstreamId::of(name));
         let new: Vec<_> = names.iter().filter(is_new).collect();
@@ -527,13 +626,18 @@
 
     fn set_out(&mut self, name: &str, out: bool) {
         let upstream = UpstreamId::of(name);
-        log::line(format!("{name}: {} by the operators", if out { "left out" } else { "used again" }));
+        log::line(format!(
+            "{name}: {} by the operators",
+            if out { "left out" } else { "used again" }
+        ));
         if out {
             self.out.insert(upstream, name.to_string());
             self.pool.close(upstream);
         } else {
             self.out.remove(&upstream);
-            self.address(upstream).into_iter().for_each(|address| self.pool.open(upstream, address));
+            self.address(upstream)
+                .into_iter()
+                .for_each(|address| self.pool.open(upstream, address));
         }
         self.tell(Event::Maintenance { upstream, out });
         self.stop_unbegun();
@@ -545,14 +649,18 @@
         let mut stopped = Vec::new();
         for (id, open) in &self.open {
             for (number, out) in open.attempts.iter().enumerate() {
-                let off = self.address(out.upstream).is_none_or(|now| Some(now) != out.address);
+                let off = self
+                    .address(out.upstream)
+                    .is_none_or(|now| Some(now) != out.address);
                 if off && out.task.is_some() && out.begun.get().is_none() {
                     stopped.push((*id, number));
                 }
             }
         }
         stopped.sort();
-        stopped.into_iter().for_each(|(id, number)| self.attempt_ended(id, number, Err(Outcome::Rejected)));
+        stopped
+            .into_iter()
+            .for_each(|(id, number)| self.attempt_ended(id, number, Err(Outcome::Rejected)));
     }
 
     /// Tells the module, and carries out what it says, until there is nothing more to tell.
@@ -560,7 +668,8 @@
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
-            self.balancer.handle(self.clock.at(Instant::now()), event, &mut actions);
+            self.balancer
+                .handle(self.clock.at(Instant::now()), event, &mut actions);
             actions.drain(..).for_each(|action| self.perform(action));
             self.actions = actions;
         }
@@ -568,7 +677,12 @@
 
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Send { id, upstream, timeout, within } => self.send(id, upstream, timeout, within),
+            Action::Send {
+                id,
+                upstream,
+                timeout,
+                within,
+            } => self.send(id, upstream, timeout, within),
             Action::Refuse { id, retry_after } => self.answer(id, Final::Refused { retry_after }),
             Action::Fail { id } => self.answer(id, Final::Failed),
             Action::Cancel { id, attempt } => {
@@ -583,20 +697,41 @@
             }
             Action::Subscribe => self.subscribe(),
             Action::Log { upstream, text } => {
-                let name = upstream.and_then(|id| self.targets.get(&id)).map(|target| target.name.as_str());
-                log::line(format!("{}{}{text}", name.unwrap_or(""), if name.is_some() { ": " } else { "" }));
+                let name = upstream
+                    .and_then(|id| self.targets.get(&id))
+                    .map(|target| target.name.as_str());
+                log::line(format!(
+                    "{}{}{text}",
+                    name.unwrap_or(""),
+                    if name.is_some() { ": " } else { "" }
+                ));
             }
         }
     }
 
-    fn send(&mut self, id: RequestId, upstream: UpstreamId, timeout: Option<f64>, within: Option<f64>) {
+    fn send(
+        &mut self,
+        id: RequestId,
+        upstream: UpstreamId,
+        timeout: Option<f64>,
+        within: Option<f64>,
+    ) {
         let sent = Instant::now();
-        let after = |seconds| sent.checked_add(Duration::try_from_secs_f64(seconds).unwrap_or_default());
+        let after =
+            |seconds| sent.checked_add(Duration::try_from_secs_f64(seconds).unwrap_or_default());
         let address = self.address(upstream);
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         let number = open.attempts.len();
         let begun = Rc::new(Cell::new(None));
-        open.attempts.push(Out { upstream, address, sent, begun: begun.clone(), task: None });
+        open.attempts.push(Out {
+            upstream,
+            address,
+            sent,
+            begun: begun.clone(),
+            task: None,
+        });
         let out = &mut open.attempts[number];
         // What a stream has given to one upstream is not there for another.
         let can_go = open.reply.is_some() && open.forward.upload.is_fresh();
@@ -636,8 +771,14 @@
             Ok(answer) => (Outcome::Ok, Some(answer)),
             Err(outcome) => (outcome, None),
         };
-        let Some(open) = self.open.get_mut(&id) else { return };
-        if open.attempts.get(number).is_none_or(|out| out.task.is_none()) {
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        if open
+            .attempts
+            .get(number)
+            .is_none_or(|out| out.task.is_none())
+        {
             return;
         }
         // It was not sent because its client has left, if that is so.
@@ -664,7 +805,14 @@
         let elapsed = out.sent.elapsed().as_secs_f64();
         let idle = out.begun.get().map(|idle| idle.as_secs_f64());
         self.forget(id);
-        Some(Event::Outcome(AttemptEnd { id, attempt: number as u32, outcome, elapsed, idle, concluded }))
+        Some(Event::Outcome(AttemptEnd {
+            id,
+            attempt: number as u32,
+            outcome,
+            elapsed,
+            idle,
+            concluded,
+        }))
     }
 
     /// Nothing is owed any more, unless that has been so before. Guards against sending on what nobody waits for:
@@ -673,7 +821,12 @@
         let open = self.open.get_mut(&id)?;
         let reply = open.reply.take()?;
         let unbegun = |(number, out): (usize, &Out)| out.begun.get().is_none().then_some(number);
-        let stopped: Vec<_> = open.attempts.iter().enumerate().filter_map(unbegun).collect();
+        let stopped: Vec<_> = open
+            .attempts
+            .iter()
+            .enumerate()
+            .filter_map(unbegun)
+            .collect();
         for number in stopped {
             let event = self.end(id, number, Outcome::NotSent);
             self.events.extend(event);
@@ -683,7 +836,9 @@
 
     /// Gives the final answer, unless there was one.
     fn answer(&mut self, id: RequestId, answer: Final) {
-        let Some(reply) = self.conclude(id) else { return };
+        let Some(reply) = self.conclude(id) else {
+            return;
+        };
         // A client that has just gone takes no answer; none is owed to it.
         let _ = reply.send(answer);
         self.forget(id);
@@ -691,7 +846,9 @@
 
     /// Frees what is kept for a request that is answered and has nothing out.
     fn forget(&mut self, id: RequestId) {
-        let done = |open: &Open| open.reply.is_none() && open.attempts.iter().all(|out| out.task.is_none());
+        let done = |open: &Open| {
+            open.reply.is_none() && open.attempts.iter().all(|out| out.task.is_none())
+        };
         if self.open.get(&id).is_some_and(done) {
             self.open.remove(&id);
         }
@@ -707,14 +864,32 @@
 
     fn open_watch(&mut self) {
         let (address, asked) = (self.discovery.0, self.discovery.1 == Discovery::Ask);
-        let Some(driver) = self.me.upgrade() else { return };
+        let Some(driver) = self.me.upgrade() else {
+            return;
+        };
         self.last_watch += 1;
-        let (number, since) = (self.last_watch, (self.source == address).then_some(self.index));
-        let watch = discovery::Watch { number, address, since, asked };
+        let (number, since) = (
+            self.last_watch,
+            (self.source == address).then_some(self.index),
+        );
+        let watch = discovery::Watch {
+            number,
+            address,
+            since,
+            asked,
+        };
         let task = spawn_local(discovery::watch(driver, self.budget.clone(), watch)).abort_handle();
         let index = since.unwrap_or(0);
         let opened = Instant::now();
-        self.watches.push(Watching { number, address, index, broken: false, spoke: false, opened, task });
+        self.watches.push(Watching {
+            number,
+            address,
+            index,
+            broken: false,
+            spoke: false,
+            opened,
+            task,
+        });
         if self.watches.len() > MOST_WATCHES {
             // The list comes from the first, and the second is the next to have its turn. Guards against calls that
             // all end before discovery comes to them, and against the end of a watch that hears at the old address.
@@ -723,7 +898,11 @@
     }
 
     fn schedule(&mut self, at: Instant, due: Due) {
-        if self.timers.peek().is_none_or(|Reverse((first, _))| at < *first) {
+        if self
+            .timers
+            .peek()
+            .is_none_or(|Reverse((first, _))| at < *first)
+        {
             self.rewind.notify_one();
         }
         self.timers.push(Reverse((at, due)));
@@ -732,12 +911,15 @@
     /// The process is to end: what is open has its answer by then.
     pub fn settle(&mut self, settled: Instant) {
         let open: Vec<_> = self.open.keys().copied().collect();
-        open.into_iter().for_each(|id| self.schedule(settled - LAST_CALL, Due::LastCall(id)));
+        open.into_iter()
+            .for_each(|id| self.schedule(settled - LAST_CALL, Due::LastCall(id)));
     }
 
     /// When a request that is open has to have its answer.
     fn last_call(&self, id: RequestId) -> Option<Instant> {
-        self.open.get(&id).map(|open| open.forward.deadline() - LAST_CALL)
+        self.open
+            .get(&id)
+            .map(|open| open.forward.deadline() - LAST_CALL)
     }
 
     /// Does what is due by now; tells when the next is.
@@ -752,15 +934,20 @@
                 Due::Rewatch => self.subscribe(),
                 Due::LastCall(id) if self.last_call(id) > Some(Instant::now()) => {
                     // Its client has sent more of it meanwhile.
-                    self.last_call(id).into_iter().for_each(|at| self.schedule(at, due));
+                    self.last_call(id)
+                        .into_iter()
+                        .for_each(|at| self.schedule(at, due));
                 }
                 Due::LastCall(id) => {
                     let open = self.open.get(&id).filter(|open| open.reply.is_some());
                     if let Some(unsent) = open.map(|open| open.forward.upload.is_streamed()) {
                         log::line(format!("request {} had no decision in time", id.0));
                         // No upstream begins before the last byte.
-                        let answer =
-                            if unsent { Final::Refused { retry_after: None } } else { Final::Failed };
+                        let answer = if unsent {
+                            Final::Refused { retry_after: None }
+                        } else {
+                            Final::Failed
+                        };
                         self.answer(id, answer);
                         self.tell(Event::ClientGone(id));
                     }
--- a/src/bin/magpiechute/listener.rs
+++ b/src/bin/magpiechute/listener.rs
@@ -93,7 +93,9 @@
         loop {
             let spare = stream.try_clone();
             match (TcpStream::from_std(stream), spare) {
-                (Err(error), Ok(spare)) if is_passing(&error) && tries < REGISTER_TRIES => stream = spare,
+                (Err(error), Ok(spare)) if is_passing(&error) && tries < REGISTER_TRIES => {
+                    stream = spare
+                }
                 (result, _) => return result,
             }
             match tries {
--- a/src/bin/magpiechute/main.rs
+++ b/src/bin/magpiechute/main.rs
@@ -93,15 +93,28 @@
         ),
         None => None,
     };
-    let longest = config.settings.classes.iter().fold(0.0, |longest: f64, c| longest.max(c.deadline));
+    let longest = config
+        .settings
+        .classes
+        .iter()
+        .fold(0.0, |longest: f64, c| longest.max(c.deadline));
     let driver = Driver::start(config, budget.clone())?;
     let server = Server::new(driver.clone(), budget.clone());
     let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
-    let upgrade = Upgrade::new(folder, address, driver.clone(), server.clone(), budget.clone(), sockets);
+    let upgrade = Upgrade::new(
+        folder,
+        address,
+        driver.clone(),
+        server.clone(),
+        budget.clone(),
+        sockets,
+    );
     if let Some(listener) = admin {
         let address = outlasting(|| listener.local_addr())?;
         log::line(format!("{name} takes operators' calls at {address}"));
-        spawn_local(Admin::new(driver.clone(), server.clone(), upgrade.clone(), budget).accept(listener));
+        spawn_local(
+            Admin::new(driver.clone(), server.clone(), upgrade.clone(), budget).accept(listener),
+        );
     }
     let pool = driver.borrow().pool().clone();
     spawn_local(async move {
@@ -130,7 +143,8 @@
         () = terminate.received() => return Ok(()),
         () = interrupt.received() => return Ok(()),
     }
-    let listener = Listener::bind(address, true).map_err(|error| format!("listen on {address}: {error}"))?;
+    let listener =
+        Listener::bind(address, true).map_err(|error| format!("listen on {address}: {error}"))?;
     let address = outlasting(|| listener.local_addr())?;
     server.open();
     upgrade.settle(address);
@@ -152,7 +166,10 @@
         }
     };
     if timeout(longest + SETTLE, over).await.is_err() {
-        log::line(format!("{name} ends with {} connections open", server.connections()));
+        log::line(format!(
+            "{name} ends with {} connections open",
+            server.connections()
+        ));
     }
     Ok(())
 }
--- a/src/bin/magpiechute/raw_head.rs
+++ b/src/bin/magpiechute/raw_head.rs
@@ -19,9 +19,17 @@
             read += line.len();
             let line = line.trim_ascii();
             let mut parts = line.splitn(2, |byte| *byte == b':');
-            let (header, value) = (parts.next().unwrap_or(line), parts.next().unwrap_or_default());
+            let (header, value) = (
+                parts.next().unwrap_or(line),
+                parts.next().unwrap_or_default(),
+            );
             match header {
-                [] if found => return Some(RawHead { has_length, behind: recent.len() - read }),
+                [] if found => {
+                    return Some(RawHead {
+                        has_length,
+                        behind: recent.len() - read,
+                    })
+                }
                 [] => has_length = false,
                 _ if header.eq_ignore_ascii_case(b"content-length") => has_length = true,
                 _ if header.eq_ignore_ascii_case(b"request-id") => {
--- a/src/bin/magpiechute/server.rs
+++ b/src/bin/magpiechute/server.rs
@@ -130,7 +130,9 @@
 
     /// Something has come behind the request that is being served.
     fn has_more(&self) -> bool {
-        self.ends_at.get().is_some_and(|end| self.socket.read() > end || self.socket.has_unread())
+        self.ends_at
+            .get()
+            .is_some_and(|end| self.socket.read() > end || self.socket.has_unread())
     }
 
     /// Closes it once it carries no request.
@@ -152,15 +154,23 @@
             let now = Instant::now();
             let until = match (self.idle.get(), self.socket.asking()) {
                 // The end of its answer has still to go.
-                (Some(_), _) if self.socket.is_blocked() => self.socket.last_written() + TAKES_NOTHING,
+                (Some(_), _) if self.socket.is_blocked() => {
+                    self.socket.last_written() + TAKES_NOTHING
+                }
                 // Guards against taking the rest of a body, which may come for long, for a head.
-                (Some(since), _) if self.discards.get() => since.max(self.socket.last_read()) + CLIENT_STALL,
+                (Some(since), _) if self.discards.get() => {
+                    since.max(self.socket.last_read()) + CLIENT_STALL
+                }
                 // It may take its time for a head, also while the process ends.
-                (Some(_), Some(asking)) => self.first_request().unwrap_or(asking + FIRST_REQUEST) + GRACE,
+                (Some(_), Some(asking)) => {
+                    self.first_request().unwrap_or(asking + FIRST_REQUEST) + GRACE
+                }
                 (Some(since), None) => {
                     // A client that takes what it is given is not idle.
                     let since = since.max(self.socket.last_written());
-                    self.first_request().map_or(since + IDLE, |first| first + GRACE).min(since + most())
+                    self.first_request()
+                        .map_or(since + IDLE, |first| first + GRACE)
+                        .min(since + most())
                 }
                 (None, _) if self.streaming.get() => self.socket.last_written() + TAKES_NOTHING,
                 (None, _) => now + HURRIED,
@@ -308,7 +318,11 @@
             // The next in the queue may be a good one.
             return yield_now().await;
         }
-        if self.accept_failed.get().is_none_or(|last| last.elapsed() > IDLE) {
+        if self
+            .accept_failed
+            .get()
+            .is_none_or(|last| last.elapsed() > IDLE)
+        {
             self.accept_failed.set(Some(Instant::now()));
             log::line(format!("accept: {error}"));
         }
@@ -329,7 +343,11 @@
         self.late.set(Some(Instant::now() + LATE));
         self.serves_more_until.set(Some(Instant::now() + LATE));
         self.driver.borrow_mut().settle(settled);
-        self.clients.borrow().values().filter(|client| !client.fresh.get()).for_each(|client| client.close());
+        self.clients
+            .borrow()
+            .values()
+            .filter(|client| !client.fresh.get())
+            .for_each(|client| client.close());
         self.driver.borrow().pool().clear();
     }
 
@@ -345,12 +363,17 @@
         let number = self.last_away.get() + 1;
         self.last_away.set(number);
         self.away.set(Some(number));
-        self.serves_more_until.set(Some(Instant::now() + FRONT_NOTICES));
+        self.serves_more_until
+            .set(Some(Instant::now() + FRONT_NOTICES));
         let server = self.clone();
         spawn_local(async move {
             sleep(FRONT_NOTICES).await;
             if server.away.get() == Some(number) {
-                server.clients.borrow().values().for_each(|client| client.close());
+                server
+                    .clients
+                    .borrow()
+                    .values()
+                    .for_each(|client| client.close());
             }
         });
     }
@@ -391,7 +414,10 @@
 
     /// Closes also the connections that are new, as nothing has come on them.
     pub fn drain_fresh(&self) {
-        self.clients.borrow().values().for_each(|client| client.close());
+        self.clients
+            .borrow()
+            .values()
+            .for_each(|client| client.close());
     }
 
     /// Connections that are open.
@@ -435,12 +461,16 @@
         loop {
             let (number, settled) = {
                 let clients = self.clients.borrow();
-                let spare = clients.iter().filter_map(|(number, client)| Some((client.dearness()?, number)));
+                let spare = clients
+                    .iter()
+                    .filter_map(|(number, client)| Some((client.dearness()?, number)));
                 let mut spare: Vec<_> = spare.collect();
                 spare.sort_unstable();
                 // Guards against closing on a request that has come and is still unread. Asking the kernel is dear,
                 // so it is asked of few.
-                let mut spare = spare.into_iter().map(|(_, number)| (*number, &clients[number]));
+                let mut spare = spare
+                    .into_iter()
+                    .map(|(_, number)| (*number, &clients[number]));
                 let free = |client: &Client| client.over.get() || !client.socket.has_unread();
                 let Some((number, client)) = spare.find(|(_, client)| free(client)) else {
                     return false;
@@ -478,21 +508,30 @@
     /// True if the answer that is due now ends its connection. One that has been read is lost if its connection ends
     /// without an answer to it, so what came with it goes on for a while.
     fn ends_with_this(&self, client: &Client) -> bool {
-        let goes_on = self.serves_more_until.get().is_some_and(|until| Instant::now() < until);
+        let goes_on = self
+            .serves_more_until
+            .get()
+            .is_some_and(|until| Instant::now() < until);
         self.sheds() && !(goes_on && client.has_more())
     }
 
     async fn serve(self: Rc<Self>, number: u64, client: Rc<Client>, refused: bool) {
         let last = refused || self.sheds();
         let mut http = http1::Builder::new();
-        http.keep_alive(!refused).max_buf_size(LARGEST_HEAD).max_headers(MOST_HEADERS);
+        http.keep_alive(!refused)
+            .max_buf_size(LARGEST_HEAD)
+            .max_headers(MOST_HEADERS);
         client.closing.set(last || client.closing.get());
         let service = service_fn(|request: Request<Incoming>| {
             let (server, client) = (&self, &client);
             async move {
                 client.discards.set(false);
                 client.ends_at.set(None);
-                client.idle.set(Some(if client.fresh.get() { client.opened } else { Instant::now() }));
+                client.idle.set(Some(if client.fresh.get() {
+                    client.opened
+                } else {
+                    Instant::now()
+                }));
                 let unread = !request.body().is_end_stream();
                 let refused = refused && !server.has_room_now(client).await;
                 let mut answer = match refused {
@@ -504,7 +543,9 @@
                 let turned_away = refused || answer.status().is_client_error();
                 client.turned_away.set(turned_away && unread);
                 if turned_away || server.ends_with_this(client) {
-                    answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                    answer
+                        .headers_mut()
+                        .insert(CONNECTION, HeaderValue::from_static("close"));
                 }
                 if !client.streaming.get() {
                     client.rest();
@@ -556,15 +597,23 @@
 
     /// There is no room for whoever asks. A request is refused like any other, and counted.
     fn refuse(&self, request: &Request<Incoming>) -> Answer {
-        let class =
-            self.class_of(request.uri().path()).filter(|_| request.headers().contains_key("request-id"));
-        class.into_iter().for_each(|class| self.stats.take(class).end(Ending::Refused));
+        let class = self
+            .class_of(request.uri().path())
+            .filter(|_| request.headers().contains_key("request-id"));
+        class
+            .into_iter()
+            .for_each(|class| self.stats.take(class).end(Ending::Refused));
         plain(StatusCode::SERVICE_UNAVAILABLE, "no descriptor is free")
     }
 
     fn class_of(&self, path: &str) -> Option<usize> {
         let name = path.split('/').nth(1).unwrap_or_default();
-        self.driver.borrow().names().classes.iter().position(|class| class == name)
+        self.driver
+            .borrow()
+            .names()
+            .classes
+            .iter()
+            .position(|class| class == name)
     }
 
     async fn answer(&self, request: Request<Incoming>, client: &Rc<Client>) -> Answer {
@@ -586,7 +635,10 @@
             Ok(taken) => taken,
             Err(Untaken::Full) => {
                 request.end(Ending::Refused);
-                return plain(StatusCode::SERVICE_UNAVAILABLE, "too many requests are open");
+                return plain(
+                    StatusCode::SERVICE_UNAVAILABLE,
+                    "too many requests are open",
+                );
             }
             Err(Untaken::Known) => {
                 request.end(Ending::Failed);
@@ -594,7 +646,10 @@
             }
         };
         // Dropped with this future when the client goes away first.
-        let _gone = Gone { driver: &self.driver, id };
+        let _gone = Gone {
+            driver: &self.driver,
+            id,
+        };
         client.waits.set(true);
         // Nobody reads what comes behind a request that is whole before it has its answer.
         client.socket.read_ahead(!upload.is_streamed());
@@ -608,8 +663,12 @@
             spawn_local(async move {
                 upload.discard().await;
                 // Its next request may have begun by now.
-                let client = client.upgrade().filter(|client| client.discards.replace(false));
-                client.filter(|client| !client.streaming.get()).inspect(|client| client.rest());
+                let client = client
+                    .upgrade()
+                    .filter(|client| client.discards.replace(false));
+                client
+                    .filter(|client| !client.streaming.get())
+                    .inspect(|client| client.rest());
             });
         }
         match answer {
@@ -621,9 +680,14 @@
                     }
                     // Guards against a long answer that the end of the process cuts off, though its request came
                     // when that was near: it could not be finished for a slow client.
-                    Content::Streamed(_) if self.late.get().is_some_and(|late| upload.moved() > late) => {
+                    Content::Streamed(_)
+                        if self.late.get().is_some_and(|late| upload.moved() > late) =>
+                    {
                         request.end(Ending::Failed);
-                        return plain(StatusCode::BAD_GATEWAY, "too long an answer for a process that ends");
+                        return plain(
+                            StatusCode::BAD_GATEWAY,
+                            "too long an answer for a process that ends",
+                        );
                     }
                     Content::Streamed(download) => {
                         Reply::streamed(download, request, Box::new(Streaming::begin(client)))
@@ -636,7 +700,8 @@
             Ok(Final::Refused { retry_after }) => {
                 request.end(Ending::Refused);
                 let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
-                let value = retry_after.and_then(|t| HeaderValue::from_str(&format!("{t:.3}")).ok());
+                let value =
+                    retry_after.and_then(|t| HeaderValue::from_str(&format!("{t:.3}")).ok());
                 value.map(|value| response.headers_mut().insert("retry-after", value));
                 response
             }
@@ -647,7 +712,9 @@
             // None is owed, as the client has left; it counts under no ending.
             Err(_) => {
                 let mut answer = plain(StatusCode::BAD_GATEWAY, "its client has left");
-                answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                answer
+                    .headers_mut()
+                    .insert(CONNECTION, HeaderValue::from_static("close"));
                 answer
             }
         }
@@ -675,13 +742,22 @@
         };
         let (class, tenant, limit) = {
             let driver = self.driver.borrow();
-            let class = self.class_of(head.uri.path()).ok_or_else(|| bad("the path names no known class"))?;
+            let class = self
+                .class_of(head.uri.path())
+                .ok_or_else(|| bad("the path names no known class"))?;
             let tenants = &driver.names().tenants;
             let tenant = header("tenant")?;
             // One that the settings don't name has no quota, and so no number among them.
-            let tenant = tenants.iter().position(|t| Some(t.as_str()) == tenant).unwrap_or(tenants.len());
+            let tenant = tenants
+                .iter()
+                .position(|t| Some(t.as_str()) == tenant)
+                .unwrap_or(tenants.len());
             let settings = &driver.classes()[class];
-            let method = if settings.effect == Effect::Safe { Method::GET } else { Method::POST };
+            let method = if settings.effect == Effect::Safe {
+                Method::GET
+            } else {
+                Method::POST
+            };
             if head.method != method {
                 return Err(Bad(
                     StatusCode::METHOD_NOT_ALLOWED,
@@ -690,7 +766,9 @@
             }
             // Guards against a repeat that no upstream could know for one.
             match (&settings.effect, header("idempotency-key")?) {
-                (Effect::Keyed { .. }, None | Some("")) => return Err(bad("Idempotency-Key is missing")),
+                (Effect::Keyed { .. }, None | Some("")) => {
+                    return Err(bad("Idempotency-Key is missing"))
+                }
                 (Effect::Safe | Effect::Unsafe, Some(_)) => {
                     return Err(bad("this class has no Idempotency-Key"))
                 }
@@ -700,7 +778,9 @@
         };
         let name = match header("request-id")? {
             None | Some("") => return Err(bad("Request-Id is missing")),
-            Some(id) if id.len() > LONGEST_ID || !id.bytes().all(|byte| byte.is_ascii_graphic()) => {
+            Some(id)
+                if id.len() > LONGEST_ID || !id.bytes().all(|byte| byte.is_ascii_graphic()) =>
+            {
                 return Err(bad("Request-Id is malformed"));
             }
             Some(id) => id.to_string(),
@@ -732,7 +812,11 @@
         // Guards against a client that sends several requests at once and waits for the later ones from then on.
         upload.moved_at(client.socket.last_read());
         let length = upload.length().filter(|_| !chunked);
-        client.ends_at.set(body_begins.zip(length).map(|(begin, length)| begin + length as usize));
+        client.ends_at.set(
+            body_begins
+                .zip(length)
+                .map(|(begin, length)| begin + length as usize),
+        );
         if head.method == Method::GET && upload.length() != Some(0) {
             return Err(bad("GET has no body"));
         }
@@ -750,8 +834,22 @@
         let settled = self.draining.clone();
         let upload = Rc::new(upload);
         let client = client.socket.peer();
-        let forward = Forward { method: head.method, uri, headers, upload, client, wait, settled };
-        Ok(Taken { name, class, tenant, cost_hint, forward })
+        let forward = Forward {
+            method: head.method,
+            uri,
+            headers,
+            upload,
+            client,
+            wait,
+            settled,
+        };
+        Ok(Taken {
+            name,
+            class,
+            tenant,
+            cost_hint,
+            forward,
+        })
     }
 }
 
--- a/src/bin/magpiechute/socket.rs
+++ b/src/bin/magpiechute/socket.rs
@@ -75,9 +75,19 @@
 
 impl Budget {
     pub fn new(descriptors: usize, admin: bool) -> Rc<Self> {
-        let (clients, others, discovery, admin_open, most, most_clients, ahead) = Default::default();
+        let (clients, others, discovery, admin_open, most, most_clients, ahead) =
+            Default::default();
         let (most_admin, admin) = (if admin { ADMIN } else { 0 }, admin_open);
-        let budget = Budget { clients, others, discovery, admin, most, most_clients, most_admin, ahead };
+        let budget = Budget {
+            clients,
+            others,
+            discovery,
+            admin,
+            most,
+            most_clients,
+            most_admin,
+            ahead,
+        };
         budget.limit(descriptors);
         Rc::new(budget)
     }
@@ -86,7 +96,8 @@
     pub fn limit(&self, descriptors: usize) {
         self.most.set(descriptors.saturating_sub(self.kept()));
         let shared = self.most.get().saturating_sub(REFUSALS) as f64;
-        self.most_clients.set((shared * (1.0 - UPSTREAM_PART)) as usize);
+        self.most_clients
+            .set((shared * (1.0 - UPSTREAM_PART)) as usize);
     }
 
     /// Descriptors that the process holds now, with all that it keeps back.
@@ -104,8 +115,12 @@
         let (clients, open) = (self.clients.get(), self.clients.get() + self.others.get());
         let free = match purpose {
             Purpose::Upstream => open + REFUSALS < self.most.get(),
-            Purpose::Client => clients < self.most_clients.get() && open + REFUSALS < self.most.get(),
-            Purpose::Refusal => clients < self.most_clients.get() + REFUSALS && open < self.most.get(),
+            Purpose::Client => {
+                clients < self.most_clients.get() && open + REFUSALS < self.most.get()
+            }
+            Purpose::Refusal => {
+                clients < self.most_clients.get() + REFUSALS && open < self.most.get()
+            }
             // Also where the others hold more than their part, as that has just been made smaller.
             Purpose::Discovery => self.discovery.get() < DISCOVERY,
             Purpose::Admin => self.admin.get() < self.most_admin,
@@ -113,7 +128,10 @@
         free.then(|| {
             let count = self.count(purpose);
             count.set(count.get() + 1);
-            Permit { budget: self.clone(), purpose }
+            Permit {
+                budget: self.clone(),
+                purpose,
+            }
         })
     }
 
@@ -342,7 +360,11 @@
     /// Waits until bytes, the end or an error have come.
     pub async fn stirs(&self) {
         // What can't be waited for is asked.
-        let _ = self.0.stream.ready(Interest::READABLE | Interest::ERROR).await;
+        let _ = self
+            .0
+            .stream
+            .ready(Interest::READABLE | Interest::ERROR)
+            .await;
     }
 
     /// The other side of this connection, for those who ask after it and don't keep it open.
@@ -358,7 +380,10 @@
     /// True if the peer has closed its connection, its half of it, or reset it, also with bytes unread before that.
     /// Asks the kernel: the event loop knows only what had come when it last looked.
     pub fn has_left(&self) -> bool {
-        let mut asked = [PollFd::new(self.0.stream.as_fd(), PollFlags::from_bits_retain(POLLRDHUP))];
+        let mut asked = [PollFd::new(
+            self.0.stream.as_fd(),
+            PollFlags::from_bits_retain(POLLRDHUP),
+        )];
         uninterrupted(|| Ok(poll(&mut asked, PollTimeout::ZERO)?)).is_ok_and(|ended| ended > 0)
             || self.0.reads_ahead.get() && self.ends_behind()
     }
@@ -381,13 +406,19 @@
                     self.0.last_read.set(Instant::now());
                     let mut ahead = self.0.ahead.borrow_mut();
                     let all = &self.0.permit.budget.ahead;
-                    let most = if all.get() < MOST_AHEAD { AHEAD } else { LITTLE_AHEAD };
+                    let most = if all.get() < MOST_AHEAD {
+                        AHEAD
+                    } else {
+                        LITTLE_AHEAD
+                    };
                     let room = most.saturating_sub(ahead.len()) * usize::from(!self.0.cut.get());
                     ahead.extend(&bytes[..count.min(room)]);
                     all.set(all.get() + count.min(room));
                     self.0.cut.set(self.0.cut.get() || count > room);
                 }
-                Err(error) => return error.kind() != io::ErrorKind::WouldBlock && !is_shortage(&error),
+                Err(error) => {
+                    return error.kind() != io::ErrorKind::WouldBlock && !is_shortage(&error)
+                }
             }
         }
         false
@@ -498,7 +529,10 @@
         let count = ahead.len().min(bytes.len());
         let all = &self.0.permit.budget.ahead;
         all.set(all.get() - count);
-        ahead.drain(..count).zip(bytes).for_each(|(from, to)| *to = from);
+        ahead
+            .drain(..count)
+            .zip(bytes)
+            .for_each(|(from, to)| *to = from);
         Some(count)
     }
 
@@ -541,7 +575,11 @@
 }
 
 impl Write for Socket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_try(cx, bytes.len(), |stream| stream.try_write(bytes))
     }
 
--- a/src/bin/magpiechute/state_file.rs
+++ b/src/bin/magpiechute/state_file.rs
@@ -65,11 +65,14 @@
     ///
     /// If there is no such file, it can't be read, or holds something else.
     pub fn read(path: &Path, address: SocketAddr) -> Result<Self, StateError> {
-        let text = std::fs::read(path).map_err(|error| StateError::Unreadable(path.into(), error))?;
-        let mut state: State =
-            serde_json::from_slice(&text).map_err(|error| StateError::Malformed(path.into(), error))?;
+        let text =
+            std::fs::read(path).map_err(|error| StateError::Unreadable(path.into(), error))?;
+        let mut state: State = serde_json::from_slice(&text)
+            .map_err(|error| StateError::Malformed(path.into(), error))?;
         let written = std::fs::metadata(path).and_then(|about| about.modified());
-        state.age = written.ok().and_then(|written| SystemTime::now().duration_since(written).ok());
+        state.age = written
+            .ok()
+            .and_then(|written| SystemTime::now().duration_since(written).ok());
         match state.balancer == address.to_string() {
             true => Ok(state),
             false => Err(StateError::Foreign(path.into(), state.balancer)),
--- a/src/bin/magpiechute/stats.rs
+++ b/src/bin/magpiechute/stats.rs
@@ -31,14 +31,25 @@
 
 impl Stats {
     pub fn new(classes: &[String]) -> Rc<Self> {
-        let classes = classes.iter().map(|name| (name.clone(), Ended::default())).collect();
-        Rc::new(Stats { classes: RefCell::new(classes), attempts: Cell::new(0), in_flight: Cell::new(0) })
+        let classes = classes
+            .iter()
+            .map(|name| (name.clone(), Ended::default()))
+            .collect();
+        Rc::new(Stats {
+            classes: RefCell::new(classes),
+            attempts: Cell::new(0),
+            in_flight: Cell::new(0),
+        })
     }
 
     /// A request of this class has been taken.
     pub fn take(self: &Rc<Self>, class: usize) -> InFlight {
         self.in_flight.set(self.in_flight.get() + 1);
-        InFlight { stats: self.clone(), class, open: Cell::new(true) }
+        InFlight {
+            stats: self.clone(),
+            class,
+            open: Cell::new(true),
+        }
     }
 
     /// The last byte of an attempt has been written.
--- a/src/bin/magpiechute/steady.rs
+++ b/src/bin/magpiechute/steady.rs
@@ -37,7 +37,11 @@
 }
 
 impl<T: AsyncWrite + Unpin> AsyncWrite for Steady<T> {
-    fn poll_write(mut self: Pin<&mut Self>, context: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         loop {
             let result = Pin::new(&mut self.0).poll_write(context, bytes);
             if let Some(result) = settled(result, context) {
--- a/src/bin/magpiechute/system_errors.rs
+++ b/src/bin/magpiechute/system_errors.rs
@@ -12,8 +12,16 @@
 /// True for an error of the system that says that this process or machine is short of descriptors, buffers, memory, or
 /// places to watch descriptors (ENOSPC of epoll_ctl(2)).
 pub fn is_shortage(error: &io::Error) -> bool {
-    const SHORTAGES: [i32; 5] = [libc::ENFILE, libc::EMFILE, libc::ENOBUFS, libc::ENOMEM, libc::ENOSPC];
-    error.raw_os_error().is_some_and(|number| SHORTAGES.contains(&number))
+    const SHORTAGES: [i32; 5] = [
+        libc::ENFILE,
+        libc::EMFILE,
+        libc::ENOBUFS,
+        libc::ENOMEM,
+        libc::ENOSPC,
+    ];
+    error
+        .raw_os_error()
+        .is_some_and(|number| SHORTAGES.contains(&number))
 }
 
 /// Makes a call again that was interrupted.
@@ -29,7 +37,10 @@
 /// True for an error that may be over a moment later, whatever was called.
 pub fn is_passing(error: &io::Error) -> bool {
     const PASSING: [i32; 3] = [libc::EINTR, libc::EAGAIN, libc::EIO];
-    is_shortage(error) || error.raw_os_error().is_some_and(|number| PASSING.contains(&number))
+    is_shortage(error)
+        || error
+            .raw_os_error()
+            .is_some_and(|number| PASSING.contains(&number))
 }
 
 /// Makes a call of a start again while it fails for a moment. The thread sleeps between: nobody is served yet.
@@ -37,7 +48,9 @@
     let until = Instant::now() + START_PATIENCE;
     loop {
         match call() {
-            Err(error) if is_passing(&error) && Instant::now() < until => thread::sleep(START_AGAIN),
+            Err(error) if is_passing(&error) && Instant::now() < until => {
+                thread::sleep(START_AGAIN)
+            }
             result => return result,
         }
     }
@@ -46,9 +59,18 @@
 /// True for an error of connect that says nothing of the other side: this machine lacks something for the moment, a
 /// local port or a route included, or the call was interrupted.
 pub fn is_local(error: &io::Error) -> bool {
-    const LOCAL: [i32; 6] =
-        [libc::EINTR, libc::EAGAIN, libc::EADDRINUSE, libc::EADDRNOTAVAIL, libc::ENETDOWN, libc::ENETUNREACH];
-    is_shortage(error) || error.raw_os_error().is_some_and(|number| LOCAL.contains(&number))
+    const LOCAL: [i32; 6] = [
+        libc::EINTR,
+        libc::EAGAIN,
+        libc::EADDRINUSE,
+        libc::EADDRNOTAVAIL,
+        libc::ENETDOWN,
+        libc::ENETUNREACH,
+    ];
+    is_shortage(error)
+        || error
+            .raw_os_error()
+            .is_some_and(|number| LOCAL.contains(&number))
 }
 
 /// True for an error of accept that is over with the call: it was interrupted, or the connection that was next in the
@@ -67,7 +89,9 @@
         libc::EOPNOTSUPP,
         libc::ENETUNREACH,
     ];
-    error.raw_os_error().is_some_and(|number| OVER.contains(&number))
+    error
+        .raw_os_error()
+        .is_some_and(|number| OVER.contains(&number))
 }
 
 /// True for the error that says that this process holds as many descriptors as it may.
--- a/src/bin/magpiechute/upgrade.rs
+++ b/src/bin/magpiechute/upgrade.rs
@@ -83,7 +83,17 @@
     ) -> Rc<Self> {
         let (other, replaced, unsaved) = Default::default();
         let address = Cell::new(address);
-        Rc::new(Upgrade { folder, address, driver, server, budget, sockets, other, replaced, unsaved })
+        Rc::new(Upgrade {
+            folder,
+            address,
+            driver,
+            server,
+            budget,
+            sockets,
+            other,
+            replaced,
+            unsaved,
+        })
     }
 
     /// True once a new process takes the clients' connections.
@@ -92,7 +102,11 @@
     }
 
     fn path(&self, kind: &str) -> Option<PathBuf> {
-        Some(self.folder.as_ref()?.join(format!("magpiechute-{}.{kind}", self.address.get())))
+        Some(
+            self.folder
+                .as_ref()?
+                .join(format!("magpiechute-{}.{kind}", self.address.get())),
+        )
     }
 
     /// Does what the operators say of an upstream, writes it down and tells the other process; false if none of this
@@ -136,10 +150,23 @@
     }
 
     fn save(&self) -> io::Result<()> {
-        let Some(path) = self.path("state") else { return Ok(()) };
-        let out = self.driver.borrow().left_out().map(str::to_string).collect();
+        let Some(path) = self.path("state") else {
+            return Ok(());
+        };
+        let out = self
+            .driver
+            .borrow()
+            .left_out()
+            .map(str::to_string)
+            .collect();
         let knowledge = self.driver.borrow().knowledge();
-        State { balancer: self.address.get().to_string(), out, knowledge, age: None }.write(&path)
+        State {
+            balancer: self.address.get().to_string(),
+            out,
+            knowledge,
+            age: None,
+        }
+        .write(&path)
     }
 
     /// Does what the operators have said to the other process, or to the one before, as far as that is written down and
@@ -158,7 +185,9 @@
         let until = Instant::now() + MEET_PATIENCE;
         loop {
             match self.adopt()? {
-                Err(error) if error.is_passing() && Instant::now() < until => sleep(MEET_AGAIN).await,
+                Err(error) if error.is_passing() && Instant::now() < until => {
+                    sleep(MEET_AGAIN).await
+                }
                 adopted => return Some(adopted),
             }
         }
@@ -167,7 +196,9 @@
     /// The same where something has to be there.
     async fn restore(&self) -> Option<State> {
         let adopted = self.adopt_in_time().await?;
-        adopted.map_err(|why| log::line(format!("nothing is known of a process before: {why}"))).ok()
+        adopted
+            .map_err(|why| log::line(format!("nothing is known of a process before: {why}")))
+            .ok()
     }
 
     /// The old process, if there is one; a call that fails for a moment is made again for a while.
@@ -176,7 +207,9 @@
         loop {
             match UnixStream::connect(path).await {
                 Ok(stream) => return Some(stream),
-                Err(error) if is_passing(&error) && Instant::now() < until => sleep(MEET_AGAIN).await,
+                Err(error) if is_passing(&error) && Instant::now() < until => {
+                    sleep(MEET_AGAIN).await
+                }
                 Err(_) => return None,
             }
         }
@@ -185,15 +218,24 @@
     /// Takes over what a process before has left. If it still runs, this one has the descriptors that it can spare,
     /// and is to listen only once it is ready.
     pub async fn succeed(self: &Rc<Self>) {
-        let Some(path) = self.path("sock") else { return };
+        let Some(path) = self.path("sock") else {
+            return;
+        };
         for _ in 0..MEETINGS {
-            let Some(old) = Self::find_other(&path).await else { break };
+            let Some(old) = Self::find_other(&path).await else {
+                break;
+            };
             if self.meet(old).await {
                 break;
             }
         }
         // Only now: what it knew when it heard of this process stands in the file, and what changes after that is told.
-        if let Some(State { knowledge, age: Some(age), .. }) = self.restore().await {
+        if let Some(State {
+            knowledge,
+            age: Some(age),
+            ..
+        }) = self.restore().await
+        {
             self.driver.borrow_mut().recall(age, knowledge);
         }
     }
@@ -222,12 +264,17 @@
     pub fn settle(self: &Rc<Self>, address: SocketAddr) {
         self.address.set(address);
         self.tell(Line::Ready);
-        let Some(path) = self.path("sock") else { return };
+        let Some(path) = self.path("sock") else {
+            return;
+        };
         // Whoever sees that this process listens may start the next one.
         match self.listen(&path) {
             Ok(listener) => drop(spawn_local(self.clone().accept(listener))),
             Err(error) => {
-                log::line(format!("no upgrade can follow yet: {}: {error}", path.display()));
+                log::line(format!(
+                    "no upgrade can follow yet: {}: {error}",
+                    path.display()
+                ));
                 spawn_local(self.clone().await_next(path));
             }
         }
@@ -257,7 +304,9 @@
         loop {
             match listener.accept().await {
                 // One upgrade at a time: whoever comes beside it is on its own.
-                Ok((stream, _)) if self.other.borrow().is_none() => self.talk(stream, Rc::default()),
+                Ok((stream, _)) if self.other.borrow().is_none() => {
+                    self.talk(stream, Rc::default())
+                }
                 Ok(_) => {}
                 Err(_) => sleep(ACCEPT_AGAIN).await,
             }
@@ -272,7 +321,9 @@
         *self.other.borrow_mut() = Some(sender);
         spawn_local(async move {
             while let Some(line) = lines.recv().await {
-                let Ok(mut text) = serde_json::to_vec(&line) else { continue };
+                let Ok(mut text) = serde_json::to_vec(&line) else {
+                    continue;
+                };
                 text.push(b'\n');
                 // One that can't be told is gone, and so is the reading end.
                 let _ = output.write_all(&text).await;
@@ -311,7 +362,9 @@
                 }
                 Ok(Line::Ready) => self.replaced.set(true),
                 Ok(Line::State) => drop(self.restore().await),
-                Err(error) => return log::line(format!("the other process can't be understood: {error}")),
+                Err(error) => {
+                    return log::line(format!("the other process can't be understood: {error}"))
+                }
             }
         }
     }
--- a/src/bin/magpiechute/upstream.rs
+++ b/src/bin/magpiechute/upstream.rs
@@ -8,7 +8,9 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming};
 use hyper::client::conn::http1;
-use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
+use hyper::header::{
+    HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING,
+};
 use hyper::http::response::Parts;
 use hyper::{Method, Request, StatusCode, Uri, Version};
 use ryequay::{Outcome, UpstreamId};
@@ -47,9 +49,12 @@
         "transfer-encoding",
         "upgrade",
     ];
-    let ours = |name: &HeaderName| OURS.contains(&name.as_str()) || names(headers, CONNECTION, name.as_str());
+    let ours = |name: &HeaderName| {
+        OURS.contains(&name.as_str()) || names(headers, CONNECTION, name.as_str())
+    };
     let kept = headers.iter().filter(|(name, _)| !ours(name));
-    kept.map(|(name, value)| (name.clone(), value.clone())).collect()
+    kept.map(|(name, value)| (name.clone(), value.clone()))
+        .collect()
 }
 
 /// A request as it goes on to an upstream, but for the time left.
@@ -70,7 +75,9 @@
     /// When its client gives up, if it sends nothing more.
     pub fn deadline(&self) -> Instant {
         let deadline = self.upload.moved() + self.wait;
-        self.settled.get().map_or(deadline, |settled| deadline.min(settled))
+        self.settled
+            .get()
+            .map_or(deadline, |settled| deadline.min(settled))
     }
 }
 
@@ -131,9 +138,15 @@
     /// From now on connections to this upstream may be kept.
     pub fn open(&self, upstream: UpstreamId, address: SocketAddr) {
         let mut places = self.places.borrow_mut();
-        let place = places.entry(upstream).or_insert(Place { address, idle: Vec::new() });
+        let place = places.entry(upstream).or_insert(Place {
+            address,
+            idle: Vec::new(),
+        });
         if place.address != address {
-            *place = Place { address, idle: Vec::new() };
+            *place = Place {
+                address,
+                idle: Vec::new(),
+            };
         }
     }
 
@@ -144,7 +157,11 @@
 
     /// Shuts the idle connections to this upstream.
     pub fn shed(&self, upstream: UpstreamId) {
-        self.places.borrow_mut().get_mut(&upstream).into_iter().for_each(|place| place.idle.clear());
+        self.places
+            .borrow_mut()
+            .get_mut(&upstream)
+            .into_iter()
+            .for_each(|place| place.idle.clear());
     }
 
     /// Shuts all idle connections, and keeps none any more.
@@ -155,7 +172,9 @@
     /// Shuts those that have been idle for too long or that the upstream has closed.
     pub fn sweep(&self) {
         for place in self.places.borrow_mut().values_mut() {
-            place.idle.retain(|idle| idle.since.elapsed() < self.keep && idle.socket.is_quiet());
+            place
+                .idle
+                .retain(|idle| idle.since.elapsed() < self.keep && idle.socket.is_quiet());
         }
     }
 
@@ -170,7 +189,9 @@
     /// The connection that was used last: the others may grow old.
     fn take(&self, upstream: UpstreamId, address: SocketAddr) -> Option<(Socket, Duration)> {
         let mut places = self.places.borrow_mut();
-        let place = places.get_mut(&upstream).filter(|place| place.address == address)?;
+        let place = places
+            .get_mut(&upstream)
+            .filter(|place| place.address == address)?;
         while let Some(Idle { since, socket }) = place.idle.pop() {
             // Guards against a request written to a connection that the upstream has closed, or is about
             // to: it would end as a reset, which may have run.
@@ -184,9 +205,16 @@
     /// Keeps a connection, unless its upstream has gone from the list or moved since.
     fn put(&self, upstream: UpstreamId, address: SocketAddr, socket: Socket) {
         let mut places = self.places.borrow_mut();
-        let place = places.get_mut(&upstream).filter(|place| place.address == address);
-        let Some(place) = place.filter(|_| socket.is_quiet()) else { return };
-        place.idle.push(Idle { since: Instant::now(), socket });
+        let place = places
+            .get_mut(&upstream)
+            .filter(|place| place.address == address);
+        let Some(place) = place.filter(|_| socket.is_quiet()) else {
+            return;
+        };
+        place.idle.push(Idle {
+            since: Instant::now(),
+            socket,
+        });
         if place.idle.len() > MOST_IDLE {
             place.idle.remove(0);
         }
@@ -199,12 +227,12 @@
         });
         // Guards against resting an upstream because we have no descriptor: that is no news of it.
         let permit = permit.ok_or(Outcome::NotSent)?;
-        Socket::connect(address, permit, self.connect_timeout).await.map_err(|error| {
-            match is_shortage(&error) {
+        Socket::connect(address, permit, self.connect_timeout)
+            .await
+            .map_err(|error| match is_shortage(&error) {
                 true => Outcome::NotSent,
                 false => Outcome::ConnectFailed,
-            }
-        })
+            })
     }
 }
 
@@ -250,7 +278,9 @@
     /// Ends when it may not be written any more and has not been. Guards against a repeat on a connection that came up
     /// late, or that takes bytes slowly, when upstreams no more know it for one.
     async fn too_late(&self, handed_over: impl Fn() -> bool) {
-        let Some(by) = self.whole_by else { return pending().await };
+        let Some(by) = self.whole_by else {
+            return pending().await;
+        };
         while by > Instant::now() {
             sleep_until(by).await;
         }
@@ -302,7 +332,9 @@
                 // Guards against an answer that was there before its request.
                 Some(Ok((answer, _))) => answer.and(Err(Outcome::ConnectFailed)),
                 // A kept connection that was found dead in time tells nothing of the upstream.
-                Some(Err(_)) if !fresh && socket.written() == written && self.request.upload.is_fresh() => {
+                Some(Err(_))
+                    if !fresh && socket.written() == written && self.request.upload.is_fresh() =>
+                {
                     self.begun.set(None);
                     continue;
                 }
@@ -325,9 +357,15 @@
         }
         let (method, uri) = (self.request.method.clone(), self.request.uri.clone());
         let line = method.as_str().len() + uri.to_string().len() + " HTTP/1.1\r\n".len() + 1;
-        let lines = headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4);
+        let lines = headers
+            .iter()
+            .map(|(name, value)| name.as_str().len() + value.len() + 4);
         let mut message = Request::new(body(line + lines.sum::<usize>() + 2));
-        (*message.method_mut(), *message.uri_mut(), *message.headers_mut()) = (method, uri, headers);
+        (
+            *message.method_mut(),
+            *message.uri_mut(),
+            *message.headers_mut(),
+        ) = (method, uri, headers);
         message
     }
 
@@ -336,7 +374,11 @@
     /// Each exchange has an HTTP connection of its own on the socket, which is taken apart at the end. Guards against
     /// bytes behind an answer that stay in its buffer, and would be the next answer's beginning: only a socket
     /// from which nothing more has come is used again.
-    async fn exchange(&self, socket: &Socket, whole: Rc<Cell<usize>>) -> hyper::Result<(Ended, bool)> {
+    async fn exchange(
+        &self,
+        socket: &Socket,
+        whole: Rc<Cell<usize>>,
+    ) -> hyper::Result<(Ended, bool)> {
         socket.begin(self.request.client.clone(), LARGEST_PREFACE);
         let begin = socket.written();
         let message = self.message(|head| {
@@ -347,17 +389,27 @@
             })
         });
         let mut http = http1::Builder::new();
-        let (mut sender, mut connection) = http.max_buf_size(LARGEST_HEAD).handshake(socket.clone()).await?;
+        let (mut sender, mut connection) = http
+            .max_buf_size(LARGEST_HEAD)
+            .handshake(socket.clone())
+            .await?;
         let talk = async {
             let (head, body) = sender.send_request(message).await?.into_parts();
             if !is_sound(&head) {
                 return Ok((Err(Outcome::Spoilt), After::Close));
             }
-            let kept = head.version == Version::HTTP_11 && !names(&head.headers, CONNECTION, "close");
+            let kept =
+                head.version == Version::HTTP_11 && !names(&head.headers, CONNECTION, "close");
             let (ended, after) = match outcome(head.status, &head.headers) {
                 Ok(()) => {
                     let (content, after) = self.content(socket, body).await?;
-                    (content.map(|body| Answer { headers: head.headers, body }), after)
+                    (
+                        content.map(|body| Answer {
+                            headers: head.headers,
+                            body,
+                        }),
+                        after,
+                    )
                 }
                 // What it says is of no use, but its connection may be.
                 Err(outcome) => (Err(outcome), pass_over(socket, body).await?),
@@ -425,10 +477,12 @@
                 _ => part(socket, &mut body).await,
             };
             let Some(frame) = frame else {
-                let whole = ahead.into_iter().fold(BytesMut::new(), |mut whole, data: Bytes| {
-                    whole.extend_from_slice(&data);
-                    whole
-                });
+                let whole = ahead
+                    .into_iter()
+                    .fold(BytesMut::new(), |mut whole, data: Bytes| {
+                        whole.extend_from_slice(&data);
+                        whole
+                    });
                 return Ok((Ok(Content::Whole(whole.freeze())), After::Reuse));
             };
             if let Ok(data) = frame?.into_data() {
@@ -440,7 +494,10 @@
         socket.allow_more();
         let (whole, over) = oneshot::channel();
         let download = Download::new(ahead, body, length, whole, room);
-        Ok((Ok(Content::Streamed(Box::new(download))), After::Stream { over, kept: true }))
+        Ok((
+            Ok(Content::Streamed(Box::new(download))),
+            After::Stream { over, kept: true },
+        ))
     }
 }
 
@@ -470,7 +527,12 @@
     let mut codings = head.headers.get_all(TRANSFER_ENCODING).iter();
     let digits = |value: &HeaderValue| value.as_bytes().iter().all(u8::is_ascii_digit);
     head.status != StatusCode::SWITCHING_PROTOCOLS
-        && match (lengths.next(), lengths.next(), codings.next(), codings.next()) {
+        && match (
+            lengths.next(),
+            lengths.next(),
+            codings.next(),
+            codings.next(),
+        ) {
             (Some(length), None, None, None) => digits(length),
             (None, None, Some(coding), None) => coding.as_bytes().eq_ignore_ascii_case(b"chunked"),
             // It ends with its connection, and says so.
@@ -481,8 +543,13 @@
 
 /// True if this header, a list, has this word.
 pub fn names(headers: &HeaderMap, list: HeaderName, word: &str) -> bool {
-    let texts = headers.get_all(list).into_iter().filter_map(|value| value.to_str().ok());
-    texts.flat_map(|text| text.split(',')).any(|item| item.trim().eq_ignore_ascii_case(word))
+    let texts = headers
+        .get_all(list)
+        .into_iter()
+        .filter_map(|value| value.to_str().ok());
+    texts
+        .flat_map(|text| text.split(','))
+        .any(|item| item.trim().eq_ignore_ascii_case(word))
 }
 
 fn outcome(status: StatusCode, headers: &HeaderMap) -> Result<(), Outcome> {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -274,12 +274,28 @@
         number("prices cross zone", self.prices.cross_zone, 0.0)?;
         number("tick", self.tick, 0.0)?;
         number("limits conn idle", self.limits.conn_idle, 0.0)?;
-        number("limits connect timeout", self.limits.connect_timeout, f64::MIN_POSITIVE)?;
-        number("limits retry after", self.limits.retry_after.unwrap_or(0.0), 0.0)?;
+        number(
+            "limits connect timeout",
+            self.limits.connect_timeout,
+            f64::MIN_POSITIVE,
+        )?;
+        number(
+            "limits retry after",
+            self.limits.retry_after.unwrap_or(0.0),
+            0.0,
+        )?;
         number("rules ask within", self.rules.ask_within, f64::MIN_POSITIVE)?;
         number("rules cold", self.rules.cold, 0.0)?;
-        number("rules fall multiple", self.rules.fall_multiple, f64::MIN_POSITIVE)?;
-        number("rules start capacity", self.rules.start_capacity, f64::MIN_POSITIVE)
+        number(
+            "rules fall multiple",
+            self.rules.fall_multiple,
+            f64::MIN_POSITIVE,
+        )?;
+        number(
+            "rules start capacity",
+            self.rules.start_capacity,
+            f64::MIN_POSITIVE,
+        )
     }
 }
 
@@ -351,7 +367,10 @@
 impl Outcome {
     /// True if the attempt is known not to have run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 }
 
--- a/src/recall.rs
+++ b/src/recall.rs
@@ -44,12 +44,17 @@
 impl Balancer {
     /// What has been learned so far.
     pub fn knowledge(&self) -> Knowledge {
-        let learned =
-            |(id, u): (&UpstreamId, &Upstream)| (id.0, (u.entry.since, u.returned, u.learned.clone()));
+        let learned = |(id, u): (&UpstreamId, &Upstream)| {
+            (id.0, (u.entry.since, u.returned, u.learned.clone()))
+        };
         Knowledge {
             at: self.now,
             upstreams: self.upstreams.iter().map(learned).collect(),
-            started: self.upstreams.iter().map(|(id, u)| (id.0, u.started)).collect(),
+            started: self
+                .upstreams
+                .iter()
+                .map(|(id, u)| (id.0, u.started))
+                .collect(),
             usual: self.usual.clone(),
             rates: self.rates.clone(),
             paces: self.turns.paces.clone(),
@@ -66,20 +71,27 @@
     pub fn recall(&mut self, now: f64, age: f64, knowledge: Knowledge) {
         self.now = self.now.max(now);
         let classes = self.cfg.classes.len();
-        let fits = knowledge.usual.len() == classes && knowledge.rates.len() == self.cfg.tenants.len();
+        let fits =
+            knowledge.usual.len() == classes && knowledge.rates.len() == self.cfg.tenants.len();
         if !fits || age >= self.cfg.rules.cold {
             return;
         }
         let by = self.now - age.max(0.0) - knowledge.at;
         let knowledge = knowledge.shifted(by);
         for (id, (since, returned, learned)) in knowledge.upstreams {
-            let listed = self.upstreams.get_mut(&UpstreamId(id)).filter(|u| u.entry.since == since);
-            if let Some(u) = listed.filter(|_| learned.health.len() == classes + 1 && learned.width > 0.0) {
+            let listed = self
+                .upstreams
+                .get_mut(&UpstreamId(id))
+                .filter(|u| u.entry.since == since);
+            if let Some(u) =
+                listed.filter(|_| learned.health.len() == classes + 1 && learned.width > 0.0)
+            {
                 (u.returned, u.learned) = (returned, learned);
                 u.started = knowledge.started.get(&id).copied().unwrap_or(u.started);
             }
         }
-        (self.usual, self.rates, self.strain) = (knowledge.usual, knowledge.rates, knowledge.strain);
+        (self.usual, self.rates, self.strain) =
+            (knowledge.usual, knowledge.rates, knowledge.strain);
         self.turns.paces = knowledge.paces;
         (self.turns.pass, self.turns.met_crowd) = (knowledge.pass, knowledge.met_crowd);
         let most = (self.turns.order.len() as f64).max(self.turns.least_subset);
--- a/src/starts.rs
+++ b/src/starts.rs
@@ -22,7 +22,10 @@
 impl Starts {
     /// Those of a balancer that starts now.
     pub(crate) fn new(now: f64) -> Self {
-        Starts { news_from: now + FIRST_NEWS, least_lag: f64::INFINITY }
+        Starts {
+            news_from: now + FIRST_NEWS,
+            least_lag: f64::INFINITY,
+        }
     }
 
     /// The moment at which an upstream is taken to have started, of which a list tells this start for the first time
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,8 @@
 //! What a balancer keeps in mind: types and plain bookkeeping, no decisions.
 
-use crate::interface::{Class, Effect, Outcome, RequestId, Rules, UpstreamEntry, UpstreamId, UpstreamState};
+use crate::interface::{
+    Class, Effect, Outcome, RequestId, Rules, UpstreamEntry, UpstreamId, UpstreamState,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -51,9 +53,14 @@
         now: f64,
     ) {
         let within = self.split().0.iter().map(|id| &upstreams[id]);
-        let (all, warm, busy) = within.fold((0.0, f64::MIN_POSITIVE, 0.0), |(all, warm, busy), u| {
-            (all + 1.0, warm + u.warm_share(rules, now), busy + u.flights.len() as f64)
-        });
+        let (all, warm, busy) =
+            within.fold((0.0, f64::MIN_POSITIVE, 0.0), |(all, warm, busy), u| {
+                (
+                    all + 1.0,
+                    warm + u.warm_share(rules, now),
+                    busy + u.flights.len() as f64,
+                )
+            });
         let more = rules.fall_multiple / 2.0 * all / warm;
         self.headroom = (self.headroom + more).min(FEW_ANSWERS + busy);
     }
@@ -163,7 +170,10 @@
 impl Learned {
     /// All moments in it.
     pub(crate) fn moments(&mut self) -> impl Iterator<Item = &mut f64> {
-        let health = self.health.iter_mut().flat_map(|health| [&mut health.heard, &mut health.ejected_until]);
+        let health = self
+            .health
+            .iter_mut()
+            .flat_map(|health| [&mut health.heard, &mut health.ejected_until]);
         health.chain([&mut self.full_until])
     }
 }
@@ -274,11 +284,15 @@
     }
     /// The first attempt that is not known never to have run.
     pub(crate) fn first_run(&self) -> Option<&Try> {
-        self.tries.iter().find(|t| !t.outcome.is_some_and(Outcome::never_ran))
+        self.tries
+            .iter()
+            .find(|t| !t.outcome.is_some_and(Outcome::never_ran))
     }
     /// What is left of the time in which repeats are dropped, where one might run twice.
     pub(crate) fn window_left(&self, class: &Class, now: f64) -> Option<f64> {
-        let first = self.first_run().filter(|_| matches!(class.effect, Effect::Keyed { .. }))?;
+        let first = self
+            .first_run()
+            .filter(|_| matches!(class.effect, Effect::Keyed { .. }))?;
         Some(first.sent + class.dedup_window - now)
     }
 }
@@ -287,7 +301,19 @@
     pub(crate) fn new(entry: UpstreamEntry) -> Self {
         let (out, turned_away, suspected, started, returned) = Default::default();
         let (flights, queue, due, idle, learned) = Default::default();
-        Upstream { entry, out, turned_away, suspected, started, returned, flights, queue, due, idle, learned }
+        Upstream {
+            entry,
+            out,
+            turned_away,
+            suspected,
+            started,
+            returned,
+            flights,
+            queue,
+            due,
+            idle,
+            learned,
+        }
     }
 
     /// The list and the operators let it have calls, and so does itself as far as can be known.
