--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -12,7 +12,9 @@
 /// An address where nobody listens, nor will: it stays bound to the end.
 fn nobody() -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
     std::mem::forget(socket);
     address
@@ -23,19 +25,28 @@
     let upstream = Upstream::start(Reply::Ok);
     let (program, _discovery) = Program::with(&[upstream.address]);
     let mut client = program.client();
-    let headers = format!("{KEYED}Tenant: acme\r\nRequest-Timeout: 5.5\r\nWork-Hint: 1200\r\nNews: 1\r\n");
+    let headers =
+        format!("{KEYED}Tenant: acme\r\nRequest-Timeout: 5.5\r\nWork-Hint: 1200\r\nNews: 1\r\n");
     for _ in 0..3 {
         let answer = client.ask("/hold/7?a=b", &headers, "the body");
         let seen = upstream.next();
         assert_eq!(answer.status(), 200);
-        assert_eq!(answer.body, format!("POST /hold/7?a=b HTTP/1.1 by {}", upstream.address).as_bytes());
+        assert_eq!(
+            answer.body,
+            format!("POST /hold/7?a=b HTTP/1.1 by {}", upstream.address).as_bytes()
+        );
         assert_eq!(seen.header("request-id"), answer.header("saw"));
         assert_eq!(seen.header("idempotency-key"), Some("k1"));
         assert_eq!(seen.body, b"the body");
         let left: f64 = seen.header("request-timeout").unwrap().parse().unwrap();
         assert!(left > 0.0 && left < 5.5, "{left}");
     }
-    assert_eq!(upstream.connections.load(std::sync::atomic::Ordering::SeqCst), 1);
+    assert_eq!(
+        upstream
+            .connections
+            .load(std::sync::atomic::Ordering::SeqCst),
+        1
+    );
 }
 
 #[test]
@@ -56,7 +67,11 @@
     for (path, headers, body, status) in cases {
         let mut client = program.client();
         client.send(path, &headers, body).unwrap();
-        assert_eq!(client.receive().unwrap().unwrap().status(), status, "{path} {headers}");
+        assert_eq!(
+            client.receive().unwrap().unwrap().status(),
+            status,
+            "{path} {headers}"
+        );
     }
     assert!(upstream.seen.try_recv().is_err());
 }
@@ -75,7 +90,10 @@
 
 #[test]
 fn what_was_turned_away_unseen_goes_elsewhere() {
-    let (full, free) = (Upstream::start(Reply::NotStarted), Upstream::start(Reply::Ok));
+    let (full, free) = (
+        Upstream::start(Reply::NotStarted),
+        Upstream::start(Reply::Ok),
+    );
     let (program, _discovery) = Program::with(&[full.address, free.address]);
     for _ in 0..4 {
         assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
@@ -87,12 +105,22 @@
 /// Guards against an effect that happens twice, and against passing on a part of an answer.
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_is_sent_once() {
-    for reply in [Reply::Cut, Reply::CutOff, Reply::Status(500), Reply::Status(503), Reply::Status(404)] {
+    for reply in [
+        Reply::Cut,
+        Reply::CutOff,
+        Reply::Status(500),
+        Reply::Status(503),
+        Reply::Status(404),
+    ] {
         let (one, two) = (Upstream::start(reply), Upstream::start(reply));
         let (program, _discovery) = Program::with(&[one.address, two.address]);
         let answer = program.client().ask("/pay", ID, "coins");
         assert_eq!(answer.status(), 502, "{reply:?}");
-        assert_eq!(one.seen.try_iter().count() + two.seen.try_iter().count(), 1, "{reply:?}");
+        assert_eq!(
+            one.seen.try_iter().count() + two.seen.try_iter().count(),
+            1,
+            "{reply:?}"
+        );
     }
 }
 
@@ -115,17 +143,27 @@
     let upstream = Upstream::start(Reply::Silent);
     let (program, _discovery) = Program::with(&[upstream.address]);
     let begin = Instant::now();
-    let answer = program.client().ask("/pay", &format!("{ID}Request-Timeout: 1.5\r\n"), "coins");
+    let answer = program
+        .client()
+        .ask("/pay", &format!("{ID}Request-Timeout: 1.5\r\n"), "coins");
     assert_eq!(answer.status(), 502, "it may have run");
-    assert!(begin.elapsed() > Duration::from_secs(1), "it was given its time");
+    assert!(
+        begin.elapsed() > Duration::from_secs(1),
+        "it was given its time"
+    );
     assert_eq!(upstream.seen.try_iter().count(), 1);
-    upstream.closed.recv_timeout(PATIENCE).expect("what is out is closed");
+    upstream
+        .closed
+        .recv_timeout(PATIENCE)
+        .expect("what is out is closed");
 }
 
 #[test]
 fn a_request_that_found_no_upstream_is_refused() {
     let (program, _discovery) = Program::with(&[nobody()]);
-    let answer = program.client().ask("/pay", &format!("{ID}Request-Timeout: 8.0\r\n"), "");
+    let answer = program
+        .client()
+        .ask("/pay", &format!("{ID}Request-Timeout: 8.0\r\n"), "");
     assert_eq!(answer.status(), 503);
     let wait: f64 = answer.header("retry-after").unwrap().parse().unwrap();
     assert!(wait > 0.0 && wait <= 2.0, "{wait}");
@@ -139,7 +177,10 @@
     client.send("/pay", ID, "coins").unwrap();
     upstream.next();
     drop(client);
-    upstream.closed.recv_timeout(PATIENCE).expect("the attempt is closed");
+    upstream
+        .closed
+        .recv_timeout(PATIENCE)
+        .expect("the attempt is closed");
     upstream.set(Reply::Ok);
     assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
 }
@@ -151,12 +192,19 @@
     let mut client = program.client();
     assert_eq!(client.ask("/pay", ID, "coins").status(), 200);
     let mut watch = discovery.next();
-    assert!(watch.asked.contains("follow=1") && watch.asked.contains("since=5"), "{}", watch.asked);
+    assert!(
+        watch.asked.contains("follow=1") && watch.asked.contains("since=5"),
+        "{}",
+        watch.asked
+    );
     watch.line("");
     watch.line(&list(
         6,
         false,
-        &[endpoint("u0", old.address, "terminating"), endpoint("u9", new.address, "in_service")],
+        &[
+            endpoint("u0", old.address, "terminating"),
+            endpoint("u9", new.address, "in_service"),
+        ],
     ));
     // The idle connection to it is closed once the list has come.
     old.closed.recv_timeout(PATIENCE).unwrap();
@@ -164,7 +212,10 @@
     for _ in 0..10 {
         assert_eq!(client.ask("/pay", ID, "coins").status(), 200);
     }
-    assert_eq!((old.seen.try_iter().count(), new.seen.try_iter().count()), (0, 10));
+    assert_eq!(
+        (old.seen.try_iter().count(), new.seen.try_iter().count()),
+        (0, 10)
+    );
 }
 
 /// Guards against a call that was decided before a drain was told, and begins after it: it goes elsewhere,
@@ -174,11 +225,15 @@
     let (old, new) = (unreachable(), Upstream::start(Reply::Ok));
     let discovery = DiscoveryPeer::start();
     let known = list(5, true, &[endpoint("u0", old, "in_service")]);
-    let patient = config(&known, discovery.address, 1024).replace("Timeout\":1.0", "Timeout\":60.0");
+    let patient =
+        config(&known, discovery.address, 1024).replace("Timeout\":1.0", "Timeout\":60.0");
     let program = Program::start(&patient, "127.0.0.1:0");
     let mut client = program.client();
     client.send("/pay", ID, "coins").unwrap();
-    let changes = [endpoint("u0", old, "terminating"), endpoint("u9", new.address, "in_service")];
+    let changes = [
+        endpoint("u0", old, "terminating"),
+        endpoint("u9", new.address, "in_service"),
+    ];
     discovery.next().line(&list(6, false, &changes));
     assert_eq!(client.receive().unwrap().unwrap().status(), 200);
     assert_eq!(new.seen.try_iter().count(), 1);
@@ -200,7 +255,11 @@
     let upstream = Upstream::start(Reply::Ok);
     let (program, discovery) = Program::with(&[upstream.address]);
     let mut watch = discovery.next();
-    watch.line(&list(9, true, &[endpoint("u0", upstream.address, "in_service")]));
+    watch.line(&list(
+        9,
+        true,
+        &[endpoint("u0", upstream.address, "in_service")],
+    ));
     drop(watch);
     let mut again = discovery.next();
     assert!(again.asked.contains("since=9"), "{}", again.asked);
@@ -229,7 +288,11 @@
     let first = config(&known, old.address, 1024);
     let program = Program::start_with(&variables, &first, "127.0.0.1:0");
     let mut watch = old.next();
-    watch.line(&list(90, true, &[endpoint("u0", one.address, "in_service")]));
+    watch.line(&list(
+        90,
+        true,
+        &[endpoint("u0", one.address, "in_service")],
+    ));
     program.reload("not a configuration");
     program.reload(&config(&known, new.address, 1024));
     // The first try fails: it goes there again, and all holds as it was.
@@ -237,14 +300,26 @@
     assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
     let mut next = new.next();
     assert!(next.asked.contains("since=0"), "{}", next.asked);
-    watch.line(&list(91, false, &[endpoint("u0", one.address, "in_service")]));
+    watch.line(&list(
+        91,
+        false,
+        &[endpoint("u0", one.address, "in_service")],
+    ));
     next.line(&list(3, true, &[endpoint("u0", one.address, "in_service")]));
     watch.ended();
-    let news = [endpoint("u0", one.address, "terminating"), endpoint("u1", two.address, "in_service")];
+    let news = [
+        endpoint("u0", one.address, "terminating"),
+        endpoint("u1", two.address, "in_service"),
+    ];
     next.line(&list(4, false, &news));
-    one.closed.recv_timeout(PATIENCE).expect("the idle connection is closed");
+    one.closed
+        .recv_timeout(PATIENCE)
+        .expect("the idle connection is closed");
     assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
-    assert_eq!((one.seen.try_iter().count(), two.seen.try_iter().count()), (1, 1));
+    assert_eq!(
+        (one.seen.try_iter().count(), two.seen.try_iter().count()),
+        (1, 1)
+    );
     assert!(old.watches.try_recv().is_err());
 }
 
@@ -253,7 +328,11 @@
     let upstream = Upstream::start(Reply::Ok);
     let (program, discovery) = Program::with(&[]);
     assert_eq!(program.client().ask("/healthz", "", "").status(), 503);
-    discovery.next().line(&list(6, true, &[endpoint("u0", upstream.address, "in_service")]));
+    discovery.next().line(&list(
+        6,
+        true,
+        &[endpoint("u0", upstream.address, "in_service")],
+    ));
     while program.client().ask("/healthz", "", "").status() != 200 {
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -266,18 +345,28 @@
     let (mut program, _discovery) = Program::with(&[upstream.address]);
     let (mut busy, mut idle, mut fresh) = (program.client(), program.client(), program.client());
     assert_eq!(idle.ask("/healthz", "", "").status(), 200);
-    busy.send("/pay", &format!("{ID}Request-Timeout: 2.0\r\n"), "coins").unwrap();
+    busy.send("/pay", &format!("{ID}Request-Timeout: 2.0\r\n"), "coins")
+        .unwrap();
     upstream.next();
     program.terminate();
-    assert!(idle.receive().unwrap().is_none(), "the idle connection is closed");
+    assert!(
+        idle.receive().unwrap().is_none(),
+        "the idle connection is closed"
+    );
     // One that was taken before, but not used yet, still has its first request answered.
     assert_eq!(fresh.ask("/healthz", "", "").status(), 503);
     assert!(fresh.receive().unwrap().is_none());
     // New connections go on coming; each carries one request.
     let late = program.client().ask("/healthz", "", "");
-    assert_eq!((late.status(), late.header("connection")), (503, Some("close")));
+    assert_eq!(
+        (late.status(), late.header("connection")),
+        (503, Some("close"))
+    );
     let answer = busy.receive().unwrap().expect("what was taken is settled");
-    assert_eq!((answer.status(), answer.header("connection")), (502, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (502, Some("close"))
+    );
     assert!(busy.receive().unwrap().is_none());
     assert!(program.wait().success());
 }
@@ -293,16 +382,31 @@
         program.terminate();
         let mut draining = false;
         while let (false, Ok(mut probe)) = (draining, Client::connect(program.address)) {
-            let health = probe.send("/healthz", "", "").and_then(|()| probe.receive());
-            draining = health.ok().flatten().is_some_and(|health| health.status() == 503);
+            let health = probe
+                .send("/healthz", "", "")
+                .and_then(|()| probe.receive());
+            draining = health
+                .ok()
+                .flatten()
+                .is_some_and(|health| health.status() == 503);
         }
-        let Ok(mut client) = Client::connect(program.address) else { continue };
+        let Ok(mut client) = Client::connect(program.address) else {
+            continue;
+        };
         let sent = client.send("/pay", &format!("{ID}Request-Timeout: 10.0\r\n"), "coins");
         // On a machine that was too slow for the program's times, nothing is shown.
         if sent.is_ok() && begun.elapsed() < Duration::from_millis(400) {
-            let left: f64 = upstream.next().header("request-timeout").unwrap().parse().unwrap();
+            let left: f64 = upstream
+                .next()
+                .header("request-timeout")
+                .unwrap()
+                .parse()
+                .unwrap();
             assert!(left < 3.7, "{left}");
-            assert_eq!(client.receive().unwrap().expect("it is settled").status(), 502);
+            assert_eq!(
+                client.receive().unwrap().expect("it is settled").status(),
+                502
+            );
             break;
         }
     }
@@ -316,7 +420,10 @@
     assert_eq!(client.ask("/read", ID, "").status(), 200);
     program.kill();
     let known = list(5, true, &[endpoint("u0", upstream.address, "in_service")]);
-    let again = Program::start(&config(&known, discovery.address, 1024), &program.address.to_string());
+    let again = Program::start(
+        &config(&known, discovery.address, 1024),
+        &program.address.to_string(),
+    );
     assert_eq!(again.address, program.address);
     assert_eq!(again.client().ask("/read", ID, "").status(), 200);
 }
@@ -344,14 +451,23 @@
     let good = config("{}", nobody(), 1024);
     let cases = [
         ("nonsense".to_string(), "PROXY_CONFIG"),
-        (good.replace("\"aim\":5.0", "\"aim\":\"soon\""), "classes.0.aim"),
-        (good.replace("\"hardLimit\":10.0", "\"hardLimit\":-1"), "deadline"),
+        (
+            good.replace("\"aim\":5.0", "\"aim\":\"soon\""),
+            "classes.0.aim",
+        ),
+        (
+            good.replace("\"hardLimit\":10.0", "\"hardLimit\":-1"),
+            "deadline",
+        ),
         (good.replace("0a", "zz"), "seed"),
     ];
     for (config, field) in cases {
         let output = spawn(&config, "127.0.0.1:0").wait_with_output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
-        assert!(!output.status.success() && text.lines().count() == 1 && text.contains(field), "{text}");
+        assert!(
+            !output.status.success() && text.lines().count() == 1 && text.contains(field),
+            "{text}"
+        );
     }
 }
 
@@ -366,17 +482,29 @@
         head.to_string(),
         format!("{head}Request-Id: fe01\r\nContent-Length: 9\r\n\r\nhalf"),
         format!("{head}Request-Id: fe02\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nha"),
-        format!("{head}Request-Id: fe03\r\nContent-Length: 65536\r\n\r\n{}", "x".repeat(60_000)),
+        format!(
+            "{head}Request-Id: fe03\r\nContent-Length: 65536\r\n\r\n{}",
+            "x".repeat(60_000)
+        ),
     ];
     let mut clients: Vec<_> = halves.iter().map(|_| program.client()).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.ask("/pay", ID, "coins").status(), 200));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.ask("/pay", ID, "coins").status(), 200));
     let begun = Instant::now();
-    clients.iter_mut().zip(&halves).for_each(|(client, half)| client.write(half));
+    clients
+        .iter_mut()
+        .zip(&halves)
+        .for_each(|(client, half)| client.write(half));
     for (client, half) in clients.iter_mut().zip(&halves) {
         let answer = client.receive().ok().flatten();
         assert!(answer.is_none_or(|answer| answer.status() == 408));
         // Idle connections stay for 10 s; a busy machine may take longer than 3 s for this.
-        assert!(begun.elapsed() < Duration::from_secs(6), "{:?} {half:.60}", begun.elapsed());
+        assert!(
+            begun.elapsed() < Duration::from_secs(6),
+            "{:?} {half:.60}",
+            begun.elapsed()
+        );
     }
 }
 
@@ -416,9 +544,16 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     drop(halves);
-    let last = slow.pop().unwrap().receive().unwrap().map(|answer| answer.status());
+    let last = slow
+        .pop()
+        .unwrap()
+        .receive()
+        .unwrap()
+        .map(|answer| answer.status());
     assert_eq!(last, Some(408));
-    slow.into_iter().chain(silent).for_each(|mut client| assert!(client.is_closed()));
+    slow.into_iter()
+        .chain(silent)
+        .for_each(|mut client| assert!(client.is_closed()));
     assert_eq!(upstream.seen.try_iter().count(), 1);
 }
 
@@ -447,7 +582,11 @@
     for (text, status) in cases {
         let mut client = program.client();
         client.write(&text);
-        assert_eq!(client.receive().unwrap().map(|answer| answer.status()), Some(status), "{text:.99}");
+        assert_eq!(
+            client.receive().unwrap().map(|answer| answer.status()),
+            Some(status),
+            "{text:.99}"
+        );
         assert!(client.is_closed());
     }
     assert!(upstream.seen.try_recv().is_err());
@@ -459,9 +598,17 @@
     let upstream = Upstream::start(Reply::Silent);
     let (program, _discovery) = Program::with(&[upstream.address]);
     let (mut one, mut two) = (program.client(), program.client());
-    one.send("/pay", "Request-Id: ff10\r\nRequest-Timeout: 2.0\r\n", "coins").unwrap();
+    one.send(
+        "/pay",
+        "Request-Id: ff10\r\nRequest-Timeout: 2.0\r\n",
+        "coins",
+    )
+    .unwrap();
     upstream.next();
-    assert_eq!(two.ask("/pay", "Request-Id: ff10\r\n", "coins").status(), 409);
+    assert_eq!(
+        two.ask("/pay", "Request-Id: ff10\r\n", "coins").status(),
+        409
+    );
     assert_eq!(one.receive().unwrap().unwrap().status(), 502);
     assert!(upstream.seen.try_recv().is_err());
 }
@@ -486,7 +633,11 @@
     for text in answers {
         let (one, two) = (Upstream::raw(text), Upstream::raw(text));
         let (program, _discovery) = Program::with(&[one.address, two.address]);
-        assert_eq!(program.client().ask("/pay", ID, "coins").status(), 502, "{text:.99}");
+        assert_eq!(
+            program.client().ask("/pay", ID, "coins").status(),
+            502,
+            "{text:.99}"
+        );
         let count = |upstream: &Upstream| upstream.seen.try_iter().count();
         assert_eq!(count(&one) + count(&two), 1, "{text:.99}");
         // Whichever it was, its connection has been closed.
@@ -505,7 +656,10 @@
     let mut client = program.client();
     for _ in 0..5 {
         assert_eq!(client.ask("/pay", ID, "coins").body, b"first");
-        upstream.closed.recv_timeout(PATIENCE).expect("its connection is closed");
+        upstream
+            .closed
+            .recv_timeout(PATIENCE)
+            .expect("its connection is closed");
     }
     assert_eq!(upstream.seen.try_iter().count(), 5);
 }
@@ -535,14 +689,24 @@
 fn a_heavy_call_lost_in_silence_ejects_its_upstream_no_longer_than_a_light_one() {
     let (lossy, other) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
     let discovery = DiscoveryPeer::start();
-    let entries = [&lossy, &other].map(|u| endpoint(&u.address.to_string(), u.address, "in_service"));
-    let brisk =
-        config(&list(5, true, &entries), discovery.address, 1024).replace("\"aim\":5.0", "\"aim\":0.3");
+    let entries =
+        [&lossy, &other].map(|u| endpoint(&u.address.to_string(), u.address, "in_service"));
+    let brisk = config(&list(5, true, &entries), discovery.address, 1024)
+        .replace("\"aim\":5.0", "\"aim\":0.3");
     let program = Program::start(&brisk, "127.0.0.1:0");
-    let light =
-        || assert_eq!(program.client().ask("/pay", &format!("{ID}Work-Hint: 1000\r\n"), "").status(), 200);
+    let light = || {
+        assert_eq!(
+            program
+                .client()
+                .ask("/pay", &format!("{ID}Work-Hint: 1000\r\n"), "")
+                .status(),
+            200
+        )
+    };
     (0..10).for_each(|_| light());
-    [&lossy, &other].iter().for_each(|upstream| upstream.set(Reply::Silent));
+    [&lossy, &other]
+        .iter()
+        .for_each(|upstream| upstream.set(Reply::Silent));
     let heavy = format!("{ID}Work-Hint: 900000000\r\nRequest-Timeout: 0.6\r\n");
     assert_eq!(program.client().ask("/pay", &heavy, "").status(), 502);
     for upstream in [&lossy, &other] {
@@ -552,7 +716,10 @@
     let begin = Instant::now();
     let mut seen = [0, 0];
     while seen.contains(&0) {
-        assert!(begin.elapsed() < PATIENCE, "one of them gets nothing any more");
+        assert!(
+            begin.elapsed() < PATIENCE,
+            "one of them gets nothing any more"
+        );
         light();
         seen[0] += lossy.seen.try_iter().count();
         seen[1] += other.seen.try_iter().count();
@@ -585,10 +752,17 @@
 /// Guards against an upstream that draws calls because it fails them fast; errors that all have eject none.
 #[test]
 fn an_upstream_that_alone_answers_with_errors_is_left_out() {
-    let (bad, good) = (Upstream::start(Reply::Status(500)), [(); 2].map(|()| Upstream::start(Reply::Ok)));
+    let (bad, good) = (
+        Upstream::start(Reply::Status(500)),
+        [(); 2].map(|()| Upstream::start(Reply::Ok)),
+    );
     let (program, _discovery) = Program::with(&[bad.address, good[0].address, good[1].address]);
     let mut client = program.client();
-    let mut ask = |times: usize| (0..times).filter(|_| client.ask("/pay", ID, "").status() == 200).count();
+    let mut ask = |times: usize| {
+        (0..times)
+            .filter(|_| client.ask("/pay", ID, "").status() == 200)
+            .count()
+    };
     ask(90);
     let met = bad.seen.try_iter().count();
     assert!(0 < met && met < 18, "{met} of 90, where an even turn is 30");
@@ -607,7 +781,9 @@
             upstream.seen.try_iter().count();
         }
         ask(90);
-        all().map(|upstream| upstream.seen.try_iter().count()).collect()
+        all()
+            .map(|upstream| upstream.seen.try_iter().count())
+            .collect()
     };
     // Turns are even in the time that answers take, which no machine keeps even: once is enough.
     for round in 0.. {
@@ -623,8 +799,13 @@
 /// Guards against giving up calls that may be repeated because a few answers in a hundred are spoilt.
 #[test]
 fn spoilt_answers_to_calls_that_may_be_repeated_cost_no_failure_while_most_are_good() {
-    let upstreams = [Upstream::start(Reply::Ok), Upstream::start(Reply::Ok), Upstream::start(Reply::Ok)];
-    let (program, _discovery) = Program::with(&upstreams.each_ref().map(|upstream| upstream.address));
+    let upstreams = [
+        Upstream::start(Reply::Ok),
+        Upstream::start(Reply::Ok),
+        Upstream::start(Reply::Ok),
+    ];
+    let (program, _discovery) =
+        Program::with(&upstreams.each_ref().map(|upstream| upstream.address));
     for round in 0..4 {
         for _ in 0..12 {
             assert_eq!(program.client().ask("/hold", KEYED, "").status(), 200);
@@ -643,11 +824,16 @@
 #[test]
 fn a_request_that_was_never_started_goes_elsewhere_whatever_the_status() {
     for status in [503, 504] {
-        let answer = format!("HTTP/1.1 {status} Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
+        let answer =
+            format!("HTTP/1.1 {status} Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
         let (busy, free) = (Upstream::raw(&answer), Upstream::start(Reply::Ok));
         let (program, _discovery) = Program::with(&[busy.address, free.address]);
         for _ in 0..6 {
-            assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200, "{status}");
+            assert_eq!(
+                program.client().ask("/pay", ID, "coins").status(),
+                200,
+                "{status}"
+            );
         }
         assert!(busy.seen.try_iter().count() > 0, "{status}");
     }
@@ -668,7 +854,12 @@
     client.send("/pay", ID, "coins").unwrap();
     program.go_on();
     assert_eq!(client.receive().unwrap().expect("an answer").status(), 200);
-    assert_eq!(upstream.connections.load(std::sync::atomic::Ordering::SeqCst), 2);
+    assert_eq!(
+        upstream
+            .connections
+            .load(std::sync::atomic::Ordering::SeqCst),
+        2
+    );
 }
 
 /// Guards against news of a kind that is not known yet being taken for a yes.
@@ -676,16 +867,28 @@
 fn an_upstream_whose_status_is_unknown_gets_nothing() {
     let (odd, good) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
     let discovery = DiscoveryPeer::start();
-    let known =
-        |status: &str| [endpoint("u0", odd.address, status), endpoint("u1", good.address, "in_service")];
+    let known = |status: &str| {
+        [
+            endpoint("u0", odd.address, status),
+            endpoint("u1", good.address, "in_service"),
+        ]
+    };
     let config = config(&list(5, true, &known("warming_up")), discovery.address, 256);
     let program = Program::start(&config, "127.0.0.1:0");
     let mut client = program.client();
-    (0..20).for_each(|_| assert_eq!(client.ask("/pay", "Request-Id: {id}\r\n", "coins").status(), 200));
+    (0..20).for_each(|_| {
+        assert_eq!(
+            client.ask("/pay", "Request-Id: {id}\r\n", "coins").status(),
+            200
+        )
+    });
     assert!(odd.seen.try_recv().is_err());
     discovery.next().line(&list(6, true, &known("in_service")));
     until("it has calls once it is in service", || {
-        assert_eq!(client.ask("/pay", "Request-Id: {id}\r\n", "coins").status(), 200);
+        assert_eq!(
+            client.ask("/pay", "Request-Id: {id}\r\n", "coins").status(),
+            200
+        );
         odd.seen.try_recv().is_ok()
     });
 }
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -10,12 +10,19 @@
 
 /// Bytes that differ from place to place.
 fn bytes(count: usize) -> String {
-    (0..count).map(|n| char::from(b'a' + (n * 7 + n / 1009) as u8 % 26)).collect()
+    (0..count)
+        .map(|n| char::from(b'a' + (n * 7 + n / 1009) as u8 % 26))
+        .collect()
 }
 
 fn chunked(body: &str, size: usize) -> String {
-    let chunk =
-        |part: &[u8]| format!("{:x};news=1\r\n{}\r\n", part.len(), std::str::from_utf8(part).unwrap());
+    let chunk = |part: &[u8]| {
+        format!(
+            "{:x};news=1\r\n{}\r\n",
+            part.len(),
+            std::str::from_utf8(part).unwrap()
+        )
+    };
     body.as_bytes().chunks(size).map(chunk).collect::<String>() + "0\r\nTrailer: t\r\n\r\n"
 }
 
@@ -23,8 +30,14 @@
 fn a_large_answer_reaches_its_client_as_it_was_whatever_its_framing() {
     let body = bytes(3 << 20);
     let framings = [
-        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()),
-        format!("HTTP/1.1 200 \r\nTRANSFER-ENCODING:chunked\r\n\r\n{}", chunked(&body, 50_000)),
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        ),
+        format!(
+            "HTTP/1.1 200 \r\nTRANSFER-ENCODING:chunked\r\n\r\n{}",
+            chunked(&body, 50_000)
+        ),
     ];
     for answer in framings {
         let upstream = Upstream::raw(&answer);
@@ -35,7 +48,9 @@
             assert_eq!(answer.status(), 200);
             assert!(answer.body == body.as_bytes());
         }
-        let connections = upstream.connections.load(std::sync::atomic::Ordering::SeqCst);
+        let connections = upstream
+            .connections
+            .load(std::sync::atomic::Ordering::SeqCst);
         assert_eq!(connections, 1);
         assert_eq!(program.figure("served.read"), 3);
         assert_eq!(program.figure("in_flight"), 0);
@@ -54,7 +69,10 @@
         let mut client = program.client();
         for _ in 0..2 {
             let answer = client.ask("/read", ID, "");
-            assert!(answer.status() == 200 && answer.body == body.as_bytes(), "{count}");
+            assert!(
+                answer.status() == 200 && answer.body == body.as_bytes(),
+                "{count}"
+            );
         }
     }
 }
@@ -68,7 +86,10 @@
     client.send("/pay", ID, "coins").unwrap();
     let text = String::from_utf8(client.rest()).unwrap();
     assert!(text.to_lowercase().contains("content-length: 1000000") && text.len() < 1_000_000);
-    assert_eq!((program.figure("failed.pay"), program.figure("served.pay")), (1, 0));
+    assert_eq!(
+        (program.figure("failed.pay"), program.figure("served.pay")),
+        (1, 0)
+    );
     assert_eq!(program.figure("in_flight"), 0);
     assert_eq!(upstream.seen.try_iter().count(), 1);
 }
@@ -89,14 +110,19 @@
         assert!(upstream.next().body == body.as_bytes(), "{count}");
     }
     // Nothing comes, and it says so at its end.
-    client.send("/read", &format!("{ID}Transfer-Encoding: chunked\r\n"), "").unwrap();
+    client
+        .send("/read", &format!("{ID}Transfer-Encoding: chunked\r\n"), "")
+        .unwrap();
     client.write("0\r\n\r\n");
     assert_eq!(client.receive().unwrap().unwrap().status(), 200);
 }
 
 #[test]
 fn a_large_body_goes_elsewhere_while_none_of_the_rest_is_read() {
-    let refusing = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let refusing = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let upstream = Upstream::start(Reply::Ok);
     let (program, _discovery) = Program::with(&[refusing, upstream.address]);
     let body = bytes(1 << 20);
@@ -126,12 +152,14 @@
     for _ in 0..10 {
         let mut last = Instant::now();
         let mut client = program.client();
-        client.write("POST /pay HTTP/1.1\r\nRequest-Id: ee03\r\nTransfer-Encoding: chunked\r\n\r\n");
+        client
+            .write("POST /pay HTTP/1.1\r\nRequest-Id: ee03\r\nTransfer-Encoding: chunked\r\n\r\n");
         client.write(&format!("30d40\r\n{}\r\n", bytes(200_000)));
         let (mut write, (stop, stopped)) = (client.writer(), channel());
         let sending = thread::spawn(move || {
             let mut longest = last.elapsed();
-            while stopped.recv_timeout(Duration::from_millis(20)) == Err(RecvTimeoutError::Timeout) {
+            while stopped.recv_timeout(Duration::from_millis(20)) == Err(RecvTimeoutError::Timeout)
+            {
                 // Where the connection has ended, the next request shows it.
                 let _ = write("1\r\nx\r\n");
                 longest = longest.max(last.elapsed());
@@ -161,7 +189,10 @@
     let (program, _discovery) = Program::with(&[upstream.address]);
     let mut client = program.client();
     let body = bytes(300_000);
-    let head = format!("POST /pay HTTP/1.1\r\nRequest-Id: ee01\r\nContent-Length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "POST /pay HTTP/1.1\r\nRequest-Id: ee01\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
     client.write(&head);
     for part in body.as_bytes().chunks(10_000) {
         client.write(std::str::from_utf8(part).unwrap());
@@ -197,7 +228,10 @@
     let mut client = program.client();
     client.write("POST /pay HTTP/1.1\r\nRequest-Id: ee02\r\nContent-Length: 900000\r\n\r\n");
     client.write(&bytes(500_000));
-    upstream.closed.recv_timeout(PATIENCE).expect("its connection is closed");
+    upstream
+        .closed
+        .recv_timeout(PATIENCE)
+        .expect("its connection is closed");
     assert!(upstream.seen.try_recv().is_err());
     assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
     assert_eq!(program.figure("upstreams_excluded"), 0);
@@ -218,7 +252,10 @@
             thread::sleep(Duration::from_millis(50))
         }
     });
-    upstream.closed.recv_timeout(PATIENCE).expect("its connection is closed");
+    upstream
+        .closed
+        .recv_timeout(PATIENCE)
+        .expect("its connection is closed");
     assert!(upstream.seen.try_recv().is_err());
     assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
     assert_eq!(program.figure("upstreams_excluded"), 0);
@@ -229,7 +266,12 @@
 fn many_large_bodies_at_a_time_take_little_memory() {
     let body = bytes(8 << 20);
     let upstreams: Vec<_> = (0..4)
-        .map(|_| Upstream::raw(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())))
+        .map(|_| {
+            Upstream::raw(&format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            ))
+        })
         .collect();
     let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
     let (program, _discovery) = Program::with(&addresses);
@@ -240,7 +282,11 @@
     }
     for client in &mut clients {
         let answer = client.receive().unwrap().unwrap();
-        assert!(answer.status() == 503 || answer.body == body.as_bytes(), "{}", answer.first);
+        assert!(
+            answer.status() == 503 || answer.body == body.as_bytes(),
+            "{}",
+            answer.first
+        );
     }
     // And some send.
     for _ in 0..8 {
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -18,7 +18,10 @@
     let config = patient(&config_of(upstreams, discovery.address, 256))
         .replace("\"cancel\":true", &format!("\"cancel\":{cancel}"));
     let variables = [("PROXY_CONSOLE", "127.0.0.1:0")];
-    (Program::start_with(&variables, &config, "127.0.0.1:0"), discovery)
+    (
+        Program::start_with(&variables, &config, "127.0.0.1:0"),
+        discovery,
+    )
 }
 
 /// How a client leaves: with so many bytes behind its request, and by a reset or not.
@@ -87,7 +90,11 @@
 
 /// The next that reaches the upstream is a request that comes now: nothing of those that have left does.
 fn only_new_ones_come(program: &Program, upstream: &Upstream, what: &str) {
-    assert_eq!(program.client().ask("/pay/last", ID, "").status(), 200, "{what}");
+    assert_eq!(
+        program.client().ask("/pay/last", ID, "").status(),
+        200,
+        "{what}"
+    );
     assert_eq!(upstream.next().first, "POST /pay/last HTTP/1.1", "{what}");
 }
 
@@ -105,7 +112,11 @@
             until("its end is seen", || program.figure("in_flight") == left);
             upstream.release();
             for client in &mut running {
-                assert_eq!(client.receive().unwrap().unwrap().status(), 200, "{behind} {reset}");
+                assert_eq!(
+                    client.receive().unwrap().unwrap().status(),
+                    200,
+                    "{behind} {reset}"
+                );
             }
             only_new_ones_come(&program, &upstream, &format!("{behind} {reset}"));
         }
@@ -121,9 +132,13 @@
     for (number, client) in leaving.into_iter().enumerate() {
         leave(client, BEHIND[number % 3], number % 2 == 0);
     }
-    until("their ends are seen", || program.figure("in_flight") == running.len() as u64);
+    until("their ends are seen", || {
+        program.figure("in_flight") == running.len() as u64
+    });
     upstream.release();
-    running.iter_mut().for_each(|client| drop(client.receive().unwrap().expect("an answer")));
+    running
+        .iter_mut()
+        .for_each(|client| drop(client.receive().unwrap().expect("an answer")));
     only_new_ones_come(&program, &upstream, "they have left together");
 }
 
@@ -135,7 +150,9 @@
         let (full, busy) = (Upstream::start(Reply::Hold), Upstream::start(Reply::Hold));
         let (program, _discovery) = start(&[full.address, busy.address], true);
         let mut clients = four_out(&program);
-        let leaving: usize = full.next().first["POST /pay/".len()..][..1].parse().unwrap();
+        let leaving: usize = full.next().first["POST /pay/".len()..][..1]
+            .parse()
+            .unwrap();
         full.set(Reply::NotStarted);
         full.release();
         leave(clients.remove(leaving), behind, behind > 0);
@@ -145,7 +162,10 @@
             assert_eq!(client.receive().unwrap().unwrap().status(), 200, "{behind}");
         }
         let left = format!("POST /pay/{leaving} HTTP/1.1");
-        assert!(busy.seen.try_iter().all(|message| message.first != left), "{behind}");
+        assert!(
+            busy.seen.try_iter().all(|message| message.first != left),
+            "{behind}"
+        );
     }
 }
 
@@ -160,7 +180,9 @@
             let client = connecting(&program, upstream);
             let port = client.port();
             leave(client, behind, false);
-            until("its connections are closed", || !is_awaited(upstream) && !program.holds(port));
+            until("its connections are closed", || {
+                !is_awaited(upstream) && !program.holds(port)
+            });
         }
     }
 }
@@ -185,7 +207,10 @@
         for client in running.iter_mut().chain([waiting].iter_mut()) {
             assert_eq!(client.receive().unwrap().unwrap().status(), 200);
         }
-        assert!(upstream.seen.try_iter().all(|message| !message.first.contains("half")));
+        assert!(upstream
+            .seen
+            .try_iter()
+            .all(|message| !message.first.contains("half")));
         assert_eq!(program.figure("in_flight"), 0);
     }
 }
@@ -203,7 +228,9 @@
             let free = || {
                 upstream.release();
                 let count = running.len() as u64;
-                until("all have answered", || upstream.answered.load(Ordering::SeqCst) == count);
+                until("all have answered", || {
+                    upstream.answered.load(Ordering::SeqCst) == count
+                });
             };
             free_first.then(free);
             for (number, client) in leaving.into_iter().enumerate() {
@@ -211,7 +238,9 @@
             }
             (!free_first).then(free);
             program.go_on();
-            running.iter_mut().for_each(|client| drop(client.receive().unwrap().expect("an answer")));
+            running
+                .iter_mut()
+                .for_each(|client| drop(client.receive().unwrap().expect("an answer")));
             only_new_ones_come(&program, &upstream, &format!("{behind} {free_first}"));
         }
     }
@@ -248,7 +277,9 @@
         full.set(Reply::NotStarted);
         for upstream in [&full, &busy] {
             upstream.release();
-            until("it has answered", || upstream.answered.load(Ordering::SeqCst) == 2);
+            until("it has answered", || {
+                upstream.answered.load(Ordering::SeqCst) == 2
+            });
         }
         for (number, client) in clients.into_iter().enumerate() {
             if gone.contains(&format!("POST /pay/{number} HTTP/1.1")) {
@@ -257,7 +288,12 @@
         }
         program.go_on();
         until("nothing is left", || program.figure("in_flight") == 0);
-        assert!(busy.seen.try_iter().all(|message| !gone.contains(&message.first)), "{behind}");
+        assert!(
+            busy.seen
+                .try_iter()
+                .all(|message| !gone.contains(&message.first)),
+            "{behind}"
+        );
     }
 }
 
@@ -273,7 +309,9 @@
             program.hold();
             let all = door.waiting.len() as u64 + 1;
             let upstream = door.open(Reply::Ok);
-            until("its connection is up", || upstream.connections.load(Ordering::SeqCst) == all);
+            until("its connection is up", || {
+                upstream.connections.load(Ordering::SeqCst) == all
+            });
             leave_unseen(&program, client, behind, false);
             program.go_on();
             until("its end is seen", || program.figure("in_flight") == 0);
@@ -291,7 +329,9 @@
         let (program, _discovery) = start(&[listener.local_addr().unwrap()], cancel);
         for number in 0..8 {
             let mut client = program.client();
-            client.write(&format!("POST /pay/half HTTP/1.1\r\nHost: b\r\nRequest-Id: d{number}\r\n"));
+            client.write(&format!(
+                "POST /pay/half HTTP/1.1\r\nHost: b\r\nRequest-Id: d{number}\r\n"
+            ));
             client.write("Content-Length: 150000\r\n\r\n");
             client.write(&"x".repeat(149_000));
             let (mut upstream, _) = listener.accept().unwrap();
@@ -324,14 +364,22 @@
         let left = running.len() as u64;
         until("its end is seen", || program.figure("in_flight") == left);
         upstream.release();
-        running.iter_mut().for_each(|client| drop(client.receive().unwrap().expect("an answer")));
+        running
+            .iter_mut()
+            .for_each(|client| drop(client.receive().unwrap().expect("an answer")));
         program.hold();
         let mut early = program.client();
         early.send("/pay", ID, "coins").unwrap();
         early.half_close();
         until("its end has come", || program.has_end_of(early.port()));
         program.go_on();
-        assert!(early.receive().unwrap().is_none_or(|answer| answer.status() == 502), "{behind}");
+        assert!(
+            early
+                .receive()
+                .unwrap()
+                .is_none_or(|answer| answer.status() == 502),
+            "{behind}"
+        );
         only_new_ones_come(&program, &upstream, &behind.to_string());
         assert_eq!(program.figure("failed.pay"), 0);
     }
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -11,7 +11,10 @@
 
 /// Now, in Unix milliseconds.
 fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64
 }
 
 /// Four upstreams, the last of which starts again, and a program whose wall clock may be wrong.
@@ -26,7 +29,12 @@
 impl Rig {
     fn new(cold: f64) -> Self {
         let upstreams = (0..4).map(|_| Upstream::start(Reply::Ok)).collect();
-        Rig { upstreams, discovery: DiscoveryPeer::start(), cold, folder: folder() }
+        Rig {
+            upstreams,
+            discovery: DiscoveryPeer::start(),
+            cold,
+            folder: folder(),
+        }
     }
 
     /// The entry of the last one, with the start that is listed.
@@ -37,8 +45,9 @@
 
     /// A program whose wall clock is ahead by so many seconds, and that knows of this start of the last one.
     fn program(&self, listen: &str, ahead: i64, since: u64) -> (Program, Watch) {
-        let mut entries: Vec<_> =
-            (0..3).map(|n| endpoint(&format!("u{n}"), self.upstreams[n].address, "in_service")).collect();
+        let mut entries: Vec<_> = (0..3)
+            .map(|n| endpoint(&format!("u{n}"), self.upstreams[n].address, "in_service"))
+            .collect();
         entries.push(self.last(since));
         let cold = format!("\"cold\":{},\"startCapacity\":0.05", self.cold);
         let config = config(&list(5, true, &entries), self.discovery.address, 256)
@@ -88,7 +97,10 @@
         let (program, mut watch) = rig.program("127.0.0.1:0", ahead, 0);
         rig.restart(&program, &mut watch, now());
         let share = rig.share(&program);
-        assert!(share < CALLS / 10, "{share} calls of {CALLS}, {ahead} s ahead");
+        assert!(
+            share < CALLS / 10,
+            "{share} calls of {CALLS}, {ahead} s ahead"
+        );
     }
 }
 
@@ -101,7 +113,10 @@
         rig.restart(&program, &mut watch, now());
         sleep(Duration::from_millis(700));
         let share = rig.share(&program);
-        assert!(share > CALLS / 6, "{share} calls of {CALLS}, {ahead} s ahead");
+        assert!(
+            share > CALLS / 6,
+            "{share} calls of {CALLS}, {ahead} s ahead"
+        );
     }
 }
 
@@ -113,7 +128,10 @@
         let (program, _watch) = rig.program("127.0.0.1:0", ahead, now() - 1000);
         sleep(Duration::from_millis(700));
         let share = rig.share(&program);
-        assert!(share > CALLS / 6, "{share} calls of {CALLS}, {ahead} s ahead");
+        assert!(
+            share > CALLS / 6,
+            "{share} calls of {CALLS}, {ahead} s ahead"
+        );
     }
 }
 
@@ -129,6 +147,9 @@
         old.terminate();
         assert!(old.wait().success());
         let share = rig.share(&new);
-        assert!(share < CALLS / 10, "{share} calls of {CALLS}, {ahead} s ahead");
+        assert!(
+            share < CALLS / 10,
+            "{share} calls of {CALLS}, {ahead} s ahead"
+        );
     }
 }
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -15,7 +15,10 @@
 fn an_answer_is_whole_though_bytes_lie_behind_its_request_when_the_connection_ends() {
     // More than the buffers on its way take.
     let size = 24 << 20;
-    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n{}", "x".repeat(size));
+    let text = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n{}",
+        "x".repeat(size)
+    );
     let upstream = Upstream::start(Reply::Hold);
     let (program, _discovery) = Program::with_console(&[upstream.address]);
     let mut client = program.client();
@@ -28,15 +31,19 @@
     client.take(1);
     // More than is read ahead.
     let behind = "x".repeat(200_000);
-    client
-        .write(&format!("POST /pay HTTP/1.1\r\nRequest-Id: c101\r\nContent-Length: 200000\r\n\r\n{behind}"));
+    client.write(&format!(
+        "POST /pay HTTP/1.1\r\nRequest-Id: c101\r\nContent-Length: 200000\r\n\r\n{behind}"
+    ));
     // The end of it waits for its reader when the connection ends.
     let left = 2 << 20;
     client.take(size - left);
     until("all of it is written", || program.figure("served.pay") == 1);
     sleep(Duration::from_millis(100));
     assert!((left - 1..left + 1000).contains(&client.rest().len()));
-    assert!(upstream.seen.try_recv().is_err(), "what came behind it is not sent on");
+    assert!(
+        upstream.seen.try_recv().is_err(),
+        "what came behind it is not sent on"
+    );
 }
 
 /// Guards against a caller that is told nothing because its connection is reset while it still sends.
@@ -68,15 +75,21 @@
     let (program, _discovery) = Program::with(&[upstream.address]);
     let mut client = program.client();
     let news = "x".repeat(3000);
-    let requests =
-        (0..60).map(|n| format!("GET /read/{n} HTTP/1.1\r\nRequest-Id: d{n}\r\nNews: {news}\r\n\r\n"));
+    let requests = (0..60)
+        .map(|n| format!("GET /read/{n} HTTP/1.1\r\nRequest-Id: d{n}\r\nNews: {news}\r\n\r\n"));
     client.write(&requests.collect::<String>());
     upstream.next();
     sleep(Duration::from_millis(300));
     upstream.release();
     for n in 0..60 {
-        let answer = client.receive().unwrap().unwrap_or_else(|| panic!("an answer to {n}"));
-        assert!(String::from_utf8_lossy(&answer.body).starts_with(&format!("GET /read/{n} ")), "{answer:?}");
+        let answer = client
+            .receive()
+            .unwrap()
+            .unwrap_or_else(|| panic!("an answer to {n}"));
+        assert!(
+            String::from_utf8_lossy(&answer.body).starts_with(&format!("GET /read/{n} ")),
+            "{answer:?}"
+        );
     }
 }
 
@@ -101,7 +114,9 @@
     let upstream = Upstream::start(Reply::Ok);
     let (mut program, _discovery) = Program::with(&[upstream.address]);
     let mut clients: Vec<_> = (0..8).map(|_| program.client()).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.ask("/pay", ID, "coins").status(), 200));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.ask("/pay", ID, "coins").status(), 200));
     assert_eq!(upstream.seen.try_iter().count(), 8);
     program.terminate();
     for client in &mut clients {
@@ -115,8 +130,9 @@
 
 /// So many requests at once, each in the name of this tag.
 fn at_once(tag: &str, count: usize) -> String {
-    let request =
-        |number| format!("GET /read/{number} HTTP/1.1\r\nHost: b\r\nRequest-Id: {tag}{number}\r\n\r\n");
+    let request = |number| {
+        format!("GET /read/{number} HTTP/1.1\r\nHost: b\r\nRequest-Id: {tag}{number}\r\n\r\n")
+    };
     (0..count).map(request).collect()
 }
 
@@ -126,7 +142,10 @@
 fn what_came_at_once_is_answered_before_its_connection_ends() {
     let each_is_answered = |client: &mut Client, what: &str| {
         for number in 0..6 {
-            let answer = client.receive().unwrap().unwrap_or_else(|| panic!("{what}, {number}"));
+            let answer = client
+                .receive()
+                .unwrap()
+                .unwrap_or_else(|| panic!("{what}, {number}"));
             assert_eq!(
                 (answer.status(), answer.header("connection")),
                 (200, (number == 5).then_some("close"))
@@ -155,7 +174,10 @@
     let upstream = Upstream::start(Reply::Ok);
     let (program, _discovery) = Program::with(&[upstream.address]);
     let mut client = program.client();
-    assert_eq!(client.ask("/read", "Request-Id: {id}\r\n", "").status(), 200);
+    assert_eq!(
+        client.ask("/read", "Request-Id: {id}\r\n", "").status(),
+        200
+    );
     program.hold();
     client.write(&at_once("c", 6));
     program.terminate();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,7 +4,11 @@
 use ryequay::*;
 
 pub fn class(effect: Effect) -> Class {
-    Class { effect, dedup_window: 1.0, ..Settings::simple().classes[0].clone() }
+    Class {
+        effect,
+        dedup_window: 1.0,
+        ..Settings::simple().classes[0].clone()
+    }
 }
 
 pub fn entry(id: u64) -> UpstreamEntry {
@@ -21,12 +25,26 @@
 
 pub fn request(id: u64, class: usize, remaining: f64) -> Event {
     let id = RequestId(id);
-    Event::Request(Request { id, class, tenant: 0, remaining, cost_hint: None, streamed: false })
+    Event::Request(Request {
+        id,
+        class,
+        tenant: 0,
+        remaining,
+        cost_hint: None,
+        streamed: false,
+    })
 }
 
 pub fn end(id: u64, attempt: u32, outcome: Outcome) -> Event {
     let concluded = outcome == Outcome::Ok;
-    Event::Outcome(AttemptEnd { id: RequestId(id), attempt, outcome, elapsed: 0.1, idle: None, concluded })
+    Event::Outcome(AttemptEnd {
+        id: RequestId(id),
+        attempt,
+        outcome,
+        elapsed: 0.1,
+        idle: None,
+        concluded,
+    })
 }
 
 /// A balancer and the clock it is driven by.
@@ -37,14 +55,23 @@
 
 impl Rig {
     pub fn new(settings: Settings, upstreams: u64) -> Self {
-        let mut rig = Rig { balancer: Balancer::new(settings, 7, 100.0).unwrap(), now: 100.0 };
+        let mut rig = Rig {
+            balancer: Balancer::new(settings, 7, 100.0).unwrap(),
+            now: 100.0,
+        };
         rig.list(ListScope::Full, (1..=upstreams).map(entry).collect());
         rig
     }
 
     pub fn with_classes(effects: &[Effect], upstreams: u64) -> Self {
         let classes = effects.iter().map(|e| class(*e)).collect();
-        Rig::new(Settings { classes, ..Settings::simple() }, upstreams)
+        Rig::new(
+            Settings {
+                classes,
+                ..Settings::simple()
+            },
+            upstreams,
+        )
     }
 
     /// Requests open and slots taken.
@@ -71,7 +98,9 @@
 
     /// Fills every slot with requests from `first` on; returns the first one that is held.
     pub fn fill(&mut self, first: u64, class: usize) -> u64 {
-        (first..).find(|id| sends(&self.on(request(*id, class, 2.0))).is_empty()).unwrap()
+        (first..)
+            .find(|id| sends(&self.on(request(*id, class, 2.0))).is_empty())
+            .unwrap()
     }
 }
 
@@ -84,7 +113,9 @@
 }
 
 pub fn refused(actions: &[Action], id: u64) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: r, .. } if r.0 == id))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Refuse { id: r, .. } if r.0 == id))
 }
 
 pub fn failed(actions: &[Action], id: u64) -> bool {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -14,7 +14,10 @@
 
 /// A list that is a change of the one that the program knows.
 fn change(index: u64, entries: &[(&str, SocketAddr, &str)]) -> String {
-    let entries: Vec<_> = entries.iter().map(|(name, at, status)| endpoint(name, *at, status)).collect();
+    let entries: Vec<_> = entries
+        .iter()
+        .map(|(name, at, status)| endpoint(name, *at, status))
+        .collect();
     list(index, false, &entries)
 }
 
@@ -26,7 +29,9 @@
         let upstream = Upstream::start(Reply::Hold);
         let (program, _discovery) = Program::with_console(&[upstream.address]);
         let mut client = program.client();
-        client.send("/pay", &format!("{ID}Request-Timeout: 1.0\r\n"), "coins").unwrap();
+        client
+            .send("/pay", &format!("{ID}Request-Timeout: 1.0\r\n"), "coins")
+            .unwrap();
         upstream.next();
         program.hold();
         upstream.release();
@@ -40,7 +45,10 @@
         assert_eq!((total, program.figure("attempts")), (1, 1));
         // The connection goes on with answers of its own, if it goes on.
         let answer = client.ask("/pay/next", ID, "coins");
-        assert!(String::from_utf8_lossy(&answer.body).starts_with("POST /pay/next"), "{answer:?}");
+        assert!(
+            String::from_utf8_lossy(&answer.body).starts_with("POST /pay/next"),
+            "{answer:?}"
+        );
     }
 }
 
@@ -59,7 +67,10 @@
     until("nothing is left", || program.figure("in_flight") == 0);
     for _ in 0..4 {
         let answer = program.client().ask("/pay/next", ID, "coins");
-        assert!(String::from_utf8_lossy(&answer.body).starts_with("POST /pay/next"), "{answer:?}");
+        assert!(
+            String::from_utf8_lossy(&answer.body).starts_with("POST /pay/next"),
+            "{answer:?}"
+        );
     }
 }
 
@@ -69,9 +80,13 @@
     let (old, new) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
     let (program, discovery) = Program::with(&[old.address]);
     let mut client = program.client();
-    client.write("POST /pay HTTP/1.1\r\nHost: b\r\nRequest-Id: c001\r\nContent-Length: 200000\r\n\r\n");
+    client.write(
+        "POST /pay HTTP/1.1\r\nHost: b\r\nRequest-Id: c001\r\nContent-Length: 200000\r\n\r\n",
+    );
     client.write(&"x".repeat(150_000));
-    until("its connection is up", || old.connections.load(Ordering::SeqCst) == 1);
+    until("its connection is up", || {
+        old.connections.load(Ordering::SeqCst) == 1
+    });
     // Whoever asks now is answered after it has begun.
     assert_eq!(program.client().ask("/healthz", "", "").status(), 200);
     let mut watch = discovery.next();
@@ -94,8 +109,11 @@
 /// Guards against a retry at an upstream of which a drain was told while the first attempt was out.
 #[test]
 fn a_retry_goes_to_none_that_has_begun_to_drain_meanwhile() {
-    let (first, draining, free) =
-        (Upstream::start(Reply::Hold), Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
+    let (first, draining, free) = (
+        Upstream::start(Reply::Hold),
+        Upstream::start(Reply::Ok),
+        Upstream::start(Reply::Ok),
+    );
     let (program, discovery) = Program::with_console(&[first.address]);
     let mut client = program.client();
     client.send("/pay", ID, "coins").unwrap();
@@ -117,10 +135,22 @@
         });
         others.push(other);
     }
-    let answer = others.last_mut().and_then(|other| other.receive().unwrap()).expect("an answer");
+    let answer = others
+        .last_mut()
+        .and_then(|other| other.receive().unwrap())
+        .expect("an answer");
     assert_eq!(answer.status(), 200);
-    watch.line(&change(7, &[("u1", draining.address, "terminating"), ("u2", free.address, "in_service")]));
-    draining.closed.recv_timeout(PATIENCE).expect("its connection is closed");
+    watch.line(&change(
+        7,
+        &[
+            ("u1", draining.address, "terminating"),
+            ("u2", free.address, "in_service"),
+        ],
+    ));
+    draining
+        .closed
+        .recv_timeout(PATIENCE)
+        .expect("its connection is closed");
     first.set(Reply::NotStarted);
     first.release();
     assert_eq!(client.receive().unwrap().expect("an answer").status(), 200);
@@ -136,10 +166,13 @@
         .replace("\"startCapacity\":0.3", "\"startCapacity\":1.0");
     let program = Program::start(&config, "127.0.0.1:0");
     assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
-    let again =
-        change(6, &[("u0", upstream.address, "in_service")]).replace("since_ms\":0", "since_ms\":5000");
+    let again = change(6, &[("u0", upstream.address, "in_service")])
+        .replace("since_ms\":0", "since_ms\":5000");
     discovery.next().line(&again);
-    upstream.closed.recv_timeout(PATIENCE).expect("the idle connection is closed");
+    upstream
+        .closed
+        .recv_timeout(PATIENCE)
+        .expect("the idle connection is closed");
     assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
     assert_eq!(upstream.connections.load(Ordering::SeqCst), 2);
 }
@@ -165,11 +198,15 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (program, _discovery) = Program::with(&[listener.local_addr().unwrap()]);
     let mut client = program.client();
-    client.write("POST /pay HTTP/1.1\r\nHost: b\r\nRequest-Id: c002\r\nContent-Length: 200000\r\n\r\n");
+    client.write(
+        "POST /pay HTTP/1.1\r\nHost: b\r\nRequest-Id: c002\r\nContent-Length: 200000\r\n\r\n",
+    );
     client.write(&"x".repeat(150_000));
     let (mut stream, _) = listener.accept().unwrap();
     stream.read_exact(&mut [0; 100_000]).unwrap();
-    SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+    SockRef::from(&stream)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
     drop(stream);
     assert_eq!(client.receive().unwrap().expect("an answer").status(), 503);
 }
@@ -177,13 +214,17 @@
 /// Guards against a connection that is kept for an answer without end, though its client has gone.
 #[test]
 fn an_endless_answer_ends_with_its_client() {
-    let upstream = Upstream::raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n");
+    let upstream =
+        Upstream::raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n");
     let (program, _discovery) = Program::with_console(&[upstream.address]);
     let mut client = program.client();
     client.send("/pay", ID, "coins").unwrap();
     upstream.next();
     drop(client);
-    upstream.closed.recv_timeout(PATIENCE).expect("its connection is closed");
+    upstream
+        .closed
+        .recv_timeout(PATIENCE)
+        .expect("its connection is closed");
     until("nothing is left", || program.figure("in_flight") == 0);
 }
 
@@ -195,13 +236,20 @@
     let mut watch = discovery.next();
     let mut clients: Vec<_> = (0..4).map(|_| program.client()).collect();
     for _ in 0..if kept { 4 } else { 0 } {
-        clients.iter_mut().for_each(|client| assert_eq!(client.ask("/pay", ID, "coins").status(), 200));
+        clients
+            .iter_mut()
+            .for_each(|client| assert_eq!(client.ask("/pay", ID, "coins").status(), 200));
     }
     drains.seen.try_iter().count();
     program.hold();
-    clients.iter_mut().for_each(|client| client.send("/pay", ID, "coins").unwrap());
+    clients
+        .iter_mut()
+        .for_each(|client| client.send("/pay", ID, "coins").unwrap());
     let names: Vec<_> = (0..others).map(|number| format!("other{number}")).collect();
-    let mut list: Vec<_> = names.iter().map(|name| (name.as_str(), stays.address, "terminating")).collect();
+    let mut list: Vec<_> = names
+        .iter()
+        .map(|name| (name.as_str(), stays.address, "terminating"))
+        .collect();
     list.push(("u0", drains.address, "terminating"));
     watch.line(&change(6, &list));
     program.go_on();
@@ -210,7 +258,11 @@
         program.go_on();
     }
     clients.iter_mut().for_each(|client| {
-        assert_eq!(client.receive().unwrap().expect("an answer").status(), 200, "{kept}");
+        assert_eq!(
+            client.receive().unwrap().expect("an answer").status(),
+            200,
+            "{kept}"
+        );
     });
     assert!(drains.seen.try_recv().is_err(), "{kept}");
 }
@@ -231,7 +283,8 @@
 /// Guards against the same where the program is held up again and again while it hears of it.
 #[test]
 fn what_came_while_the_program_stood_still_is_not_sent_there_after_more_hold_ups() {
-    (0..16).for_each(|round| told_while_held(round % 2 == 0, [0, 100][round % 4 / 2], 1 + round % 4));
+    (0..16)
+        .for_each(|round| told_while_held(round % 2 == 0, [0, 100][round % 4 / 2], 1 + round % 4));
 }
 
 /// Listens and says nothing; what `seen` makes of the moment in which the first byte of a connection has come.
@@ -261,16 +314,28 @@
         let addresses: Vec<_> = sides.iter().map(|(address, _)| *address).collect();
         let config = config_of(&addresses, discovery.address, 256)
             .replace("\"mayDuplicate\":true", "\"mayDuplicate\":false")
-            .replace("\"aim\":5.0,\"hardLimit\":10.0", "\"aim\":0.5,\"hardLimit\":2.0");
+            .replace(
+                "\"aim\":5.0,\"hardLimit\":10.0",
+                "\"aim\":0.5,\"hardLimit\":2.0",
+            );
         let program = Program::start(&config, "127.0.0.1:0");
         let mut client = program.client();
         client.send("/read", ID, "").unwrap();
         client.receive().unwrap().expect("an answer");
-        let ends = sides.iter().map(|(_, seen)| seen.try_iter().collect::<Vec<_>>()).collect::<Vec<_>>();
+        let ends = sides
+            .iter()
+            .map(|(_, seen)| seen.try_iter().collect::<Vec<_>>())
+            .collect::<Vec<_>>();
         assert!(ends.iter().all(|ends| ends.len() == 1), "one attempt each");
         let ports: Vec<_> = addresses.iter().map(SocketAddr::port).collect();
-        let both =
-            |ends: &Vec<(u16, u16)>| ports.iter().all(|port| ends.iter().any(|(here, _)| here == port));
-        assert!(!ends.iter().flatten().any(both), "both connections were open");
+        let both = |ends: &Vec<(u16, u16)>| {
+            ports
+                .iter()
+                .all(|port| ends.iter().any(|(here, _)| here == port))
+        };
+        assert!(
+            !ends.iter().flatten().any(both),
+            "both connections were open"
+        );
     }
 }
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -8,17 +8,31 @@
 /// is loaded, that starts no others.
 #[test]
 fn run_is_one_process_that_is_linked_dynamically() {
-    let deploy = fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/balancer.toml")).unwrap();
-    assert!(deploy.lines().any(|line| line == "run = \"exec target/release/magpiechute\""));
+    let deploy =
+        fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/balancer.toml")).unwrap();
+    assert!(deploy
+        .lines()
+        .any(|line| line == "run = \"exec target/release/magpiechute\""));
     let image = fs::read(env!("CARGO_BIN_EXE_magpiechute")).unwrap();
     let names = |name: &[u8]| image.windows(name.len()).any(|part| part == name);
     assert!(names(b"/ld-linux") && names(b"libc.so.6\0"));
     let upstream = Upstream::start(Reply::Ok);
     let (program, _discovery) = Program::with_console(&[upstream.address]);
-    assert_eq!(program.client().ask("/pay", "Request-Id: {id}\r\n", "coins").status(), 200);
+    assert_eq!(
+        program
+            .client()
+            .ask("/pay", "Request-Id: {id}\r\n", "coins")
+            .status(),
+        200
+    );
     let parents = fs::read_dir("/proc").unwrap().filter_map(|process| {
         let stat = fs::read_to_string(process.ok()?.path().join("stat")).ok()?;
-        stat.rsplit_once(')')?.1.split(' ').nth(2)?.parse::<u32>().ok()
+        stat.rsplit_once(')')?
+            .1
+            .split(' ')
+            .nth(2)?
+            .parse::<u32>()
+            .ok()
     });
     assert!(!parents.into_iter().any(|parent| parent == program.id()));
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -30,7 +30,9 @@
 
 /// So many connections on which nothing comes.
 fn idle(address: SocketAddr, count: usize) -> Vec<TcpStream> {
-    (0..count).map(|_| TcpStream::connect(address).unwrap()).collect()
+    (0..count)
+        .map(|_| TcpStream::connect(address).unwrap())
+        .collect()
 }
 
 /// Idle clients that hold more connections than there are descriptors, and open new ones all the time.
@@ -51,7 +53,10 @@
                 sleep(Duration::from_millis(1));
             }
         });
-        Crowd { over, clients: Some(clients) }
+        Crowd {
+            over,
+            clients: Some(clients),
+        }
     }
 }
 
@@ -87,7 +92,10 @@
         open.extend(idle(program.address, sockets / 16));
         program.go_on();
         for client in &mut proper {
-            let answer = client.receive().unwrap_or_default().map(|answer| answer.status());
+            let answer = client
+                .receive()
+                .unwrap_or_default()
+                .map(|answer| answer.status());
             assert_eq!(answer, Some(200), "{sockets}");
         }
         assert!(program.descriptors() <= sockets);
@@ -117,7 +125,10 @@
     drop(busy);
     upstream.release();
     program.go_on();
-    assert_eq!(late.receive().unwrap().map(|answer| answer.status()), Some(200));
+    assert_eq!(
+        late.receive().unwrap().map(|answer| answer.status()),
+        Some(200)
+    );
 }
 
 /// The same where all come in one turn, wherever the request stands in the row.
@@ -129,9 +140,11 @@
         let (program, _discovery) = Program::with_sockets(&[upstream.address], 64);
         program.hold();
         let mut crowd = idle(program.address, count);
-        crowd
-            .iter_mut()
-            .for_each(|client| client.write_all(b"GET /read HTTP/1.1\r\nHost: b\r\nRequ").unwrap());
+        crowd.iter_mut().for_each(|client| {
+            client
+                .write_all(b"GET /read HTTP/1.1\r\nHost: b\r\nRequ")
+                .unwrap()
+        });
         let answer = ask_at_once(&program, "/read").receive().unwrap_or_default();
         assert_eq!(answer.map(|answer| answer.status()), Some(200), "{count}");
     }
@@ -154,13 +167,22 @@
     for sockets in LIMITS {
         let upstream = Upstream::start(Reply::Ok);
         let (program, _discovery) = Program::with_sockets(&[upstream.address], sockets);
-        for text in ["GET /read HTTP/1.1\r\nHost: b\r\nRequ", "GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n"] {
+        for text in [
+            "GET /read HTTP/1.1\r\nHost: b\r\nRequ",
+            "GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n",
+        ] {
             let mut crowd = idle(program.address, sockets * 2 / 3);
             // Those that are shut already hear nothing of it.
-            crowd.iter_mut().for_each(|client| drop(client.write_all(text.as_bytes())));
+            crowd
+                .iter_mut()
+                .for_each(|client| drop(client.write_all(text.as_bytes())));
             for _ in 0..4 {
                 let answer = ask_at_once(&program, "/read").receive().unwrap_or_default();
-                assert_eq!(answer.map(|answer| answer.status()), Some(200), "{sockets} {text}");
+                assert_eq!(
+                    answer.map(|answer| answer.status()),
+                    Some(200),
+                    "{sockets} {text}"
+                );
             }
         }
     }
@@ -180,12 +202,19 @@
     ] {
         let upstreams = [Upstream::start(Reply::Ok), Upstream::start(Reply::Ok)];
         let (gone, down) = (Refusing::new(), Refusing::new());
-        let old = if empty { vec![] } else { vec![endpoint("u0", gone.address, "in_service")] };
+        let old = if empty {
+            vec![]
+        } else {
+            vec![endpoint("u0", gone.address, "in_service")]
+        };
         let program = start(&list(5, true, &old), down.address, sockets, mode);
         let crowd = Crowd::at(program.address, sockets * 2 / 3);
         let mut early = ask_at_once(&program, "/read");
         for _ in 0..10 {
-            assert_eq!(program.call("GET /healthcheck").0, if empty { 503 } else { 200 });
+            assert_eq!(
+                program.call("GET /healthcheck").0,
+                if empty { 503 } else { 200 }
+            );
             assert_eq!(program.call("GET /stats").0, 200);
             assert!(program.descriptors() <= sockets, "{sockets}");
         }
@@ -194,18 +223,27 @@
         // It is silent at first, so that where lists are pushed another watch is opened beside it.
         let other = (mode == "push").then(|| discovery.next());
         assert_eq!(program.call("GET /stats").0, 200);
-        let new = [1, 2].map(|n| endpoint(&format!("u{n}"), upstreams[n - 1].address, "in_service"));
+        let new =
+            [1, 2].map(|n| endpoint(&format!("u{n}"), upstreams[n - 1].address, "in_service"));
         watch.line(&list(6, true, &new));
-        until("the list has come", || program.figure("upstreams_known") == 2);
+        until("the list has come", || {
+            program.figure("upstreams_known") == 2
+        });
         for _ in 0..8 {
             let mut client = ask_at_once(&program, "/read");
-            let answer = client.receive().unwrap_or_default().map(|answer| answer.status());
+            let answer = client
+                .receive()
+                .unwrap_or_default()
+                .map(|answer| answer.status());
             assert_eq!(answer, Some(200), "{sockets} {mode}");
             assert!(program.descriptors() <= sockets, "{sockets}");
         }
         if empty {
             // It has waited for that.
-            assert_eq!(early.receive().unwrap().map(|answer| answer.status()), Some(200));
+            assert_eq!(
+                early.receive().unwrap().map(|answer| answer.status()),
+                Some(200)
+            );
         }
         drop((crowd, other));
     }
@@ -217,21 +255,33 @@
 fn a_watch_comes_back_while_a_new_process_has_half_of_the_descriptors() {
     let _alone = alone();
     let upstreams: Vec<_> = (0..12).map(|_| Upstream::start(Reply::Hold)).collect();
-    let entry =
-        |(n, upstream): (usize, &Upstream)| endpoint(&format!("u{n}"), upstream.address, "in_service");
-    let known = list(5, true, &upstreams.iter().enumerate().map(entry).collect::<Vec<_>>());
+    let entry = |(n, upstream): (usize, &Upstream)| {
+        endpoint(&format!("u{n}"), upstream.address, "in_service")
+    };
+    let known = list(
+        5,
+        true,
+        &upstreams.iter().enumerate().map(entry).collect::<Vec<_>>(),
+    );
     let (folder, discovery, other) = (folder(), DiscoveryPeer::start(), DiscoveryPeer::start());
     let config = |discovery| {
         config(&known, discovery, 256)
-            .replace("\"aim\":5.0,\"hardLimit\":10.0", "\"aim\":60.0,\"hardLimit\":60.0")
+            .replace(
+                "\"aim\":5.0,\"hardLimit\":10.0",
+                "\"aim\":60.0,\"hardLimit\":60.0",
+            )
             .replace("\"discovery\":\"ask\"", "\"discovery\":\"push\"")
     };
-    let variables = [("TMPDIR", folder.to_str().unwrap()), ("PROXY_CONSOLE", "127.0.0.1:0")];
+    let variables = [
+        ("TMPDIR", folder.to_str().unwrap()),
+        ("PROXY_CONSOLE", "127.0.0.1:0"),
+    ];
     let old = Program::start_with(&variables, &config(discovery.address), "127.0.0.1:0");
     let mut watch = discovery.next();
     watch.line("");
     let mut busy: Vec<_> = (0..110).map(|_| old.client()).collect();
-    busy.iter_mut().for_each(|client| client.send("/read", ID, "").unwrap());
+    busy.iter_mut()
+        .for_each(|client| client.send("/read", ID, "").unwrap());
     until("they are taken", || old.figure("in_flight") == 110);
     let new = Program::start_with(&variables, &config(other.address), &old.address.to_string());
     watch.reset();
@@ -256,11 +306,20 @@
         assert!(program.descriptors() < 128 - 8, "some are kept free");
     }
     let mut watch = down.discovery().next();
-    watch.line(&list(6, true, &[endpoint("u0", upstream.address, "in_service")]));
-    until("the list has come", || program.call("GET /healthcheck").0 == 200);
+    watch.line(&list(
+        6,
+        true,
+        &[endpoint("u0", upstream.address, "in_service")],
+    ));
+    until("the list has come", || {
+        program.call("GET /healthcheck").0 == 200
+    });
     for _ in 0..8 {
         assert_eq!(
-            ask_at_once(&program, "/read").receive().unwrap().map(|answer| answer.status()),
+            ask_at_once(&program, "/read")
+                .receive()
+                .unwrap()
+                .map(|answer| answer.status()),
             Some(200)
         );
     }
--- a/tests/ending.rs
+++ b/tests/ending.rs
@@ -25,17 +25,25 @@
     kept.send("/pay", ID, "coins").unwrap();
     half.write("POST /pay HTTP/1.1\r\nHost: b\r\nRequest-");
     let mut fresh: Vec<_> = (0..6).map(|_| program.client()).collect();
-    fresh.iter_mut().for_each(|client| client.send("/pay", ID, "coins").unwrap());
+    fresh
+        .iter_mut()
+        .for_each(|client| client.send("/pay", ID, "coins").unwrap());
     program.terminate();
     program.go_on();
     for client in fresh.iter_mut().chain([&mut kept]) {
         let answer = client.receive().unwrap().expect("an answer");
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
         assert!(client.is_closed());
     }
     half.write("Id: e001\r\nContent-Length: 5\r\n\r\ncoins");
     let answer = half.receive().unwrap().expect("an answer");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, Some("close"))
+    );
     assert!(program.wait().success());
 }
 
@@ -59,7 +67,10 @@
     assert_eq!(program.call("GET /healthcheck").0, 503);
     upstream.release();
     let answer = client.receive().unwrap().expect("an answer");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, Some("close"))
+    );
     assert!(program.wait().success());
 }
 
@@ -81,7 +92,10 @@
     upstream.release();
     for client in &mut clients {
         let answer = client.receive().unwrap().expect("an answer");
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
     }
     assert!(program.wait().success());
 }
@@ -97,7 +111,10 @@
     client.send("/pay", ID, "coins").unwrap();
     // That it is taken is seen by an answer to who came after it.
     assert_eq!(program.client().ask("/healthz", "", "").status(), 200);
-    let changes = [endpoint("u0", new.address, "in_service"), endpoint("u9", new.address, "in_service")];
+    let changes = [
+        endpoint("u0", new.address, "in_service"),
+        endpoint("u9", new.address, "in_service"),
+    ];
     discovery.next().line(&list(6, false, &changes));
     assert_eq!(client.receive().unwrap().unwrap().status(), 200);
     assert_eq!(new.seen.try_iter().count(), 1);
@@ -107,7 +124,10 @@
 #[test]
 fn an_answer_that_is_half_taken_at_sigterm_is_whole_in_the_end() {
     let size = 24 << 20;
-    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n{}", "x".repeat(size));
+    let text = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n{}",
+        "x".repeat(size)
+    );
     let upstream = Upstream::raw(&text);
     let (mut program, _discovery) = Program::with_console(&[upstream.address]);
     let mut client = program.client();
@@ -115,7 +135,10 @@
     upstream.next();
     program.terminate();
     drains(&program);
-    assert_eq!(client.receive().unwrap().expect("an answer").body.len(), size);
+    assert_eq!(
+        client.receive().unwrap().expect("an answer").body.len(),
+        size
+    );
     assert!(program.wait().success());
 }
 
@@ -125,12 +148,14 @@
     let upstream = Upstream::start(Reply::Ok);
     let (program, _discovery) = Program::with_sockets(&[upstream.address], 64);
     let mut kept: Vec<_> = (0..20).map(|_| program.client()).collect();
-    kept.iter_mut().for_each(|client| assert_eq!(client.ask("/read", ID, "").status(), 200));
+    kept.iter_mut()
+        .for_each(|client| assert_eq!(client.ask("/read", ID, "").status(), 200));
     // Now they may be closed to make room.
     sleep(Duration::from_millis(2100));
     program.hold();
     let fresh: Vec<_> = (0..40).map(|_| program.client()).collect();
-    kept.iter_mut().for_each(|client| client.send("/healthz", "", "").unwrap());
+    kept.iter_mut()
+        .for_each(|client| client.send("/healthz", "", "").unwrap());
     program.go_on();
     for client in &mut kept {
         assert_eq!(client.receive().unwrap().expect("an answer").status(), 200);
--- a/tests/failing_calls.rs
+++ b/tests/failing_calls.rs
@@ -30,7 +30,11 @@
     let discovery = DiscoveryPeer::start();
     let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", faults)];
     (
-        Program::start_with(&variables, &config_of(upstreams, discovery.address, sockets), "127.0.0.1:0"),
+        Program::start_with(
+            &variables,
+            &config_of(upstreams, discovery.address, sockets),
+            "127.0.0.1:0",
+        ),
         discovery,
     )
 }
@@ -40,7 +44,11 @@
 fn an_accept_that_fails_for_a_moment_closes_no_other_connection() {
     for error in [ECONNABORTED, ENOBUFS, EINTR, ENFILE, EMFILE] {
         let upstream = Upstream::start(Reply::Ok);
-        let (program, _discovery) = start(&format!("accept4:{error}:1:3:{ALWAYS}"), &[upstream.address], 256);
+        let (program, _discovery) = start(
+            &format!("accept4:{error}:1:3:{ALWAYS}"),
+            &[upstream.address],
+            256,
+        );
         let before = program.descriptors();
         let mut clients = Vec::new();
         for number in 1..=12 {
@@ -50,7 +58,11 @@
         }
         for client in &mut clients {
             client.send("/read", ID, "").unwrap();
-            let status = client.receive().ok().flatten().map(|answer| answer.status());
+            let status = client
+                .receive()
+                .ok()
+                .flatten()
+                .map(|answer| answer.status());
             assert_eq!(status, Some(200), "error {error}");
         }
     }
@@ -62,16 +74,27 @@
     for error in [ENOMEM, ENOSPC] {
         let upstream = Upstream::start(Reply::Ok);
         // The first connection, and then one of those beside SIGTERM, for some 0.2 s each.
-        let faults = format!("epoll_ctl_accepted:{error}:1:1:20,epoll_ctl_accepted:{error}:25:1:20");
+        let faults =
+            format!("epoll_ctl_accepted:{error}:1:1:20,epoll_ctl_accepted:{error}:25:1:20");
         let (mut program, _discovery) = start(&faults, &[upstream.address], 256);
         let mut client = program.client();
         client.send("/pay", ID, "coins").unwrap();
-        assert_eq!(client.receive().unwrap().expect("an answer").status(), 200, "error {error}");
+        assert_eq!(
+            client.receive().unwrap().expect("an answer").status(),
+            200,
+            "error {error}"
+        );
         let mut clients: Vec<_> = (0..8).map(|_| program.client()).collect();
-        clients.iter_mut().for_each(|client| client.send("/pay", ID, "coins").unwrap());
+        clients
+            .iter_mut()
+            .for_each(|client| client.send("/pay", ID, "coins").unwrap());
         program.terminate();
         for client in &mut clients {
-            let status = client.receive().ok().flatten().map(|answer| answer.status());
+            let status = client
+                .receive()
+                .ok()
+                .flatten()
+                .map(|answer| answer.status());
             assert_eq!(status, Some(200), "error {error}");
         }
         assert!(program.wait().success());
@@ -83,13 +106,22 @@
 fn connections_that_wait_when_the_listener_closes_are_taken_though_accept_fails() {
     for (error, times) in [(ECONNABORTED, 300), (ENOBUFS, 95), (EMFILE, 95)] {
         let upstream = Upstream::start(Reply::Ok);
-        let (mut program, _discovery) =
-            start(&format!("accept4:{error}:1:1:{times}"), &[upstream.address], 256);
+        let (mut program, _discovery) = start(
+            &format!("accept4:{error}:1:1:{times}"),
+            &[upstream.address],
+            256,
+        );
         let mut clients: Vec<_> = (0..8).map(|_| program.client()).collect();
-        clients.iter_mut().for_each(|client| client.send("/pay", ID, "coins").unwrap());
+        clients
+            .iter_mut()
+            .for_each(|client| client.send("/pay", ID, "coins").unwrap());
         program.terminate();
         for client in &mut clients {
-            let status = client.receive().ok().flatten().map(|answer| answer.status());
+            let status = client
+                .receive()
+                .ok()
+                .flatten()
+                .map(|answer| answer.status());
             assert_eq!(status, Some(200), "error {error}");
         }
         assert!(program.wait().success());
@@ -102,18 +134,25 @@
 fn many_connections_are_taken_in_time_though_each_second_accept_fails() {
     for error in [ENOBUFS, ENFILE, EMFILE] {
         let (upstream, discovery) = (Upstream::start(Reply::Ok), DiscoveryPeer::start());
-        let config = config_of(&[upstream.address], discovery.address, 1024)
-            .replace("\"aim\":5.0,\"hardLimit\":10.0", "\"aim\":0.5,\"hardLimit\":0.5");
+        let config = config_of(&[upstream.address], discovery.address, 1024).replace(
+            "\"aim\":5.0,\"hardLimit\":10.0",
+            "\"aim\":0.5,\"hardLimit\":0.5",
+        );
         let faults = format!("accept4:{error}:1:2:{ALWAYS}");
         let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", &faults)];
         let program = Program::start_with(&variables, &config, "127.0.0.1:0");
         program.hold();
         let mut clients: Vec<_> = (0..200).map(|_| program.client()).collect();
-        clients.iter_mut().for_each(|client| client.send("/read", ID, "").unwrap());
+        clients
+            .iter_mut()
+            .for_each(|client| client.send("/read", ID, "").unwrap());
         program.terminate();
         program.go_on();
         for client in &mut clients {
-            assert!(client.receive().is_ok_and(|answer| answer.is_some()), "error {error}");
+            assert!(
+                client.receive().is_ok_and(|answer| answer.is_some()),
+                "error {error}"
+            );
         }
     }
 }
@@ -124,12 +163,17 @@
     let (program, _discovery) = start(faults, &[upstream.address], 1024);
     program.hold();
     let mut clients: Vec<_> = (0..300).map(|_| program.client()).collect();
-    clients.iter_mut().for_each(|client| client.send("/read", ID, "").unwrap());
+    clients
+        .iter_mut()
+        .for_each(|client| client.send("/read", ID, "").unwrap());
     let begin = Instant::now();
     program.terminate();
     program.go_on();
     for client in &mut clients {
-        assert!(client.receive().is_ok_and(|answer| answer.is_some()), "{faults}");
+        assert!(
+            client.receive().is_ok_and(|answer| answer.is_some()),
+            "{faults}"
+        );
     }
     begin.elapsed()
 }
@@ -140,31 +184,50 @@
     let usual = time_of_many("");
     for error in [ENOMEM, ENOSPC] {
         let time = time_of_many(&format!("epoll_ctl_accepted:{error}:1:2:{ALWAYS}"));
-        assert!(time < 3 * usual + Duration::from_millis(500), "{time:?}, else {usual:?}, error {error}");
+        assert!(
+            time < 3 * usual + Duration::from_millis(500),
+            "{time:?}, else {usual:?}, error {error}"
+        );
     }
 }
 
 /// Errors of connect that speak of this machine cost no request its answer, and no upstream its turns.
 #[test]
 fn a_connect_that_fails_for_a_moment_costs_no_answer_and_no_upstream_its_turns() {
+    let calls = [
+        ("connect", EINTR),
+        ("connect", EADDRNOTAVAIL),
+        ("connect", ENETUNREACH),
+        ("connect", EAGAIN),
+    ];
     let calls =
-        [("connect", EINTR), ("connect", EADDRNOTAVAIL), ("connect", ENETUNREACH), ("connect", EAGAIN)];
-    let calls = calls.into_iter().chain([("connect", ENOMEM), ("socket", ENOBUFS), ("socket", ENFILE)]);
+        calls
+            .into_iter()
+            .chain([("connect", ENOMEM), ("socket", ENOBUFS), ("socket", ENFILE)]);
     for (call, error) in calls {
         // Each request on a connection of its own.
-        let upstreams: Vec<_> = (0..3).map(|_| Upstream::start(Reply::OkThenClose)).collect();
+        let upstreams: Vec<_> = (0..3)
+            .map(|_| Upstream::start(Reply::OkThenClose))
+            .collect();
         let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
         // Two of three fail, but for the first ones, which are those of the start.
         let faults = format!("{call}:{error}:5:3:{ALWAYS},{call}:{error}:6:3:{ALWAYS}");
         let (program, _discovery) = start(&faults, &addresses, 256);
         let mut client = program.client();
         for _ in 0..60 {
-            assert_eq!(client.ask("/pay", ID, "coins").status(), 200, "{call}, error {error}");
+            assert_eq!(
+                client.ask("/pay", ID, "coins").status(),
+                200,
+                "{call}, error {error}"
+            );
         }
         for upstream in &upstreams {
             let seen = upstream.seen.try_iter().count();
             // Turns are even in the time that calls take, which differs on a busy machine. One that is ejected gets few.
-            assert!((12..=30).contains(&seen), "{seen} calls of 60 at one of three, {call}, error {error}");
+            assert!(
+                (12..=30).contains(&seen),
+                "{seen} calls of 60 at one of three, {call}, error {error}"
+            );
         }
     }
 }
@@ -174,8 +237,13 @@
 fn a_start_outlasts_sockets_that_fail_for_a_moment() {
     for error in [ENFILE, EMFILE, ENOBUFS, ENOMEM] {
         let upstream = Upstream::start(Reply::Ok);
-        let (program, _discovery) = start(&format!("socket:{error}:1:1:6"), &[upstream.address], 256);
-        assert_eq!(program.client().ask("/read", ID, "").status(), 200, "error {error}");
+        let (program, _discovery) =
+            start(&format!("socket:{error}:1:1:6"), &[upstream.address], 256);
+        assert_eq!(
+            program.client().ask("/read", ID, "").status(),
+            200,
+            "error {error}"
+        );
     }
 }
 
@@ -207,7 +275,11 @@
             let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", &faults)];
             let config = config_of(&[upstream.address], discovery.address, 256);
             let program = Program::start_with(&variables, &config, "127.0.0.1:0");
-            assert_eq!(program.client().ask("/read", ID, "").status(), 200, "{faults}");
+            assert_eq!(
+                program.client().ask("/read", ID, "").status(),
+                200,
+                "{faults}"
+            );
         }
     }
 }
@@ -216,9 +288,13 @@
 #[test]
 fn a_new_configuration_is_read_though_its_file_can_not_be_opened_at_once() {
     for error in [ENFILE, EMFILE, ENOMEM, EIO] {
-        let (upstream, old, new) =
-            (Upstream::start(Reply::Ok), DiscoveryPeer::start(), DiscoveryPeer::start());
-        let config = |discovery: &DiscoveryPeer| config_of(&[upstream.address], discovery.address, 256);
+        let (upstream, old, new) = (
+            Upstream::start(Reply::Ok),
+            DiscoveryPeer::start(),
+            DiscoveryPeer::start(),
+        );
+        let config =
+            |discovery: &DiscoveryPeer| config_of(&[upstream.address], discovery.address, 256);
         // The first one is read at the start.
         let faults = format!("open:{error}:2:1:3");
         let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", &faults)];
@@ -241,7 +317,11 @@
         let mut client = program.client();
         for _ in 0..200 {
             client.send("/pay", ID, "coins").unwrap();
-            let status = client.receive().ok().flatten().map(|answer| answer.status());
+            let status = client
+                .receive()
+                .ok()
+                .flatten()
+                .map(|answer| answer.status());
             assert_eq!(status, Some(200), "{call}, error {error}");
         }
     }
@@ -255,21 +335,31 @@
 #[test]
 fn a_broken_connection_runs_no_request_twice_whatever_the_system_calls_it() {
     for error in [ETIMEDOUT, EHOSTUNREACH, ECONNRESET] {
-        let often = ["recv", "send", "writev"].map(|call| (call, 9, if call == "recv" { 0 } else { 40 }));
+        let often =
+            ["recv", "send", "writev"].map(|call| (call, 9, if call == "recv" { 0 } else { 40 }));
         let seldom = ["recv", "send", "writev"].map(|call| (call, 31, 45));
         for (call, every, least) in often.into_iter().chain(seldom) {
             let upstreams: Vec<_> = (0..3).map(|_| Upstream::start(Reply::Ok)).collect();
             let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
-            let (program, _discovery) = start(&format!("{call}:{error}:7:{every}:{ALWAYS}"), &addresses, 256);
+            let (program, _discovery) = start(
+                &format!("{call}:{error}:7:{every}:{ALWAYS}"),
+                &addresses,
+                256,
+            );
             let statuses: Vec<_> = (0..60)
                 .map(|number| {
                     let mut client = program.client();
                     // The path tells which request it is.
                     let sent = client.send(&format!("/pay/{number}"), ID, "coins");
-                    sent.ok().and_then(|()| client.receive().ok().flatten()).map(|answer| answer.status())
+                    sent.ok()
+                        .and_then(|()| client.receive().ok().flatten())
+                        .map(|answer| answer.status())
                 })
                 .collect();
-            let seen: Vec<_> = upstreams.iter().flat_map(|upstream| upstream.seen.try_iter()).collect();
+            let seen: Vec<_> = upstreams
+                .iter()
+                .flat_map(|upstream| upstream.seen.try_iter())
+                .collect();
             for (number, status) in statuses.iter().enumerate() {
                 let line = format!("POST /pay/{number} HTTP/1.1");
                 let runs = seen.iter().filter(|message| message.first == line).count();
@@ -280,8 +370,14 @@
                     _ => {}
                 }
             }
-            let served = statuses.iter().filter(|status| **status == Some(200)).count();
-            assert!(served > least, "{served} of 60 served, {call} {every}, error {error}");
+            let served = statuses
+                .iter()
+                .filter(|status| **status == Some(200))
+                .count();
+            assert!(
+                served > least,
+                "{served} of 60 served, {call} {every}, error {error}"
+            );
         }
     }
 }
@@ -296,10 +392,18 @@
         let (first, second) = (DiscoveryPeer::start(), DiscoveryPeer::start());
         let faults = format!("{call}:{EINTR}:1:1:3");
         let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", &faults)];
-        let mut program = Program::start_with(&variables, &config(&known, first.address, 256), "127.0.0.1:0");
+        let mut program = Program::start_with(
+            &variables,
+            &config(&known, first.address, 256),
+            "127.0.0.1:0",
+        );
         program.reload(&config(&known, second.address, 256));
         second.next();
-        assert_eq!(program.client().ask("/read", ID, "").status(), 200, "{call}");
+        assert_eq!(
+            program.client().ask("/read", ID, "").status(),
+            200,
+            "{call}"
+        );
         program.terminate();
         assert!(program.wait().success(), "{call}");
     }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -8,24 +8,40 @@
 
 /// What one test binary prints: each test with what follows its name.
 fn binary(name: &str, tests: &[(&str, &str)]) -> String {
-    let count = |start| tests.iter().filter(|(_, result)| result.ends_with(start)).count();
+    let count = |start| {
+        tests
+            .iter()
+            .filter(|(_, result)| result.ends_with(start))
+            .count()
+    };
     let (passed, failed, ignored) = (count("ok"), count("FAILED"), count("ignored"));
     let mut text = match name {
         "doc" => "   Doc-tests ryequay\n".to_string(),
         _ => format!("     Running tests/{name}.rs (target/debug/deps/{name}-0f6efb1662e9578c)\n"),
     };
     text += &format!("\nrunning {} tests\n", tests.len());
-    tests.iter().for_each(|(test, result)| text += &format!("test {test} ... {result}\n"));
+    tests
+        .iter()
+        .for_each(|(test, result)| text += &format!("test {test} ... {result}\n"));
     if failed > 0 {
-        let named = tests.iter().filter(|(_, result)| result.ends_with("FAILED"));
-        let named: Vec<_> = named.map(|(test, _)| test.trim_end_matches(" - should panic")).collect();
+        let named = tests
+            .iter()
+            .filter(|(_, result)| result.ends_with("FAILED"));
+        let named: Vec<_> = named
+            .map(|(test, _)| test.trim_end_matches(" - should panic"))
+            .collect();
         text += "\nfailures:\n";
-        named.iter().for_each(|test| text += &format!("\n---- {test} stdout ----\nCAPTURED\n"));
+        named
+            .iter()
+            .for_each(|test| text += &format!("\n---- {test} stdout ----\nCAPTURED\n"));
         text += "\n\nfailures:\n";
-        named.iter().for_each(|test| text += &format!("    {test}\n"));
+        named
+            .iter()
+            .for_each(|test| text += &format!("    {test}\n"));
     }
     let word = if failed > 0 { "FAILED" } else { "ok" };
-    let counts = format!("{passed} passed; {failed} failed; {ignored} ignored; 0 measured; 0 filtered out");
+    let counts =
+        format!("{passed} passed; {failed} failed; {ignored} ignored; 0 measured; 0 filtered out");
     text += &format!("\ntest result: {word}. {counts}; finished in 0.01s\n\n");
     if failed > 0 {
         text += &format!("error: test failed, to rerun pass `--test {name}`\n");
@@ -35,22 +51,48 @@
 
 /// What the command prints, to its end.
 fn run(binaries: &[String]) -> String {
-    let failed = binaries.iter().filter(|text| text.contains("error: test failed")).count();
+    let failed = binaries
+        .iter()
+        .filter(|text| text.contains("error: test failed"))
+        .count();
     let noun = if failed == 1 { "target" } else { "targets" };
-    let end = format!("error: {failed} {noun} failed:\n{}", "    `--test x`\n".repeat(failed));
+    let end = format!(
+        "error: {failed} {noun} failed:\n{}",
+        "    `--test x`\n".repeat(failed)
+    );
     let start = "    Finished `test` profile [unoptimized + debuginfo] target(s) in 0.23s\n";
-    format!("{start}{}{}", binaries.concat(), if failed > 0 { &end } else { "" })
+    format!(
+        "{start}{}{}",
+        binaries.concat(),
+        if failed > 0 { &end } else { "" }
+    )
 }
 
 /// One listed failure among tests that pass.
 fn one_red() -> String {
-    let console = binary("console", &[("answers", "ok"), ("hangs", "FAILED"), ("hangs_twice", "ok")]);
-    run(&[binary("ryequay", &[]), console, binary("rules", &[("keeps", "ok")]), binary("doc", &[])])
+    let console = binary(
+        "console",
+        &[
+            ("answers", "ok"),
+            ("hangs", "FAILED"),
+            ("hangs_twice", "ok"),
+        ],
+    );
+    run(&[
+        binary("ryequay", &[]),
+        console,
+        binary("rules", &[("keeps", "ok")]),
+        binary("doc", &[]),
+    ])
 }
 
 fn file(text: &str) -> PathBuf {
     static FILES: AtomicU64 = AtomicU64::new(0);
-    let name = format!("known-red-{}-{}", std::process::id(), FILES.fetch_add(1, Ordering::SeqCst));
+    let name = format!(
+        "known-red-{}-{}",
+        std::process::id(),
+        FILES.fetch_add(1, Ordering::SeqCst)
+    );
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
     path
@@ -60,9 +102,18 @@
 fn verdict_on(list: &Path, output: &str, code: i32) -> (i32, String) {
     let output = file(output);
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red");
-    let run = Command::new("bash").arg(script).arg(list).arg(&output).arg(code.to_string()).output().unwrap();
+    let run = Command::new("bash")
+        .arg(script)
+        .arg(list)
+        .arg(&output)
+        .arg(code.to_string())
+        .output()
+        .unwrap();
     std::fs::remove_file(output).unwrap();
-    (run.status.code().unwrap(), String::from_utf8(run.stdout).unwrap())
+    (
+        run.status.code().unwrap(),
+        String::from_utf8(run.stdout).unwrap(),
+    )
 }
 
 fn verdict(list: &str, output: &str, code: i32) -> (i32, String) {
@@ -78,20 +129,33 @@
     assert_eq!(code, 0, "{text:?}");
     for line in list.lines() {
         let part: Vec<_> = line.split(',').map(str::trim).collect();
-        let printed = format!("known red: {}, cause: {}, issue: {}", part[0], part[1], part[2]);
-        assert!(text.lines().any(|line| line == printed), "{printed}: {text:?}");
+        let printed = format!(
+            "known red: {}, cause: {}, issue: {}",
+            part[0], part[1], part[2]
+        );
+        assert!(
+            text.lines().any(|line| line == printed),
+            "{printed}: {text:?}"
+        );
     }
 }
 
 #[track_caller]
 fn fails(list: &str, output: &str, code: i32, why: &str) {
     let (verdict, text) = verdict(list, output, code);
-    assert!(verdict != 0 && text.contains(why), "{verdict}, not '{why}': {text:?}");
+    assert!(
+        verdict != 0 && text.contains(why),
+        "{verdict}, not '{why}': {text:?}"
+    );
 }
 
 #[test]
 fn without_a_list_the_verdict_is_that_of_the_command() {
-    for output in [one_red(), "error: could not compile `ryequay`\n".into(), String::new()] {
+    for output in [
+        one_red(),
+        "error: could not compile `ryequay`\n".into(),
+        String::new(),
+    ] {
         for code in [0, 1, 101] {
             let none = verdict_on(Path::new("no/such/KNOWN-RED.txt"), &output, code);
             assert_eq!(none, (code, String::new()));
@@ -105,7 +169,10 @@
 #[test]
 fn a_list_that_can_not_be_read_fails_the_run() {
     for code in [0, 101] {
-        assert_ne!(verdict_on(Path::new(env!("CARGO_TARGET_TMPDIR")), &one_red(), code).0, 0);
+        assert_ne!(
+            verdict_on(Path::new(env!("CARGO_TARGET_TMPDIR")), &one_red(), code).0,
+            0
+        );
     }
 }
 
@@ -114,11 +181,27 @@
     passes(LINE, &one_red());
     passes("hangs, the answer has no end, #12", &one_red());
     passes(" hangs ,\tthe answer has no end , #12\r\n", &one_red());
-    let unit =
-        binary("magpiechute", &[("driver::tests::settles", "FAILED"), ("driver::tests::forgets", "ok")]);
-    let rules = binary("rules", &[("panics - should panic", "FAILED"), ("panics_not - should panic", "ok")]);
-    let doc =
-        binary("doc", &[("src/lib.rs - Settings (line 12)", "FAILED"), ("src/lib.rs - (line 1)", "ok")]);
+    let unit = binary(
+        "magpiechute",
+        &[
+            ("driver::tests::settles", "FAILED"),
+            ("driver::tests::forgets", "ok"),
+        ],
+    );
+    let rules = binary(
+        "rules",
+        &[
+            ("panics - should panic", "FAILED"),
+            ("panics_not - should panic", "ok"),
+        ],
+    );
+    let doc = binary(
+        "doc",
+        &[
+            ("src/lib.rs - Settings (line 12)", "FAILED"),
+            ("src/lib.rs - (line 1)", "ok"),
+        ],
+    );
     let all = run(&[unit, rules, doc]);
     passes(
         "driver::tests::settles, x, 1\nrules::panics, y, 2\nsrc/lib.rs - Settings (line 12), z, 3\n",
@@ -130,7 +213,12 @@
 #[test]
 fn a_listed_test_that_passes_fails_the_run() {
     let list = format!("{LINE}console::answers, was slow, #13\n");
-    fails(&list, &one_red(), 101, "console::answers is listed and passes");
+    fails(
+        &list,
+        &one_red(),
+        101,
+        "console::answers is listed and passes",
+    );
     let green = run(&[binary("console", &[("hangs", "ok")])]);
     fails(LINE, &green, 0, "console::hangs is listed and passes");
 }
@@ -138,33 +226,79 @@
 #[test]
 fn a_listed_test_that_is_ignored_fails_the_run() {
     for result in ["ignored", "ignored, slow"] {
-        let text =
-            binary("console", &[("hangs", "ignored")]).replace("... ignored", &format!("... {result}"));
-        fails(LINE, &run(&[text]), 0, "console::hangs is listed and ignored");
+        let text = binary("console", &[("hangs", "ignored")])
+            .replace("... ignored", &format!("... {result}"));
+        fails(
+            LINE,
+            &run(&[text]),
+            0,
+            "console::hangs is listed and ignored",
+        );
     }
 }
 
 #[test]
 fn a_listed_name_that_did_not_run_fails_the_run() {
-    for name in
-        ["gone", "hang", "angs", "console", "console::", "console::hang", "rules::hangs", "hang.", ".*"]
-    {
+    for name in [
+        "gone",
+        "hang",
+        "angs",
+        "console",
+        "console::",
+        "console::hang",
+        "rules::hangs",
+        "hang.",
+        ".*",
+    ] {
         let list = format!("{LINE}{name}, x, #13\n");
-        fails(&list, &one_red(), 101, &format!("{name} is listed and did not run"));
+        fails(
+            &list,
+            &one_red(),
+            101,
+            &format!("{name} is listed and did not run"),
+        );
     }
-    let longer = run(&[binary("console", &[("tests::hangs", "FAILED"), ("hangs_twice", "ok")])]);
-    fails("hangs, x, #12", &longer, 101, "hangs is listed and did not run");
-    fails("hangs, x, #12", &longer, 101, "console::tests::hangs failed and is not listed");
+    let longer = run(&[binary(
+        "console",
+        &[("tests::hangs", "FAILED"), ("hangs_twice", "ok")],
+    )]);
+    fails(
+        "hangs, x, #12",
+        &longer,
+        101,
+        "hangs is listed and did not run",
+    );
+    fails(
+        "hangs, x, #12",
+        &longer,
+        101,
+        "console::tests::hangs failed and is not listed",
+    );
 }
 
 #[test]
 fn a_fourth_line_fails_the_run() {
-    let tests = [("a", "FAILED"), ("b", "FAILED"), ("c", "FAILED"), ("d", "FAILED")];
+    let tests = [
+        ("a", "FAILED"),
+        ("b", "FAILED"),
+        ("c", "FAILED"),
+        ("d", "FAILED"),
+    ];
     let output = run(&[binary("console", &tests)]);
-    fails("a, x, 1\nb, x, 1\nc, x, 1\nd, x, 1\n", &output, 101, "line 4: three lines at most");
+    fails(
+        "a, x, 1\nb, x, 1\nc, x, 1\nd, x, 1\n",
+        &output,
+        101,
+        "line 4: three lines at most",
+    );
     let output = run(&[binary("console", &tests[..3])]);
     passes("a, x, 1\nb, x, 1\nc, x, 1\n", &output);
-    fails("a, x, 1\nb, x, 1\nc, x, 1\n\n", &output, 101, "line 4: three lines at most");
+    fails(
+        "a, x, 1\nb, x, 1\nc, x, 1\n\n",
+        &output,
+        101,
+        "line 4: three lines at most",
+    );
 }
 
 #[test]
@@ -180,29 +314,67 @@
         "rules::x, , 1",
         ", why, 1",
     ];
-    for line in
-        bad.into_iter().chain([",,", "rules::x, why, and why, 1", "rules::x; why; 1", "rules::x why 1"])
-    {
-        fails(&format!("{LINE}{line}\n"), &one_red(), 101, "line 2: not `test, cause, issue`");
-        fails(&format!("{line}\n{LINE}"), &one_red(), 101, "line 1: not `test, cause, issue`");
+    for line in bad.into_iter().chain([
+        ",,",
+        "rules::x, why, and why, 1",
+        "rules::x; why; 1",
+        "rules::x why 1",
+    ]) {
+        fails(
+            &format!("{LINE}{line}\n"),
+            &one_red(),
+            101,
+            "line 2: not `test, cause, issue`",
+        );
+        fails(
+            &format!("{line}\n{LINE}"),
+            &one_red(),
+            101,
+            "line 1: not `test, cause, issue`",
+        );
     }
 }
 
 #[test]
 fn a_test_that_is_listed_twice_fails_the_run() {
-    fails(&format!("{LINE}{LINE}"), &one_red(), 101, "console::hangs is listed twice");
-    fails(&format!("{LINE}hangs, x, 1\n"), &one_red(), 101, "hangs is listed twice");
+    fails(
+        &format!("{LINE}{LINE}"),
+        &one_red(),
+        101,
+        "console::hangs is listed twice",
+    );
+    fails(
+        &format!("{LINE}hangs, x, 1\n"),
+        &one_red(),
+        101,
+        "hangs is listed twice",
+    );
 }
 
 #[test]
 fn a_failure_that_is_not_listed_fails_the_run() {
     let console = [("hangs", "FAILED"), ("hangs_twice", "FAILED")];
-    fails(LINE, &run(&[binary("console", &console)]), 101, "console::hangs_twice failed and is not listed");
-    let both = run(&[binary("console", &console[..1]), binary("rules", &[("keeps", "FAILED")])]);
+    fails(
+        LINE,
+        &run(&[binary("console", &console)]),
+        101,
+        "console::hangs_twice failed and is not listed",
+    );
+    let both = run(&[
+        binary("console", &console[..1]),
+        binary("rules", &[("keeps", "FAILED")]),
+    ]);
     fails(LINE, &both, 101, "rules::keeps failed and is not listed");
-    let both =
-        run(&[binary("console", &console[..1]), binary("doc", &[("src/lib.rs - (line 1)", "FAILED")])]);
-    fails(LINE, &both, 101, "doc::src/lib.rs - (line 1) failed and is not listed");
+    let both = run(&[
+        binary("console", &console[..1]),
+        binary("doc", &[("src/lib.rs - (line 1)", "FAILED")]),
+    ]);
+    fails(
+        LINE,
+        &both,
+        101,
+        "doc::src/lib.rs - (line 1) failed and is not listed",
+    );
 }
 
 #[test]
@@ -210,13 +382,26 @@
     let console = binary("console", &[("hangs", "FAILED")]);
     for other in ["ok", "FAILED", "ignored"] {
         let output = run(&[console.clone(), binary("rules", &[("hangs", other)])]);
-        fails("hangs, x, 1", &output, 101, "hangs may be console::hangs or rules::hangs");
+        fails(
+            "hangs, x, 1",
+            &output,
+            101,
+            "hangs may be console::hangs or rules::hangs",
+        );
     }
-    passes(LINE, &run(&[console.clone(), binary("rules", &[("hangs", "ok")])]));
+    passes(
+        LINE,
+        &run(&[console.clone(), binary("rules", &[("hangs", "ok")])]),
+    );
     let both = run(&[console.clone(), binary("rules", &[("hangs", "FAILED")])]);
     fails(LINE, &both, 101, "rules::hangs failed and is not listed");
     let nested = run(&[console, binary("rules", &[("console::hangs", "ok")])]);
-    fails(LINE, &nested, 101, "console::hangs may be console::hangs or rules::console::hangs");
+    fails(
+        LINE,
+        &nested,
+        101,
+        "console::hangs may be console::hangs or rules::console::hangs",
+    );
 }
 
 #[test]
@@ -232,11 +417,21 @@
     ];
     for (output, code) in outputs {
         fails(LINE, output, code, "no test ran");
-        fails(LINE, output, code, "console::hangs is listed and did not run");
+        fails(
+            LINE,
+            output,
+            code,
+            "console::hangs is listed and did not run",
+        );
     }
     // The tests ran, but what the command ends with is something else.
     for code in [0, 1, 137] {
-        fails(LINE, &one_red(), code, &format!("the command ended with {code}"));
+        fails(
+            LINE,
+            &one_red(),
+            code,
+            &format!("the command ended with {code}"),
+        );
     }
 }
 
@@ -247,22 +442,40 @@
     let caused = "\nCaused by:\n  process didn't exit successfully: `rules` (signal: 6, SIGABRT: process abort signal)\n";
     let console = binary("console", &[("hangs", "FAILED")]);
     for text in [died.to_string(), format!("{died}{caused}")] {
-        for output in [run(&[console.clone(), text.clone()]), run(&[text.clone(), console.clone()])] {
+        for output in [
+            run(&[console.clone(), text.clone()]),
+            run(&[text.clone(), console.clone()]),
+        ] {
             fails(LINE, &output, 101, "rules ended with no result");
         }
     }
     let rules = binary("rules", &[("keeps", "ok")]);
-    fails(LINE, &run(&[console.clone(), rules.clone() + caused]), 101, "process didn't exit successfully");
+    fails(
+        LINE,
+        &run(&[console.clone(), rules.clone() + caused]),
+        101,
+        "process didn't exit successfully",
+    );
     // It counts as passed, yet it failed.
     let failed = format!("{rules}error: test failed, to rerun pass `--test rules`\n");
-    fails(LINE, &run(&[console, failed]), 101, "1 test binaries tell of failures, cargo of 2");
+    fails(
+        LINE,
+        &run(&[console, failed]),
+        101,
+        "1 test binaries tell of failures, cargo of 2",
+    );
 }
 
 #[test]
 fn a_run_that_stops_at_the_first_failure_fails() {
     let output = one_red();
     let end = output.find("error: 1 target").unwrap();
-    fails(LINE, &output[..end], 101, "1 test binaries tell of failures, cargo of 0");
+    fails(
+        LINE,
+        &output[..end],
+        101,
+        "1 test binaries tell of failures, cargo of 0",
+    );
 }
 
 #[test]
@@ -278,7 +491,12 @@
     ];
     for (old, new) in changes {
         assert!(one_red().contains(old));
-        fails(LINE, &one_red().replace(old, new), 101, "not passed: console ");
+        fails(
+            LINE,
+            &one_red().replace(old, new),
+            101,
+            "not passed: console ",
+        );
     }
 }
 
@@ -286,19 +504,34 @@
 #[test]
 fn captured_output_that_looks_like_a_run_hides_nothing() {
     let shown = |captured: &str| one_red().replace("CAPTURED", captured);
-    passes(LINE, &shown("test other ... FAILED\n\nfailures:\n    other\n\n---- hangs stderr ----"));
+    passes(
+        LINE,
+        &shown("test other ... FAILED\n\nfailures:\n    other\n\n---- hangs stderr ----"),
+    );
     let hidden = binary("console", &[("hangs", "FAILED"), ("answers", "FAILED")]);
-    let forged = "failures:\n    hangs\n\ntest result: FAILED. 1 passed; 1 failed; 0 ignored; 0 measured\n";
+    let forged =
+        "failures:\n    hangs\n\ntest result: FAILED. 1 passed; 1 failed; 0 ignored; 0 measured\n";
     let hidden = run(&[hidden.replacen("CAPTURED", forged, 1)]);
     fails(LINE, &hidden, 101, "console has more than one result");
-    fails(LINE, &shown(&binary("rules", &[("keeps", "ok")])), 101, "console ended with no result");
+    fails(
+        LINE,
+        &shown(&binary("rules", &[("keeps", "ok")])),
+        101,
+        "console ended with no result",
+    );
 }
 
 #[test]
 fn log_lines_and_colours_between_change_nothing() {
     let output = one_red()
-        .replace("test answers ... ok", "failing: all calls resttest answers ... for 1.0 s\nok")
-        .replace("test hangs ... FAILED", "test hangs ... the latest test ends\nFAILED")
+        .replace(
+            "test answers ... ok",
+            "failing: all calls resttest answers ... for 1.0 s\nok",
+        )
+        .replace(
+            "test hangs ... FAILED",
+            "test hangs ... the latest test ends\nFAILED",
+        )
         .replace("     Running", "\u{1b}[1m\u{1b}[92m     Running\u{1b}[0m")
         .replace("error:", "\u{1b}[1m\u{1b}[91merror\u{1b}[0m:");
     passes(LINE, &output);
--- a/tests/life_of_a_call.rs
+++ b/tests/life_of_a_call.rs
@@ -56,13 +56,20 @@
     let held = rig.fill(1, 0);
     let actions = rig.later(2.1, held);
     assert!(refused(&actions, held));
-    assert!(!rig.later(0.1, held).iter().any(|a| matches!(a, Action::Refuse { .. })), "one answer only");
+    assert!(
+        !rig.later(0.1, held)
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { .. })),
+        "one answer only"
+    );
 }
 
 #[test]
 fn a_full_queue_takes_no_more() {
     let mut rig = Rig::with_classes(&[Effect::Safe], 1);
-    let refusals = (1..200).filter(|id| refused(&rig.on(request(*id, 0, 2.0)), *id)).count();
+    let refusals = (1..200)
+        .filter(|id| refused(&rig.on(request(*id, 0, 2.0)), *id))
+        .count();
     assert!(refusals > 100, "only {refusals} refused at once");
     assert!(rig.load().0 < 100);
 }
@@ -77,9 +84,14 @@
     }
     // Each of the three queues is used, so more calls wait than any one of them takes.
     let mut one = Rig::with_classes(&[Effect::Safe], 1);
-    let one_queue =
-        (1..200).filter(|id| !refused(&one.on(request(*id, 0, 2.0)), *id)).count() - one.balancer.load().1;
-    assert!(held as usize >= 3 * one_queue / 2, "{held} held by three, {one_queue} by one");
+    let one_queue = (1..200)
+        .filter(|id| !refused(&one.on(request(*id, 0, 2.0)), *id))
+        .count()
+        - one.balancer.load().1;
+    assert!(
+        held as usize >= 3 * one_queue / 2,
+        "{held} held by three, {one_queue} by one"
+    );
 }
 
 #[test]
@@ -112,10 +124,17 @@
     let mut rig = Rig::with_classes(&[Effect::Safe], 2);
     rig.on(request(1, 0, 2.0));
     rig.on(Event::ClientGone(RequestId(1)));
-    assert_eq!(rig.load(), (1, 1), "its slot is taken until its attempt ends");
+    assert_eq!(
+        rig.load(),
+        (1, 1),
+        "its slot is taken until its attempt ends"
+    );
     let actions = rig.on(end(1, 0, Outcome::TimedOut));
     let log = |a: &Action| matches!(a, Action::Log { .. });
-    assert!(actions.iter().all(log), "nothing is sent or answered any more: {actions:?}");
+    assert!(
+        actions.iter().all(log),
+        "nothing is sent or answered any more: {actions:?}"
+    );
     assert_eq!(rig.load(), (0, 0));
 }
 
@@ -159,17 +178,39 @@
         Balancer::new(settings, 1, 0.0).err()
     };
     assert_eq!(bad(|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(bad(|s| s.classes[0].aim = 0.0).map(|e| e.to_string().contains("aim")), Some(true));
-    assert!(matches!(bad(|s| s.rules.ask_within = f64::NAN), Some(SettingsError::BadNumber(..))));
-    assert!(matches!(bad(|s| s.me = 3), Some(SettingsError::BadIndex { index: 3, count: 1, .. })));
-    assert!(matches!(bad(|s| s.peers_total = 0), Some(SettingsError::BadIndex { .. })));
+    assert_eq!(
+        bad(|s| s.classes[0].aim = 0.0).map(|e| e.to_string().contains("aim")),
+        Some(true)
+    );
+    assert!(matches!(
+        bad(|s| s.rules.ask_within = f64::NAN),
+        Some(SettingsError::BadNumber(..))
+    ));
+    assert!(matches!(
+        bad(|s| s.me = 3),
+        Some(SettingsError::BadIndex {
+            index: 3,
+            count: 1,
+            ..
+        })
+    ));
+    assert!(matches!(
+        bad(|s| s.peers_total = 0),
+        Some(SettingsError::BadIndex { .. })
+    ));
 }
 
 /// Two classes of like latency, the second worth more.
 fn two_worths() -> Settings {
     let cheap = class(Effect::Unsafe);
-    let dear = Class { worth: 5.0, ..cheap.clone() };
-    Settings { classes: vec![cheap, dear], ..Settings::simple() }
+    let dear = Class {
+        worth: 5.0,
+        ..cheap.clone()
+    };
+    Settings {
+        classes: vec![cheap, dear],
+        ..Settings::simple()
+    }
 }
 
 #[test]
@@ -183,12 +224,29 @@
 
 #[test]
 fn a_flooding_tenant_waits_behind_the_others() {
-    let tenant = |name: &str| Tenant { name: name.into(), quota_per_s: 10.0 };
+    let tenant = |name: &str| Tenant {
+        name: name.into(),
+        quota_per_s: 10.0,
+    };
     let tenants = vec![tenant("flood"), tenant("calm")];
-    let mut rig = Rig::new(Settings { tenants, over_share_worth: 0.1, ..Settings::simple() }, 1);
+    let mut rig = Rig::new(
+        Settings {
+            tenants,
+            over_share_worth: 0.1,
+            ..Settings::simple()
+        },
+        1,
+    );
     let from = |id: u64, tenant: usize| {
         let id = RequestId(id);
-        Event::Request(Request { id, class: 0, tenant, remaining: 2.0, cost_hint: None, streamed: false })
+        Event::Request(Request {
+            id,
+            class: 0,
+            tenant,
+            remaining: 2.0,
+            cost_hint: None,
+            streamed: false,
+        })
     };
     for id in 1..100 {
         rig.on(from(id, 0));
@@ -197,8 +255,15 @@
             rig.on(end(id, 0, Outcome::Cancelled));
         }
     }
-    assert!(sends(&rig.on(from(200, 1))).is_empty(), "the slots are taken");
-    assert_eq!(sends(&rig.on(end(95, 0, Outcome::Ok))), [(200, 1)], "held last, woken first");
+    assert!(
+        sends(&rig.on(from(200, 1))).is_empty(),
+        "the slots are taken"
+    );
+    assert_eq!(
+        sends(&rig.on(end(95, 0, Outcome::Ok))),
+        [(200, 1)],
+        "held last, woken first"
+    );
 }
 
 #[test]
@@ -227,11 +292,26 @@
     rig.on(end(1, 0, Outcome::ConnectFailed));
     for id in 100..105 {
         let to = sends(&rig.on(request(id, 0, 2.0)))[0].1;
-        rig.on(end(id, 0, if to == dead { Outcome::ConnectFailed } else { Outcome::Ok }));
+        rig.on(end(
+            id,
+            0,
+            if to == dead {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Ok
+            },
+        ));
     }
     rig.now += 60.0;
-    let sent: Vec<u64> = (2..8).flat_map(|id| sends(&rig.on(request(id, 0, 2.0)))).map(|s| s.1).collect();
-    assert_eq!(sent.iter().filter(|upstream| **upstream == dead).count(), 1, "one trial: {sent:?}");
+    let sent: Vec<u64> = (2..8)
+        .flat_map(|id| sends(&rig.on(request(id, 0, 2.0))))
+        .map(|s| s.1)
+        .collect();
+    assert_eq!(
+        sent.iter().filter(|upstream| **upstream == dead).count(),
+        1,
+        "one trial: {sent:?}"
+    );
 }
 
 #[test]
@@ -241,7 +321,11 @@
         rig.on(request(id, 0, 20.0));
     }
     rig.now += 5.0;
-    assert_eq!(sends(&rig.on(request(9, 0, 2.0))).len(), 1, "all silent: then all are used");
+    assert_eq!(
+        sends(&rig.on(request(9, 0, 2.0))).len(),
+        1,
+        "all silent: then all are used"
+    );
 }
 
 #[test]
@@ -250,8 +334,18 @@
     for round in 0..2000_u64 {
         rig.now += 0.5;
         rig.on(request(round, 0, 2.0));
-        let state = if round % 2 == 0 { UpstreamState::On } else { UpstreamState::Off };
-        rig.list(ListScope::Delta, vec![UpstreamEntry { state, ..entry(5 + round / 2) }]);
+        let state = if round % 2 == 0 {
+            UpstreamState::On
+        } else {
+            UpstreamState::Off
+        };
+        rig.list(
+            ListScope::Delta,
+            vec![UpstreamEntry {
+                state,
+                ..entry(5 + round / 2)
+            }],
+        );
         rig.on(end(round, 0, Outcome::Ok));
     }
     rig.list(ListScope::Delta, Vec::new());
@@ -266,10 +360,16 @@
     for id in 1..=20 {
         rig.on(request(id, 0, 2.0));
         let actions = rig.on(end(id, 0, Outcome::ConnectFailed));
-        lines += actions.iter().filter(|a| matches!(a, Action::Log { .. })).count();
+        lines += actions
+            .iter()
+            .filter(|a| matches!(a, Action::Log { .. }))
+            .count();
         rig.now += 60.0;
     }
-    assert_eq!(lines, 1, "one line when an upstream falls silent, not one for each trial");
+    assert_eq!(
+        lines, 1,
+        "one line when an upstream falls silent, not one for each trial"
+    );
 }
 
 #[test]
@@ -282,7 +382,9 @@
     let held = rig.fill(1, 0);
     rig.on(end(1, 0, Outcome::Rejected));
     rig.now += 0.95;
-    let waiting = (1..=held).filter(|id| refused(&rig.on(Event::Timer(*id)), *id)).count();
+    let waiting = (1..=held)
+        .filter(|id| refused(&rig.on(Event::Timer(*id)), *id))
+        .count();
     assert!(waiting >= 1, "the aim of one second is as good as over");
 }
 
@@ -290,7 +392,12 @@
 fn turns_are_even_in_the_time_that_calls_take() {
     // Upstreams 1 and 2 are of a kind that takes three times as long as that of 3 and 4.
     let mut rig = Rig::with_classes(&[Effect::Safe], 0);
-    let entries = (1..=4).map(|id| UpstreamEntry { kind: usize::from(id <= 2), ..entry(id) }).collect();
+    let entries = (1..=4)
+        .map(|id| UpstreamEntry {
+            kind: usize::from(id <= 2),
+            ..entry(id)
+        })
+        .collect();
     rig.list(ListScope::Full, entries);
     let mut taken = [0; 5];
     for id in 1..=400 {
@@ -298,10 +405,20 @@
         let elapsed = if upstream <= 2 { 0.3 } else { 0.1 };
         taken[upstream as usize] += u32::from(id > 200);
         let (id, outcome) = (RequestId(id), Outcome::Ok);
-        rig.on(Event::Outcome(AttemptEnd { id, attempt: 0, outcome, elapsed, idle: None, concluded: true }));
+        rig.on(Event::Outcome(AttemptEnd {
+            id,
+            attempt: 0,
+            outcome,
+            elapsed,
+            idle: None,
+            concluded: true,
+        }));
     }
     let (slow, fast) = (taken[1] + taken[2], taken[3] + taken[4]);
-    assert!(taken[1].abs_diff(taken[2]) <= 3 && taken[3].abs_diff(taken[4]) <= 3, "{taken:?}");
+    assert!(
+        taken[1].abs_diff(taken[2]) <= 3 && taken[3].abs_diff(taken[4]) <= 3,
+        "{taken:?}"
+    );
     assert!((2 * slow..4 * slow).contains(&fast), "{taken:?}");
 }
 
@@ -314,14 +431,24 @@
 /// Two classes at four upstreams; upstream 1 serves only the first.
 fn one_class_fails(outcome: Outcome) -> (u32, u32) {
     let classes = vec![class(Effect::Unsafe), class(Effect::Unsafe)];
-    let mut rig = Rig::new(one_attempt(Settings { classes, ..Settings::simple() }), 4);
+    let mut rig = Rig::new(
+        one_attempt(Settings {
+            classes,
+            ..Settings::simple()
+        }),
+        4,
+    );
     let mut taken = (0, 0);
     for id in 1..=200 {
         let wanted = usize::from(id % 7 < 3);
         let upstream = sends(&rig.on(request(id, wanted, 2.0)))[0].1;
         rig.now += 0.01;
         if upstream == 1 && id > 50 {
-            taken = if wanted == 0 { (taken.0 + 1, taken.1) } else { (taken.0, taken.1 + 1) };
+            taken = if wanted == 0 {
+                (taken.0 + 1, taken.1)
+            } else {
+                (taken.0, taken.1 + 1)
+            };
         }
         let bad = upstream == 1 && wanted == 1;
         rig.on(end(id, 0, if bad { outcome } else { Outcome::Ok }));
@@ -332,7 +459,10 @@
 #[test]
 fn an_upstream_that_leaves_one_class_unanswered_keeps_its_turns_for_the_others() {
     let (served, failed) = one_class_fails(Outcome::TimedOut);
-    assert!(served >= 6 && failed <= 2, "{served} of the good class, {failed} of the bad");
+    assert!(
+        served >= 6 && failed <= 2,
+        "{served} of the good class, {failed} of the bad"
+    );
     let (served, unharmed) = one_class_fails(Outcome::Ok);
     assert!(served >= 15 && unharmed >= 12, "{served} and {unharmed}");
 }
@@ -342,7 +472,10 @@
 #[test]
 fn an_upstream_that_alone_turns_one_class_away_keeps_its_turns_for_the_others() {
     let (served, turned_away) = one_class_fails(Outcome::Rejected);
-    assert!(served >= 15 && turned_away <= 4, "{served} of the good class, {turned_away} of the bad");
+    assert!(
+        served >= 15 && turned_away <= 4,
+        "{served} of the good class, {turned_away} of the bad"
+    );
 }
 
 #[test]
@@ -353,7 +486,15 @@
         // Past the pause that follows on each.
         rig.now += 1.0;
         taken[sends(&rig.on(request(id, 0, 2.0)))[0].1 as usize] += 1;
-        rig.on(end(id, 0, if id % 3 == 0 { Outcome::Ok } else { Outcome::Rejected }));
+        rig.on(end(
+            id,
+            0,
+            if id % 3 == 0 {
+                Outcome::Ok
+            } else {
+                Outcome::Rejected
+            },
+        ));
     }
     assert!(taken[1..].iter().all(|n| *n > 20), "{taken:?}");
 }
@@ -361,14 +502,28 @@
 /// Calls of three classes in turn, of which one upstream of four fails every one; how many of each it draws.
 fn all_classes_fail(classes: [Effect; 3], calls: u64) -> [u32; 3] {
     let classes = classes.map(class).to_vec();
-    let mut rig = Rig::new(one_attempt(Settings { classes, ..Settings::simple() }), 4);
+    let mut rig = Rig::new(
+        one_attempt(Settings {
+            classes,
+            ..Settings::simple()
+        }),
+        4,
+    );
     let mut failed = [0; 3];
     for id in 1..=calls {
         let class = (id % 3) as usize;
         let upstream = sends(&rig.on(request(id, class, 2.0)))[0].1;
         rig.now += 0.01;
         failed[class] += u32::from(upstream == 1);
-        rig.on(end(id, 0, if upstream == 1 { Outcome::Error } else { Outcome::Ok }));
+        rig.on(end(
+            id,
+            0,
+            if upstream == 1 {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            },
+        ));
     }
     failed
 }
@@ -377,7 +532,10 @@
 #[test]
 fn an_upstream_that_fails_all_classes_is_found_out_by_all_of_them_together() {
     let failed = all_classes_fail([Effect::Unsafe; 3], 60);
-    assert!(failed.iter().sum::<u32>() <= 5, "{failed:?}; each by itself takes two");
+    assert!(
+        failed.iter().sum::<u32>() <= 5,
+        "{failed:?}; each by itself takes two"
+    );
 }
 
 /// Guards against losing a call that can't be repeated to each trial of an upstream that fails, where one that can
@@ -420,7 +578,9 @@
     // It is ejected for as long as the silence took.
     rig.on(lost(1, Outcome::TimedOut, 6.0));
     rig.now += 5.0;
-    let next: Vec<_> = (60..64).map(|id| sends(&rig.on(request(id, 0, 2.0)))[0].1).collect();
+    let next: Vec<_> = (60..64)
+        .map(|id| sends(&rig.on(request(id, 0, 2.0)))[0].1)
+        .collect();
     assert!(!next.contains(&there), "{next:?}");
 }
 
@@ -445,7 +605,11 @@
         id += 1;
         taken
     };
-    assert_eq!(lose_one(&mut rig), 0, "what one alone has lost does leave it out");
+    assert_eq!(
+        lose_one(&mut rig),
+        0,
+        "what one alone has lost does leave it out"
+    );
     for _ in 0..8 {
         lose_one(&mut rig);
     }
@@ -456,12 +620,19 @@
 /// Guards against resting an upstream for what isn't its fault: a client in a hurry, or one broken connection.
 #[test]
 fn a_client_in_a_hurry_or_a_single_lost_connection_brings_no_rest() {
-    for outcome in [Outcome::TimedOut, Outcome::Cancelled, Outcome::Reset, Outcome::ConnectFailed] {
+    for outcome in [
+        Outcome::TimedOut,
+        Outcome::Cancelled,
+        Outcome::Reset,
+        Outcome::ConnectFailed,
+    ] {
         let mut rig = Rig::with_classes(&[Effect::Unsafe], 4);
         let there = sends(&rig.on(request(1, 0, 0.5)))[0].1;
         rig.now += 0.1;
         rig.on(lost(1, outcome, 0.1));
-        let next: Vec<_> = (2..6).map(|id| sends(&rig.on(request(id, 0, 2.0)))[0].1).collect();
+        let next: Vec<_> = (2..6)
+            .map(|id| sends(&rig.on(request(id, 0, 2.0)))[0].1)
+            .collect();
         assert!(next.contains(&there), "{outcome:?} {next:?}");
     }
 }
@@ -509,7 +680,9 @@
             rig.on(Event::Written(RequestId(1)));
         }
         rig.now += 10.0;
-        let to: Vec<_> = (2..12).map(|id| sends(&rig.on(request(id, 0, 2.0)))).collect();
+        let to: Vec<_> = (2..12)
+            .map(|id| sends(&rig.on(request(id, 0, 2.0))))
+            .collect();
         to.iter().flatten().filter(|(_, to)| *to == there).count()
     };
     assert!(turns_there(false) > 0, "its client still sends");
@@ -559,19 +732,36 @@
     for id in 1..=200 {
         taken[sends(&rig.on(request(id, 0, 2.0)))[0].1 as usize] += 1;
         rig.now += 0.01;
-        rig.on(end(id, 0, if id % 3 == 0 { Outcome::Ok } else { Outcome::Error }));
+        rig.on(end(
+            id,
+            0,
+            if id % 3 == 0 {
+                Outcome::Ok
+            } else {
+                Outcome::Error
+            },
+        ));
     }
     assert!(taken[1..].iter().all(|n| *n > 20), "{taken:?}");
 }
 
 #[test]
 fn a_silent_call_goes_elsewhere_where_no_copy_may_go_out() {
-    let mut settings = Settings { classes: vec![class(Effect::Safe)], ..Settings::simple() };
+    let mut settings = Settings {
+        classes: vec![class(Effect::Safe)],
+        ..Settings::simple()
+    };
     settings.limits.duplicates = false;
     let mut rig = Rig::new(settings, 4);
     let first = sends(&rig.on(request(1, 0, 3.0)))[0].1;
     let actions = rig.later(1.5, 1);
-    assert_eq!(actions, [Action::Cancel { id: RequestId(1), attempt: 0 }]);
+    assert_eq!(
+        actions,
+        [Action::Cancel {
+            id: RequestId(1),
+            attempt: 0
+        }]
+    );
     let again = sends(&rig.on(end(1, 0, Outcome::Cancelled)));
     assert!(again.len() == 1 && again[0].1 != first, "{again:?}");
 }
@@ -579,7 +769,15 @@
 #[test]
 fn deeper_tiers_widen_for_calls_that_wait_though_answers_take_long() {
     let widened = |tier: usize| {
-        let mut rig = Rig::new(Settings { tier, tiers: 3, peers_total: 6, ..Settings::simple() }, 1);
+        let mut rig = Rig::new(
+            Settings {
+                tier,
+                tiers: 3,
+                peers_total: 6,
+                ..Settings::simple()
+            },
+            1,
+        );
         for id in 1..=100 {
             rig.on(request(id, 0, 2.0));
             rig.now += 0.01;
@@ -598,7 +796,12 @@
         }
         rig.load().1
     };
-    assert!(widened(1) > widened(0), "{} deeper, {} at the entry", widened(1), widened(0));
+    assert!(
+        widened(1) > widened(0),
+        "{} deeper, {} at the entry",
+        widened(1),
+        widened(0)
+    );
 }
 
 /// Calls at one upstream with a second between them, which end as `outcome` says after 50 ms; what is closed.
@@ -609,7 +812,10 @@
         rig.now += 1.0;
         let actions = rig.on(request(id, 0, 2.0));
         assert_eq!(sends(&actions).len(), 1);
-        closed += actions.iter().filter(|a| matches!(a, Action::Close { .. })).count();
+        closed += actions
+            .iter()
+            .filter(|a| matches!(a, Action::Close { .. }))
+            .count();
         rig.now += 0.05;
         match outcome(id) {
             Outcome::Ok => rig.on(end(id, 0, Outcome::Ok)),
@@ -622,21 +828,50 @@
 #[test]
 fn idle_connections_are_closed_before_use_once_two_were_lost() {
     assert_eq!(closes(|_| Outcome::Ok), 0);
-    assert_eq!(closes(|id| if id == 2 { Outcome::Reset } else { Outcome::Ok }), 0, "one sign is none");
-    let often = closes(|id| if id == 2 || id == 4 { Outcome::Reset } else { Outcome::Ok });
+    assert_eq!(
+        closes(|id| if id == 2 { Outcome::Reset } else { Outcome::Ok }),
+        0,
+        "one sign is none"
+    );
+    let often = closes(|id| {
+        if id == 2 || id == 4 {
+            Outcome::Reset
+        } else {
+            Outcome::Ok
+        }
+    });
     assert!(often >= 12, "closed {often} times");
     // Nor need they be many: each may be a call that can't be repeated.
-    assert!(closes(|id| if id == 2 || id == 11 { Outcome::Reset } else { Outcome::Ok }) >= 6);
+    assert!(
+        closes(|id| if id == 2 || id == 11 {
+            Outcome::Reset
+        } else {
+            Outcome::Ok
+        }) >= 6
+    );
 }
 
 /// Guards against a handshake for each call where connections break whether they were idle or not.
 #[test]
 fn idle_connections_are_trusted_while_new_ones_break_as_well() {
     // The call after a reset finds no idle connection, so that every other reset is one of a new connection.
-    let both = |id: u64| if id % 6 == 2 || id % 6 == 3 { Outcome::Reset } else { Outcome::Ok };
+    let both = |id: u64| {
+        if id % 6 == 2 || id % 6 == 3 {
+            Outcome::Reset
+        } else {
+            Outcome::Ok
+        }
+    };
     assert_eq!(closes(both), 0);
     // The trust that two on idle ones took comes back with the next on a new one.
-    assert_eq!(closes(|id| if [2, 4, 6].contains(&id) { Outcome::Reset } else { Outcome::Ok }), 1);
+    assert_eq!(
+        closes(|id| if [2, 4, 6].contains(&id) {
+            Outcome::Reset
+        } else {
+            Outcome::Ok
+        }),
+        1
+    );
 }
 
 /// Guards against the same where calls follow each other so closely that no connection is ever idle for long.
@@ -646,7 +881,10 @@
     for id in 1..=40 {
         rig.now += 0.02;
         let actions = rig.on(request(id, 0, 2.0));
-        assert!(!actions.iter().any(|a| matches!(a, Action::Close { .. })), "call {id}: {actions:?}");
+        assert!(
+            !actions.iter().any(|a| matches!(a, Action::Close { .. })),
+            "call {id}: {actions:?}"
+        );
         rig.now += 0.1;
         match id % 4 {
             0 => rig.on(lost(id, Outcome::Reset, 0.001)),
@@ -658,7 +896,13 @@
 #[test]
 fn the_pass_of_a_crowded_caller_rests_where_callers_outnumber_upstreams() {
     let waits = |peers_total: usize| {
-        let mut rig = Rig::new(Settings { peers_total, ..Settings::simple() }, 3);
+        let mut rig = Rig::new(
+            Settings {
+                peers_total,
+                ..Settings::simple()
+            },
+            3,
+        );
         for id in 1..=60 {
             rig.on(request(id, 0, 20.0));
             let (id, outcome) = (RequestId(id), Outcome::Ok);
@@ -673,13 +917,23 @@
             }));
         }
         let ids = [101, 102, 103, 104];
-        let sent: Vec<_> = ids.iter().flat_map(|id| sends(&rig.on(request(*id, 0, 20.0)))).collect();
+        let sent: Vec<_> = ids
+            .iter()
+            .flat_map(|id| sends(&rig.on(request(*id, 0, 20.0))))
+            .collect();
         let actions = rig.on(end(sent[0].0, 0, Outcome::Ok));
-        let held = ids.iter().find(|id| !sent.iter().any(|s| s.0 == **id)).unwrap();
+        let held = ids
+            .iter()
+            .find(|id| !sent.iter().any(|s| s.0 == **id))
+            .unwrap();
         let woken = sends(&actions).len();
         let timer = |a: &Action| matches!(a, Action::SetTimer { .. });
         assert!(woken > 0 || actions.iter().any(timer), "{actions:?}");
-        assert_eq!(woken + sends(&rig.later(0.2, *held)).len(), 1, "sent after the rest");
+        assert_eq!(
+            woken + sends(&rig.later(0.2, *held)).len(),
+            1,
+            "sent after the rest"
+        );
         woken == 0
     };
     assert!(waits(300) && !waits(2));
@@ -708,7 +962,11 @@
         rig.on(end(id, 0, Outcome::Ok));
     }
     let held = rig.fill(400, 0);
-    assert!(held - 400 >= 4, "{} after {widened}; an even slice is two", held - 400);
+    assert!(
+        held - 400 >= 4,
+        "{} after {widened}; an even slice is two",
+        held - 400
+    );
 }
 
 /// Calls that always wait, at one upstream that answers each after `elapsed`; slots taken after so many answers.
@@ -748,7 +1006,8 @@
 /// when a connection there comes up late, and most come as soon as ever. A crowd shows in most of them.
 #[test]
 fn a_tail_of_late_answers_is_no_crowd() {
-    let late = |share: u64, of: u64| move |id: u64| if id > 40 && id % of < share { 1.5 } else { 0.1 };
+    let late =
+        |share: u64, of: u64| move |id: u64| if id > 40 && id % of < share { 1.5 } else { 0.1 };
     let calm = slots_after(400, late(0, 1));
     for (share, of) in [(1, 4), (1, 3), (2, 5)] {
         let tail = slots_after(400, late(share, of));
@@ -766,7 +1025,10 @@
     // Late answers narrow it; from then on it widens by little.
     let before = slots_after(80, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
     let after = slots_after(100, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
-    assert!((before..=before + 3).contains(&after) && after < fresh, "{before} and {after}");
+    assert!(
+        (before..=before + 3).contains(&after) && after < fresh,
+        "{before} and {after}"
+    );
 }
 
 /// Guards against heavy calls that are late on slow upstreams, while light ones still go to all in turn.
@@ -786,11 +1048,21 @@
         let elapsed = hint * if to == 1 { 1.0 } else { 3.0 };
         rig.now += elapsed;
         let (id, outcome) = (RequestId(id), Outcome::Ok);
-        rig.on(Event::Outcome(AttemptEnd { id, attempt: 0, outcome, elapsed, idle: None, concluded: true }));
+        rig.on(Event::Outcome(AttemptEnd {
+            id,
+            attempt: 0,
+            outcome,
+            elapsed,
+            idle: None,
+            concluded: true,
+        }));
         to
     };
     let light: Vec<_> = (0..60).map(|id| call(&mut rig, id, 0.1)).collect();
-    assert!(light[30..].contains(&1) && light[30..].contains(&2), "{light:?}");
+    assert!(
+        light[30..].contains(&1) && light[30..].contains(&2),
+        "{light:?}"
+    );
     let heavy: Vec<_> = (100..104).map(|id| call(&mut rig, id, 0.4)).collect();
     assert_eq!(heavy, [1, 1, 1, 1]);
 }
@@ -798,39 +1070,68 @@
 /// Guards against paying again, after an upgrade, for what the process before had learned.
 #[test]
 fn a_balancer_that_takes_another_s_place_recalls_what_that_one_learned() {
-    let settings = || one_attempt(Settings { classes: vec![class(Effect::Unsafe)], ..Settings::simple() });
+    let settings = || {
+        one_attempt(Settings {
+            classes: vec![class(Effect::Unsafe)],
+            ..Settings::simple()
+        })
+    };
     let run = |rig: &mut Rig, ids: std::ops::Range<u64>| {
         let mut drawn = 0;
         for id in ids {
             let upstream = sends(&rig.on(request(id, 0, 2.0)))[0].1;
             rig.now += 0.002;
             drawn += u32::from(upstream == 1);
-            rig.on(end(id, 0, if upstream == 1 { Outcome::Error } else { Outcome::Ok }));
+            rig.on(end(
+                id,
+                0,
+                if upstream == 1 {
+                    Outcome::Error
+                } else {
+                    Outcome::Ok
+                },
+            ));
         }
         drawn
     };
     let mut old = Rig::new(settings(), 4);
-    assert!(run(&mut old, 1..40) >= 2, "what it costs to learn that one fails");
+    assert!(
+        run(&mut old, 1..40) >= 2,
+        "what it costs to learn that one fails"
+    );
     let text = serde_json::to_string(&old.balancer.knowledge()).unwrap();
     let drawn_by = |ahead: f64, later: f64, restarted: bool| {
         let mut new = Rig::new(settings(), 4);
         new.now = old.now + later + ahead;
         if restarted {
             let now = new.now - 50.0;
-            new.list(ListScope::Delta, vec![UpstreamEntry { since: now, ..entry(1) }]);
+            new.list(
+                ListScope::Delta,
+                vec![UpstreamEntry {
+                    since: now,
+                    ..entry(1)
+                }],
+            );
         }
-        new.balancer.recall(new.now, later, serde_json::from_str(&text).unwrap());
+        new.balancer
+            .recall(new.now, later, serde_json::from_str(&text).unwrap());
         run(&mut new, 1..40)
     };
     let drawn = |later: f64, restarted: bool| drawn_by(0.0, later, restarted);
     assert_eq!(drawn(0.1, false), 0);
     for ahead in [-3600.0, -5.0, 5.0, 3600.0] {
-        assert_eq!(drawn_by(ahead, 0.1, false), 0, "its clock is {ahead} s ahead");
+        assert_eq!(
+            drawn_by(ahead, 0.1, false),
+            0,
+            "its clock is {ahead} s ahead"
+        );
     }
     assert!(drawn(0.1, true) >= 2, "it may be another program now");
     assert!(drawn(60.0, false) >= 2, "too long ago");
     // Settings that have changed fit nothing.
     let mut other = Rig::with_classes(&[Effect::Safe, Effect::Unsafe], 4);
-    other.balancer.recall(old.now, 0.0, serde_json::from_str(&text).unwrap());
+    other
+        .balancer
+        .recall(old.now, 0.0, serde_json::from_str(&text).unwrap());
     assert!(other.fill(1, 0) > 1);
 }
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -49,7 +49,9 @@
                 text if message.first.is_empty() => message.first = text.to_string(),
                 text => {
                     let (name, value) = text.split_once(':').unwrap_or((text, ""));
-                    message.headers.push((name.to_lowercase(), value.trim().to_string()));
+                    message
+                        .headers
+                        .push((name.to_lowercase(), value.trim().to_string()));
                 }
             }
         }
@@ -59,7 +61,10 @@
 
     fn read_body(&mut self, from: &mut impl BufRead) -> io::Result<()> {
         if self.header("transfer-encoding").is_none() {
-            let length = self.header("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
+            let length = self
+                .header("content-length")
+                .and_then(|v| v.parse().ok())
+                .unwrap_or(0);
             self.body.resize(length, 0);
             return from.read_exact(&mut self.body);
         }
@@ -80,11 +85,18 @@
     }
 
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, value)| value.as_str())
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
+        self.first
+            .split(' ')
+            .nth(1)
+            .and_then(|code| code.parse().ok())
+            .unwrap_or(0)
     }
 }
 
@@ -176,9 +188,14 @@
     /// Waits until it has closed a connection, and none is left whose other side has yet to hear of that, read or not. A
     /// busy machine may bring a close later than it tells of it here.
     pub fn has_closed(&self) {
-        self.closed.recv_timeout(PATIENCE).expect("its connection is closed");
+        self.closed
+            .recv_timeout(PATIENCE)
+            .expect("its connection is closed");
         let begin = Instant::now();
-        while established().iter().any(|(_, there)| *there == self.address.port()) {
+        while established()
+            .iter()
+            .any(|(_, there)| *there == self.address.port())
+        {
             assert!(begin.elapsed() < PATIENCE, "its close arrives");
             thread::yield_now();
         }
@@ -191,7 +208,9 @@
     }
 
     pub fn next(&self) -> Message {
-        self.seen.recv_timeout(PATIENCE).expect("a request reaches the upstream")
+        self.seen
+            .recv_timeout(PATIENCE)
+            .expect("a request reaches the upstream")
     }
 }
 
@@ -208,7 +227,10 @@
         let body = format!("{} by {}", request.first, out.local_addr()?);
         let id = request.header("request-id").unwrap_or("").to_string();
         let asked = *reply.lock().unwrap();
-        let _ = seen.send(Message { turned_away: asked == Reply::NotStarted, ..request });
+        let _ = seen.send(Message {
+            turned_away: asked == Reply::NotStarted,
+            ..request
+        });
         let reply = if asked == Reply::Hold {
             let open = gate.0.lock().unwrap();
             drop(gate.1.wait_while(open, |open| !*open).unwrap());
@@ -216,8 +238,12 @@
         } else {
             asked
         };
-        let head =
-            |status: &str| format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\nSaw: {id}\r\n", body.len());
+        let head = |status: &str| {
+            format!(
+                "HTTP/1.1 {status}\r\nContent-Length: {}\r\nSaw: {id}\r\n",
+                body.len()
+            )
+        };
         match reply {
             Reply::Ok | Reply::Hold => write!(out, "{}\r\n{body}", head("200 OK"))?,
             Reply::OkThenClose => return write!(out, "{}\r\n{body}", head("200 OK")),
@@ -262,8 +288,13 @@
 impl Away {
     pub fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
-        Away { address: socket.local_addr().unwrap().as_socket().unwrap(), socket }
+        socket
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
+        Away {
+            address: socket.local_addr().unwrap().as_socket().unwrap(),
+            socket,
+        }
     }
 
     pub fn back(self) -> DiscoveryPeer {
@@ -286,7 +317,10 @@
                 if let Ok(Some(request)) = Message::read(&mut input) {
                     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                     let _ = stream.write_all(head.as_bytes());
-                    let _ = sender.send(Watch { asked: request.first, stream });
+                    let _ = sender.send(Watch {
+                        asked: request.first,
+                        stream,
+                    });
                 }
             }
         });
@@ -320,14 +354,15 @@
 
     /// Resets the connection, whatever is on its way.
     pub fn reset(self) {
-        SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).unwrap();
+        SockRef::from(&self.stream)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
     }
 
     /// True if the program has not closed it.
     pub fn is_open(&mut self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
-        let open =
-            matches!(self.stream.read(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock);
+        let open = matches!(self.stream.read(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock);
         self.stream.set_nonblocking(false).unwrap();
         open
     }
@@ -342,7 +377,10 @@
 
 /// A list of entries.
 pub fn list(index: u64, snapshot: bool, endpoints: &[String]) -> String {
-    format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, endpoints.join(","))
+    format!(
+        r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
+        endpoints.join(",")
+    )
 }
 
 /// A configuration with one safe, one keyed and one unsafe class.
@@ -367,27 +405,38 @@
 /// One that knows these upstreams, named `u0`, `u1` and so on.
 pub fn config_of(upstreams: &[SocketAddr], discovery: SocketAddr, sockets: usize) -> String {
     let entries = upstreams.iter().enumerate();
-    let entries: Vec<_> = entries.map(|(n, a)| endpoint(&format!("u{n}"), *a, "in_service")).collect();
+    let entries: Vec<_> = entries
+        .map(|(n, a)| endpoint(&format!("u{n}"), *a, "in_service"))
+        .collect();
     config(&list(5, true, &entries), discovery, sockets)
 }
 
 /// The same with calls and connections that are waited for longer than any test.
 pub fn patient(config: &str) -> String {
     config
-        .replace("\"aim\":5.0,\"hardLimit\":10.0", "\"aim\":200.0,\"hardLimit\":400.0")
+        .replace(
+            "\"aim\":5.0,\"hardLimit\":10.0",
+            "\"aim\":200.0,\"hardLimit\":400.0",
+        )
         .replace("Timeout\":1.0", "Timeout\":60.0")
 }
 
 /// An address that never lets a connection come up: its queue of connections is full and nobody takes them.
 pub fn unreachable() -> SocketAddr {
-    let Door { address, listener, waiting } = Door::shut();
+    let Door {
+        address,
+        listener,
+        waiting,
+    } = Door::shut();
     std::mem::forget((listener, waiting));
     address
 }
 
 /// True while somebody waits for a connection to this address to come up.
 pub fn is_awaited(address: SocketAddr) -> bool {
-    ends().iter().any(|end| end.there == address.port() && end.state == "02")
+    ends()
+        .iter()
+        .any(|end| end.there == address.port() && end.state == "02")
 }
 
 /// The same, until it is opened.
@@ -401,7 +450,11 @@
 impl Door {
     pub fn shut() -> Self {
         let (listener, address, waiting) = shut();
-        Door { address, listener, waiting }
+        Door {
+            address,
+            listener,
+            waiting,
+        }
     }
 
     /// An upstream that takes what waits, but for those that kept others out.
@@ -420,7 +473,9 @@
 impl Refusing {
     pub fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        socket
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
         Refusing { address, socket }
     }
@@ -434,7 +489,9 @@
 
 fn shut() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     socket.listen(0).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
     let wait = Duration::from_millis(200);
@@ -466,11 +523,19 @@
 pub fn failing_calls() -> &'static str {
     static LIBRARY: OnceLock<String> = OnceLock::new();
     LIBRARY.get_or_init(|| {
-        let library = format!("{}/faults-{}.so", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+        let library = format!(
+            "{}/faults-{}.so",
+            env!("CARGO_TARGET_TMPDIR"),
+            std::process::id()
+        );
         let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/faults/faults.c");
-        let built =
-            Command::new("cc").args(["-shared", "-fPIC", "-O1", "-o", &library, source, "-ldl"]).status();
-        assert!(built.unwrap().success(), "the C compiler that links the program builds this too");
+        let built = Command::new("cc")
+            .args(["-shared", "-fPIC", "-O1", "-o", &library, source, "-ldl"])
+            .status();
+        assert!(
+            built.unwrap().success(),
+            "the C compiler that links the program builds this too"
+        );
         library
     })
 }
@@ -492,8 +557,8 @@
 
 fn write_config(config: &str) -> PathBuf {
     let number = FILES.fetch_add(1, Ordering::SeqCst);
-    let path =
-        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("config-{}-{number}.json", std::process::id()));
+    let path = Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("config-{}-{number}.json", std::process::id()));
     std::fs::write(&path, config).unwrap();
     path
 }
@@ -532,7 +597,12 @@
     pub fn start_limited(descriptors: usize, variables: &[(&str, &str)], config: &str) -> Self {
         let config = write_config(config);
         let mut run = Command::new("sh");
-        run.args(["-c", "ulimit -n $0 && exec $1", &descriptors.to_string(), PROGRAM]);
+        run.args([
+            "-c",
+            "ulimit -n $0 && exec $1",
+            &descriptors.to_string(),
+            PROGRAM,
+        ]);
         let child = spawn_by(run, variables, &config, "127.0.0.1:0");
         Self::of(child, config)
     }
@@ -543,12 +613,20 @@
         let last = |line: &str| line.trim_end().rsplit(' ').next().unwrap().parse().unwrap();
         while !line.contains("listens on ") {
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "the program ended before it listened");
+            assert!(
+                log.read_line(&mut line).unwrap() > 0,
+                "the program ended before it listened"
+            );
             if line.contains("operators' calls at ") {
                 console = Some(last(&line));
             }
         }
-        Program { child, config, address: last(&line), console }
+        Program {
+            child,
+            config,
+            address: last(&line),
+            console,
+        }
     }
 
     /// A program with a console and these upstreams.
@@ -560,7 +638,10 @@
     pub fn with_console_and(upstreams: &[SocketAddr], sockets: usize) -> (Self, DiscoveryPeer) {
         let discovery = DiscoveryPeer::start();
         let config = config_of(upstreams, discovery.address, sockets);
-        (Self::start_with(&[("PROXY_CONSOLE", "127.0.0.1:0")], &config, "127.0.0.1:0"), discovery)
+        (
+            Self::start_with(&[("PROXY_CONSOLE", "127.0.0.1:0")], &config, "127.0.0.1:0"),
+            discovery,
+        )
     }
 
     pub fn operator(&self) -> Client {
@@ -579,7 +660,9 @@
     /// The figure of this name.
     pub fn figure(&self, name: &str) -> u64 {
         let text = self.call("GET /stats").1;
-        let line = text.lines().find_map(|line| line.strip_prefix(&format!("balancer.{name}:")));
+        let line = text
+            .lines()
+            .find_map(|line| line.strip_prefix(&format!("balancer.{name}:")));
         line.and_then(|line| line.split('|').next()?.parse().ok())
             .unwrap_or_else(|| panic!("{name} in {text}"))
     }
@@ -591,7 +674,13 @@
 
     pub fn with_sockets(upstreams: &[SocketAddr], sockets: usize) -> (Self, DiscoveryPeer) {
         let discovery = DiscoveryPeer::start();
-        (Self::start(&config_of(upstreams, discovery.address, sockets), "127.0.0.1:0"), discovery)
+        (
+            Self::start(
+                &config_of(upstreams, discovery.address, sockets),
+                "127.0.0.1:0",
+            ),
+            discovery,
+        )
     }
 
     pub fn id(&self) -> u32 {
@@ -628,7 +717,9 @@
 
     /// True while its end of the connection of the client with this port is open.
     pub fn holds(&self, client: u16) -> bool {
-        ends().iter().any(|end| (end.here, end.there) == (self.address.port(), client) && end.held)
+        ends()
+            .iter()
+            .any(|end| (end.here, end.there) == (self.address.port(), client) && end.held)
     }
 
     pub fn go_on(&self) {
@@ -637,19 +728,34 @@
 
     fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([name, &id])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// The most memory that it has held so far, in bytes.
     pub fn memory(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
-        line.trim().split(' ').next().unwrap().parse::<usize>().unwrap() << 10
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))
+            .unwrap();
+        line.trim()
+            .split(' ')
+            .next()
+            .unwrap()
+            .parse::<usize>()
+            .unwrap()
+            << 10
     }
 
     /// The descriptors that it holds.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .unwrap()
+            .count()
     }
 
     pub fn kill(&mut self) {
@@ -682,18 +788,31 @@
 /// The kernel's table of all ends.
 fn ends() -> Vec<End> {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
-    let port = |address: &str| u16::from_str_radix(address.rsplit(':').next().unwrap(), 16).unwrap();
-    let rows = table.lines().skip(1).map(|line| line.split_whitespace().skip(1).collect::<Vec<_>>());
+    let port =
+        |address: &str| u16::from_str_radix(address.rsplit(':').next().unwrap(), 16).unwrap();
+    let rows = table
+        .lines()
+        .skip(1)
+        .map(|line| line.split_whitespace().skip(1).collect::<Vec<_>>());
     let end = |row: Vec<&str>| {
         let (here, there) = (port(row[0]), port(row[1]));
-        End { here, there, state: row[2].to_string(), held: row[8] != "0" }
+        End {
+            here,
+            there,
+            state: row[2].to_string(),
+            held: row[8] != "0",
+        }
     };
     rows.map(end).collect()
 }
 
 /// The ports, here and there, of all ends of connections that are up and to which no close or reset has come.
 pub fn established() -> Vec<(u16, u16)> {
-    ends().into_iter().filter(|end| end.state == "01").map(|end| (end.here, end.there)).collect()
+    ends()
+        .into_iter()
+        .filter(|end| end.state == "01")
+        .map(|end| (end.here, end.there))
+        .collect()
 }
 
 static IDS: AtomicU64 = AtomicU64::new(0x1000);
@@ -708,17 +827,29 @@
     pub fn connect(address: SocketAddr) -> io::Result<Self> {
         let out = TcpStream::connect(address)?;
         out.set_read_timeout(Some(PATIENCE))?;
-        Ok(Client { input: BufReader::new(out.try_clone()?), out })
+        Ok(Client {
+            input: BufReader::new(out.try_clone()?),
+            out,
+        })
     }
 
     /// Sends a request of this class; `headers` are whole lines, in which `{id}` stands for a new name.
     pub fn send(&mut self, path: &str, headers: &str, body: &str) -> io::Result<()> {
         let id = format!("{:04x}", IDS.fetch_add(1, Ordering::SeqCst));
         let headers = headers.replace("{id}", &id);
-        let method = if path.starts_with("/read") { "GET" } else { "POST" };
-        let length =
-            if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
-        let text = format!("{method} {path} HTTP/1.1\r\nHost: backend.local\r\n{headers}{length}\r\n{body}");
+        let method = if path.starts_with("/read") {
+            "GET"
+        } else {
+            "POST"
+        };
+        let length = if body.is_empty() {
+            String::new()
+        } else {
+            format!("Content-Length: {}\r\n", body.len())
+        };
+        let text = format!(
+            "{method} {path} HTTP/1.1\r\nHost: backend.local\r\n{headers}{length}\r\n{body}"
+        );
         self.out.write_all(text.as_bytes())
     }
 
@@ -733,7 +864,9 @@
 
     /// Resets the connection.
     pub fn reset(self) {
-        SockRef::from(&self.out).set_linger(Some(Duration::ZERO)).unwrap();
+        SockRef::from(&self.out)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
     }
 
     /// Sends this text as it is; the program may have closed the connection by then.
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -24,11 +24,26 @@
 /// Guards against a process that waits for discovery though it has a list, be that old, and serves nobody meanwhile.
 #[test]
 fn a_known_list_makes_ready_while_discovery_has_not_spoken() {
-    let (served, dead, silent) = (Upstream::start(Reply::Ok), Refusing::new(), DiscoveryPeer::start());
-    for discovery in [Refusing::new().address, unreachable(), dead.address, silent.address] {
+    let (served, dead, silent) = (
+        Upstream::start(Reply::Ok),
+        Refusing::new(),
+        DiscoveryPeer::start(),
+    );
+    for discovery in [
+        Refusing::new().address,
+        unreachable(),
+        dead.address,
+        silent.address,
+    ] {
         for mode in MODES {
             let old = [endpoint("u0", dead.address, "in_service")];
-            assert_eq!(health(&Program::start(&settings(&old, discovery, mode), "127.0.0.1:0")), 200);
+            assert_eq!(
+                health(&Program::start(
+                    &settings(&old, discovery, mode),
+                    "127.0.0.1:0"
+                )),
+                200
+            );
             let good = [endpoint("u0", served.address, "in_service")];
             let program = Program::start(&settings(&good, discovery, mode), "127.0.0.1:0");
             assert_eq!(health(&program), 200);
@@ -46,7 +61,8 @@
     thread::scope(|scope| {
         let start = || health(&Program::start(&config, "127.0.0.1:0"));
         let all: Vec<_> = (0..20).map(|_| scope.spawn(start)).collect();
-        all.into_iter().for_each(|one| assert_eq!(one.join().unwrap(), 200));
+        all.into_iter()
+            .for_each(|one| assert_eq!(one.join().unwrap(), 200));
     });
 }
 
@@ -63,8 +79,15 @@
         early.send("/read", ID, "").unwrap();
         let mut watch = down.discovery().next();
         assert_eq!(health(&program), 503);
-        watch.line(&list(6, true, &[endpoint("u0", upstream.address, "in_service")]));
-        assert_eq!(early.receive().unwrap().map(|answer| answer.status()), Some(200));
+        watch.line(&list(
+            6,
+            true,
+            &[endpoint("u0", upstream.address, "in_service")],
+        ));
+        assert_eq!(
+            early.receive().unwrap().map(|answer| answer.status()),
+            Some(200)
+        );
         assert_eq!(health(&program), 200);
     }
 }
@@ -76,7 +99,11 @@
     let program = Program::start(&settings(&[], discovery.address, "push"), "127.0.0.1:0");
     let mut watches: Vec<_> = (0..6).map(|_| discovery.next()).collect();
     assert!(watches[0].is_open(), "it is waited for");
-    watches[0].line(&list(6, true, &[endpoint("u0", upstream.address, "in_service")]));
+    watches[0].line(&list(
+        6,
+        true,
+        &[endpoint("u0", upstream.address, "in_service")],
+    ));
     until("the list has come", || health(&program) == 200);
     assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
 }
@@ -88,7 +115,10 @@
     let known = [endpoint("u0", upstream.address, "in_service")];
     let config = settings(&known, silent.address, "push");
     let start = |folder: &Path, listen: &str| {
-        let variables = [("TMPDIR", folder.to_str().unwrap()), ("PROXY_CONSOLE", "127.0.0.1:0")];
+        let variables = [
+            ("TMPDIR", folder.to_str().unwrap()),
+            ("PROXY_CONSOLE", "127.0.0.1:0"),
+        ];
         Program::start_with(&variables, &config, listen)
     };
     let folder = folder();
@@ -101,7 +131,11 @@
     let state = folder.join(format!("magpiechute-{address}.state"));
     for text in ["", "{", "[]", "null", "{\"balancer\":7}"] {
         std::fs::write(&state, text).unwrap();
-        assert_eq!(start(&folder, &address).call("GET /healthcheck").0, 200, "{text}");
+        assert_eq!(
+            start(&folder, &address).call("GET /healthcheck").0,
+            200,
+            "{text}"
+        );
     }
     std::fs::remove_file(&state).unwrap();
     std::fs::create_dir(&state).unwrap();
@@ -115,18 +149,34 @@
 /// gone.
 #[test]
 fn it_takes_clients_when_the_process_beside_it_has_gone_before_discovery_has_spoken() {
-    let (upstream, silent, down) = (Upstream::start(Reply::Ok), DiscoveryPeer::start(), Refusing::new());
+    let (upstream, silent, down) = (
+        Upstream::start(Reply::Ok),
+        DiscoveryPeer::start(),
+        Refusing::new(),
+    );
     let known = [endpoint("u0", upstream.address, "in_service")];
     let folder = folder();
     let variables = [("TMPDIR", folder.to_str().unwrap())];
-    let mut old = Program::start_with(&variables, &settings(&known, silent.address, "push"), "127.0.0.1:0");
-    let mut new = spawn_in(&folder, &settings(&[], down.address, "push"), &old.address.to_string());
+    let mut old = Program::start_with(
+        &variables,
+        &settings(&known, silent.address, "push"),
+        "127.0.0.1:0",
+    );
+    let mut new = spawn_in(
+        &folder,
+        &settings(&[], down.address, "push"),
+        &old.address.to_string(),
+    );
     let mut log = BufReader::new(new.stderr.take().unwrap()).lines();
-    assert!(log.any(|line| line.unwrap().contains("another process runs")), "they have met");
+    assert!(
+        log.any(|line| line.unwrap().contains("another process runs")),
+        "they have met"
+    );
     old.kill();
     let (sender, listens) = channel();
     thread::spawn(move || {
-        log.find(|line| line.as_ref().is_ok_and(|line| line.contains("listens on"))).map(|_| sender.send(log))
+        log.find(|line| line.as_ref().is_ok_and(|line| line.contains("listens on")))
+            .map(|_| sender.send(log))
     });
     let log = listens.recv_timeout(PATIENCE);
     let mut client = Client::connect(old.address);
@@ -134,7 +184,10 @@
         client.send("/read", ID, "").unwrap();
         let new = [endpoint("u0", upstream.address, "in_service")];
         down.discovery().next().line(&list(6, true, &new));
-        assert_eq!(client.receive().unwrap().map(|answer| answer.status()), Some(200));
+        assert_eq!(
+            client.receive().unwrap().map(|answer| answer.status()),
+            Some(200)
+        );
     }
     new.kill().unwrap();
     new.wait().unwrap();
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -12,18 +12,27 @@
 #[test]
 fn a_repeat_on_a_connection_that_comes_up_after_the_window_is_not_written() {
     for (scope, status) in [("all", 503), ("zone", 502), ("cell", 502)] {
-        let (first, door, discovery) = (Upstream::start(Reply::Hold), Door::shut(), DiscoveryPeer::start());
+        let (first, door, discovery) = (
+            Upstream::start(Reply::Hold),
+            Door::shut(),
+            DiscoveryPeer::start(),
+        );
         let known = list(5, true, &[endpoint("u0", first.address, "in_service")]);
         let short = format!("\"dedupScope\":\"{scope}\",\"dedupWindow\":1.5");
         let config = config(&known, discovery.address, 256)
             .replace("\"dedupScope\":\"all\",\"dedupWindow\":8.0", &short)
             .replace("Timeout\":1.0", "Timeout\":60.0");
-        let program = Program::start_with(&[("PROXY_CONSOLE", "127.0.0.1:0")], &config, "127.0.0.1:0");
+        let program =
+            Program::start_with(&[("PROXY_CONSOLE", "127.0.0.1:0")], &config, "127.0.0.1:0");
         let mut client = program.client();
         client.send("/hold", ID, "coins").unwrap();
         first.next();
         let begun = Instant::now();
-        discovery.next().line(&list(6, false, &[endpoint("u1", door.address, "in_service")]));
+        discovery.next().line(&list(
+            6,
+            false,
+            &[endpoint("u1", door.address, "in_service")],
+        ));
         while program.figure("upstreams_known") < 2 {
             assert!(begun.elapsed() < PATIENCE, "it is listed");
         }
@@ -31,14 +40,23 @@
         first.release();
         sleep(Duration::from_millis(1700).saturating_sub(begun.elapsed()));
         let late = door.open(Reply::Ok);
-        assert_eq!(client.receive().unwrap().expect("an answer").status(), status, "{scope}");
+        assert_eq!(
+            client.receive().unwrap().expect("an answer").status(),
+            status,
+            "{scope}"
+        );
         assert!(late.seen.try_recv().is_err(), "{scope}");
     }
 }
 
 /// What the next request at this upstream was told to have left.
 fn told(upstream: &Upstream) -> f64 {
-    upstream.next().header("request-timeout").unwrap().parse().unwrap()
+    upstream
+        .next()
+        .header("request-timeout")
+        .unwrap()
+        .parse()
+        .unwrap()
 }
 
 /// Guards against an attempt that tells its upstream the time that its client had at first: what an earlier attempt, a
@@ -69,7 +87,14 @@
     let late: Vec<_> = one.seen.try_iter().chain(two.seen.try_iter()).collect();
     assert!(late.len() > 12 - early, "{}", late.len());
     for request in late {
-        assert!(request.header("request-timeout").unwrap().parse::<f64>().unwrap() <= 4.5);
+        assert!(
+            request
+                .header("request-timeout")
+                .unwrap()
+                .parse::<f64>()
+                .unwrap()
+                <= 4.5
+        );
     }
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,18 +7,32 @@
 use std::collections::BTreeMap;
 
 const KEYED: [Effect; 3] = [
-    Effect::Keyed { scope: DedupScope::All },
-    Effect::Keyed { scope: DedupScope::Zone },
-    Effect::Keyed { scope: DedupScope::Cell },
+    Effect::Keyed {
+        scope: DedupScope::All,
+    },
+    Effect::Keyed {
+        scope: DedupScope::Zone,
+    },
+    Effect::Keyed {
+        scope: DedupScope::Cell,
+    },
 ];
 
 #[test]
 fn an_unsafe_call_that_may_have_run_fails() {
-    for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
+    for outcome in [
+        Outcome::Error,
+        Outcome::TimedOut,
+        Outcome::Reset,
+        Outcome::Cancelled,
+    ] {
         let mut rig = Rig::with_classes(&[Effect::Unsafe], 4);
         rig.on(request(1, 0, 2.0));
         let actions = rig.on(end(1, 0, outcome));
-        assert!(sends(&actions).is_empty() && failed(&actions, 1), "{outcome:?}: {actions:?}");
+        assert!(
+            sends(&actions).is_empty() && failed(&actions, 1),
+            "{outcome:?}: {actions:?}"
+        );
     }
 }
 
@@ -28,7 +42,10 @@
         let mut rig = Rig::with_classes(&[Effect::Unsafe], 4);
         let first = sends(&rig.on(request(1, 0, 2.0)));
         let second = sends(&rig.on(end(1, 0, outcome)));
-        assert!(second.len() == 1 && second[0].1 != first[0].1, "{outcome:?}");
+        assert!(
+            second.len() == 1 && second[0].1 != first[0].1,
+            "{outcome:?}"
+        );
     }
 }
 
@@ -69,13 +86,25 @@
         let again = sends(&rig.on(end(1, 0, Outcome::Reset)));
         assert_eq!(again.len(), 1, "{effect:?}");
         let same_cell = again[0].1 % 2 == first % 2;
-        assert!(same_cell || effect != Effect::Keyed { scope: DedupScope::Cell });
+        assert!(
+            same_cell
+                || effect
+                    != Effect::Keyed {
+                        scope: DedupScope::Cell
+                    }
+        );
         let mut rig = Rig::with_classes(&[effect], 8);
         rig.on(request(1, 0, 5.0));
         rig.now += 1.5;
         let actions = rig.on(end(1, 0, Outcome::Reset));
         assert!(sends(&actions).is_empty(), "the window is over");
-        assert_eq!(refused(&actions, 1), effect == Effect::Keyed { scope: DedupScope::All });
+        assert_eq!(
+            refused(&actions, 1),
+            effect
+                == Effect::Keyed {
+                    scope: DedupScope::All
+                }
+        );
     }
 }
 
@@ -88,11 +117,19 @@
             _ => None,
         })
     };
-    for (effect, limited) in KEYED.map(|keyed| (keyed, true)).into_iter().chain([(Effect::Safe, false)]) {
+    for (effect, limited) in KEYED
+        .map(|keyed| (keyed, true))
+        .into_iter()
+        .chain([(Effect::Safe, false)])
+    {
         let mut rig = Rig::with_classes(&[effect], 8);
         assert_eq!(within(&rig.on(request(1, 0, 5.0))), Some(None));
         rig.now += 0.25;
-        assert_eq!(within(&rig.on(end(1, 0, Outcome::Reset))), Some(limited.then_some(0.75)), "{effect:?}");
+        assert_eq!(
+            within(&rig.on(end(1, 0, Outcome::Reset))),
+            Some(limited.then_some(0.75)),
+            "{effect:?}"
+        );
         // One that never ran may come as late as it likes.
         assert_eq!(within(&rig.on(request(2, 0, 5.0))), Some(None));
         assert_eq!(within(&rig.on(end(2, 0, Outcome::Rejected))), Some(None));
@@ -125,10 +162,14 @@
         // What waits for the drained one moves to the other's queue, and is sent there only.
         rig.list(ListScope::Delta, vec![UpstreamEntry { state, ..entry(1) }]);
         for id in 1..held {
-            assert!(sends(&rig.on(end(id, 0, Outcome::Ok))).iter().all(|(_, upstream)| *upstream == 2));
+            assert!(sends(&rig.on(end(id, 0, Outcome::Ok)))
+                .iter()
+                .all(|(_, upstream)| *upstream == 2));
         }
         for id in 1000..1020 {
-            assert!(sends(&rig.on(request(id, 0, 2.0))).iter().all(|(_, upstream)| *upstream == 2));
+            assert!(sends(&rig.on(request(id, 0, 2.0)))
+                .iter()
+                .all(|(_, upstream)| *upstream == 2));
         }
     }
     let mut rig = Rig::with_classes(&[Effect::Safe], 2);
@@ -139,23 +180,40 @@
 /// Guards against calls to an upstream that operators work on: their word goes before that of discovery.
 #[test]
 fn an_upstream_in_maintenance_gets_nothing_whatever_is_listed() {
-    let maintain = |upstream, out| Event::Maintenance { upstream: UpstreamId(upstream), out };
+    let maintain = |upstream, out| Event::Maintenance {
+        upstream: UpstreamId(upstream),
+        out,
+    };
     let mut rig = Rig::with_classes(&[Effect::Safe], 2);
     rig.fill(1, 0);
     let held = rig.load().0 as u64;
     // What waits there moves; what is out ends by itself.
     assert!(sends(&rig.on(maintain(1, true))).is_empty());
     rig.on(maintain(1, true));
-    let relisted = UpstreamEntry { since: 90.0, ..entry(1) };
+    let relisted = UpstreamEntry {
+        since: 90.0,
+        ..entry(1)
+    };
     rig.list(ListScope::Full, vec![relisted.clone(), entry(2)]);
-    rig.list(ListScope::Delta, vec![UpstreamEntry { state: UpstreamState::Off, ..relisted }]);
+    rig.list(
+        ListScope::Delta,
+        vec![UpstreamEntry {
+            state: UpstreamState::Off,
+            ..relisted
+        }],
+    );
     rig.list(ListScope::Delta, vec![entry(1)]);
     for id in 1..=held {
         let woken = sends(&rig.on(end(id, 0, Outcome::Ok)));
         assert!(woken.iter().all(|(_, to)| *to == 2), "{woken:?}");
     }
-    let later: Vec<_> = (50..60).flat_map(|id| sends(&rig.on(request(id, 0, 2.0)))).collect();
-    assert!(!later.is_empty() && later.iter().all(|(_, to)| *to == 2), "{later:?}");
+    let later: Vec<_> = (50..60)
+        .flat_map(|id| sends(&rig.on(request(id, 0, 2.0))))
+        .collect();
+    assert!(
+        !later.is_empty() && later.iter().all(|(_, to)| *to == 2),
+        "{later:?}"
+    );
     assert_eq!(rig.balancer.excluded(), 1);
     rig.on(maintain(1, false));
     assert_eq!(rig.balancer.excluded(), 0);
@@ -168,12 +226,21 @@
 fn an_upstream_put_back_is_spared_like_one_that_has_just_started() {
     let shares = |restarted: Option<f64>, known_before: bool| {
         let mut rig = Rig::with_classes(&[Effect::Safe], 3);
-        rig.on(Event::Maintenance { upstream: UpstreamId(1), out: true });
-        let news = UpstreamEntry { since: restarted.unwrap_or(0.0), ..entry(1) };
+        rig.on(Event::Maintenance {
+            upstream: UpstreamId(1),
+            out: true,
+        });
+        let news = UpstreamEntry {
+            since: restarted.unwrap_or(0.0),
+            ..entry(1)
+        };
         rig.now += 5.0;
         let list = |rig: &mut Rig| rig.list(ListScope::Delta, vec![news.clone()]);
         known_before.then(|| list(&mut rig));
-        rig.on(Event::Maintenance { upstream: UpstreamId(1), out: false });
+        rig.on(Event::Maintenance {
+            upstream: UpstreamId(1),
+            out: false,
+        });
         (!known_before).then(|| list(&mut rig));
         let calls = (1..=300).map(|id| {
             let to = sends(&rig.on(request(id, 0, 2.0)))[0].1;
@@ -182,10 +249,17 @@
         });
         calls.filter(|to| *to == 1).count()
     };
-    for (restarted, known_before) in [(None, true), (None, false), (Some(104.0), true), (Some(104.0), false)]
-    {
+    for (restarted, known_before) in [
+        (None, true),
+        (None, false),
+        (Some(104.0), true),
+        (Some(104.0), false),
+    ] {
         let count = shares(restarted, known_before);
-        assert!((15..=50).contains(&count), "{count} of 300 for {restarted:?}, {known_before}");
+        assert!(
+            (15..=50).contains(&count),
+            "{count} of 300 for {restarted:?}, {known_before}"
+        );
     }
 }
 
@@ -193,26 +267,51 @@
 /// part of the fleet may not come to it by itself.
 #[test]
 fn an_upstream_put_back_is_used_soon_also_by_a_caller_that_needs_few() {
-    let mut rig = Rig::new(Settings { peers_total: 40, ..Settings::simple() }, 12);
+    let mut rig = Rig::new(
+        Settings {
+            peers_total: 40,
+            ..Settings::simple()
+        },
+        12,
+    );
     let call = |rig: &mut Rig, id: u64| {
         let to = sends(&rig.on(request(id, 0, 2.0)))[0].1;
         rig.now += 0.05;
         rig.on(end(id, 0, Outcome::Ok));
         to
     };
-    let maintain = |upstream, out| Event::Maintenance { upstream: UpstreamId(upstream), out };
+    let maintain = |upstream, out| Event::Maintenance {
+        upstream: UpstreamId(upstream),
+        out,
+    };
     let used: Vec<_> = (1..60).map(|id| call(&mut rig, id)).collect();
     let idle: Vec<_> = (1..=12).filter(|id| !used.contains(id)).collect();
     assert!(idle.len() > 5, "few are needed");
     rig.on(maintain(idle[0], true));
     // It is restarted, and forgotten meanwhile.
-    rig.list(ListScope::Delta, vec![UpstreamEntry { state: UpstreamState::Off, ..entry(idle[0]) }]);
-    rig.list(ListScope::Delta, vec![UpstreamEntry { since: rig.now, ..entry(idle[0]) }]);
+    rig.list(
+        ListScope::Delta,
+        vec![UpstreamEntry {
+            state: UpstreamState::Off,
+            ..entry(idle[0])
+        }],
+    );
+    rig.list(
+        ListScope::Delta,
+        vec![UpstreamEntry {
+            since: rig.now,
+            ..entry(idle[0])
+        }],
+    );
     // The second call to put it back says nothing new.
     rig.on(maintain(idle[0], false));
     rig.on(maintain(idle[0], false));
     let back: Vec<_> = (100..200).map(|id| call(&mut rig, id)).collect();
-    assert_eq!(back.iter().filter(|id| **id == idle[0]).count(), 1, "{back:?}");
+    assert_eq!(
+        back.iter().filter(|id| **id == idle[0]).count(),
+        1,
+        "{back:?}"
+    );
     assert!(!back.iter().any(|id| idle[1..].contains(id)), "{back:?}");
 }
 
@@ -220,8 +319,17 @@
 fn calls_held_for_a_drained_upstream_move() {
     let mut rig = Rig::with_classes(&[Effect::Unsafe], 1);
     let held = rig.fill(1, 0);
-    rig.list(ListScope::Delta, vec![UpstreamEntry { state: UpstreamState::Draining, ..entry(1) }]);
-    assert_eq!(sends(&rig.list(ListScope::Delta, vec![entry(2)])), [(held, 2)]);
+    rig.list(
+        ListScope::Delta,
+        vec![UpstreamEntry {
+            state: UpstreamState::Draining,
+            ..entry(1)
+        }],
+    );
+    assert_eq!(
+        sends(&rig.list(ListScope::Delta, vec![entry(2)])),
+        [(held, 2)]
+    );
 }
 
 /// The calls of 200 that the last of ten upstreams gets.
@@ -239,7 +347,13 @@
     // One of ten starts at a fifth of its work, some time ago.
     let taken = |age: f64| {
         let mut rig = Rig::with_classes(&[Effect::Safe], 9);
-        rig.list(ListScope::Delta, vec![UpstreamEntry { since: rig.now, ..entry(10) }]);
+        rig.list(
+            ListScope::Delta,
+            vec![UpstreamEntry {
+                since: rig.now,
+                ..entry(10)
+            }],
+        );
         rig.now += age;
         calls_of_the_last(&mut rig)
     };
@@ -261,10 +375,16 @@
         let since = rig.now - ahead;
         told(&mut rig, 10, since);
         let taken = calls_of_the_last(&mut rig);
-        assert!((2..=5).contains(&taken), "{taken} at the start, {ahead} s ahead");
+        assert!(
+            (2..=5).contains(&taken),
+            "{taken} at the start, {ahead} s ahead"
+        );
         rig.now += 10.0;
         let taken = calls_of_the_last(&mut rig);
-        assert!((18..=22).contains(&taken), "{taken} once it is warm, {ahead} s ahead");
+        assert!(
+            (18..=22).contains(&taken),
+            "{taken} once it is warm, {ahead} s ahead"
+        );
     }
     // One is heard of after half a second, the next, once a network heals, after more than it takes to warm up.
     for (late, least, most) in [(0.5, 2, 5), (5.5, 9, 13), (10.5, 18, 22)] {
@@ -275,14 +395,28 @@
         let now = rig.now;
         told(&mut rig, 10, now - late);
         let taken = calls_of_the_last(&mut rig);
-        assert!((least..=most).contains(&taken), "{taken}, told {late} s late");
+        assert!(
+            (least..=most).contains(&taken),
+            "{taken}, told {late} s late"
+        );
     }
     // What a balancer is told at its own start lies behind it: ten that started long before take every call.
     for scope in [ListScope::Cached, ListScope::Full, ListScope::Delta] {
-        let settings = Settings { classes: vec![class(Effect::Safe)], ..Settings::simple() };
-        let mut rig = Rig { balancer: Balancer::new(settings, 7, 100.0).unwrap(), now: 100.0 };
+        let settings = Settings {
+            classes: vec![class(Effect::Safe)],
+            ..Settings::simple()
+        };
+        let mut rig = Rig {
+            balancer: Balancer::new(settings, 7, 100.0).unwrap(),
+            now: 100.0,
+        };
         let since = rig.now - 20.0;
-        rig.list(scope, (1..=10).map(|id| UpstreamEntry { since, ..entry(id) }).collect());
+        rig.list(
+            scope,
+            (1..=10)
+                .map(|id| UpstreamEntry { since, ..entry(id) })
+                .collect(),
+        );
         for id in 1..=100 {
             assert_eq!(sends(&rig.on(request(id, 0, 2.0))).len(), 1, "{scope:?}");
             rig.on(end(id, 0, Outcome::Ok));
@@ -293,7 +427,13 @@
 #[test]
 fn cold_upstreams_keep_to_their_share_when_the_others_are_down() {
     let mut rig = Rig::with_classes(&[Effect::Unsafe], 3);
-    rig.list(ListScope::Delta, vec![UpstreamEntry { since: rig.now, ..entry(4) }]);
+    rig.list(
+        ListScope::Delta,
+        vec![UpstreamEntry {
+            since: rig.now,
+            ..entry(4)
+        }],
+    );
     // The three warm ones reject all; the cold one still gets no more than its part of even turns.
     let (mut next, mut cold) = (1, 0);
     while next <= 100 {
@@ -301,7 +441,11 @@
         let mut attempt = 0;
         while let Some((id, upstream)) = sent.first().copied() {
             cold += usize::from(upstream == 4);
-            let outcome = if upstream == 4 { Outcome::Ok } else { Outcome::Rejected };
+            let outcome = if upstream == 4 {
+                Outcome::Ok
+            } else {
+                Outcome::Rejected
+            };
             sent = sends(&rig.on(end(id, attempt, outcome)));
             attempt += 1;
         }
@@ -318,19 +462,38 @@
     for seed in 0..100 {
         let mut balancer = Balancer::new(Settings::simple(), seed, 100.0).unwrap();
         let mut actions = Vec::new();
-        let entries = vec![entry(1), UpstreamEntry { since: 99.9, ..entry(2) }];
-        balancer.handle(100.0, Event::Upstreams(ListScope::Cached, entries), &mut actions);
+        let entries = vec![
+            entry(1),
+            UpstreamEntry {
+                since: 99.9,
+                ..entry(2)
+            },
+        ];
+        balancer.handle(
+            100.0,
+            Event::Upstreams(ListScope::Cached, entries),
+            &mut actions,
+        );
         for id in 1..=2 {
             balancer.handle(100.0, request(id, 0, 2.0), &mut actions);
         }
-        first += sends(&actions).iter().filter(|(_, upstream)| *upstream == 2).count();
+        first += sends(&actions)
+            .iter()
+            .filter(|(_, upstream)| *upstream == 2)
+            .count();
     }
-    assert!(first <= 50, "{first} of 100 fresh balancers sent to it at once");
+    assert!(
+        first <= 50,
+        "{first} of 100 fresh balancers sent to it at once"
+    );
 }
 
 #[test]
 fn balancers_ask_discovery_at_moments_of_their_own() {
-    let settings = Settings { discovery: Discovery::Ask, ..Settings::simple() };
+    let settings = Settings {
+        discovery: Discovery::Ask,
+        ..Settings::simple()
+    };
     let mut waits = Vec::new();
     for seed in 0..50 {
         let mut balancer = Balancer::new(settings.clone(), seed, 0.0).unwrap();
@@ -338,7 +501,9 @@
         for scope in [ListScope::Cached, ListScope::Failed, ListScope::Failed] {
             let mut actions = Vec::new();
             balancer.handle(sum, Event::Upstreams(scope, Vec::new()), &mut actions);
-            let Action::SetTimer { after, token } = actions[0] else { panic!("{actions:?}") };
+            let Action::SetTimer { after, token } = actions[0] else {
+                panic!("{actions:?}")
+            };
             assert!(after < 4.0 * settings.rules.ask_within);
             sum += after;
             let mut actions = Vec::new();
@@ -351,19 +516,27 @@
         }
     }
     waits.sort_by(f64::total_cmp);
-    assert!(waits[40] - waits[10] > 1.0, "they ask at moments of their own");
+    assert!(
+        waits[40] - waits[10] > 1.0,
+        "they ask at moments of their own"
+    );
 }
 
 /// Guards against news that count as told before a balancer has asked, or one whose watch broke has asked again and,
 /// where it is refused at once, twice more.
 #[test]
 fn discovery_is_asked_again_before_its_news_count_as_told() {
-    let mut settings = Settings { discovery: Discovery::Ask, ..Settings::simple() };
+    let mut settings = Settings {
+        discovery: Discovery::Ask,
+        ..Settings::simple()
+    };
     settings.rules.told = 6.0;
     let wait = |balancer: &mut Balancer, now, scope| {
         let mut actions = Vec::new();
         balancer.handle(now, Event::Upstreams(scope, Vec::new()), &mut actions);
-        let Action::SetTimer { after, token } = actions[0] else { panic!("{actions:?}") };
+        let Action::SetTimer { after, token } = actions[0] else {
+            panic!("{actions:?}")
+        };
         balancer.handle(now + after, Event::Timer(token), &mut actions);
         after
     };
@@ -396,10 +569,21 @@
 }
 
 /// Plays random events and checks every action against the rules.
-fn play(steps: Vec<(u8, u64, u8)>, duplicates: bool, cancel: bool, ask: bool) -> Result<(), TestCaseError> {
+fn play(
+    steps: Vec<(u8, u64, u8)>,
+    duplicates: bool,
+    cancel: bool,
+    ask: bool,
+) -> Result<(), TestCaseError> {
     let effects = [Effect::Safe, Effect::Unsafe, KEYED[0], KEYED[1], KEYED[2]];
-    let zoned = |id: u64| UpstreamEntry { zone: id as usize % 3, ..entry(id) };
-    let mut settings = Settings { classes: effects.map(class).to_vec(), ..Settings::simple() };
+    let zoned = |id: u64| UpstreamEntry {
+        zone: id as usize % 3,
+        ..entry(id)
+    };
+    let mut settings = Settings {
+        classes: effects.map(class).to_vec(),
+        ..Settings::simple()
+    };
     settings.limits.duplicates = duplicates;
     settings.limits.cancel = cancel;
     settings.discovery = if ask { Discovery::Ask } else { Discovery::Push };
@@ -413,12 +597,20 @@
     for (kind, pick, detail) in steps.into_iter().chain(quiet) {
         let open: Vec<(u64, u32)> = known
             .iter()
-            .flat_map(|(id, k)| k.tries.iter().enumerate().map(move |(n, t)| (*id, n as u32, t.2)))
+            .flat_map(|(id, k)| {
+                k.tries
+                    .iter()
+                    .enumerate()
+                    .map(move |(n, t)| (*id, n as u32, t.2))
+            })
             .filter(|t| t.2.is_none())
             .map(|t| (t.0, t.1))
             .collect();
         // Attempts end at their deadline at the latest.
-        let due = open.iter().find(|(id, _)| known[id].deadline <= rig.now).copied();
+        let due = open
+            .iter()
+            .find(|(id, _)| known[id].deadline <= rig.now)
+            .copied();
         timers.sort_by(|a, b| b.0.total_cmp(&a.0));
         let event = match kind {
             _ if due.is_some() => {
@@ -435,10 +627,19 @@
                     concluded,
                 })
             }
-            _ if timers.last().is_some_and(|t| t.0 <= rig.now) => Event::Timer(timers.pop().unwrap().1),
+            _ if timers.last().is_some_and(|t| t.0 <= rig.now) => {
+                Event::Timer(timers.pop().unwrap().1)
+            }
             0..=2 => {
                 let (class, deadline) = (detail as usize % 5, rig.now + 2.0);
-                known.insert(next, Known { class, deadline, ..Known::default() });
+                known.insert(
+                    next,
+                    Known {
+                        class,
+                        deadline,
+                        ..Known::default()
+                    },
+                );
                 next += 1;
                 request(next - 1, class, 2.0)
             }
@@ -472,12 +673,18 @@
             6 => {
                 let (id, now_on) = (1 + pick % 6, detail % 3 != 0);
                 on.insert(id, now_on);
-                let state = if now_on { UpstreamState::On } else { UpstreamState::Draining };
+                let state = if now_on {
+                    UpstreamState::On
+                } else {
+                    UpstreamState::Draining
+                };
                 Event::Upstreams(ListScope::Delta, vec![UpstreamEntry { state, ..zoned(id) }])
             }
             7 if !known.is_empty() => {
-                let (id, k) =
-                    known.iter_mut().nth(pick as usize % next.min(5) as usize % (next - 1) as usize).unwrap();
+                let (id, k) = known
+                    .iter_mut()
+                    .nth(pick as usize % next.min(5) as usize % (next - 1) as usize)
+                    .unwrap();
                 k.answered = true;
                 Event::ClientGone(RequestId(*id))
             }
@@ -494,12 +701,19 @@
                     prop_assert!(on[&upstream.0], "sent to a drained upstream");
                     prop_assert!(k.tries.len() < settings.limits.attempts as usize);
                     prop_assert!(duplicates || k.tries.iter().all(|t| t.2.is_some()));
-                    let ran = k.tries.iter().find(|t| !t.2.is_some_and(Outcome::never_ran));
+                    let ran = k
+                        .tries
+                        .iter()
+                        .find(|t| !t.2.is_some_and(Outcome::never_ran));
                     match (effects[k.class], ran) {
                         (Effect::Unsafe, Some(_)) => prop_assert!(false, "an effect twice"),
                         (Effect::Keyed { scope }, Some(first)) => {
-                            prop_assert!(scope != DedupScope::Cell || first.0 % 2 == upstream.0 % 2);
-                            prop_assert!(scope != DedupScope::Zone || first.0 % 3 == upstream.0 % 3);
+                            prop_assert!(
+                                scope != DedupScope::Cell || first.0 % 2 == upstream.0 % 2
+                            );
+                            prop_assert!(
+                                scope != DedupScope::Zone || first.0 % 3 == upstream.0 % 3
+                            );
                             prop_assert!(rig.now < first.1 + 1.0);
                         }
                         _ => {}
@@ -510,7 +724,8 @@
                     let k = known.get_mut(&id.0).unwrap();
                     prop_assert!(!k.answered, "answered twice");
                     let ran = k.tries.iter().any(|t| !t.2.is_some_and(Outcome::never_ran));
-                    let bound = effects[k.class] == Effect::Unsafe || KEYED[1..].contains(&effects[k.class]);
+                    let bound = effects[k.class] == Effect::Unsafe
+                        || KEYED[1..].contains(&effects[k.class]);
                     prop_assert!(
                         matches!(action, Action::Fail { .. }) || !(ran && bound),
                         "refused what may have run"
@@ -523,7 +738,10 @@
             }
         }
         for (id, k) in &known {
-            prop_assert!(k.answered || rig.now <= k.deadline + 0.02, "{id} has no answer");
+            prop_assert!(
+                k.answered || rig.now <= k.deadline + 0.02,
+                "{id} has no answer"
+            );
         }
     }
     prop_assert_eq!(rig.load(), (0, 0));
@@ -566,10 +784,20 @@
     // work. After many calls each, all have to wait at once and widen their subset to it.
     let mut cold = 0;
     for me in 0..40 {
-        let mut settings = Settings { me, peers_total: 40, ..Settings::simple() };
+        let mut settings = Settings {
+            me,
+            peers_total: 40,
+            ..Settings::simple()
+        };
         (settings.rules.start_capacity, settings.rules.cold) = (0.01, 1e6);
         let mut rig = Rig::new(settings, 9);
-        rig.list(ListScope::Delta, vec![UpstreamEntry { since: rig.now, ..entry(10) }]);
+        rig.list(
+            ListScope::Delta,
+            vec![UpstreamEntry {
+                since: rig.now,
+                ..entry(10)
+            }],
+        );
         let mut id = 1;
         for _ in 0..600 {
             rig.on(request(id, 0, 20.0));
@@ -595,9 +823,18 @@
 fn the_same_events_bring_the_same_actions_also_when_instances_are_interleaved() {
     let settings = |me| {
         let classes = [Effect::Safe, Effect::Unsafe].map(class).to_vec();
-        Settings { classes, me, peers_total: 2, discovery: Discovery::Ask, ..Settings::simple() }
+        Settings {
+            classes,
+            me,
+            peers_total: 2,
+            discovery: Discovery::Ask,
+            ..Settings::simple()
+        }
+    };
+    let start = |me: usize| Rig {
+        balancer: Balancer::new(settings(me), 5, 100.0).unwrap(),
+        now: 100.0,
     };
-    let start = |me: usize| Rig { balancer: Balancer::new(settings(me), 5, 100.0).unwrap(), now: 100.0 };
     let step = |rig: &mut Rig, n: u64| -> Vec<Action> {
         rig.now += 0.02;
         match n % 7 {
