--- a/src/bin/magpiechute/admin.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -1,11 +1,11 @@
 //! The admin endpoint: health, figures, and what operators say about upstreams and clients. One call a connection.
 
-use crate::driver::Driver;
-use crate::listener::{Accepted, Listener};
+use crate::dispatch::Dispatcher;
+use crate::handover::Handover;
 use crate::log;
+use crate::server::listener::{Listener, PendingConnection};
 use crate::server::Server;
-use crate::socket::{Budget, Purpose, Socket};
-use crate::upgrade::Upgrade;
+use crate::socket::{DescriptorBudget, Purpose, Socket};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -28,16 +28,16 @@
 const LARGEST_HEAD: usize = 8 << 10;
 const MOST_HEADERS: usize = 64;
 /// No call needs a body; one of this size is read and passed over.
-const LARGEST_BODY: usize = 4 << 10;
+const MAX_BODY_BYTES: usize = 4 << 10;
 /// After a failed accept the next try comes this much later.
 const ACCEPT_AGAIN: Duration = Duration::from_millis(10);
 
 /// Serves the operators.
 pub struct Admin {
-    driver: Rc<RefCell<Driver>>,
+    dispatcher: Rc<RefCell<Dispatcher>>,
     server: Rc<Server>,
-    upgrade: Rc<Upgrade>,
-    budget: Rc<Budget>,
+    handover: Rc<Handover>,
+    budget: Rc<DescriptorBudget>,
     /// Whoever has not asked yet, the one that has waited longest first.
     waiting: RefCell<BTreeMap<u64, Rc<Notify>>>,
     accepted: Cell<u64>,
@@ -47,7 +47,7 @@
 #[derive(Debug, PartialEq)]
 enum Call<'a> {
     Ready,
-    Stats,
+    Metrics,
     /// Leave this upstream out, or use it again.
     Maintain(&'a str, bool),
     /// Send clients away, or end that.
@@ -60,7 +60,7 @@
         let parts: Vec<_> = path.strip_prefix('/')?.split('/').collect();
         Some(match parts[..] {
             ["healthcheck"] => (Method::GET, Call::Ready),
-            ["stats"] => (Method::GET, Call::Stats),
+            ["stats"] => (Method::GET, Call::Metrics),
             ["healthcheck", "fail"] => (Method::POST, Call::SendAway(true)),
             ["healthcheck", "ok"] => (Method::POST, Call::SendAway(false)),
             ["upstreams", id, "maint"] => (Method::POST, Call::Maintain(id, true)),
@@ -72,16 +72,16 @@
 
 impl Admin {
     pub fn new(
-        driver: Rc<RefCell<Driver>>,
+        dispatcher: Rc<RefCell<Dispatcher>>,
         server: Rc<Server>,
-        upgrade: Rc<Upgrade>,
-        budget: Rc<Budget>,
+        handover: Rc<Handover>,
+        budget: Rc<DescriptorBudget>,
     ) -> Rc<Self> {
         let (waiting, accepted) = Default::default();
         Rc::new(Admin {
-            driver,
+            dispatcher,
             server,
-            upgrade,
+            handover,
             budget,
             waiting,
             accepted,
@@ -101,14 +101,14 @@
         }
     }
 
-    async fn admit(self: &Rc<Self>, accepted: Accepted) {
+    async fn admit(self: &Rc<Self>, accepted: PendingConnection) {
         let stream = match accepted.register().await {
             Ok(stream) => stream,
             Err(error) => {
                 return log::line(format!("console: a connection can't be served: {error}"))
             }
         };
-        let mut permit = self.budget.take(Purpose::Admin);
+        let mut permit = self.budget.acquire(Purpose::Admin);
         if permit.is_none() {
             // Guards against callers that say nothing and keep out the one that asks.
             let oldest = self.waiting.borrow().values().next().cloned();
@@ -116,7 +116,7 @@
             // Lets its task close the connection.
             yield_now().await;
             yield_now().await;
-            permit = self.budget.take(Purpose::Admin);
+            permit = self.budget.acquire(Purpose::Admin);
         }
         let Some(permit) = permit else { return };
         spawn_local(self.clone().serve(Socket::new(stream, permit)));
@@ -160,10 +160,10 @@
             return answer;
         }
         let too_large = || text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
-        if body.size_hint().lower() > LARGEST_BODY as u64 {
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return too_large();
         }
-        match Limited::new(body, LARGEST_BODY).collect().await {
+        match Limited::new(body, MAX_BODY_BYTES).collect().await {
             Ok(_) => self.carry_out(call),
             Err(error) if error.is::<LengthLimitError>() => too_large(),
             Err(_) => text(StatusCode::BAD_REQUEST, "the body is broken"),
@@ -174,13 +174,13 @@
         match call {
             Call::Ready if self.server.is_ready() => text(StatusCode::OK, "ready"),
             Call::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-            Call::Stats => text(StatusCode::OK, &self.driver.borrow().figures()),
+            Call::Metrics => text(StatusCode::OK, &self.dispatcher.borrow().render_metrics()),
             Call::SendAway(away) => {
                 log::line(format!(
                     "console: clients are {}",
                     if away { "sent away" } else { "welcome again" }
                 ));
-                self.server.send_away(away);
+                self.server.drain_clients(away);
                 text(StatusCode::OK, "done")
             }
             Call::Maintain(id, out) => {
@@ -188,7 +188,7 @@
                     return text(StatusCode::BAD_REQUEST, "the id can't be read");
                 };
                 // Guards against a yes that an upgrade would undo.
-                match self.upgrade.maintain(&name, out) {
+                match self.handover.maintain(&name, out) {
                     Ok(true) => text(StatusCode::OK, "done"),
                     Ok(false) => text(StatusCode::NOT_FOUND, "no such upstream"),
                     Err(_) => text(
@@ -214,5 +214,4 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/admin.rs"]
 mod tests;
--- a/src/bin/magpiechute/bodies.rs
+++ b/src/bin/load-balancer/body/mod.rs
@@ -1,7 +1,7 @@
 //! Bodies in both directions: read ahead where they are small, streamed where they are large. What is read ahead
 //! comes out of one budget of memory, and nothing is read of a body before there is somewhere for it to go.
 
-use crate::stats::{Ending, InFlight};
+use crate::metrics::{InFlightRequest, RequestOutcome};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -20,11 +20,11 @@
 use tokio::time::{sleep, timeout_at, Instant, Sleep};
 
 /// Bodies hold this much at the most, in either direction.
-pub const LARGEST_BODY: u64 = 32 << 20;
+pub const MAX_BODY_BYTES: u64 = 32 << 20;
 /// So much of a body is read ahead: one that is no larger can be sent again, or found broken, as a whole.
-pub const READ_AHEAD: usize = 64 << 10;
+pub const READ_AHEAD_BYTES: usize = 64 << 10;
 /// An answer of unknown length is held back for no longer than this, lest its reader waits for it.
-pub const HELD_BACK: Duration = Duration::from_millis(500);
+pub const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
 /// The part of the memory that what is read ahead may take; as much again is for a second process.
 const MEMORY_PART: usize = 8;
 /// A body comes at this rate at the least, in bytes a second,
@@ -41,9 +41,9 @@
 
 /// Why a body ends before its end.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Broken {
+pub enum BodyError {
     #[error("the body is broken")]
-    Cut,
+    Truncated,
     #[error("the body did not come in time")]
     Stalled,
     #[error("the body is too large")]
@@ -52,28 +52,28 @@
 
 /// The memory that may be taken for what is read ahead.
 #[derive(Debug)]
-pub struct Memory(Arc<Semaphore>);
+pub struct MemoryBudget(Arc<Semaphore>);
 
 /// Memory that has been taken; given back when dropped.
-pub type Room = OwnedSemaphorePermit;
+pub type MemoryPermit = OwnedSemaphorePermit;
 
-impl Memory {
+impl MemoryBudget {
     pub fn new(limit: usize) -> Rc<Self> {
-        let most = (limit / MEMORY_PART).clamp(READ_AHEAD, Semaphore::MAX_PERMITS);
-        Rc::new(Memory(Arc::new(Semaphore::new(most))))
+        let most = (limit / MEMORY_PART).clamp(READ_AHEAD_BYTES, Semaphore::MAX_PERMITS);
+        Rc::new(MemoryBudget(Arc::new(Semaphore::new(most))))
     }
 
     /// Waits until there is room for so many bytes.
-    async fn take(&self, bytes: usize) -> Option<Room> {
+    async fn take(&self, bytes: usize) -> Option<MemoryPermit> {
         // The semaphore is never closed, so there is room in the end.
         self.0.clone().acquire_many_owned(bytes as u32).await.ok()
     }
 
     /// Room for what is read ahead of an answer, if there is some now.
-    pub fn try_take(&self) -> Option<Room> {
+    pub fn try_take(&self) -> Option<MemoryPermit> {
         self.0
             .clone()
-            .try_acquire_many_owned(READ_AHEAD as u32)
+            .try_acquire_many_owned(READ_AHEAD_BYTES as u32)
             .ok()
     }
 }
@@ -83,14 +83,14 @@
 async fn frame_by(
     until: Instant,
     body: &mut Incoming,
-) -> Result<Option<hyper::Result<Frame<Bytes>>>, Broken> {
+) -> Result<Option<hyper::Result<Frame<Bytes>>>, BodyError> {
     for _ in 0..TURNS {
         if let Ok(frame) = timeout_at(until, body.frame()).await {
             return Ok(frame);
         }
         yield_now().await;
     }
-    Err(Broken::Stalled)
+    Err(BodyError::Stalled)
 }
 
 /// A request's body: what has been read ahead, and what is still to come from its client.
@@ -106,10 +106,10 @@
     moved: Cell<Instant>,
     /// Some of what was not read ahead has gone to an upstream, and can go to no other.
     spent: Cell<bool>,
-    broken: Cell<Option<Broken>>,
+    broken: Cell<Option<BodyError>>,
     /// Told once all of it has been read.
     whole: RefCell<Option<oneshot::Sender<()>>>,
-    _room: Option<Room>,
+    _room: Option<MemoryPermit>,
 }
 
 impl Upload {
@@ -118,7 +118,12 @@
         Self::new(Bytes::new(), None, Some(0), None)
     }
 
-    fn new(ahead: Bytes, rest: Option<Incoming>, length: Option<u64>, room: Option<Room>) -> Self {
+    fn new(
+        ahead: Bytes,
+        rest: Option<Incoming>,
+        length: Option<u64>,
+        room: Option<MemoryPermit>,
+    ) -> Self {
         let read = Cell::new(ahead.len() as u64);
         let moved = Cell::new(Instant::now());
         let (spent, broken, whole) = Default::default();
@@ -138,36 +143,38 @@
     /// Reads ahead. Whoever has sent little so far has until `first` at the least, and nobody longer than `settled`.
     pub async fn read(
         mut body: Incoming,
-        memory: &Memory,
+        memory: &MemoryBudget,
         first: Instant,
         settled: &Cell<Option<Instant>>,
-    ) -> Result<Self, Broken> {
+    ) -> Result<Self, BodyError> {
         let length = body.size_hint().exact();
-        if body.size_hint().lower() > LARGEST_BODY {
-            return Err(Broken::TooLarge);
+        if body.size_hint().lower() > MAX_BODY_BYTES {
+            return Err(BodyError::TooLarge);
         }
         if body.is_end_stream() {
             return Ok(Self::empty());
         }
-        let most = length.map_or(READ_AHEAD, |length| (length as usize).min(READ_AHEAD));
+        let most = length.map_or(READ_AHEAD_BYTES, |length| {
+            (length as usize).min(READ_AHEAD_BYTES)
+        });
         let mut room = memory.take(most).await;
         let begun = Instant::now();
         let mut ahead = BytesMut::new();
-        while ahead.len() < READ_AHEAD {
+        while ahead.len() < READ_AHEAD_BYTES {
             let least =
                 begun + HESITATION + Duration::from_secs_f64(ahead.len() as f64 / LEAST_RATE);
             let until = first.max(least);
             let until = settled.get().map_or(until, |settled| until.min(settled));
             match frame_by(until, &mut body).await {
                 Ok(Some(Ok(frame))) => ahead.extend(frame.into_data().unwrap_or_default()),
-                Ok(Some(Err(_))) => return Err(Broken::Cut),
+                Ok(Some(Err(_))) => return Err(BodyError::Truncated),
                 Ok(None) => {
                     let left = most.saturating_sub(ahead.len());
                     drop(room.as_mut().and_then(|room| room.split(left)));
                     let length = Some(ahead.len() as u64);
                     return Ok(Self::new(ahead.freeze(), None, length, room));
                 }
-                Err(_) => return Err(Broken::Stalled),
+                Err(_) => return Err(BodyError::Stalled),
             }
         }
         let rest = (!body.is_end_stream()).then_some(body);
@@ -185,12 +192,12 @@
     }
 
     /// When its client last sent a part of it.
-    pub fn moved(&self) -> Instant {
+    pub fn last_progress(&self) -> Instant {
         self.moved.get()
     }
 
     /// Its client had sent all that has come by then.
-    pub fn moved_at(&self, moved: Instant) {
+    pub fn set_last_progress(&self, moved: Instant) {
         self.moved.set(moved);
     }
 
@@ -200,17 +207,17 @@
     }
 
     /// It can go to an upstream from its beginning.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_replayable(&self) -> bool {
         !self.spent.get()
     }
 
     /// Why its client will never send all of it.
-    pub fn broken(&self) -> Option<Broken> {
+    pub fn error(&self) -> Option<BodyError> {
         self.broken.get()
     }
 
     /// Told once all of it has been read; in vain if that never happens.
-    pub fn when_whole(&self) -> oneshot::Receiver<()> {
+    pub fn completed(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         *self.whole.borrow_mut() = Some(sender);
         receiver
@@ -225,13 +232,13 @@
         while let Ok(Some(Ok(frame))) = frame_by(Instant::now() + CLIENT_STALL, &mut rest).await {
             let count = frame.data_ref().map_or(0, |data| data.len() as u64);
             self.read.set(self.read.get() + count);
-            if self.read.get() > LARGEST_BODY {
+            if self.read.get() > MAX_BODY_BYTES {
                 return;
             }
         }
     }
 
-    fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         let mut rest = self.rest.borrow_mut();
         let Some(body) = rest.as_mut() else {
             return Poll::Ready(None);
@@ -246,15 +253,15 @@
                     self.spent.set(true);
                     self.moved.set(Instant::now());
                     self.read.set(self.read.get() + data.len() as u64);
-                    if self.read.get() > LARGEST_BODY {
-                        return Poll::Ready(Some(Err(Broken::TooLarge)));
+                    if self.read.get() > MAX_BODY_BYTES {
+                        return Poll::Ready(Some(Err(BodyError::TooLarge)));
                     }
                     if body.is_end_stream() {
                         self.end(&mut rest);
                     }
                     return Poll::Ready(Some(Ok(data)));
                 }
-                Some(Err(_)) => return Poll::Ready(Some(Err(Broken::Cut))),
+                Some(Err(_)) => return Poll::Ready(Some(Err(BodyError::Truncated))),
                 None => {
                     self.moved.set(Instant::now());
                     self.end(&mut rest);
@@ -274,22 +281,22 @@
 }
 
 /// A request's body on its way to one upstream.
-pub struct Sending {
+pub struct UploadBody {
     upload: Rc<Upload>,
     begun: bool,
     /// Told how many bytes there are once all of them are handed on.
     at_end: Option<Box<dyn FnOnce(u64)>>,
-    stall: Stall,
+    stall: StallTimer,
 }
 
-impl Sending {
+impl UploadBody {
     pub fn new(upload: Rc<Upload>, at_end: impl FnOnce(u64) + 'static) -> Self {
         let at_end: Option<Box<dyn FnOnce(u64)>> = Some(Box::new(at_end));
-        let mut sending = Sending {
+        let mut sending = UploadBody {
             upload,
             begun: false,
             at_end,
-            stall: Stall::new(CLIENT_STALL),
+            stall: StallTimer::new(CLIENT_STALL),
         };
         sending.note_end();
         sending
@@ -306,14 +313,14 @@
     }
 }
 
-impl Body for Sending {
+impl Body for UploadBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if !std::mem::replace(&mut self.begun, true) && !self.upload.ahead.is_empty() {
             return Poll::Ready(Some(Ok(Frame::data(self.upload.ahead.clone()))));
         }
@@ -350,7 +357,7 @@
 
 /// How long a peer may take for the next part of a body, and for all of them. Time in which nobody asks for a part does
 /// not count.
-struct Stall {
+struct StallTimer {
     most: Duration,
     sleep: Pin<Box<Sleep>>,
     /// Since when the next part is waited for.
@@ -359,9 +366,9 @@
     waited: Duration,
 }
 
-impl Stall {
+impl StallTimer {
     fn new(most: Duration) -> Self {
-        Stall {
+        StallTimer {
             most,
             sleep: Box::pin(sleep(most)),
             since: None,
@@ -376,7 +383,7 @@
         cx: &mut Context<'_>,
         peer: Poll<T>,
         all: Duration,
-    ) -> Poll<Result<T, Broken>> {
+    ) -> Poll<Result<T, BodyError>> {
         if let Poll::Ready(part) = peer {
             self.waited += self
                 .since
@@ -391,7 +398,10 @@
                 .as_mut()
                 .reset(now + self.most.min(all.saturating_sub(self.waited)));
         }
-        self.sleep.as_mut().poll(cx).map(|()| Err(Broken::Stalled))
+        self.sleep
+            .as_mut()
+            .poll(cx)
+            .map(|()| Err(BodyError::Stalled))
     }
 }
 
@@ -404,8 +414,8 @@
     read: u64,
     /// Told once all of it has been read: its connection can be used again.
     whole: Option<oneshot::Sender<()>>,
-    stall: Stall,
-    _room: Option<Room>,
+    stall: StallTimer,
+    _room: Option<MemoryPermit>,
 }
 
 impl Download {
@@ -414,10 +424,10 @@
         rest: Incoming,
         length: Option<u64>,
         whole: oneshot::Sender<()>,
-        room: Option<Room>,
+        room: Option<MemoryPermit>,
     ) -> Self {
         let read = ahead.iter().map(|data| data.len() as u64).sum();
-        let stall = Stall::new(UPSTREAM_STALL);
+        let stall = StallTimer::new(UPSTREAM_STALL);
         let mut download = Download {
             ahead,
             rest,
@@ -438,7 +448,7 @@
         self.ahead.is_empty() && self.whole.is_none()
     }
 
-    fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         if let Some(data) = self.ahead.pop_front() {
             return Poll::Ready(Some(Ok(data)));
         }
@@ -446,7 +456,7 @@
             let frame = Pin::new(&mut self.rest).poll_frame(cx);
             let data = match ready!(self.stall.poll(cx, frame, Duration::MAX)) {
                 Ok(Some(Ok(frame))) => frame.into_data(),
-                Ok(Some(Err(_))) => return Poll::Ready(Some(Err(Broken::Cut))),
+                Ok(Some(Err(_))) => return Poll::Ready(Some(Err(BodyError::Truncated))),
                 Ok(None) => {
                     self.end();
                     return Poll::Ready(None);
@@ -456,8 +466,8 @@
             // Trailers end here.
             let Ok(data) = data else { continue };
             self.read += data.len() as u64;
-            if self.read > LARGEST_BODY {
-                return Poll::Ready(Some(Err(Broken::TooLarge)));
+            if self.read > MAX_BODY_BYTES {
+                return Poll::Ready(Some(Err(BodyError::TooLarge)));
             }
             // Where the length is known nobody asks what comes after it.
             if self.length == Some(self.read) {
@@ -476,7 +486,7 @@
 }
 
 /// An answer's body on its way to a client.
-pub struct Reply {
+pub struct ResponseBody {
     whole: Option<Bytes>,
     streamed: Option<Streamed>,
 }
@@ -484,21 +494,21 @@
 /// It is counted at its end; `_kept` is dropped then too, or when its client goes first.
 struct Streamed {
     download: Box<Download>,
-    counted: InFlight,
+    counted: InFlightRequest,
     _kept: Box<dyn Any>,
 }
 
-impl Reply {
+impl ResponseBody {
     pub fn whole(body: Bytes) -> Self {
-        Reply {
+        ResponseBody {
             whole: Some(body).filter(|body| !body.is_empty()),
             streamed: None,
         }
     }
 
     /// One that is passed on as it comes; `kept` is kept until it is over.
-    pub fn streamed(download: Box<Download>, counted: InFlight, kept: Box<dyn Any>) -> Self {
-        Reply {
+    pub fn streamed(download: Box<Download>, counted: InFlightRequest, kept: Box<dyn Any>) -> Self {
+        ResponseBody {
             whole: None,
             streamed: Some(Streamed {
                 download,
@@ -509,22 +519,22 @@
     }
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let Some(streamed) = self.streamed.as_mut() else {
             return Poll::Ready(self.whole.take().map(|body| Ok(Frame::data(body))));
         };
         let next = ready!(streamed.download.poll_data(cx));
         match next {
             Some(Ok(_)) if !streamed.download.is_over() => {}
-            Some(Ok(_)) | None => streamed.counted.end(Ending::Served),
-            Some(Err(_)) => streamed.counted.end(Ending::Failed),
+            Some(Ok(_)) | None => streamed.counted.end(RequestOutcome::Served),
+            Some(Err(_)) => streamed.counted.end(RequestOutcome::Failed),
         }
         if !matches!(next, Some(Ok(_))) {
             self.streamed = None;
--- a/src/bin/magpiechute/config.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -1,10 +1,10 @@
 //! What the balancer is told at its start: `PROXY_CONFIG`, and the variables that repeat parts of it.
 
-use crate::discovery::List;
+use crate::discovery::EndpointList;
 use crate::log;
-use crate::system_errors::outlasting;
-use ryequay::wire::{self, BadSetting};
-use ryequay::{Settings, SettingsError};
+use crate::socket::system_errors::retry_transient_errors;
+use load_balancer::simulator::{self, BadSetting};
+use load_balancer::{Settings, SettingsError};
 use serde::Deserialize;
 use serde_json::Value;
 use std::env::{self, VarError};
@@ -27,7 +27,7 @@
     #[error("limits.sockets: {0} are too few, {1} is the least")]
     Sockets(usize, usize),
     #[error("limits.memory_mb: {0} is out of range")]
-    Memory(f64),
+    MemoryBudget(f64),
     #[error("settings: must be an object")]
     NoSettings,
     #[error("{0}")]
@@ -37,7 +37,7 @@
 }
 
 /// On sockets whatever discovery has to tell counts as told after so many seconds.
-const TOLD_WITHIN: f64 = 6.0;
+const NOTIFICATION_DEADLINE: f64 = 6.0;
 /// Fewer descriptors than this leave no room to serve.
 const LEAST_SOCKETS: usize = 64;
 
@@ -53,7 +53,7 @@
     #[serde(default)]
     limits: FileLimits,
     #[serde(default)]
-    known: List,
+    known: EndpointList,
     settings: Value,
 }
 
@@ -75,7 +75,7 @@
 
 /// Names that stand for numbers in the module.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct NameTables {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     pub classes: Vec<String>,
@@ -88,15 +88,15 @@
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     /// The address of the admin endpoint, if there is one.
-    pub console: Option<SocketAddr>,
+    pub admin: Option<SocketAddr>,
     pub seed: u64,
     /// File descriptors that the process may hold: as many as it is told, or fewer where the system says so.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Bytes of memory that the process may take.
-    pub memory: usize,
-    pub known: List,
+    pub memory_bytes: usize,
+    pub known_endpoints: EndpointList,
     pub settings: Settings,
-    pub names: Names,
+    pub names: NameTables,
 }
 
 impl Config {
@@ -116,7 +116,11 @@
             env::var("PROXY_CONFIG").map_err(|e| ConfigError::Variable("PROXY_CONFIG", e))?;
         // While it serves, the process doesn't sleep: whoever asks it to read this again tries later.
         let read = || std::fs::read(&path);
-        let text = if again { read() } else { outlasting(read) };
+        let text = if again {
+            read()
+        } else {
+            retry_transient_errors(read)
+        };
         let text = text.map_err(|e| ConfigError::Unreadable(path.clone(), e))?;
         let file = serde_json::from_slice(&text).map_err(|e| ConfigError::Malformed(path, e))?;
         Self::from_file(file, again, |name| env::var(name).ok())
@@ -150,19 +154,19 @@
             return Err(ConfigError::Sockets(file.limits.sockets, LEAST_SOCKETS));
         }
         if file.limits.memory_mb <= 0.0 {
-            return Err(ConfigError::Memory(file.limits.memory_mb));
+            return Err(ConfigError::MemoryBudget(file.limits.memory_mb));
         }
         if !file.settings.is_object() {
             return Err(ConfigError::NoSettings);
         }
         let mut pairs = Vec::new();
         flatten(String::new(), &file.settings, &mut pairs);
-        let mut settings = wire::settings(
+        let mut settings = simulator::settings(
             pairs
                 .iter()
                 .map(|(path, value)| (path.as_str(), value.as_str())),
         )?;
-        settings.rules.told = TOLD_WITHIN;
+        settings.rules.notification_deadline = NOTIFICATION_DEADLINE;
         settings.validate()?;
         let list = |key: &str| {
             let items = file.settings[key].as_array().into_iter().flatten();
@@ -170,7 +174,7 @@
                 .filter_map(|v| v.as_str().map(str::to_string))
                 .collect()
         };
-        let names = Names {
+        let names = NameTables {
             zones: list("localities"),
             kinds: list("kinds"),
             classes: settings.classes.iter().map(|c| c.name.clone()).collect(),
@@ -187,11 +191,11 @@
             name: var("PROXY_NAME").unwrap_or(file.name),
             listen: address("PROXY_LISTEN", file.listen, false)?,
             discovery: address("PROXY_DISCOVERY", file.discovery, again)?,
-            console: optional("PROXY_CONSOLE", file.console, false)?,
+            admin: optional("PROXY_CONSOLE", file.console, false)?,
             seed,
-            sockets: sockets.min(most),
-            memory: (file.limits.memory_mb * f64::from(1 << 20)) as usize,
-            known: file.known,
+            max_descriptors: sockets.min(most),
+            memory_bytes: (file.limits.memory_mb * f64::from(1 << 20)) as usize,
+            known_endpoints: file.known,
             settings,
             names,
         })
@@ -244,5 +248,4 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/config.rs"]
 mod tests;
--- a/tests/unit/config.rs
+++ b/src/bin/load-balancer/config/tests.rs
@@ -26,7 +26,7 @@
     let config = load(|_| ()).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!((config.seed, config.names.zones.len()), (255, 2));
     assert_eq!(config.settings.classes[0].deadline, 2.0);
-    assert_eq!(config.settings.limits.retry_after, Some(2.0));
+    assert_eq!(config.settings.limits.max_retry_after, Some(2.0));
     assert_eq!(config.settings.limits.connect_timeout, 0.1);
 }
 
--- a/src/bin/magpiechute/discovery.rs
+++ b/src/bin/load-balancer/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! The list of upstreams: its form, and the watch on its changes.
 
-use crate::driver::Driver;
-use crate::socket::{Budget, Purpose, Socket};
+use crate::dispatch::Dispatcher;
+use crate::socket::{DescriptorBudget, Purpose, Socket};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::client::conn::http1;
@@ -33,7 +33,7 @@
 /// A list of upstreams, or what changed in it.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct List {
+pub struct EndpointList {
     pub index: u64,
     pub snapshot: bool,
     pub endpoints: Vec<Endpoint>,
@@ -41,7 +41,7 @@
 
 /// The same as a watch tells it. Guards against an object that is no list, and would be taken for an empty one.
 #[derive(Deserialize)]
-struct News {
+struct WatchMessage {
     index: u64,
     #[serde(default)]
     snapshot: bool,
@@ -75,19 +75,27 @@
 }
 
 /// Follows the list until that fails, also after it has fallen silent; the driver is told of either.
-pub async fn watch(driver: Rc<RefCell<Driver>>, budget: Rc<Budget>, watch: Watch) {
-    let why = follow(&driver, &budget, &watch).await;
-    driver.borrow_mut().list_failed(watch.number, &why);
+pub async fn watch(
+    dispatcher: Rc<RefCell<Dispatcher>>,
+    budget: Rc<DescriptorBudget>,
+    watch: Watch,
+) {
+    let why = follow(&dispatcher, &budget, &watch).await;
+    dispatcher.borrow_mut().watch_failed(watch.number, &why);
 }
 
-async fn follow(driver: &RefCell<Driver>, budget: &Rc<Budget>, watch: &Watch) -> String {
+async fn follow(
+    dispatcher: &RefCell<Dispatcher>,
+    budget: &Rc<DescriptorBudget>,
+    watch: &Watch,
+) -> String {
     let Watch {
         number,
         address,
         since,
         asked,
     } = *watch;
-    let Some(permit) = budget.take(Purpose::Discovery) else {
+    let Some(permit) = budget.acquire(Purpose::Discovery) else {
         return "no descriptor is free".into();
     };
     let socket = match Socket::connect(address, permit, CONNECT).await {
@@ -109,8 +117,8 @@
     } else {
         PUSHED
     };
-    let mut patience = Patience::new(patience);
-    let silent = || driver.borrow_mut().list_silent(number);
+    let mut patience = SilenceTimer::new(patience);
+    let silent = || dispatcher.borrow_mut().watch_silent(number);
     let taken = Cell::new(0);
     let read = async {
         let mut answer = pin!(sender.send_request(request));
@@ -131,10 +139,10 @@
             };
             taken.set(taken.get() + 1);
             match messages.take(&chunk, |list| {
-                driver.borrow_mut().list_changed(number, list)
+                dispatcher.borrow_mut().endpoint_list_received(number, list)
             }) {
                 Ok(true) => {
-                    driver.borrow_mut().list_lives(number);
+                    dispatcher.borrow_mut().watch_alive(number);
                     patience.renew(SILENCE);
                 }
                 Ok(false) => {}
@@ -169,14 +177,14 @@
 }
 
 /// How long a watch may be silent, and whether that has been told.
-struct Patience {
+struct SilenceTimer {
     until: Pin<Box<Sleep>>,
     told: bool,
 }
 
-impl Patience {
+impl SilenceTimer {
     fn new(most: Duration) -> Self {
-        Patience {
+        SilenceTimer {
             until: Box::pin(sleep(most)),
             told: false,
         }
@@ -220,7 +228,7 @@
 
 impl Messages {
     /// Hands on each object that is whole. True if there was one, or the end of a line where none has begun.
-    fn take(&mut self, chunk: &[u8], mut take: impl FnMut(List)) -> Result<bool, String> {
+    fn take(&mut self, chunk: &[u8], mut take: impl FnMut(EndpointList)) -> Result<bool, String> {
         let mut lives = false;
         for byte in chunk {
             if self.depth == 0 && byte.is_ascii_whitespace() {
@@ -244,13 +252,13 @@
                 _ => {}
             }
             if self.depth == 0 {
-                let News {
+                let WatchMessage {
                     index,
                     snapshot,
                     endpoints,
                 } = serde_json::from_slice(&self.text)
                     .map_err(|error| format!("malformed list: {error}"))?;
-                take(List {
+                take(EndpointList {
                     index,
                     snapshot,
                     endpoints,
@@ -267,5 +275,4 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/discovery.rs"]
 mod tests;
--- a/tests/unit/discovery.rs
+++ b/src/bin/load-balancer/discovery/tests.rs
@@ -64,7 +64,7 @@
     let told = std::cell::Cell::new(0);
     let tell = || told.set(told.get() + 1);
     let second = Duration::from_secs(1);
-    let mut patience = Patience::new(2 * second);
+    let mut patience = SilenceTimer::new(2 * second);
     patience.wait(&mut pin!(sleep(second)), tell).await;
     tokio::time::advance(2 * second).await;
     patience.wait(&mut std::future::ready(()), tell).await;
--- a/src/bin/magpiechute/driver.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -3,19 +3,19 @@
 //! Each request that is taken gets one final answer, and the module hears of one outcome for each attempt
 //! that it sends. No decision is made here.
 
-use crate::bodies::Memory;
-use crate::config::Names;
-use crate::discovery::{self, Endpoint, List};
+use crate::body::MemoryBudget;
+use crate::config::NameTables;
+use crate::discovery::{self, Endpoint, EndpointList};
 use crate::log;
-use crate::socket::Budget;
-use crate::stats::Stats;
-use crate::upstream::{Answer, Attempt, Ended, Forward, Pool};
+use crate::metrics::Metrics;
+use crate::socket::DescriptorBudget;
+use crate::upstream::{Answer, Attempt, AttemptEnd, ConnectionPool, ForwardedRequest};
+use load_balancer::{
+    Action, AttemptOutcome, AttemptResult, Balancer, Class, DiscoveryMode, Event, LearnedState,
+    ListScope, Maintenance, Request, RequestId, UpstreamEntry, UpstreamId, UpstreamState,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use ryequay::{
-    Action, AttemptEnd, Balancer, Class, Discovery, Event, Knowledge, ListScope, Outcome, Request,
-    RequestId, UpstreamEntry, UpstreamId, UpstreamState,
-};
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
@@ -29,7 +29,7 @@
 /// The module is told that a client waits this much shorter, so that its answer is there in time.
 const MARGIN: Duration = Duration::from_millis(12);
 /// An answer that the module still owes then is given for it, so that no client is left without one.
-const LAST_CALL: Duration = Duration::from_millis(5);
+const DEADLINE_BACKSTOP: Duration = Duration::from_millis(5);
 /// Where lists are pushed, what the agent has counts as told with no watch open too. A broken watch is opened again after
 /// this time, so that the grace of a drain covers it,
 const REWATCH: Duration = Duration::from_millis(20);
@@ -48,9 +48,9 @@
 const MOVE_AGAIN: Duration = Duration::from_millis(400);
 
 /// The final answer to a request.
-pub enum Final {
+pub enum FinalResponse {
     Served(Answer),
-    Refused { retry_after: Option<f64> },
+    Rejected { retry_after: Option<f64> },
     Failed,
 }
 
@@ -79,11 +79,11 @@
 
 /// Why a request is not taken.
 #[derive(Debug, PartialEq)]
-pub enum Untaken {
+pub enum RejectionReason {
     /// Too many are open.
-    Full,
+    TooManyOpen,
     /// Its name has come before: it may still be out, so it would run beside itself.
-    Known,
+    DuplicateId,
 }
 
 /// The names of requests that came lately. Guards against a request under the name of one that is open, or was
@@ -122,19 +122,19 @@
 }
 
 /// A request that has come in.
-pub struct Taken {
+pub struct AcceptedRequest {
     /// What its client calls it, and nobody calls another.
     pub name: String,
     pub class: usize,
     pub tenant: usize,
     pub cost_hint: Option<f64>,
-    pub forward: Forward,
+    pub forward: ForwardedRequest,
 }
 
 /// A request in the ledger; it stays until it is answered and its attempts have ended.
 struct Open {
-    forward: Rc<Forward>,
-    reply: Option<oneshot::Sender<Final>>,
+    forward: Rc<ForwardedRequest>,
+    reply: Option<oneshot::Sender<FinalResponse>>,
     attempts: Vec<Out>,
 }
 
@@ -161,23 +161,23 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Timer(u64),
-    LastCall(RequestId),
-    Rewatch,
+    DeadlineBackstop(RequestId),
+    ReopenWatch,
 }
 
 /// Owns the decision module and all that it speaks of.
-pub struct Driver {
-    me: Weak<RefCell<Driver>>,
+pub struct Dispatcher {
+    me: Weak<RefCell<Dispatcher>>,
     balancer: Balancer,
     clock: Clock,
-    discovery: (SocketAddr, Discovery),
-    names: Names,
+    discovery: (SocketAddr, DiscoveryMode),
+    names: NameTables,
     classes: Vec<Class>,
     most_open: usize,
-    budget: Rc<Budget>,
-    stats: Rc<Stats>,
-    pool: Rc<Pool>,
-    memory: Rc<Memory>,
+    budget: Rc<DescriptorBudget>,
+    metrics: Rc<Metrics>,
+    pool: Rc<ConnectionPool>,
+    memory: Rc<MemoryBudget>,
     events: VecDeque<Event>,
     actions: Vec<Action>,
     timers: BinaryHeap<Reverse<(Instant, Due)>>,
@@ -221,28 +221,34 @@
     }
 }
 
-impl Driver {
+impl Dispatcher {
     /// A driver that has told the module the list of old, `known`.
     pub fn start(
         config: crate::config::Config,
-        budget: Rc<Budget>,
-    ) -> Result<Rc<RefCell<Driver>>, ryequay::SettingsError> {
+        budget: Rc<DescriptorBudget>,
+    ) -> Result<Rc<RefCell<Dispatcher>>, load_balancer::SettingsError> {
         let clock = Clock::new();
         let limits = &config.settings.limits;
-        let stats = Stats::new(&config.names.classes);
-        let memory = Memory::new(config.memory);
-        let (connect, idle) = (limits.connect_timeout, limits.conn_idle);
-        let pool = Pool::new(budget.clone(), stats.clone(), memory.clone(), connect, idle);
-        let most_open = limits.open.min(config.sockets);
-        let discovery = (config.discovery, config.settings.discovery);
+        let metrics = Metrics::new(&config.names.classes);
+        let memory = MemoryBudget::new(config.memory_bytes);
+        let (connect, idle) = (limits.connect_timeout, limits.connection_idle_timeout);
+        let pool = ConnectionPool::new(
+            budget.clone(),
+            metrics.clone(),
+            memory.clone(),
+            connect,
+            idle,
+        );
+        let most_open = limits.max_open_requests.min(config.max_descriptors);
+        let discovery = (config.discovery, config.settings.discovery_mode);
         let classes = config.settings.classes.clone();
         let longest = classes
             .iter()
             .fold(0.0, |longest: f64, class| longest.max(class.deadline));
         let longest = Duration::try_from_secs_f64(longest).unwrap_or(Duration::MAX / 4);
         let balancer = Balancer::new(config.settings, config.seed, clock.at(Instant::now()))?;
-        let driver = Rc::new_cyclic(|me: &Weak<RefCell<Driver>>| {
-            RefCell::new(Driver {
+        let dispatcher = Rc::new_cyclic(|me: &Weak<RefCell<Dispatcher>>| {
+            RefCell::new(Dispatcher {
                 me: me.clone(),
                 balancer,
                 clock,
@@ -251,7 +257,7 @@
                 classes,
                 most_open,
                 budget,
-                stats,
+                metrics,
                 pool: Rc::new(pool),
                 memory,
                 events: VecDeque::new(),
@@ -272,17 +278,17 @@
                 jitter: Pcg64Mcg::seed_from_u64(config.seed),
             })
         });
-        let known = List {
+        let known = EndpointList {
             snapshot: true,
-            ..config.known
+            ..config.known_endpoints
         };
-        driver.borrow_mut().index = known.index;
-        driver.borrow_mut().apply(ListScope::Cached, known);
-        if discovery.1 == Discovery::Push {
-            driver.borrow_mut().subscribe();
+        dispatcher.borrow_mut().index = known.index;
+        dispatcher.borrow_mut().apply(ListScope::Cached, known);
+        if discovery.1 == DiscoveryMode::Push {
+            dispatcher.borrow_mut().subscribe();
         }
-        spawn_local(run_timers(driver.clone()));
-        Ok(driver)
+        spawn_local(run_timers(dispatcher.clone()));
+        Ok(dispatcher)
     }
 
     /// True once a list with upstreams is there.
@@ -291,38 +297,38 @@
     }
 
     /// Names of classes and tenants.
-    pub fn names(&self) -> &Names {
+    pub fn names(&self) -> &NameTables {
         &self.names
     }
 
     /// The idle connections to upstreams.
-    pub fn pool(&self) -> &Rc<Pool> {
+    pub fn pool(&self) -> &Rc<ConnectionPool> {
         &self.pool
     }
 
     /// Where requests that end are counted.
-    pub fn stats(&self) -> &Rc<Stats> {
-        &self.stats
+    pub fn metrics(&self) -> &Rc<Metrics> {
+        &self.metrics
     }
 
     /// All that operators are told in figures.
-    pub fn figures(&self) -> String {
-        self.stats
+    pub fn render_metrics(&self) -> String {
+        self.metrics
             .render(self.targets.len(), self.balancer.excluded())
     }
 
     /// The memory for what is read ahead of bodies.
-    pub fn memory(&self) -> Rc<Memory> {
+    pub fn memory(&self) -> Rc<MemoryBudget> {
         self.memory.clone()
     }
 
     /// What the module has learned.
-    pub fn knowledge(&self) -> Knowledge {
+    pub fn learned_state(&self) -> LearnedState {
         self.balancer.knowledge()
     }
 
     /// Gives the module what the one before has learned and written down this long ago.
-    pub fn recall(&mut self, age: Duration, knowledge: Knowledge) {
+    pub fn restore(&mut self, age: Duration, knowledge: LearnedState) {
         self.balancer
             .recall(self.clock.at(Instant::now()), age.as_secs_f64(), knowledge);
     }
@@ -333,23 +339,26 @@
     }
 
     /// Takes a request; its final answer comes through the channel.
-    pub fn take(&mut self, taken: Taken) -> Result<(RequestId, oneshot::Receiver<Final>), Untaken> {
+    pub fn accept(
+        &mut self,
+        taken: AcceptedRequest,
+    ) -> Result<(RequestId, oneshot::Receiver<FinalResponse>), RejectionReason> {
         if self.open.len() >= self.most_open {
-            return Err(Untaken::Full);
+            return Err(RejectionReason::TooManyOpen);
         }
         if !self.recent.add(taken.name) {
-            return Err(Untaken::Known);
+            return Err(RejectionReason::DuplicateId);
         }
         self.last_id += 1;
         let id = RequestId(self.last_id);
         let (reply, answer) = oneshot::channel();
         let forward = Rc::new(taken.forward);
         let (deadline, streamed) = (forward.deadline(), forward.upload.is_streamed());
-        if let Some(driver) = self.me.upgrade().filter(|_| streamed) {
-            let whole = forward.upload.when_whole();
+        if let Some(dispatcher) = self.me.upgrade().filter(|_| streamed) {
+            let whole = forward.upload.completed();
             spawn_local(async move {
                 if whole.await.is_ok() {
-                    driver.borrow_mut().body_whole(id);
+                    dispatcher.borrow_mut().body_whole(id);
                 }
             });
         }
@@ -361,7 +370,7 @@
                 attempts: Vec::new(),
             },
         );
-        self.schedule(deadline - LAST_CALL, Due::LastCall(id));
+        self.schedule(deadline - DEADLINE_BACKSTOP, Due::DeadlineBackstop(id));
         self.tell(Event::Request(Request {
             id,
             class: taken.class,
@@ -380,25 +389,25 @@
         };
         if let Some(out) = open.attempts.last_mut().filter(|out| out.task.is_some()) {
             out.sent = Instant::now();
-            self.tell(Event::Written(id));
+            self.tell(Event::UploadCompleted(id));
         }
     }
 
     /// The client has closed its connection, or has its answer already.
-    pub fn client_gone(&mut self, id: RequestId) {
+    pub fn client_disconnected(&mut self, id: RequestId) {
         if self.conclude(id).is_some() {
-            self.tell(Event::ClientGone(id));
+            self.tell(Event::ClientDisconnected(id));
             self.forget(id);
         }
     }
 
     /// Discovery has sent a list, or what changed.
-    pub fn list_changed(&mut self, watch: u64, list: List) {
+    pub fn endpoint_list_received(&mut self, watch: u64, list: EndpointList) {
         let waited = self
             .watches
             .iter()
             .any(|watching| watching.number == watch && !watching.spoke);
-        self.list_lives(watch);
+        self.watch_alive(watch);
         let Some(watching) = self
             .watches
             .first_mut()
@@ -438,7 +447,7 @@
     }
 
     /// The watch has told something. Guards against news of an old watch after those of a newer one.
-    pub fn list_lives(&mut self, watch: u64) {
+    pub fn watch_alive(&mut self, watch: u64) {
         if let Some(at) = self
             .watches
             .iter()
@@ -451,7 +460,7 @@
 
     /// The watch has told nothing whole for too long. Guards against news that are told between its end and the next
     /// one's beginning: it stays until another has spoken.
-    pub fn list_silent(&mut self, watch: u64) {
+    pub fn watch_silent(&mut self, watch: u64) {
         let Some(at) = self
             .watches
             .iter()
@@ -463,16 +472,16 @@
         self.watches[at].broken = true;
         match self.discovery.1 {
             // Those whose watches fall silent together come back one by one.
-            Discovery::Ask => {
+            DiscoveryMode::Poll => {
                 let wait = ASIDE.mul_f64(self.jitter.random_range(0.0..1.0));
-                self.schedule(Instant::now() + wait, Due::Rewatch);
+                self.schedule(Instant::now() + wait, Due::ReopenWatch);
             }
-            Discovery::Push => self.subscribe(),
+            DiscoveryMode::Push => self.subscribe(),
         }
     }
 
     /// The watch has ended.
-    pub fn list_failed(&mut self, watch: u64, why: &str) {
+    pub fn watch_failed(&mut self, watch: u64, why: &str) {
         let Some(at) = self
             .watches
             .iter()
@@ -490,32 +499,35 @@
             log::line(format!("discovery failed: {why}"));
         }
         let failed = self.watches.remove(at);
-        let replaced = self.watches.len() > at;
+        let is_replaced = self.watches.len() > at;
         // Guards against asking late, and the old address, when the old discovery ends its watches: the new
         // one is on its way.
-        if replaced || failed.address != self.discovery.0 {
+        if is_replaced || failed.address != self.discovery.0 {
             return;
         }
         if self.source != self.discovery.0 {
             let wait = MOVE_AGAIN.mul_f64(self.jitter.random_range(0.25..1.0));
-            return self.schedule(Instant::now() + wait, Due::Rewatch);
+            return self.schedule(Instant::now() + wait, Due::ReopenWatch);
         }
         match self.discovery.1 {
-            Discovery::Ask => self.tell(Event::Upstreams(ListScope::Failed, Vec::new())),
-            Discovery::Push => {
+            DiscoveryMode::Poll => self.tell(Event::EndpointList {
+                scope: ListScope::Failed,
+                endpoints: Vec::new(),
+            }),
+            DiscoveryMode::Push => {
                 let wait = if self.failed_watches < MANY_FAILURES {
                     REWATCH
                 } else {
                     REWATCH_LATER
                 };
-                self.schedule(Instant::now() + wait, Due::Rewatch);
+                self.schedule(Instant::now() + wait, Due::ReopenWatch);
             }
         }
     }
 
     /// Discovery is to be found elsewhere from now on. The list and the watch on the old address hold until
     /// the new one has spoken.
-    pub fn move_discovery(&mut self, address: SocketAddr) {
+    pub fn set_discovery_address(&mut self, address: SocketAddr) {
         if address != self.discovery.0 {
             self.discovery.0 = address;
             // What was asked at a place between the two has told nothing, and is not waited for.
@@ -525,12 +537,12 @@
         }
     }
 
-    fn apply(&mut self, scope: ListScope, list: List) {
+    fn apply(&mut self, scope: ListScope, list: EndpointList) {
         self.listed |= !list.endpoints.is_empty();
         if list.snapshot {
             self.targets
                 .values_mut()
-                .for_each(|target| target.state = UpstreamState::Off);
+                .for_each(|target| target.state = UpstreamState::Removed);
         }
         let entries = list
             .endpoints
@@ -542,28 +554,31 @@
             .keys()
             .filter(|id| self.address(**id).is_none())
         {
-            self.pool.close(*id);
+            self.pool.remove(*id);
         }
-        self.tell(Event::Upstreams(scope, entries));
+        self.tell(Event::EndpointList {
+            scope,
+            endpoints: entries,
+        });
         self.stop_unbegun();
         self.targets
-            .retain(|_, target| target.state != UpstreamState::Off);
+            .retain(|_, target| target.state != UpstreamState::Removed);
     }
 
     fn entry(&mut self, endpoint: Endpoint) -> UpstreamEntry {
         let id = UpstreamId::of(&endpoint.name);
         let state = match endpoint.status.as_str() {
-            "in_service" => UpstreamState::On,
-            "terminated" => UpstreamState::Off,
+            "in_service" => UpstreamState::Active,
+            "terminated" => UpstreamState::Removed,
             // Also a status that is not known yet: nothing new goes there.
             _ => UpstreamState::Draining,
         };
         let since = endpoint.since_ms / 1000.0;
         if self.targets.get(&id).is_some_and(|old| old.since != since) {
-            self.pool.close(id);
+            self.pool.remove(id);
         }
-        if state == UpstreamState::On && !self.out.contains_key(&id) {
-            self.pool.open(id, endpoint.address);
+        if state == UpstreamState::Active && !self.out.contains_key(&id) {
+            self.pool.allow(id, endpoint.address);
         }
         self.targets.insert(
             id,
@@ -579,10 +594,10 @@
         UpstreamEntry {
             id,
             zone: number(&self.names.zones, &endpoint.zone),
-            kind: number(&self.names.kinds, &endpoint.kind),
+            machine_kind: number(&self.names.kinds, &endpoint.kind),
             cell: endpoint.group,
             state,
-            since,
+            started_at: since,
         }
     }
 
@@ -591,12 +606,12 @@
         let target = self
             .targets
             .get(&upstream)
-            .filter(|target| target.state == UpstreamState::On)?;
+            .filter(|target| target.state == UpstreamState::Active)?;
         (!self.out.contains_key(&upstream)).then_some(target.address)
     }
 
     /// The operators leave this upstream out, or use it again; false if none of this name is known.
-    pub fn maintain(&mut self, name: &str, out: bool) -> bool {
+    pub fn set_maintenance(&mut self, name: &str, out: bool) -> bool {
         let upstream = UpstreamId::of(name);
         if !self.targets.contains_key(&upstream) && !self.out.contains_key(&upstream) {
             return false;
@@ -606,12 +621,12 @@
     }
 
     /// The names of the upstreams that the operators have left out.
-    pub fn left_out(&self) -> impl Iterator<Item = &str> {
+    pub fn upstreams_in_maintenance(&self) -> impl Iterator<Item = &str> {
         self.out.values().map(String::as_str)
     }
 
     /// The operators have left these out, and no others, known or not.
-    pub fn leave_out(&mut self, names: &BTreeSet<String>) {
+    pub fn restore_maintenance(&mut self, names: &BTreeSet<String>) {
         let back: Vec<_> = self
             .out
             .values()
@@ -632,14 +647,21 @@
         ));
         if out {
             self.out.insert(upstream, name.to_string());
-            self.pool.close(upstream);
+            self.pool.remove(upstream);
         } else {
             self.out.remove(&upstream);
             self.address(upstream)
                 .into_iter()
-                .for_each(|address| self.pool.open(upstream, address));
+                .for_each(|address| self.pool.allow(upstream, address));
         }
-        self.tell(Event::Maintenance { upstream, out });
+        self.tell(Event::Maintenance {
+            upstream,
+            change: if out {
+                Maintenance::Begin
+            } else {
+                Maintenance::End
+            },
+        });
         self.stop_unbegun();
     }
 
@@ -660,7 +682,7 @@
         stopped.sort();
         stopped
             .into_iter()
-            .for_each(|(id, number)| self.attempt_ended(id, number, Err(Outcome::Rejected)));
+            .for_each(|(id, number)| self.attempt_ended(id, number, Err(AttemptOutcome::Rejected)));
     }
 
     /// Tells the module, and carries out what it says, until there is nothing more to tell.
@@ -677,25 +699,26 @@
 
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 id,
                 upstream,
-                timeout,
-                within,
-            } => self.send(id, upstream, timeout, within),
-            Action::Refuse { id, retry_after } => self.answer(id, Final::Refused { retry_after }),
-            Action::Fail { id } => self.answer(id, Final::Failed),
-            Action::Cancel { id, attempt } => {
-                if let Some(event) = self.end(id, attempt as usize, Outcome::Cancelled) {
+                write_within,
+            } => self.send(id, upstream, write_within),
+            Action::Reject { id, retry_after } => {
+                self.answer(id, FinalResponse::Rejected { retry_after })
+            }
+            Action::Fail { id } => self.answer(id, FinalResponse::Failed),
+            Action::CancelAttempt { id, attempt } => {
+                if let Some(event) = self.end(id, attempt as usize, AttemptOutcome::Cancelled) {
                     self.events.push_back(event);
                 }
             }
-            Action::Close { upstream } => self.pool.shed(upstream),
+            Action::CloseIdleConnections { upstream } => self.pool.close_idle(upstream),
             Action::SetTimer { after, token } => {
                 let after = Duration::try_from_secs_f64(after).unwrap_or_default();
                 self.schedule(Instant::now() + after, Due::Timer(token));
             }
-            Action::Subscribe => self.subscribe(),
+            Action::WatchEndpoints => self.subscribe(),
             Action::Log { upstream, text } => {
                 let name = upstream
                     .and_then(|id| self.targets.get(&id))
@@ -709,13 +732,7 @@
         }
     }
 
-    fn send(
-        &mut self,
-        id: RequestId,
-        upstream: UpstreamId,
-        timeout: Option<f64>,
-        within: Option<f64>,
-    ) {
+    fn send(&mut self, id: RequestId, upstream: UpstreamId, write_within: Option<f64>) {
         let sent = Instant::now();
         let after =
             |seconds| sent.checked_add(Duration::try_from_secs_f64(seconds).unwrap_or_default());
@@ -734,41 +751,40 @@
         });
         let out = &mut open.attempts[number];
         // What a stream has given to one upstream is not there for another.
-        let can_go = open.reply.is_some() && open.forward.upload.is_fresh();
+        let can_go = open.reply.is_some() && open.forward.upload.is_replayable();
         let attempt = address.filter(|_| can_go).map(|address| Attempt {
             pool: self.pool.clone(),
             upstream,
             address,
             request: open.forward.clone(),
-            until: timeout.and_then(after),
-            whole_by: within.and_then(after),
+            write_deadline: write_within.and_then(after),
             margin: MARGIN,
             begun,
         });
         match (attempt, self.me.upgrade()) {
-            (Some(attempt), Some(driver)) => {
+            (Some(attempt), Some(dispatcher)) => {
                 let run = async move {
                     let ended = attempt.run().await;
-                    driver.borrow_mut().attempt_ended(id, number, ended);
+                    dispatcher.borrow_mut().attempt_ended(id, number, ended);
                 };
                 out.task = Some(spawn_local(run).abort_handle());
             }
             // Nothing was sent, so the outcome follows at once.
-            _ => self.events.push_back(Event::Outcome(AttemptEnd {
+            _ => self.events.push_back(Event::AttemptEnded(AttemptResult {
                 id,
                 attempt: number as u32,
-                outcome: Outcome::NotSent,
+                outcome: AttemptOutcome::NotSent,
                 elapsed: 0.0,
-                idle: None,
-                concluded: false,
+                connection_idle: None,
+                request_concluded: false,
             })),
         }
     }
 
     /// An attempt has ended by itself.
-    fn attempt_ended(&mut self, id: RequestId, number: usize, ended: Ended) {
+    fn attempt_ended(&mut self, id: RequestId, number: usize, ended: AttemptEnd) {
         let (outcome, answer) = match ended {
-            Ok(answer) => (Outcome::Ok, Some(answer)),
+            Ok(answer) => (AttemptOutcome::Success, Some(answer)),
             Err(outcome) => (outcome, None),
         };
         let Some(open) = self.open.get_mut(&id) else {
@@ -782,22 +798,22 @@
             return;
         }
         // It was not sent because its client has left, if that is so.
-        let gone = outcome == Outcome::NotSent && open.forward.client.has_left();
+        let gone = outcome == AttemptOutcome::NotSent && open.forward.client.is_disconnected();
         let gone = gone && self.conclude(id).is_some();
         if let Some(answer) = answer {
-            self.answer(id, Final::Served(answer));
+            self.answer(id, FinalResponse::Served(answer));
         }
         if let Some(event) = self.end(id, number, outcome) {
             self.tell(event);
         }
         if gone {
-            self.tell(Event::ClientGone(id));
+            self.tell(Event::ClientDisconnected(id));
             self.forget(id);
         }
     }
 
     /// Closes an attempt in the ledger; the event to tell of it, if it was still out.
-    fn end(&mut self, id: RequestId, number: usize, outcome: Outcome) -> Option<Event> {
+    fn end(&mut self, id: RequestId, number: usize, outcome: AttemptOutcome) -> Option<Event> {
         let open = self.open.get_mut(&id)?;
         let concluded = open.reply.is_none();
         let out = open.attempts.get_mut(number)?;
@@ -805,19 +821,19 @@
         let elapsed = out.sent.elapsed().as_secs_f64();
         let idle = out.begun.get().map(|idle| idle.as_secs_f64());
         self.forget(id);
-        Some(Event::Outcome(AttemptEnd {
+        Some(Event::AttemptEnded(AttemptResult {
             id,
             attempt: number as u32,
             outcome,
             elapsed,
-            idle,
-            concluded,
+            connection_idle: idle,
+            request_concluded: concluded,
         }))
     }
 
     /// Nothing is owed any more, unless that has been so before. Guards against sending on what nobody waits for:
     /// attempts of which nothing has been written end here, also where those that are out may not be cancelled.
-    fn conclude(&mut self, id: RequestId) -> Option<oneshot::Sender<Final>> {
+    fn conclude(&mut self, id: RequestId) -> Option<oneshot::Sender<FinalResponse>> {
         let open = self.open.get_mut(&id)?;
         let reply = open.reply.take()?;
         let unbegun = |(number, out): (usize, &Out)| out.begun.get().is_none().then_some(number);
@@ -828,14 +844,14 @@
             .filter_map(unbegun)
             .collect();
         for number in stopped {
-            let event = self.end(id, number, Outcome::NotSent);
+            let event = self.end(id, number, AttemptOutcome::NotSent);
             self.events.extend(event);
         }
         Some(reply)
     }
 
     /// Gives the final answer, unless there was one.
-    fn answer(&mut self, id: RequestId, answer: Final) {
+    fn answer(&mut self, id: RequestId, answer: FinalResponse) {
         let Some(reply) = self.conclude(id) else {
             return;
         };
@@ -863,8 +879,8 @@
     }
 
     fn open_watch(&mut self) {
-        let (address, asked) = (self.discovery.0, self.discovery.1 == Discovery::Ask);
-        let Some(driver) = self.me.upgrade() else {
+        let (address, asked) = (self.discovery.0, self.discovery.1 == DiscoveryMode::Poll);
+        let Some(dispatcher) = self.me.upgrade() else {
             return;
         };
         self.last_watch += 1;
@@ -878,7 +894,8 @@
             since,
             asked,
         };
-        let task = spawn_local(discovery::watch(driver, self.budget.clone(), watch)).abort_handle();
+        let task =
+            spawn_local(discovery::watch(dispatcher, self.budget.clone(), watch)).abort_handle();
         let index = since.unwrap_or(0);
         let opened = Instant::now();
         self.watches.push(Watching {
@@ -909,17 +926,17 @@
     }
 
     /// The process is to end: what is open has its answer by then.
-    pub fn settle(&mut self, settled: Instant) {
+    pub fn set_drain_deadline(&mut self, settled: Instant) {
         let open: Vec<_> = self.open.keys().copied().collect();
         open.into_iter()
-            .for_each(|id| self.schedule(settled - LAST_CALL, Due::LastCall(id)));
+            .for_each(|id| self.schedule(settled - DEADLINE_BACKSTOP, Due::DeadlineBackstop(id)));
     }
 
     /// When a request that is open has to have its answer.
     fn last_call(&self, id: RequestId) -> Option<Instant> {
         self.open
             .get(&id)
-            .map(|open| open.forward.deadline() - LAST_CALL)
+            .map(|open| open.forward.deadline() - DEADLINE_BACKSTOP)
     }
 
     /// Does what is due by now; tells when the next is.
@@ -930,26 +947,26 @@
             }
             self.timers.pop();
             match due {
-                Due::Timer(token) => self.tell(Event::Timer(token)),
-                Due::Rewatch => self.subscribe(),
-                Due::LastCall(id) if self.last_call(id) > Some(Instant::now()) => {
+                Due::Timer(token) => self.tell(Event::TimerFired(token)),
+                Due::ReopenWatch => self.subscribe(),
+                Due::DeadlineBackstop(id) if self.last_call(id) > Some(Instant::now()) => {
                     // Its client has sent more of it meanwhile.
                     self.last_call(id)
                         .into_iter()
                         .for_each(|at| self.schedule(at, due));
                 }
-                Due::LastCall(id) => {
+                Due::DeadlineBackstop(id) => {
                     let open = self.open.get(&id).filter(|open| open.reply.is_some());
                     if let Some(unsent) = open.map(|open| open.forward.upload.is_streamed()) {
                         log::line(format!("request {} had no decision in time", id.0));
                         // No upstream begins before the last byte.
                         let answer = if unsent {
-                            Final::Refused { retry_after: None }
+                            FinalResponse::Rejected { retry_after: None }
                         } else {
-                            Final::Failed
+                            FinalResponse::Failed
                         };
                         self.answer(id, answer);
-                        self.tell(Event::ClientGone(id));
+                        self.tell(Event::ClientDisconnected(id));
                     }
                 }
             }
@@ -958,10 +975,10 @@
     }
 }
 
-async fn run_timers(driver: Rc<RefCell<Driver>>) {
-    let rewind = driver.borrow().rewind.clone();
+async fn run_timers(dispatcher: Rc<RefCell<Dispatcher>>) {
+    let rewind = dispatcher.borrow().rewind.clone();
     loop {
-        let next = driver.borrow_mut().run_due();
+        let next = dispatcher.borrow_mut().run_due();
         match next {
             Some(at) => tokio::select! {
                 () = sleep_until(at) => {}
@@ -973,9 +990,4 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/driver.rs"]
 mod tests;
-
-#[cfg(test)]
-#[path = "../../../tests/unit/told.rs"]
-mod told;
--- a/tests/unit/driver.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -1,11 +1,13 @@
 //! Unit tests of the driver: what is settled, and what is then forgotten.
 
+mod notification;
+
 use super::*;
-use crate::bodies::Upload;
+use crate::body::Upload;
 use crate::config::Config;
-use crate::upstream::Content;
+use crate::upstream::ResponseContent;
 use hyper::{HeaderMap, Method, Uri};
-use ryequay::Settings;
+use load_balancer::Settings;
 use std::future::Future;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -25,35 +27,35 @@
     }
 }
 
-fn start(endpoints: Vec<Endpoint>) -> Rc<RefCell<Driver>> {
+fn start(endpoints: Vec<Endpoint>) -> Rc<RefCell<Dispatcher>> {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
     let config = Config {
         name: "n".into(),
         listen: nowhere,
         discovery: nowhere,
-        console: None,
+        admin: None,
         seed: 1,
-        sockets: 1024,
-        memory: 32 << 20,
-        known: List {
+        max_descriptors: 1024,
+        memory_bytes: 32 << 20,
+        known_endpoints: EndpointList {
             index: 1,
             snapshot: true,
             endpoints,
         },
         settings: Settings {
-            discovery: Discovery::Ask,
+            discovery_mode: DiscoveryMode::Poll,
             ..Settings::simple()
         },
-        names: Names::default(),
+        names: NameTables::default(),
     };
-    Driver::start(config, Budget::new(1024, false)).expect("good settings")
+    Dispatcher::start(config, DescriptorBudget::new(1024, false)).expect("good settings")
 }
 
-fn request(wait: Duration) -> Taken {
+fn request(wait: Duration) -> AcceptedRequest {
     let (method, uri, headers) = (Method::GET, Uri::from_static("/call"), HeaderMap::new());
     let upload = Rc::new(Upload::empty());
     let (client, settled) = Default::default();
-    let forward = Forward {
+    let forward = ForwardedRequest {
         method,
         uri,
         headers,
@@ -64,7 +66,7 @@
     };
     thread_local!(static LAST: Cell<u64> = const { Cell::new(0) });
     let name = LAST.with(|last| last.replace(last.get() + 1).to_string());
-    Taken {
+    AcceptedRequest {
         name,
         class: 0,
         tenant: 0,
@@ -115,30 +117,31 @@
             endpoint("silent", peer(None).await),
             endpoint("garbled", peer(Some("what?\r\n\r\n")).await),
         ];
-        let driver = start(endpoints);
+        let dispatcher = start(endpoints);
         let mut waiting = Vec::new();
         for number in 0..60 {
-            let (id, answer) = driver
+            let (id, answer) = dispatcher
                 .borrow_mut()
-                .take(request(Duration::from_secs(1)))
+                .accept(request(Duration::from_secs(1)))
                 .expect("room");
             match number % 5 {
-                0 => driver.borrow_mut().client_gone(id),
+                0 => dispatcher.borrow_mut().client_disconnected(id),
                 _ => waiting.push((id, answer)),
             }
             sleep(Duration::from_millis(2)).await;
         }
         let mut bodies = 0;
         for (id, answer) in waiting {
-            if let Final::Served(answer) = answer.await.expect("a final answer") {
-                assert!(matches!(answer.body, Content::Whole(body) if body == "hi"));
+            if let FinalResponse::Served(answer) = answer.await.expect("a final answer") {
+                assert!(matches!(answer.body, ResponseContent::Complete(body) if body == "hi"));
                 bodies += 1;
             }
             // The client has its answer: that it goes now changes nothing.
-            driver.borrow_mut().client_gone(id);
+            dispatcher.borrow_mut().client_disconnected(id);
         }
         assert!(bodies > 0);
-        let free = || driver.borrow().open.is_empty() && driver.borrow().balancer.load().1 == 0;
+        let free =
+            || dispatcher.borrow().open.is_empty() && dispatcher.borrow().balancer.load().1 == 0;
         let all_free = async {
             while !free() {
                 sleep(Duration::from_millis(5)).await;
@@ -147,23 +150,26 @@
         timeout(Duration::from_secs(20), all_free)
             .await
             .expect("all is free in the end");
-        assert_eq!(driver.borrow().balancer.load().0, 0);
-        assert!(driver.borrow().events.is_empty());
+        assert_eq!(dispatcher.borrow().balancer.load().0, 0);
+        assert!(dispatcher.borrow().events.is_empty());
     });
 }
 
 #[test]
 fn an_answer_that_the_module_owes_is_given_before_the_client_s_time_is_up() {
     run(async {
-        let driver = start(vec![endpoint("silent", peer(None).await)]);
+        let dispatcher = start(vec![endpoint("silent", peer(None).await)]);
         let deadline = Duration::from_millis(400);
-        let (_, answer) = driver.borrow_mut().take(request(deadline)).expect("room");
+        let (_, answer) = dispatcher
+            .borrow_mut()
+            .accept(request(deadline))
+            .expect("room");
         // The timers that the module asked for are lost.
-        driver
+        dispatcher
             .borrow_mut()
             .timers
-            .retain(|Reverse((_, due))| matches!(due, Due::LastCall(_)));
-        driver.borrow_mut().open.values_mut().for_each(|open| {
+            .retain(|Reverse((_, due))| matches!(due, Due::DeadlineBackstop(_)));
+        dispatcher.borrow_mut().open.values_mut().for_each(|open| {
             open.attempts
                 .iter()
                 .for_each(|out| out.task.iter().for_each(AbortHandle::abort));
@@ -172,10 +178,10 @@
             .await
             .expect("in time")
             .expect("one");
-        assert!(matches!(answer, Final::Failed));
+        assert!(matches!(answer, FinalResponse::Failed));
         assert_eq!(
-            driver.borrow().balancer.load().0,
-            driver.borrow().open.len()
+            dispatcher.borrow().balancer.load().0,
+            dispatcher.borrow().open.len()
         );
     });
 }
@@ -183,25 +189,32 @@
 #[test]
 fn too_many_open_requests_are_not_taken() {
     run(async {
-        let driver = start(vec![endpoint("silent", peer(None).await)]);
-        driver.borrow_mut().most_open = 2;
-        let take = || driver.borrow_mut().take(request(Duration::from_secs(5)));
+        let dispatcher = start(vec![endpoint("silent", peer(None).await)]);
+        dispatcher.borrow_mut().most_open = 2;
+        let take = || {
+            dispatcher
+                .borrow_mut()
+                .accept(request(Duration::from_secs(5)))
+        };
         let kept = (take(), take());
         assert!(kept.0.is_ok() && kept.1.is_ok());
-        assert_eq!(take().err(), Some(Untaken::Full));
+        assert_eq!(take().err(), Some(RejectionReason::TooManyOpen));
     });
 }
 
 #[test]
 fn an_upstream_is_known_by_its_name_wherever_it_is() {
     run(async {
-        let driver = start(Vec::new());
+        let dispatcher = start(Vec::new());
         let at = |host| SocketAddr::from(([127, 0, 0, host], 9000));
-        let one = driver.borrow_mut().entry(endpoint("s", at(1)));
-        let two = driver.borrow_mut().entry(endpoint("s", at(2)));
-        assert_eq!((one.id, one.since), (two.id, 0.0));
-        assert_ne!(one.id, driver.borrow_mut().entry(endpoint("t", at(1))).id);
-        assert_eq!(driver.borrow().targets[&one.id].address, at(2));
+        let one = dispatcher.borrow_mut().entry(endpoint("s", at(1)));
+        let two = dispatcher.borrow_mut().entry(endpoint("s", at(2)));
+        assert_eq!((one.id, one.started_at), (two.id, 0.0));
+        assert_ne!(
+            one.id,
+            dispatcher.borrow_mut().entry(endpoint("t", at(1))).id
+        );
+        assert_eq!(dispatcher.borrow().targets[&one.id].address, at(2));
     });
 }
 
--- a/tests/unit/told.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification.rs
@@ -2,9 +2,9 @@
 //!
 //! Real sockets, and a clock that is moved by hand: the times are those of the program, not of the machine.
 
-use super::*;
+use super::super::*;
 use crate::config::Config;
-use ryequay::Settings;
+use load_balancer::Settings;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::future::Future;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -174,47 +174,48 @@
 }
 
 /// A balancer that knows an old list of this discovery.
-fn start(discovery: SocketAddr, mode: Discovery, seed: u64) -> Rc<RefCell<Driver>> {
+fn start(discovery: SocketAddr, mode: DiscoveryMode, seed: u64) -> Rc<RefCell<Dispatcher>> {
     start_in_fleet(discovery, mode, seed, 1)
 }
 
 /// The same, one of so many.
 fn start_in_fleet(
     discovery: SocketAddr,
-    mode: Discovery,
+    mode: DiscoveryMode,
     seed: u64,
-    peers_total: usize,
-) -> Rc<RefCell<Driver>> {
+    peer_count: usize,
+) -> Rc<RefCell<Dispatcher>> {
     let mut settings = Settings {
-        discovery: mode,
-        peers_total,
+        discovery_mode: mode,
+        peer_count,
         ..Settings::simple()
     };
-    settings.rules.told = 6.0;
+    settings.rules.notification_deadline = 6.0;
     let config = Config {
         name: "n".into(),
         listen: SocketAddr::from(([127, 0, 0, 1], 9)),
         discovery,
-        console: None,
+        admin: None,
         seed,
-        sockets: 1024,
-        memory: 32 << 20,
-        known: List {
+        max_descriptors: 1024,
+        memory_bytes: 32 << 20,
+        known_endpoints: EndpointList {
             index: 5,
             snapshot: true,
             endpoints: Vec::new(),
         },
         settings,
-        names: Names::default(),
+        names: NameTables::default(),
     };
-    Driver::start(config, Budget::new(1024, false)).expect("good settings")
+    Dispatcher::start(config, DescriptorBudget::new(1024, false)).expect("good settings")
 }
 
 /// The time from now until the news of this discovery are told.
-async fn told(driver: &RefCell<Driver>, discovery: &Stand) -> Duration {
+async fn told(dispatcher: &RefCell<Dispatcher>, discovery: &Stand) -> Duration {
     let begin = Instant::now();
-    let has = |driver: &Driver| (driver.source, driver.index) == (discovery.address, 6);
-    until(|| has(&driver.borrow())).await;
+    let has =
+        |dispatcher: &Dispatcher| (dispatcher.source, dispatcher.index) == (discovery.address, 6);
+    until(|| has(&dispatcher.borrow())).await;
     begin.elapsed()
 }
 
@@ -228,7 +229,7 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-const MODES: [Discovery; 2] = [Discovery::Push, Discovery::Ask];
+const MODES: [DiscoveryMode; 2] = [DiscoveryMode::Push, DiscoveryMode::Poll];
 const ALL: [Call; 7] = [
     Swallowed,
     Refused,
@@ -260,9 +261,9 @@
             for mode in MODES {
                 for seed in 0..4 {
                     let discovery = Stand::up(&script);
-                    let driver = start(discovery.address, mode, seed);
+                    let dispatcher = start(discovery.address, mode, seed);
                     until(|| discovery.calls() > 0).await;
-                    let time = told(&driver, &discovery).await;
+                    let time = told(&dispatcher, &discovery).await;
                     late.extend((time > TOLD).then(|| format!("{mode:?} {script:?} {time:?}")));
                 }
             }
@@ -280,17 +281,17 @@
         for first in [Refused, Reset, ResetInList, ResetAfterList] {
             for count in [1, 2, 60] {
                 let discovery = Stand::up(&vec![first; count]);
-                let driver = start(discovery.address, Discovery::Push, 1);
+                let dispatcher = start(discovery.address, DiscoveryMode::Push, 1);
                 until(|| discovery.calls() == count).await;
-                let time = told(&driver, &discovery).await;
+                let time = told(&dispatcher, &discovery).await;
                 assert!(time <= soon, "{first:?} {count} {time:?}");
             }
         }
         let discovery = Stand::down(&[]);
-        let driver = start(discovery.address, Discovery::Push, 1);
+        let dispatcher = start(discovery.address, DiscoveryMode::Push, 1);
         pass(8).await;
         discovery.open();
-        let time = told(&driver, &discovery).await;
+        let time = told(&dispatcher, &discovery).await;
         assert!(time <= soon, "{time:?}");
     });
 }
@@ -310,10 +311,10 @@
                 .flat_map(|mode| [Silent, Swallowed, Told(0)].map(|old| (*mode, old)))
             {
                 let (old, new) = (Stand::up(&[old]), Stand::up(&script));
-                let driver = start(old.address, mode, script.len() as u64);
+                let dispatcher = start(old.address, mode, script.len() as u64);
                 until(|| old.calls() > 0).await;
-                driver.borrow_mut().move_discovery(new.address);
-                let time = told(&driver, &new).await;
+                dispatcher.borrow_mut().set_discovery_address(new.address);
+                let time = told(&dispatcher, &new).await;
                 late.extend((time > TOLD).then(|| format!("{mode:?} {script:?} {time:?}")));
             }
         }
@@ -346,7 +347,7 @@
                         new.shut();
                     }
                     let at = |moves| if moves == 0 { new.address } else { old.address };
-                    let driver = start(at(moves), mode, seed);
+                    let dispatcher = start(at(moves), mode, seed);
                     // Moved to where it is not up yet, over another place, or away from there and back.
                     let ways = [
                         vec![],
@@ -355,12 +356,12 @@
                         vec![&new, &other, &new],
                     ];
                     for place in &ways[moves] {
-                        driver.borrow_mut().move_discovery(place.address);
+                        dispatcher.borrow_mut().set_discovery_address(place.address);
                         pass(1).await;
                     }
                     pass(8).await;
                     new.open();
-                    let time = told(&driver, &new).await;
+                    let time = told(&dispatcher, &new).await;
                     assert!(time <= TOLD, "{mode:?} {moves} {shut} {time:?}");
                 }
             }
@@ -374,7 +375,7 @@
 fn discovery_that_was_away_for_long_is_heard_in_time_in_a_fleet_of_any_size() {
     run(async {
         let mut late = Vec::new();
-        for (peers_total, shut) in [30, 300, 8700]
+        for (peer_count, shut) in [30, 300, 8700]
             .iter()
             .flat_map(|n| [(*n, false), (*n, true)])
         {
@@ -383,11 +384,12 @@
                 if shut {
                     discovery.shut();
                 }
-                let driver = start_in_fleet(discovery.address, Discovery::Ask, seed, peers_total);
+                let dispatcher =
+                    start_in_fleet(discovery.address, DiscoveryMode::Poll, seed, peer_count);
                 pass(away).await;
                 discovery.open();
-                let time = told(&driver, &discovery).await;
-                late.extend((time > TOLD).then(|| format!("{peers_total} {shut} {away} {time:?}")));
+                let time = told(&dispatcher, &discovery).await;
+                late.extend((time > TOLD).then(|| format!("{peer_count} {shut} {away} {time:?}")));
             }
         }
         assert!(late.is_empty(), "{late:#?}");
@@ -399,17 +401,18 @@
 fn discovery_that_refused_many_calls_at_once_is_heard_in_time_in_a_fleet_of_any_size() {
     run(async {
         let mut late = Vec::new();
-        for (peers_total, call) in [30, 300, 8700]
+        for (peer_count, call) in [30, 300, 8700]
             .iter()
             .flat_map(|n| [(*n, Refused), (*n, Reset)])
         {
             for (seed, count) in (0..8).flat_map(|seed| [(seed, 5), (seed, 9)]) {
                 let discovery = Stand::up(&vec![call; count]);
-                let driver = start_in_fleet(discovery.address, Discovery::Ask, seed, peers_total);
+                let dispatcher =
+                    start_in_fleet(discovery.address, DiscoveryMode::Poll, seed, peer_count);
                 until(|| discovery.calls() == count).await;
-                let time = told(&driver, &discovery).await;
+                let time = told(&dispatcher, &discovery).await;
                 late.extend(
-                    (time > TOLD).then(|| format!("{peers_total} {call:?} {count} {time:?}")),
+                    (time > TOLD).then(|| format!("{peer_count} {call:?} {count} {time:?}")),
                 );
             }
         }
@@ -428,7 +431,7 @@
         {
             let (old, other) = (Stand::up(&[Silent]), Stand::up(&[Swallowed; 60]));
             let discovery = Stand::up(&[Told(30); 60]);
-            let driver = start(
+            let dispatcher = start(
                 if moved {
                     old.address
                 } else {
@@ -439,16 +442,18 @@
             );
             if moved {
                 until(|| old.calls() > 0).await;
-                driver.borrow_mut().move_discovery(other.address);
-                driver.borrow_mut().move_discovery(discovery.address);
+                dispatcher.borrow_mut().set_discovery_address(other.address);
+                dispatcher
+                    .borrow_mut()
+                    .set_discovery_address(discovery.address);
             }
             until(|| discovery.calls() > 0).await;
-            let time = told(&driver, &discovery).await;
+            let time = told(&dispatcher, &discovery).await;
             assert!(time < Duration::from_secs(31), "{mode:?} {moved} {time:?}");
             assert_eq!(
                 (
-                    driver.borrow().watches.len(),
-                    driver.borrow().watches[0].broken
+                    dispatcher.borrow().watches.len(),
+                    dispatcher.borrow().watches[0].broken
                 ),
                 (1, false)
             );
@@ -465,16 +470,19 @@
     run(async {
         for seed in 0..6 {
             let discovery = Stand::up(&[Swallowed]);
-            let driver = start(discovery.address, Discovery::Ask, seed);
+            let dispatcher = start(discovery.address, DiscoveryMode::Poll, seed);
             until(|| discovery.calls() > 0).await;
             // Longer than where lists are pushed, and longer than such a call may take.
             let waited = discovery.came.borrow()[0] + Duration::from_millis(2500);
             until(|| Instant::now() >= waited).await;
-            assert_eq!((discovery.calls(), driver.borrow().watches.len()), (1, 1));
+            assert_eq!(
+                (discovery.calls(), dispatcher.borrow().watches.len()),
+                (1, 1)
+            );
             let discovery = Stand::up(&[GivenUp]);
-            let driver = start(discovery.address, Discovery::Ask, seed);
+            let dispatcher = start(discovery.address, DiscoveryMode::Poll, seed);
             until(|| discovery.calls() > 1).await;
-            assert_eq!(driver.borrow().watches.len(), 1);
+            assert_eq!(dispatcher.borrow().watches.len(), 1);
         }
     });
 }
@@ -486,10 +494,10 @@
     run(async {
         for seed in 0..6 {
             let discovery = Stand::up(&[Swallowed; 60]);
-            let driver = start(discovery.address, Discovery::Ask, seed);
+            let dispatcher = start(discovery.address, DiscoveryMode::Poll, seed);
             while discovery.calls() < 20 {
                 pass(1).await;
-                assert!(driver.borrow().watches.len() <= MOST_WATCHES);
+                assert!(dispatcher.borrow().watches.len() <= MOST_WATCHES);
             }
             let came = discovery.came.borrow();
             assert!(
@@ -507,11 +515,11 @@
     run(async {
         for mode in MODES {
             let (old, new) = (Stand::up(&[Lives(12)]), Stand::up(&[Swallowed; 60]));
-            let driver = start(old.address, mode, 1);
+            let dispatcher = start(old.address, mode, 1);
             until(|| old.calls() > 0).await;
-            driver.borrow_mut().move_discovery(new.address);
+            dispatcher.borrow_mut().set_discovery_address(new.address);
             assert!(
-                told(&driver, &old).await < Duration::from_secs(13),
+                told(&dispatcher, &old).await < Duration::from_secs(13),
                 "{mode:?}"
             );
             assert!(new.calls() > 3);
@@ -525,15 +533,15 @@
     run(async {
         for mode in MODES {
             let discovery = Stand::up(&[Reset, Swallowed, Swallowed]);
-            let driver = start(discovery.address, mode, 1);
-            let budget = driver.borrow().budget.clone();
+            let dispatcher = start(discovery.address, mode, 1);
+            let budget = dispatcher.borrow().budget.clone();
             let taken: Vec<_> =
-                std::iter::from_fn(|| budget.take(crate::socket::Purpose::Refusal)).collect();
+                std::iter::from_fn(|| budget.acquire(crate::socket::Purpose::Rejection)).collect();
             // Another process takes a half of them.
-            budget.limit(512);
+            budget.set_limit(512);
             assert!(taken.len() > 512);
             until(|| discovery.calls() > 0).await;
-            let time = told(&driver, &discovery).await;
+            let time = told(&dispatcher, &discovery).await;
             assert!(time <= Duration::from_secs(6), "{mode:?} {time:?}");
         }
     });
--- a/src/bin/magpiechute/upgrade.rs
+++ b/src/bin/load-balancer/handover/mod.rs
@@ -2,13 +2,16 @@
 //!
 //! Both meet at a Unix socket in `$TMPDIR`, and what has to outlast a process is in a file beside it.
 
-use crate::driver::Driver;
+mod retry_stream;
+mod state_file;
+
+use crate::dispatch::Dispatcher;
+use crate::handover::retry_stream::RetryOnInterrupt;
+use crate::handover::state_file::{State, StateError};
 use crate::log;
 use crate::server::Server;
-use crate::socket::Budget;
-use crate::state_file::{State, StateError};
-use crate::steady::Steady;
-use crate::system_errors::is_passing;
+use crate::socket::system_errors::is_transient;
+use crate::socket::DescriptorBudget;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -40,6 +43,9 @@
 /// and for so long.
 const MEET_PATIENCE: Duration = Duration::from_secs(1);
 
+/// Files in `$TMPDIR` begin with this name: versions up to 47c951f look for it.
+const FILE_PREFIX: &str = "magpiechute";
+
 /// What one process tells the other, a line each.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -55,57 +61,57 @@
 }
 
 /// The process's part in an upgrade.
-pub struct Upgrade {
+pub struct Handover {
     /// `None` where there is no `$TMPDIR`: then nothing is kept, and nobody met.
     folder: Option<PathBuf>,
     address: Cell<SocketAddr>,
-    driver: Rc<RefCell<Driver>>,
+    dispatcher: Rc<RefCell<Dispatcher>>,
     server: Rc<Server>,
-    budget: Rc<Budget>,
+    budget: Rc<DescriptorBudget>,
     /// The most descriptors of both processes together.
     sockets: usize,
     /// Where the other process hears of changes, if there is one.
     other: RefCell<Option<UnboundedSender<Line>>>,
     /// A new process takes the clients' connections.
-    replaced: Cell<bool>,
+    is_replaced: Cell<bool>,
     /// The folder has not taken what is to outlast this process.
     unsaved: Cell<bool>,
 }
 
-impl Upgrade {
+impl Handover {
     pub fn new(
         folder: Option<PathBuf>,
         address: SocketAddr,
-        driver: Rc<RefCell<Driver>>,
+        dispatcher: Rc<RefCell<Dispatcher>>,
         server: Rc<Server>,
-        budget: Rc<Budget>,
+        budget: Rc<DescriptorBudget>,
         sockets: usize,
     ) -> Rc<Self> {
-        let (other, replaced, unsaved) = Default::default();
+        let (other, is_replaced, unsaved) = Default::default();
         let address = Cell::new(address);
-        Rc::new(Upgrade {
+        Rc::new(Handover {
             folder,
             address,
-            driver,
+            dispatcher,
             server,
             budget,
             sockets,
             other,
-            replaced,
+            is_replaced,
             unsaved,
         })
     }
 
     /// True once a new process takes the clients' connections.
-    pub fn replaced(&self) -> bool {
-        self.replaced.get()
+    pub fn is_replaced(&self) -> bool {
+        self.is_replaced.get()
     }
 
     fn path(&self, kind: &str) -> Option<PathBuf> {
         Some(
             self.folder
                 .as_ref()?
-                .join(format!("magpiechute-{}.{kind}", self.address.get())),
+                .join(format!("{FILE_PREFIX}-{}.{kind}", self.address.get())),
         )
     }
 
@@ -115,10 +121,10 @@
         // The other process, or the one before, may have been told something that this one has not heard of yet. Guards
         // against writing over what can't be read just now.
         match self.adopt() {
-            Some(Err(error)) if error.is_passing() => return Err(io::Error::other(error)),
+            Some(Err(error)) if error.is_transient() => return Err(io::Error::other(error)),
             _ => {}
         }
-        let known = self.driver.borrow_mut().maintain(name, out);
+        let known = self.dispatcher.borrow_mut().set_maintenance(name, out);
         if known {
             self.keep()?;
         }
@@ -154,12 +160,12 @@
             return Ok(());
         };
         let out = self
-            .driver
+            .dispatcher
             .borrow()
-            .left_out()
+            .upstreams_in_maintenance()
             .map(str::to_string)
             .collect();
-        let knowledge = self.driver.borrow().knowledge();
+        let knowledge = self.dispatcher.borrow().learned_state();
         State {
             balancer: self.address.get().to_string(),
             out,
@@ -175,7 +181,7 @@
         let path = self.path("state").filter(|_| !self.unsaved.get())?;
         let state = State::read(&path, self.address.get());
         if let Ok(state) = &state {
-            self.driver.borrow_mut().leave_out(&state.out);
+            self.dispatcher.borrow_mut().restore_maintenance(&state.out);
         }
         Some(state)
     }
@@ -185,7 +191,7 @@
         let until = Instant::now() + MEET_PATIENCE;
         loop {
             match self.adopt()? {
-                Err(error) if error.is_passing() && Instant::now() < until => {
+                Err(error) if error.is_transient() && Instant::now() < until => {
                     sleep(MEET_AGAIN).await
                 }
                 adopted => return Some(adopted),
@@ -207,7 +213,7 @@
         loop {
             match UnixStream::connect(path).await {
                 Ok(stream) => return Some(stream),
-                Err(error) if is_passing(&error) && Instant::now() < until => {
+                Err(error) if is_transient(&error) && Instant::now() < until => {
                     sleep(MEET_AGAIN).await
                 }
                 Err(_) => return None,
@@ -217,7 +223,7 @@
 
     /// Takes over what a process before has left. If it still runs, this one has the descriptors that it can spare,
     /// and is to listen only once it is ready.
-    pub async fn succeed(self: &Rc<Self>) {
+    pub async fn take_over(self: &Rc<Self>) {
         let Some(path) = self.path("sock") else {
             return;
         };
@@ -236,7 +242,7 @@
             ..
         }) = self.restore().await
         {
-            self.driver.borrow_mut().recall(age, knowledge);
+            self.dispatcher.borrow_mut().restore(age, knowledge);
         }
     }
 
@@ -244,7 +250,7 @@
     async fn meet(self: &Rc<Self>, old: UnixStream) -> bool {
         log::line("another process runs beside this one".into());
         // Until it has said what it holds.
-        self.budget.limit(self.sockets / 2);
+        self.budget.set_limit(self.sockets / 2);
         let heard = Rc::new(Notify::new());
         self.talk(old, heard.clone());
         self.tell(Line::Hello);
@@ -252,11 +258,11 @@
             return true;
         }
         log::line("the other process does not say what it holds".into());
-        self.is_beside()
+        self.has_peer()
     }
 
     /// True while another process runs beside this one.
-    pub fn is_beside(&self) -> bool {
+    pub fn has_peer(&self) -> bool {
         self.other.borrow().is_some()
     }
 
@@ -316,7 +322,7 @@
     /// Hears the other process to its end; `heard` is told once it has said what it holds.
     fn talk(self: &Rc<Self>, stream: UnixStream, heard: Rc<Notify>) {
         let (input, output) = stream.into_split();
-        let mut output = Steady(output);
+        let mut output = RetryOnInterrupt(output);
         let (sender, mut lines) = unbounded_channel::<Line>();
         *self.other.borrow_mut() = Some(sender);
         spawn_local(async move {
@@ -329,21 +335,21 @@
                 let _ = output.write_all(&text).await;
             }
         });
-        let upgrade = self.clone();
+        let handover = self.clone();
         spawn_local(async move {
-            upgrade.hear(input, &heard).await;
+            handover.hear(input, &heard).await;
             log::line("the other process has gone".into());
-            *upgrade.other.borrow_mut() = None;
-            upgrade.budget.limit(upgrade.sockets);
-            if upgrade.replaced.replace(false) {
+            *handover.other.borrow_mut() = None;
+            handover.budget.set_limit(handover.sockets);
+            if handover.is_replaced.replace(false) {
                 // It was the new one: the next will look for this one.
-                upgrade.settle(upgrade.address.get());
+                handover.settle(handover.address.get());
             }
         });
     }
 
     async fn hear(self: &Rc<Self>, input: OwnedReadHalf, heard: &Notify) {
-        let mut lines = BufReader::new(Steady(input)).lines();
+        let mut lines = BufReader::new(RetryOnInterrupt(input)).lines();
         while let Ok(Some(line)) = lines.next_line().await {
             match serde_json::from_str(&line) {
                 Ok(Line::Hello) => {
@@ -352,15 +358,15 @@
                     // One that can't be written now is told of later.
                     let _ = self.keep();
                     let share = self.sockets / 2;
-                    self.budget.limit(share);
-                    self.server.make_room_down_to(share).await;
-                    self.tell(Line::Holds(self.budget.held().max(share)));
+                    self.budget.set_limit(share);
+                    self.server.evict_down_to(share).await;
+                    self.tell(Line::Holds(self.budget.in_use().max(share)));
                 }
                 Ok(Line::Holds(count)) => {
-                    self.budget.limit(self.sockets.saturating_sub(count));
+                    self.budget.set_limit(self.sockets.saturating_sub(count));
                     heard.notify_one();
                 }
-                Ok(Line::Ready) => self.replaced.set(true),
+                Ok(Line::Ready) => self.is_replaced.set(true),
                 Ok(Line::State) => drop(self.restore().await),
                 Err(error) => {
                     return log::line(format!("the other process can't be understood: {error}"))
--- a/src/bin/magpiechute/steady.rs
+++ b/src/bin/load-balancer/handover/retry_stream.rs
@@ -1,19 +1,19 @@
 //! A stream on which an interrupted call, or one that is short of memory for a moment, is no end.
 
-use crate::system_errors::is_shortage;
+use crate::socket::system_errors::is_resource_exhaustion;
 use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// Reads and writes on a stream, again where a call was interrupted; after a shortage in a later turn of the event loop.
-pub struct Steady<T>(pub T);
+pub struct RetryOnInterrupt<T>(pub T);
 
 /// What becomes of a call: `None` if it is to be made again at once.
 fn settled<T>(result: Poll<io::Result<T>>, context: &Context) -> Option<Poll<io::Result<T>>> {
     match result {
         Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::Interrupted => None,
-        Poll::Ready(Err(error)) if is_shortage(&error) => {
+        Poll::Ready(Err(error)) if is_resource_exhaustion(&error) => {
             context.waker().wake_by_ref();
             Some(Poll::Pending)
         }
@@ -21,7 +21,7 @@
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for Steady<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for RetryOnInterrupt<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context,
@@ -36,7 +36,7 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for Steady<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for RetryOnInterrupt<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context,
--- a/src/bin/magpiechute/state_file.rs
+++ b/src/bin/load-balancer/handover/state_file.rs
@@ -1,7 +1,7 @@
 //! The file in which a process leaves to the next what has to outlast it.
 
-use crate::system_errors::is_passing;
-use ryequay::Knowledge;
+use crate::socket::system_errors::is_transient;
+use load_balancer::LearnedState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::io;
@@ -19,7 +19,7 @@
     pub out: BTreeSet<String>,
     /// What the module has learned.
     #[serde(default)]
-    pub knowledge: Knowledge,
+    pub knowledge: LearnedState,
     /// How long ago it was written, where it was read. The file's own time tells: the wall clocks that two processes
     /// read at their starts may differ.
     #[serde(skip)]
@@ -42,8 +42,8 @@
 
 impl StateError {
     /// True if the file may be read a moment later.
-    pub fn is_passing(&self) -> bool {
-        matches!(self, StateError::Unreadable(_, error) if is_passing(error))
+    pub fn is_transient(&self) -> bool {
+        matches!(self, StateError::Unreadable(_, error) if is_transient(error))
     }
 }
 
--- a/src/bin/magpiechute/main.rs
+++ b/src/bin/load-balancer/main.rs
@@ -1,41 +1,37 @@
-//! magpiechute, the balancer on real sockets. See README.md for what it is told and what it promises.
+//! The load balancer on real sockets. See README.md for what it is told and what it promises.
 
 mod admin;
-mod bodies;
+mod body;
 mod config;
 mod discovery;
-mod driver;
-mod listener;
+mod dispatch;
+mod handover;
 mod log;
-mod raw_head;
+mod metrics;
 mod server;
 mod signals;
 mod socket;
-mod state_file;
-mod stats;
-mod steady;
-mod system_errors;
-mod upgrade;
 mod upstream;
 
 use admin::Admin;
 use config::{Config, ConfigError};
-use driver::Driver;
-use listener::Listener;
+use dispatch::Dispatcher;
+
+use handover::Handover;
+use server::listener::Listener;
 use server::Server;
 use signals::{Signal, SIGHUP, SIGINT, SIGTERM};
-use socket::Budget;
+use socket::system_errors::retry_transient_errors;
+use socket::DescriptorBudget;
 use std::cell::RefCell;
 use std::error::Error;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
-use system_errors::outlasting;
 use tokio::runtime;
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
-use upgrade::Upgrade;
 
 /// After SIGTERM connections are still taken for this long: the front has yet to notice.
 const STILL_ACCEPT: Duration = Duration::from_millis(800);
@@ -65,14 +61,15 @@
         std::process::abort();
     }));
     // Without a thread for the log its lines are lost, and nothing else.
-    let _ = outlasting(log::start);
-    let result = outlasting(|| runtime::Builder::new_current_thread().enable_all().build())
-        .map_err(Into::into)
-        .and_then(|runtime| LocalSet::new().block_on(&runtime, run()));
+    let _ = retry_transient_errors(log::start);
+    let result =
+        retry_transient_errors(|| runtime::Builder::new_current_thread().enable_all().build())
+            .map_err(Into::into)
+            .and_then(|runtime| LocalSet::new().block_on(&runtime, run()));
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("magpiechute: {error}");
+            eprintln!("load-balancer: {error}");
             ExitCode::FAILURE
         }
     }
@@ -84,9 +81,9 @@
     // Guards against an end by SIGHUP before there is anything to load again.
     let hangup = Signal::listen(SIGHUP)?;
     let config = Config::load()?;
-    let (name, address, sockets) = (config.name.clone(), config.listen, config.sockets);
-    let budget = Budget::new(sockets, config.console.is_some());
-    let admin = match config.console {
+    let (name, address, sockets) = (config.name.clone(), config.listen, config.max_descriptors);
+    let budget = DescriptorBudget::new(sockets, config.admin.is_some());
+    let admin = match config.admin {
         Some(address) => Some(
             Listener::bind(address, false)
                 .map_err(|error| format!("listen on {address} for operators: {error}"))?,
@@ -98,32 +95,33 @@
         .classes
         .iter()
         .fold(0.0, |longest: f64, c| longest.max(c.deadline));
-    let driver = Driver::start(config, budget.clone())?;
-    let server = Server::new(driver.clone(), budget.clone());
+    let dispatcher = Dispatcher::start(config, budget.clone())?;
+    let server = Server::new(dispatcher.clone(), budget.clone());
     let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
-    let upgrade = Upgrade::new(
+    let handover = Handover::new(
         folder,
         address,
-        driver.clone(),
+        dispatcher.clone(),
         server.clone(),
         budget.clone(),
         sockets,
     );
     if let Some(listener) = admin {
-        let address = outlasting(|| listener.local_addr())?;
+        let address = retry_transient_errors(|| listener.local_addr())?;
         log::line(format!("{name} takes operators' calls at {address}"));
         spawn_local(
-            Admin::new(driver.clone(), server.clone(), upgrade.clone(), budget).accept(listener),
+            Admin::new(dispatcher.clone(), server.clone(), handover.clone(), budget)
+                .accept(listener),
         );
     }
-    let pool = driver.borrow().pool().clone();
+    let pool = dispatcher.borrow().pool().clone();
     spawn_local(async move {
         loop {
             sleep(SWEEP).await;
-            pool.sweep();
+            pool.close_expired();
         }
     });
-    let reloaded = driver.clone();
+    let reloaded = dispatcher.clone();
     spawn_local(async move {
         loop {
             hangup.received().await;
@@ -131,10 +129,10 @@
         }
     });
     let ready = async {
-        upgrade.succeed().await;
+        handover.take_over().await;
         // Guards against taking clients from an old process before they can be served. Once that has gone, nobody else
         // listens.
-        while upgrade.is_beside() && !driver.borrow().is_ready() {
+        while handover.has_peer() && !dispatcher.borrow().is_ready() {
             sleep(LOOK).await;
         }
     };
@@ -145,9 +143,9 @@
     }
     let listener =
         Listener::bind(address, true).map_err(|error| format!("listen on {address}: {error}"))?;
-    let address = outlasting(|| listener.local_addr())?;
+    let address = retry_transient_errors(|| listener.local_addr())?;
     server.open();
-    upgrade.settle(address);
+    handover.settle(address);
     log::line(format!("{name} listens on {address}"));
     let ended = async {
         tokio::select! {
@@ -158,7 +156,7 @@
     server.accept(&listener, ended).await;
     log::line(format!("{name} drains"));
     let longest = Duration::try_from_secs_f64(longest).unwrap_or_default();
-    drain(&server, listener, upgrade.replaced(), longest).await;
+    drain(&server, listener, handover.is_replaced(), longest).await;
     // What was taken is settled before its deadline; then its answer is written.
     let over = async {
         while server.connections() > 0 {
@@ -176,7 +174,7 @@
 
 /// Reads the configuration again, all of it; one that is bad changes nothing, and one that can't be opened is tried again
 /// for a while. What the balancer can take over while it runs is the address of discovery.
-async fn reload(driver: &RefCell<Driver>) {
+async fn reload(dispatcher: &RefCell<Dispatcher>) {
     let until = Instant::now() + READ_PATIENCE;
     let mut read = Config::reload();
     while matches!(read, Err(ConfigError::Unreadable(..))) && Instant::now() < until {
@@ -186,7 +184,9 @@
     match read {
         Ok(config) => {
             log::line(format!("{} has read its configuration again", config.name));
-            driver.borrow_mut().move_discovery(config.discovery);
+            dispatcher
+                .borrow_mut()
+                .set_discovery_address(config.discovery);
         }
         Err(error) => log::line(format!("the configuration stays as it was: {error}")),
     }
@@ -194,20 +194,20 @@
 
 /// Goes on accepting for a while, unless a new process takes the clients' connections, then until the kernel holds no
 /// more, and closes the listener.
-async fn drain(server: &Rc<Server>, listener: Listener, replaced: bool, longest: Duration) {
+async fn drain(server: &Rc<Server>, listener: Listener, is_replaced: bool, longest: Duration) {
     let settled = Instant::now() + last_moment(longest);
     server.drain(settled);
     let still_accept = still_accept(longest);
-    if !replaced {
+    if !is_replaced {
         server.accept(&listener, sleep(still_accept)).await;
     }
     if let Err(error) = server.close(listener, settled).await {
         log::line(format!("close: {error}"));
     }
-    if replaced {
+    if is_replaced {
         sleep(still_accept).await;
     }
-    server.drain_fresh();
+    server.drain_new_connections();
 }
 
 /// From SIGTERM to the moment by which all is settled, where the longest deadline is this.
@@ -221,5 +221,4 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/magpiechute.rs"]
 mod tests;
--- a/src/bin/magpiechute/stats.rs
+++ b/src/bin/load-balancer/metrics/mod.rs
@@ -6,15 +6,15 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     Served,
-    Refused,
+    Rejected,
     Failed,
 }
 
 /// The requests of one class that have ended, by their endings.
 #[derive(Clone, Copy, Debug, Default)]
-struct Ended {
+struct AttemptEnd {
     served: u64,
     refused: u64,
     failed: u64,
@@ -22,20 +22,20 @@
 
 /// Counts from the start of the process.
 #[derive(Debug)]
-pub struct Stats {
+pub struct Metrics {
     /// Names of the classes, and what has ended of each.
-    classes: RefCell<Vec<(String, Ended)>>,
+    classes: RefCell<Vec<(String, AttemptEnd)>>,
     attempts: Cell<u64>,
     in_flight: Cell<u64>,
 }
 
-impl Stats {
+impl Metrics {
     pub fn new(classes: &[String]) -> Rc<Self> {
         let classes = classes
             .iter()
-            .map(|name| (name.clone(), Ended::default()))
+            .map(|name| (name.clone(), AttemptEnd::default()))
             .collect();
-        Rc::new(Stats {
+        Rc::new(Metrics {
             classes: RefCell::new(classes),
             attempts: Cell::new(0),
             in_flight: Cell::new(0),
@@ -43,17 +43,17 @@
     }
 
     /// A request of this class has been taken.
-    pub fn take(self: &Rc<Self>, class: usize) -> InFlight {
+    pub fn begin_request(self: &Rc<Self>, class: usize) -> InFlightRequest {
         self.in_flight.set(self.in_flight.get() + 1);
-        InFlight {
-            stats: self.clone(),
+        InFlightRequest {
+            metrics: self.clone(),
             class,
             open: Cell::new(true),
         }
     }
 
     /// The last byte of an attempt has been written.
-    pub fn attempt_written(&self) {
+    pub fn count_attempt(&self) {
         self.attempts.set(self.attempts.get() + 1);
     }
 
@@ -80,37 +80,36 @@
 /// A request that has been taken and has not ended. If it is dropped before it ended, its client has left, and it
 /// is counted under no ending.
 #[derive(Debug)]
-pub struct InFlight {
-    stats: Rc<Stats>,
+pub struct InFlightRequest {
+    metrics: Rc<Metrics>,
     class: usize,
     open: Cell<bool>,
 }
 
-impl InFlight {
+impl InFlightRequest {
     /// It has ended; only the first ending counts.
-    pub fn end(&self, ending: Ending) {
+    pub fn end(&self, ending: RequestOutcome) {
         if !self.open.replace(false) {
             return;
         }
-        self.stats.in_flight.set(self.stats.in_flight.get() - 1);
-        if let Some((_, ended)) = self.stats.classes.borrow_mut().get_mut(self.class) {
+        self.metrics.in_flight.set(self.metrics.in_flight.get() - 1);
+        if let Some((_, ended)) = self.metrics.classes.borrow_mut().get_mut(self.class) {
             match ending {
-                Ending::Served => ended.served += 1,
-                Ending::Refused => ended.refused += 1,
-                Ending::Failed => ended.failed += 1,
+                RequestOutcome::Served => ended.served += 1,
+                RequestOutcome::Rejected => ended.refused += 1,
+                RequestOutcome::Failed => ended.failed += 1,
             }
         }
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         if self.open.get() {
-            self.stats.in_flight.set(self.stats.in_flight.get() - 1);
+            self.metrics.in_flight.set(self.metrics.in_flight.get() - 1);
         }
     }
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/stats.rs"]
 mod tests;
--- a/src/bin/magpiechute/listener.rs
+++ b/src/bin/load-balancer/server/listener.rs
@@ -1,6 +1,6 @@
 //! A listening socket whose connections outlast a passing failure of the calls that make them ready for use.
 
-use crate::system_errors::{is_passing, outlasting};
+use crate::socket::system_errors::{is_transient, retry_transient_errors};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use std::io;
 use std::net::{self, SocketAddr};
@@ -31,13 +31,14 @@
     /// Those of the system: the address is taken or not of this machine, or the failure lasts.
     pub fn bind(address: SocketAddr, shared: bool) -> io::Result<Self> {
         let domain = Domain::for_address(address);
-        let socket = outlasting(|| Socket::new(domain, Type::STREAM, Some(Protocol::TCP)))?;
-        outlasting(|| socket.set_nonblocking(true))?;
-        outlasting(|| socket.set_reuse_address(true))?;
-        outlasting(|| socket.set_reuse_port(shared))?;
-        outlasting(|| socket.bind(&address.into()))?;
-        outlasting(|| socket.listen(BACKLOG))?;
-        let watched = outlasting(|| TcpStream::from_std(socket.try_clone()?.into()))?;
+        let socket =
+            retry_transient_errors(|| Socket::new(domain, Type::STREAM, Some(Protocol::TCP)))?;
+        retry_transient_errors(|| socket.set_nonblocking(true))?;
+        retry_transient_errors(|| socket.set_reuse_address(true))?;
+        retry_transient_errors(|| socket.set_reuse_port(shared))?;
+        retry_transient_errors(|| socket.bind(&address.into()))?;
+        retry_transient_errors(|| socket.listen(BACKLOG))?;
+        let watched = retry_transient_errors(|| TcpStream::from_std(socket.try_clone()?.into()))?;
         Ok(Listener(watched))
     }
 
@@ -55,7 +56,7 @@
     /// # Errors
     ///
     /// Those of accept(2).
-    pub async fn accept(&self) -> io::Result<Accepted> {
+    pub async fn accept(&self) -> io::Result<PendingConnection> {
         loop {
             self.0.readable().await?;
             match self.0.try_io(Interest::READABLE, || self.accept_now()) {
@@ -70,16 +71,16 @@
     /// # Errors
     ///
     /// As above; `WouldBlock` if there is none.
-    pub fn accept_now(&self) -> io::Result<Accepted> {
+    pub fn accept_now(&self) -> io::Result<PendingConnection> {
         let (stream, _) = SockRef::from(&self.0).accept()?;
-        Ok(Accepted(stream.into()))
+        Ok(PendingConnection(stream.into()))
     }
 }
 
 /// A connection that has been taken, and can't be waited on yet.
-pub struct Accepted(net::TcpStream);
+pub struct PendingConnection(net::TcpStream);
 
-impl Accepted {
+impl PendingConnection {
     /// Has the runtime watch it. Guards against a connection that is closed, as the runtime does, because the call for
     /// that fails for a moment: a second descriptor keeps it, if there is room for one.
     ///
@@ -93,7 +94,7 @@
         loop {
             let spare = stream.try_clone();
             match (TcpStream::from_std(stream), spare) {
-                (Err(error), Ok(spare)) if is_passing(&error) && tries < REGISTER_TRIES => {
+                (Err(error), Ok(spare)) if is_transient(&error) && tries < REGISTER_TRIES => {
                     stream = spare
                 }
                 (result, _) => return result,
--- a/src/bin/magpiechute/server.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -1,21 +1,24 @@
 //! Callers: takes their connections and requests, and gives them their answers.
 
-use crate::bodies::{Broken, Memory, Reply, Upload, CLIENT_STALL};
-use crate::driver::{Driver, Final, Taken, Untaken};
-use crate::listener::{Accepted, Listener};
+pub mod listener;
+mod raw_head;
+
+use crate::body::{BodyError, MemoryBudget, ResponseBody, Upload, CLIENT_STALL};
+use crate::dispatch::{AcceptedRequest, Dispatcher, FinalResponse, RejectionReason};
 use crate::log;
-use crate::raw_head::RawHead;
-use crate::socket::{Budget, Purpose, Socket};
-use crate::stats::{Ending, Stats};
-use crate::system_errors::{is_over, is_own_limit};
-use crate::upstream::{end_to_end, Content, Forward};
+use crate::metrics::{Metrics, RequestOutcome};
+use crate::server::listener::{Listener, PendingConnection};
+use crate::server::raw_head::RawHead;
+use crate::socket::system_errors::{is_connection_error, is_descriptor_limit};
+use crate::socket::{DescriptorBudget, Purpose, Socket};
+use crate::upstream::{end_to_end_headers, ForwardedRequest, ResponseContent};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
-use ryequay::{Effect, RequestId};
+use load_balancer::{Idempotency, RequestId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -65,7 +68,7 @@
 const LASTING_SHORTAGE: u32 = 10;
 
 /// A client's connection, as far as others need to see it.
-struct Client {
+struct ClientConnection {
     socket: Socket,
     opened: Instant,
     /// Since when it has waited for its next request to be whole; `None` while one is being served.
@@ -95,10 +98,10 @@
     settled: Rc<Notify>,
 }
 
-impl Client {
+impl ClientConnection {
     fn new(socket: Socket) -> Rc<Self> {
         let opened = Instant::now();
-        Rc::new(Client {
+        Rc::new(ClientConnection {
             socket,
             opened,
             idle: Cell::new(Some(opened)),
@@ -121,10 +124,10 @@
     /// It waits for its next request.
     fn rest(&self) {
         self.idle.set(Some(Instant::now()));
-        self.socket.rest();
+        self.socket.mark_idle();
         // Heads are looked for in what came last: the fewer bytes the better.
         if self.ends_at.get() == Some(self.socket.read()) {
-            self.socket.forget_recent();
+            self.socket.clear_recent_bytes();
         }
     }
 
@@ -148,11 +151,11 @@
 
     /// Ends when the peer has stood still, or dawdled with its first request, for longer than any should: also
     /// when it takes no bytes of its answer, or doesn't notice that the connection closes.
-    async fn stuck(&self) {
+    async fn stalled(&self) {
         let most = || if self.closing.get() { HURRIED } else { IDLE };
         loop {
             let now = Instant::now();
-            let until = match (self.idle.get(), self.socket.asking()) {
+            let until = match (self.idle.get(), self.socket.request_started_at()) {
                 // The end of its answer has still to go.
                 (Some(_), _) if self.socket.is_blocked() => {
                     self.socket.last_written() + TAKES_NOTHING
@@ -162,8 +165,10 @@
                     since.max(self.socket.last_read()) + CLIENT_STALL
                 }
                 // It may take its time for a head, also while the process ends.
-                (Some(_), Some(asking)) => {
-                    self.first_request().unwrap_or(asking + FIRST_REQUEST) + GRACE
+                (Some(_), Some(request_started_at)) => {
+                    self.first_request()
+                        .unwrap_or(request_started_at + FIRST_REQUEST)
+                        + GRACE
                 }
                 (Some(since), None) => {
                     // A client that takes what it is given is not idle.
@@ -189,8 +194,8 @@
     /// where bytes behind the request hide the end of the connection: whoever reads them would read no further.
     async fn left(&self) {
         loop {
-            self.socket.stirs().await;
-            if self.waits.get() && self.socket.has_left() {
+            self.socket.readable().await;
+            if self.waits.get() && self.socket.is_disconnected() {
                 return;
             }
             sleep(LOOK).await;
@@ -201,16 +206,16 @@
     /// then those that have never sent anything or only asked for health, those that don't finish their first
     /// request, those that wait for a further one, then any on which nothing but calls for health has come, and at last
     /// those whose first request still comes; among the same, the longest.
-    fn dearness(&self) -> Option<(usize, Instant)> {
+    fn eviction_priority(&self) -> Option<(usize, Instant)> {
         let spare = !self.evicting.get() && !self.socket.is_blocked();
         let since = self.idle.get().filter(|_| spare)?;
         let age = since.elapsed();
-        let kind = match (self.fresh.get(), self.socket.asking()) {
+        let kind = match (self.fresh.get(), self.socket.request_started_at()) {
             _ if self.over.get() => 0,
             (false, None) if age >= SPARE => 0,
             (true, None) if age >= SILENT => 1,
             (false, None) if age >= SILENT && !self.asked.get() => 1,
-            (_, Some(asking)) if asking.elapsed() >= HALF_SENT => 2,
+            (_, Some(request_started_at)) if request_started_at.elapsed() >= HALF_SENT => 2,
             (false, None) if age >= HALF_SENT => 3,
             // Guards against shutting whoever comes with a request for the sake of those that come with nothing.
             (_, None) if !self.asked.get() => 4,
@@ -249,9 +254,9 @@
 
 /// The listener and the connections that came from it.
 pub struct Server {
-    driver: Rc<RefCell<Driver>>,
-    budget: Rc<Budget>,
-    clients: RefCell<BTreeMap<u64, Rc<Client>>>,
+    dispatcher: Rc<RefCell<Dispatcher>>,
+    budget: Rc<DescriptorBudget>,
+    clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     accepted: Cell<u64>,
     /// Clients' connections are taken.
     listens: Cell<bool>,
@@ -266,21 +271,24 @@
     serves_more_until: Cell<Option<Instant>>,
     /// When the log last told of a failed accept.
     accept_failed: Cell<Option<Instant>>,
-    stats: Rc<Stats>,
-    memory: Rc<Memory>,
+    metrics: Rc<Metrics>,
+    memory: Rc<MemoryBudget>,
 }
 
 impl Server {
-    pub fn new(driver: Rc<RefCell<Driver>>, budget: Rc<Budget>) -> Rc<Self> {
-        let (stats, memory) = (driver.borrow().stats().clone(), driver.borrow().memory());
+    pub fn new(dispatcher: Rc<RefCell<Dispatcher>>, budget: Rc<DescriptorBudget>) -> Rc<Self> {
+        let (metrics, memory) = (
+            dispatcher.borrow().metrics().clone(),
+            dispatcher.borrow().memory(),
+        );
         Rc::new(Server {
-            driver,
+            dispatcher,
             budget,
             away: Cell::new(None),
             last_away: Cell::new(0),
             serves_more_until: Cell::new(None),
             accept_failed: Cell::new(None),
-            stats,
+            metrics,
             memory,
             clients: RefCell::default(),
             accepted: Cell::new(0),
@@ -314,7 +322,7 @@
     /// Waits before the next accept, if this error asks for that. A passing shortage must not cost other clients their
     /// connections; where the process itself holds too many descriptors for long, one is closed.
     async fn wait_out(&self, shortage: &mut Shortage, error: &io::Error) {
-        if is_over(error) {
+        if is_connection_error(error) {
             // The next in the queue may be a good one.
             return yield_now().await;
         }
@@ -327,8 +335,8 @@
             log::line(format!("accept: {error}"));
         }
         shortage.goes_on();
-        if shortage.lasts() && is_own_limit(error) {
-            self.make_room().await;
+        if shortage.lasts() && is_descriptor_limit(error) {
+            self.evict_idle_connection().await;
         }
         match shortage.in_a_row {
             1 => yield_now().await,
@@ -342,18 +350,18 @@
         self.draining.set(Some(settled));
         self.late.set(Some(Instant::now() + LATE));
         self.serves_more_until.set(Some(Instant::now() + LATE));
-        self.driver.borrow_mut().settle(settled);
+        self.dispatcher.borrow_mut().set_drain_deadline(settled);
         self.clients
             .borrow()
             .values()
             .filter(|client| !client.fresh.get())
             .for_each(|client| client.close());
-        self.driver.borrow().pool().clear();
+        self.dispatcher.borrow().pool().close_all();
     }
 
     /// Sends clients away, or welcomes them again. Guards against requests that cross the end of their connection:
     /// answers say at once that it ends, but one that is idle ends only after the front has noticed.
-    pub fn send_away(self: &Rc<Self>, away: bool) {
+    pub fn drain_clients(self: &Rc<Self>, away: bool) {
         if !away {
             return self.away.set(None);
         }
@@ -381,7 +389,7 @@
     /// True while clients are to come here.
     pub fn is_ready(&self) -> bool {
         let listens = self.listens.get() && self.draining.get().is_none();
-        listens && self.driver.borrow().is_ready() && self.away.get().is_none()
+        listens && self.dispatcher.borrow().is_ready() && self.away.get().is_none()
     }
 
     /// Clients' connections are taken from now on.
@@ -407,13 +415,15 @@
     }
 
     /// Closes what can be spared until the process holds no more than so many descriptors.
-    pub async fn make_room_down_to(&self, descriptors: usize) {
-        let pool = self.driver.borrow().pool().clone();
-        while self.budget.held() > descriptors && (pool.evict() || self.make_room().await) {}
+    pub async fn evict_down_to(&self, descriptors: usize) {
+        let pool = self.dispatcher.borrow().pool().clone();
+        while self.budget.in_use() > descriptors
+            && (pool.evict_oldest() || self.evict_idle_connection().await)
+        {}
     }
 
     /// Closes also the connections that are new, as nothing has come on them.
-    pub fn drain_fresh(&self) {
+    pub fn drain_new_connections(&self) {
         self.clients
             .borrow()
             .values()
@@ -425,24 +435,24 @@
         self.clients.borrow().len()
     }
 
-    async fn admit(self: &Rc<Self>, accepted: Accepted) {
+    async fn admit(self: &Rc<Self>, accepted: PendingConnection) {
         let stream = match accepted.register().await {
             Ok(stream) => stream,
             Err(error) => return log::line(format!("a connection can't be served: {error}")),
         };
         // Guards against silent connections that keep all others waiting behind them: whoever comes is taken or
         // turned away at once.
-        let mut permit = self.budget.take(Purpose::Client);
+        let mut permit = self.budget.acquire(Purpose::ClientConnection);
         let mut refused = false;
         for _ in 0..TURNS {
             if permit.is_some() {
                 break;
             }
-            if self.make_room().await {
-                permit = self.budget.take(Purpose::Client);
+            if self.evict_idle_connection().await {
+                permit = self.budget.acquire(Purpose::ClientConnection);
             }
             refused = permit.is_none();
-            permit = permit.or_else(|| self.budget.take(Purpose::Refusal));
+            permit = permit.or_else(|| self.budget.acquire(Purpose::Rejection));
             if permit.is_none() {
                 yield_now().await;
             }
@@ -451,19 +461,19 @@
         let Some(permit) = permit else { return };
         let number = self.accepted.get();
         self.accepted.set(number + 1);
-        let client = Client::new(Socket::of_client(stream, permit));
+        let client = ClientConnection::new(Socket::for_client(stream, permit));
         self.clients.borrow_mut().insert(number, client.clone());
         spawn_local(self.clone().serve(number, client, refused));
     }
 
     /// Closes the client's connection that can best be spared; false if there is none.
-    async fn make_room(&self) -> bool {
+    async fn evict_idle_connection(&self) -> bool {
         loop {
             let (number, settled) = {
                 let clients = self.clients.borrow();
                 let spare = clients
                     .iter()
-                    .filter_map(|(number, client)| Some((client.dearness()?, number)));
+                    .filter_map(|(number, client)| Some((client.eviction_priority()?, number)));
                 let mut spare: Vec<_> = spare.collect();
                 spare.sort_unstable();
                 // Guards against closing on a request that has come and is still unread. Asking the kernel is dear,
@@ -471,7 +481,8 @@
                 let mut spare = spare
                     .into_iter()
                     .map(|(_, number)| (*number, &clients[number]));
-                let free = |client: &Client| client.over.get() || !client.socket.has_unread();
+                let free =
+                    |client: &ClientConnection| client.over.get() || !client.socket.has_unread();
                 let Some((number, client)) = spare.find(|(_, client)| free(client)) else {
                     return false;
                 };
@@ -489,11 +500,11 @@
 
     /// True if there is room after all for a client that found none when it came. Guards against turning away whoever
     /// asks for the sake of those that don't.
-    async fn has_room_now(&self, client: &Client) -> bool {
+    async fn has_room_now(&self, client: &ClientConnection) -> bool {
         // It is not to make that room itself.
         client.idle.set(None);
-        while self.budget.is_over() {
-            if !self.make_room().await {
+        while self.budget.is_exceeded() {
+            if !self.evict_idle_connection().await {
                 return false;
             }
         }
@@ -507,7 +518,7 @@
 
     /// True if the answer that is due now ends its connection. One that has been read is lost if its connection ends
     /// without an answer to it, so what came with it goes on for a while.
-    fn ends_with_this(&self, client: &Client) -> bool {
+    fn ends_with_this(&self, client: &ClientConnection) -> bool {
         let goes_on = self
             .serves_more_until
             .get()
@@ -515,7 +526,7 @@
         self.sheds() && !(goes_on && client.has_more())
     }
 
-    async fn serve(self: Rc<Self>, number: u64, client: Rc<Client>, refused: bool) {
+    async fn serve(self: Rc<Self>, number: u64, client: Rc<ClientConnection>, refused: bool) {
         let last = refused || self.sheds();
         let mut http = http1::Builder::new();
         http.keep_alive(!refused)
@@ -555,8 +566,8 @@
         });
         {
             let connection = http.serve_connection(client.socket.clone(), service);
-            let (stuck, left) = (client.stuck(), client.left());
-            tokio::pin!(connection, stuck, left);
+            let (stalled, left) = (client.stalled(), client.left());
+            tokio::pin!(connection, stalled, left);
             loop {
                 tokio::select! {
                     // A client that breaks off or sends nonsense has been told so by hyper.
@@ -567,12 +578,12 @@
                     () = client.close.notified() => {
                         // Guards against closing on a request of which a part has come, read or not: its answer is
                         // going to end the connection, unless that is on its way already.
-                        let rests = client.socket.asking().is_none() && client.socket.is_quiet();
+                        let rests = client.socket.request_started_at().is_none() && client.socket.is_open_and_idle();
                         if client.streaming.get() && !client.has_more() || rests {
                             connection.as_mut().graceful_shutdown();
                         }
                     }
-                    () = &mut stuck => break,
+                    () = &mut stalled => break,
                     () = &mut left => break,
                     () = client.evicted.notified() => {
                         client.evicting.set(false);
@@ -586,7 +597,7 @@
         }
         if client.over.get() {
             tokio::select! {
-                () = client.socket.outlast(client.turned_away.get(), LOOK) => {}
+                () = client.socket.linger(client.turned_away.get(), LOOK) => {}
                 () = client.evicted.notified() => {}
                 () = sleep(IDLE) => {}
             }
@@ -600,15 +611,17 @@
         let class = self
             .class_of(request.uri().path())
             .filter(|_| request.headers().contains_key("request-id"));
-        class
-            .into_iter()
-            .for_each(|class| self.stats.take(class).end(Ending::Refused));
+        class.into_iter().for_each(|class| {
+            self.metrics
+                .begin_request(class)
+                .end(RequestOutcome::Rejected)
+        });
         plain(StatusCode::SERVICE_UNAVAILABLE, "no descriptor is free")
     }
 
     fn class_of(&self, path: &str) -> Option<usize> {
         let name = path.split('/').nth(1).unwrap_or_default();
-        self.driver
+        self.dispatcher
             .borrow()
             .names()
             .classes
@@ -616,7 +629,7 @@
             .position(|class| class == name)
     }
 
-    async fn answer(&self, request: Request<Incoming>, client: &Rc<Client>) -> Answer {
+    async fn answer(&self, request: Request<Incoming>, client: &Rc<ClientConnection>) -> Answer {
         if request.uri().path() == "/healthz" {
             return match self.is_ready() {
                 true => plain(StatusCode::OK, "ready"),
@@ -625,37 +638,37 @@
         }
         let taken = match self.read(request, client).await {
             Ok(taken) => taken,
-            Err(Bad(status, text)) => return plain(status, &text),
+            Err(RequestError(status, text)) => return plain(status, &text),
         };
         let upload = taken.forward.upload.clone();
         client.fresh.set(false);
         client.asked.set(true);
-        let request = self.stats.take(taken.class);
-        let (id, answer) = match self.driver.borrow_mut().take(taken) {
+        let request = self.metrics.begin_request(taken.class);
+        let (id, answer) = match self.dispatcher.borrow_mut().accept(taken) {
             Ok(taken) => taken,
-            Err(Untaken::Full) => {
-                request.end(Ending::Refused);
+            Err(RejectionReason::TooManyOpen) => {
+                request.end(RequestOutcome::Rejected);
                 return plain(
                     StatusCode::SERVICE_UNAVAILABLE,
                     "too many requests are open",
                 );
             }
-            Err(Untaken::Known) => {
-                request.end(Ending::Failed);
+            Err(RejectionReason::DuplicateId) => {
+                request.end(RequestOutcome::Failed);
                 return plain(StatusCode::CONFLICT, "Request-Id has been used before");
             }
         };
         // Dropped with this future when the client goes away first.
-        let _gone = Gone {
-            driver: &self.driver,
+        let _gone = CancelOnDrop {
+            dispatcher: &self.dispatcher,
             id,
         };
         client.waits.set(true);
         // Nobody reads what comes behind a request that is whole before it has its answer.
-        client.socket.read_ahead(!upload.is_streamed());
+        client.socket.set_read_ahead(!upload.is_streamed());
         let answer = answer.await;
         client.waits.set(false);
-        client.socket.read_ahead(false);
+        client.socket.set_read_ahead(false);
         if upload.is_streamed() {
             client.discards.set(true);
             // Its connection doesn't stay open for this.
@@ -672,41 +685,46 @@
             });
         }
         match answer {
-            Ok(Final::Served(served)) => {
+            Ok(FinalResponse::Served(served)) => {
                 let body = match served.body {
-                    Content::Whole(body) => {
-                        request.end(Ending::Served);
-                        Reply::whole(body)
+                    ResponseContent::Complete(body) => {
+                        request.end(RequestOutcome::Served);
+                        ResponseBody::whole(body)
                     }
                     // Guards against a long answer that the end of the process cuts off, though its request came
                     // when that was near: it could not be finished for a slow client.
-                    Content::Streamed(_)
-                        if self.late.get().is_some_and(|late| upload.moved() > late) =>
+                    ResponseContent::Streamed(_)
+                        if self
+                            .late
+                            .get()
+                            .is_some_and(|late| upload.last_progress() > late) =>
                     {
-                        request.end(Ending::Failed);
+                        request.end(RequestOutcome::Failed);
                         return plain(
                             StatusCode::BAD_GATEWAY,
                             "too long an answer for a process that ends",
                         );
                     }
-                    Content::Streamed(download) => {
-                        Reply::streamed(download, request, Box::new(Streaming::begin(client)))
-                    }
+                    ResponseContent::Streamed(download) => ResponseBody::streamed(
+                        download,
+                        request,
+                        Box::new(Streaming::begin(client)),
+                    ),
                 };
                 let mut response = Response::new(body);
-                *response.headers_mut() = end_to_end(&served.headers);
+                *response.headers_mut() = end_to_end_headers(&served.headers);
                 response
             }
-            Ok(Final::Refused { retry_after }) => {
-                request.end(Ending::Refused);
+            Ok(FinalResponse::Rejected { retry_after }) => {
+                request.end(RequestOutcome::Rejected);
                 let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
                 let value =
                     retry_after.and_then(|t| HeaderValue::from_str(&format!("{t:.3}")).ok());
                 value.map(|value| response.headers_mut().insert("retry-after", value));
                 response
             }
-            Ok(Final::Failed) => {
-                request.end(Ending::Failed);
+            Ok(FinalResponse::Failed) => {
+                request.end(RequestOutcome::Failed);
                 plain(StatusCode::BAD_GATEWAY, "failed")
             }
             // None is owed, as the client has left; it counts under no ending.
@@ -721,10 +739,14 @@
     }
 
     /// Reads a request whole and checks it.
-    async fn read(&self, request: Request<Incoming>, client: &Client) -> Result<Taken, Bad> {
+    async fn read(
+        &self,
+        request: Request<Incoming>,
+        client: &ClientConnection,
+    ) -> Result<AcceptedRequest, RequestError> {
         let came = Instant::now();
         let (head, body) = request.into_parts();
-        let bad = |what: &str| Bad(StatusCode::BAD_REQUEST, what.to_string());
+        let bad = |what: &str| RequestError(StatusCode::BAD_REQUEST, what.to_string());
         // A header that may stand there once.
         let header = |name: &'static str| {
             let mut values = head.headers.get_all(name).into_iter();
@@ -741,35 +763,35 @@
             Some(_) => Err(bad(&format!("{name} is not a number"))),
         };
         let (class, tenant, limit) = {
-            let driver = self.driver.borrow();
+            let dispatcher = self.dispatcher.borrow();
             let class = self
                 .class_of(head.uri.path())
                 .ok_or_else(|| bad("the path names no known class"))?;
-            let tenants = &driver.names().tenants;
+            let tenants = &dispatcher.names().tenants;
             let tenant = header("tenant")?;
             // One that the settings don't name has no quota, and so no number among them.
             let tenant = tenants
                 .iter()
                 .position(|t| Some(t.as_str()) == tenant)
                 .unwrap_or(tenants.len());
-            let settings = &driver.classes()[class];
-            let method = if settings.effect == Effect::Safe {
+            let settings = &dispatcher.classes()[class];
+            let method = if settings.idempotency == Idempotency::Idempotent {
                 Method::GET
             } else {
                 Method::POST
             };
             if head.method != method {
-                return Err(Bad(
+                return Err(RequestError(
                     StatusCode::METHOD_NOT_ALLOWED,
                     format!("this class is asked for with {method}"),
                 ));
             }
             // Guards against a repeat that no upstream could know for one.
-            match (&settings.effect, header("idempotency-key")?) {
-                (Effect::Keyed { .. }, None | Some("")) => {
+            match (&settings.idempotency, header("idempotency-key")?) {
+                (Idempotency::IdempotencyKey { .. }, None | Some("")) => {
                     return Err(bad("Idempotency-Key is missing"))
                 }
-                (Effect::Safe | Effect::Unsafe, Some(_)) => {
+                (Idempotency::Idempotent | Idempotency::NonIdempotent, Some(_)) => {
                     return Err(bad("this class has no Idempotency-Key"))
                 }
                 _ => {}
@@ -785,7 +807,7 @@
             }
             Some(id) => id.to_string(),
         };
-        let raw = RawHead::find(&client.socket.recent(), &name);
+        let raw = RawHead::find(&client.socket.recent_bytes(), &name);
         // Guards against a request that hides another: beside a coding, a length may say otherwise, and not
         // everyone on the way believes the same of the two.
         let chunked = head.headers.contains_key(TRANSFER_ENCODING);
@@ -796,21 +818,23 @@
         let wait = number("request-timeout")?.unwrap_or(limit).min(limit);
         let wait = Duration::try_from_secs_f64(wait).unwrap_or_default();
         let cost_hint = number("work-hint")?.map(|micros| micros / 1e6);
-        let asking = client.socket.asking().unwrap_or(came);
-        let first = client.first_request().unwrap_or(asking + FIRST_REQUEST);
+        let request_started_at = client.socket.request_started_at().unwrap_or(came);
+        let first = client
+            .first_request()
+            .unwrap_or(request_started_at + FIRST_REQUEST);
         // Its body is timed by itself.
         client.idle.set(None);
         let read = Upload::read(body, &self.memory, first, &self.draining);
         let upload = read.await.map_err(|broken| {
             let status = match broken {
-                Broken::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-                Broken::Stalled => StatusCode::REQUEST_TIMEOUT,
-                Broken::Cut => StatusCode::BAD_REQUEST,
+                BodyError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+                BodyError::Stalled => StatusCode::REQUEST_TIMEOUT,
+                BodyError::Truncated => StatusCode::BAD_REQUEST,
             };
-            Bad(status, broken.to_string())
+            RequestError(status, broken.to_string())
         })?;
         // Guards against a client that sends several requests at once and waits for the later ones from then on.
-        upload.moved_at(client.socket.last_read());
+        upload.set_last_progress(client.socket.last_read());
         let length = upload.length().filter(|_| !chunked);
         client.ends_at.set(
             body_begins
@@ -820,7 +844,7 @@
         if head.method == Method::GET && upload.length() != Some(0) {
             return Err(bad("GET has no body"));
         }
-        let mut headers = end_to_end(&head.headers);
+        let mut headers = end_to_end_headers(&head.headers);
         match upload.length() {
             Some(0) if !head.headers.contains_key(CONTENT_LENGTH) => {}
             Some(length) => drop(headers.insert(CONTENT_LENGTH, HeaderValue::from(length))),
@@ -834,7 +858,7 @@
         let settled = self.draining.clone();
         let upload = Rc::new(upload);
         let client = client.socket.peer();
-        let forward = Forward {
+        let forward = ForwardedRequest {
             method: head.method,
             uri,
             headers,
@@ -843,7 +867,7 @@
             wait,
             settled,
         };
-        Ok(Taken {
+        Ok(AcceptedRequest {
             name,
             class,
             tenant,
@@ -853,13 +877,13 @@
     }
 }
 
-type Answer = Response<Reply>;
+type Answer = Response<ResponseBody>;
 
 /// An answer that goes to its client in parts.
-struct Streaming(Rc<Client>);
+struct Streaming(Rc<ClientConnection>);
 
 impl Streaming {
-    fn begin(client: &Rc<Client>) -> Self {
+    fn begin(client: &Rc<ClientConnection>) -> Self {
         client.streaming.set(true);
         Streaming(client.clone())
     }
@@ -873,22 +897,22 @@
 }
 
 /// Why a request was not taken.
-struct Bad(StatusCode, String);
+struct RequestError(StatusCode, String);
 
 /// Tells the driver when a request is over for its client; after an answer that says nothing.
-struct Gone<'a> {
-    driver: &'a RefCell<Driver>,
+struct CancelOnDrop<'a> {
+    dispatcher: &'a RefCell<Dispatcher>,
     id: RequestId,
 }
 
-impl Drop for Gone<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
-        self.driver.borrow_mut().client_gone(self.id);
+        self.dispatcher.borrow_mut().client_disconnected(self.id);
     }
 }
 
 fn plain(status: StatusCode, text: &str) -> Answer {
-    let mut response = Response::new(Reply::whole(Bytes::copy_from_slice(text.as_bytes())));
+    let mut response = Response::new(ResponseBody::whole(Bytes::copy_from_slice(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
--- a/src/bin/magpiechute/signals.rs
+++ b/src/bin/load-balancer/signals.rs
@@ -4,7 +4,7 @@
 //! signal sets a flag, and a byte through a pair of sockets wakes whoever waits; where that byte is lost or can't be read,
 //! the flag is seen a little later.
 
-use crate::system_errors::outlasting;
+use crate::socket::system_errors::retry_transient_errors;
 use signal_hook::{flag, low_level};
 use std::io;
 use std::os::unix::net::UnixStream as Pipe;
@@ -40,7 +40,7 @@
     /// Those of the system, where it lets the process have no sockets or no such handler.
     pub fn listen(kind: i32) -> io::Result<Self> {
         let came = Arc::default();
-        let (wakes, handlers) = outlasting(wake_pair)?;
+        let (wakes, handlers) = retry_transient_errors(wake_pair)?;
         // In this order: whoever is woken finds the flag set.
         flag::register(kind, Arc::clone(&came))?;
         low_level::pipe::register(kind, handlers)?;
--- a/src/bin/magpiechute/socket.rs
+++ b/src/bin/load-balancer/socket/mod.rs
@@ -1,7 +1,9 @@
 //! Sockets: one budget of descriptors for all of them, and what was read and written on each.
 
-use crate::stats::Stats;
-use crate::system_errors::{is_local, is_shortage, uninterrupted};
+pub mod system_errors;
+
+use crate::metrics::Metrics;
+use crate::socket::system_errors::{is_local_error, is_resource_exhaustion, retry_on_interrupt};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use nix::libc::POLLRDHUP;
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
@@ -48,9 +50,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     Upstream,
-    Client,
+    ClientConnection,
     /// A client that is only to be told that there is no room.
-    Refusal,
+    Rejection,
     Discovery,
     /// A call at the admin endpoint.
     Admin,
@@ -61,7 +63,7 @@
 /// Guards against clients that take every descriptor and so leave none for what they ask for: each purpose
 /// has a part of its own.
 #[derive(Debug)]
-pub struct Budget {
+pub struct DescriptorBudget {
     clients: Cell<usize>,
     others: Cell<usize>,
     discovery: Cell<usize>,
@@ -73,12 +75,12 @@
     ahead: Cell<usize>,
 }
 
-impl Budget {
+impl DescriptorBudget {
     pub fn new(descriptors: usize, admin: bool) -> Rc<Self> {
         let (clients, others, discovery, admin_open, most, most_clients, ahead) =
             Default::default();
         let (most_admin, admin) = (if admin { ADMIN } else { 0 }, admin_open);
-        let budget = Budget {
+        let budget = DescriptorBudget {
             clients,
             others,
             discovery,
@@ -88,12 +90,12 @@
             most_admin,
             ahead,
         };
-        budget.limit(descriptors);
+        budget.set_limit(descriptors);
         Rc::new(budget)
     }
 
     /// From now on the process may hold so many descriptors; what is open beyond that stays open.
-    pub fn limit(&self, descriptors: usize) {
+    pub fn set_limit(&self, descriptors: usize) {
         self.most.set(descriptors.saturating_sub(self.kept()));
         let shared = self.most.get().saturating_sub(REFUSALS) as f64;
         self.most_clients
@@ -101,7 +103,7 @@
     }
 
     /// Descriptors that the process holds now, with all that it keeps back.
-    pub fn held(&self) -> usize {
+    pub fn in_use(&self) -> usize {
         self.clients.get() + self.others.get() + self.kept()
     }
 
@@ -111,14 +113,14 @@
     }
 
     /// Room for one more, if there is.
-    pub fn take(self: &Rc<Self>, purpose: Purpose) -> Option<Permit> {
+    pub fn acquire(self: &Rc<Self>, purpose: Purpose) -> Option<DescriptorPermit> {
         let (clients, open) = (self.clients.get(), self.clients.get() + self.others.get());
         let free = match purpose {
             Purpose::Upstream => open + REFUSALS < self.most.get(),
-            Purpose::Client => {
+            Purpose::ClientConnection => {
                 clients < self.most_clients.get() && open + REFUSALS < self.most.get()
             }
-            Purpose::Refusal => {
+            Purpose::Rejection => {
                 clients < self.most_clients.get() + REFUSALS && open < self.most.get()
             }
             // Also where the others hold more than their part, as that has just been made smaller.
@@ -128,7 +130,7 @@
         free.then(|| {
             let count = self.count(purpose);
             count.set(count.get() + 1);
-            Permit {
+            DescriptorPermit {
                 budget: self.clone(),
                 purpose,
             }
@@ -136,14 +138,14 @@
     }
 
     /// True while clients hold more than their part, so that one has come that was only to be refused.
-    pub fn is_over(&self) -> bool {
+    pub fn is_exceeded(&self) -> bool {
         let open = self.clients.get() + self.others.get();
         self.clients.get() > self.most_clients.get() || open + REFUSALS > self.most.get()
     }
 
     fn count(&self, purpose: Purpose) -> &Cell<usize> {
         match purpose {
-            Purpose::Client | Purpose::Refusal => &self.clients,
+            Purpose::ClientConnection | Purpose::Rejection => &self.clients,
             Purpose::Upstream => &self.others,
             Purpose::Discovery => &self.discovery,
             Purpose::Admin => &self.admin,
@@ -153,12 +155,12 @@
 
 /// Room for one socket; given back when dropped.
 #[derive(Debug)]
-pub struct Permit {
-    budget: Rc<Budget>,
+pub struct DescriptorPermit {
+    budget: Rc<DescriptorBudget>,
     purpose: Purpose,
 }
 
-impl Drop for Permit {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         let count = self.budget.count(self.purpose);
         count.set(count.get() - 1);
@@ -181,7 +183,7 @@
     /// The kernel takes no more for now, and something is still to be written.
     blocked: Cell<bool>,
     /// When the first byte came since it was last at rest.
-    asking: Cell<Option<Instant>>,
+    request_started_at: Cell<Option<Instant>>,
     /// The bytes that were read last from a client.
     recent: RefCell<Vec<u8>>,
     keeps_recent: bool,
@@ -191,13 +193,13 @@
     /// Nobody reads what comes, so that it may be read ahead.
     reads_ahead: Cell<bool>,
     /// What is to be told once so many bytes are written.
-    whole: RefCell<Option<(usize, Rc<Stats>)>>,
+    whole: RefCell<Option<(usize, Rc<Metrics>)>>,
     /// It has to be quiet when its next byte is written.
     wants_quiet: Cell<bool>,
     /// For whom it carries a request, and with how many bytes written in all that is whole.
-    client: RefCell<Peer>,
+    client: RefCell<PeerHandle>,
     end: Cell<usize>,
-    permit: Permit,
+    permit: DescriptorPermit,
 }
 
 impl Drop for Inner {
@@ -210,12 +212,18 @@
 impl Socket {
     /// Opens a connection within this time. Until then it is tried again where this machine is at fault; that error
     /// is what is returned if it lasts.
-    pub async fn connect(address: SocketAddr, permit: Permit, limit: Duration) -> io::Result<Self> {
+    pub async fn connect(
+        address: SocketAddr,
+        permit: DescriptorPermit,
+        limit: Duration,
+    ) -> io::Result<Self> {
         let until = Instant::now() + limit;
         loop {
             match timeout_at(until, TcpStream::connect(address)).await {
                 Ok(Ok(stream)) => return Ok(Self::new(stream, permit)),
-                Ok(Err(error)) if is_local(&error) && Instant::now() + CONNECT_AGAIN < until => {
+                Ok(Err(error))
+                    if is_local_error(&error) && Instant::now() + CONNECT_AGAIN < until =>
+                {
                     sleep(CONNECT_AGAIN).await;
                 }
                 Ok(Err(error)) => return Err(error),
@@ -225,21 +233,21 @@
     }
 
     /// A client's connection, of which the bytes that came last are kept.
-    pub fn of_client(stream: TcpStream, permit: Permit) -> Self {
+    pub fn for_client(stream: TcpStream, permit: DescriptorPermit) -> Self {
         Self::build(stream, permit, true)
     }
 
     /// A connection that is up.
-    pub fn new(stream: TcpStream, permit: Permit) -> Self {
+    pub fn new(stream: TcpStream, permit: DescriptorPermit) -> Self {
         Self::build(stream, permit, false)
     }
 
-    fn build(stream: TcpStream, permit: Permit, keeps_recent: bool) -> Self {
+    fn build(stream: TcpStream, permit: DescriptorPermit, keeps_recent: bool) -> Self {
         // Without it the peer only hears later.
         let _ = stream.set_nodelay(true);
         let (read, most_read) = (Cell::new(0), Cell::new(usize::MAX));
         let (written, wants_quiet) = (Cell::new(0), Cell::new(false));
-        let (asking, blocked, ahead, cut, reads_ahead) = Default::default();
+        let (request_started_at, blocked, ahead, cut, reads_ahead) = Default::default();
         let (client, end) = (RefCell::default(), Cell::new(usize::MAX));
         let (last_read, last_written) = (Cell::new(Instant::now()), Cell::new(Instant::now()));
         let (recent, whole) = Default::default();
@@ -251,7 +259,7 @@
             written,
             last_written,
             blocked,
-            asking,
+            request_started_at,
             recent,
             keeps_recent,
             ahead,
@@ -293,28 +301,28 @@
 
     /// A new exchange begins for this client: nothing may have come before its first byte is written, and so many
     /// bytes may come until more is allowed.
-    pub fn begin(&self, client: Peer, most_read: usize) {
+    pub fn begin_exchange(&self, client: PeerHandle, most_read: usize) {
         self.0.wants_quiet.set(true);
         *self.0.client.borrow_mut() = client;
         self.0.end.set(usize::MAX);
-        self.allow(most_read);
+        self.limit_read(most_read);
         *self.0.whole.borrow_mut() = None;
     }
 
     /// So many more bytes may come until more is allowed.
-    pub fn allow(&self, more: usize) {
+    pub fn limit_read(&self, more: usize) {
         self.0.most_read.set(self.read().saturating_add(more));
     }
 
     /// Whatever comes from now on may be read.
-    pub fn allow_more(&self) {
+    pub fn unlimit_read(&self) {
         self.0.most_read.set(usize::MAX);
     }
 
     /// An attempt is whole, and counted, once so many bytes are written in all.
-    pub fn count_at(&self, written: usize, stats: Rc<Stats>) {
+    pub fn complete_at(&self, written: usize, metrics: Rc<Metrics>) {
         self.0.end.set(written);
-        *self.0.whole.borrow_mut() = Some((written, stats));
+        *self.0.whole.borrow_mut() = Some((written, metrics));
         self.note_written(0);
     }
 
@@ -329,22 +337,22 @@
     }
 
     /// It is at rest: what comes now begins something new.
-    pub fn rest(&self) {
-        self.0.asking.set(None);
+    pub fn mark_idle(&self) {
+        self.0.request_started_at.set(None);
     }
 
     /// When the first byte came since it was last at rest.
-    pub fn asking(&self) -> Option<Instant> {
-        self.0.asking.get()
+    pub fn request_started_at(&self) -> Option<Instant> {
+        self.0.request_started_at.get()
     }
 
     /// Keeps nothing of what has been read so far.
-    pub fn forget_recent(&self) {
+    pub fn clear_recent_bytes(&self) {
         self.0.recent.borrow_mut().clear();
     }
 
     /// The bytes that were read last, for as many as are kept.
-    pub fn recent(&self) -> Ref<'_, Vec<u8>> {
+    pub fn recent_bytes(&self) -> Ref<'_, Vec<u8>> {
         self.0.recent.borrow()
     }
 
@@ -352,13 +360,13 @@
         self.0.written.set(self.written() + count);
         self.0.last_written.set(Instant::now());
         let mut whole = self.0.whole.borrow_mut();
-        if let Some((_, stats)) = whole.take_if(|(at, _)| self.written() >= *at) {
-            stats.attempt_written();
+        if let Some((_, metrics)) = whole.take_if(|(at, _)| self.written() >= *at) {
+            metrics.count_attempt();
         }
     }
 
     /// Waits until bytes, the end or an error have come.
-    pub async fn stirs(&self) {
+    pub async fn readable(&self) {
         // What can't be waited for is asked.
         let _ = self
             .0
@@ -368,23 +376,23 @@
     }
 
     /// The other side of this connection, for those who ask after it and don't keep it open.
-    pub fn peer(&self) -> Peer {
-        Peer(Some(Rc::downgrade(&self.0)))
+    pub fn peer(&self) -> PeerHandle {
+        PeerHandle(Some(Rc::downgrade(&self.0)))
     }
 
     /// What comes may be read ahead, as nobody reads it, or may no more.
-    pub fn read_ahead(&self, may: bool) {
+    pub fn set_read_ahead(&self, may: bool) {
         self.0.reads_ahead.set(may);
     }
 
     /// True if the peer has closed its connection, its half of it, or reset it, also with bytes unread before that.
     /// Asks the kernel: the event loop knows only what had come when it last looked.
-    pub fn has_left(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         let mut asked = [PollFd::new(
             self.0.stream.as_fd(),
             PollFlags::from_bits_retain(POLLRDHUP),
         )];
-        uninterrupted(|| Ok(poll(&mut asked, PollTimeout::ZERO)?)).is_ok_and(|ended| ended > 0)
+        retry_on_interrupt(|| Ok(poll(&mut asked, PollTimeout::ZERO)?)).is_ok_and(|ended| ended > 0)
             || self.0.reads_ahead.get() && self.ends_behind()
     }
 
@@ -393,10 +401,10 @@
     fn ends_behind(&self) -> bool {
         let mut bytes = [0; 8192];
         for _ in 0..MOST_PIECES {
-            let read = match uninterrupted(|| self.0.stream.try_read(&mut bytes)) {
+            let read = match retry_on_interrupt(|| self.0.stream.try_read(&mut bytes)) {
                 // The event loop may not know of it yet.
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    uninterrupted(|| (&*SockRef::from(&self.0.stream)).read(&mut bytes))
+                    retry_on_interrupt(|| (&*SockRef::from(&self.0.stream)).read(&mut bytes))
                 }
                 read => read,
             };
@@ -417,7 +425,8 @@
                     self.0.cut.set(self.0.cut.get() || count > room);
                 }
                 Err(error) => {
-                    return error.kind() != io::ErrorKind::WouldBlock && !is_shortage(&error)
+                    return error.kind() != io::ErrorKind::WouldBlock
+                        && !is_resource_exhaustion(&error)
                 }
             }
         }
@@ -428,15 +437,15 @@
     /// against a close over these: it resets the connection, and what the peer has not taken yet is lost. They stay
     /// unread, as a request among them is to be sent again elsewhere; but what is left of one that was `turned_away` is
     /// read to no end.
-    pub async fn outlast(&self, turned_away: bool, look: Duration) {
+    pub async fn linger(&self, turned_away: bool, look: Duration) {
         // It may have been ended before, or have broken.
         let _ = SockRef::from(&self.0.stream).shutdown(Shutdown::Write);
-        self.read_ahead(turned_away);
+        self.set_read_ahead(turned_away);
         if !turned_away && !self.has_unread() {
             return;
         }
-        while !self.has_left() {
-            self.stirs().await;
+        while !self.is_disconnected() {
+            self.readable().await;
             match turned_away {
                 true => yield_now().await,
                 false => sleep(look).await,
@@ -452,12 +461,12 @@
     /// Asks the kernel for bytes, the end or an error, and leaves them there.
     fn peek(&self) -> io::Result<usize> {
         let socket = SockRef::from(&self.0.stream);
-        uninterrupted(|| socket.peek(&mut [MaybeUninit::uninit()]))
+        retry_on_interrupt(|| socket.peek(&mut [MaybeUninit::uninit()]))
     }
 
     /// True if the peer has neither closed nor sent anything that is still unread. Asks the kernel: what the
     /// event loop knows may be older than the peer's farewell.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_open_and_idle(&self) -> bool {
         if !self.0.ahead.borrow().is_empty() {
             return false;
         }
@@ -467,13 +476,13 @@
 
 /// The other side of a connection, which stays open without it; that of none never leaves.
 #[derive(Clone, Debug, Default)]
-pub struct Peer(Option<Weak<Inner>>);
+pub struct PeerHandle(Option<Weak<Inner>>);
 
-impl Peer {
+impl PeerHandle {
     /// True if it has left, or its connection is closed.
-    pub fn has_left(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         let connection = self.0.as_ref().map(Weak::upgrade);
-        connection.is_some_and(|open| open.is_none_or(|inner| Socket(inner).has_left()))
+        connection.is_some_and(|open| open.is_none_or(|inner| Socket(inner).is_disconnected()))
     }
 }
 
@@ -490,9 +499,9 @@
                 Some(count) => count,
                 None => {
                     ready!(self.0.stream.poll_read_ready(cx))?;
-                    match uninterrupted(|| self.0.stream.try_read(&mut bytes[..most])) {
+                    match retry_on_interrupt(|| self.0.stream.try_read(&mut bytes[..most])) {
                         Err(error) if error.kind() == io::ErrorKind::WouldBlock => continue,
-                        Err(error) if is_shortage(&error) => {
+                        Err(error) if is_resource_exhaustion(&error) => {
                             // The bytes stay in the kernel. Others have their turn meanwhile.
                             cx.waker().wake_by_ref();
                             return Poll::Pending;
@@ -505,8 +514,8 @@
                 }
             };
             self.0.read.set(self.read() + count);
-            if count > 0 && self.asking().is_none() {
-                self.0.asking.set(Some(Instant::now()));
+            if count > 0 && self.request_started_at().is_none() {
+                self.0.request_started_at.set(Some(Instant::now()));
             }
             // Guards against an answer that goes on for ever.
             if self.read() > self.0.most_read.get() {
@@ -545,22 +554,22 @@
         let first = self.0.wants_quiet.replace(false);
         // Guards against a request on a connection that has just been closed, and against what belongs to
         // the exchange before, come late, being taken for its answer.
-        if first && !self.is_quiet() {
+        if first && !self.is_open_and_idle() {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         // Guards against sending on what nobody wants any more, however long ago the event loop has looked at its
         // client: its upstream begins with the last byte.
         let last = self.written().saturating_add(length) >= self.0.end.get();
-        if (first || last) && self.0.client.borrow().has_left() {
+        if (first || last) && self.0.client.borrow().is_disconnected() {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         loop {
             let room = self.0.stream.poll_write_ready(cx);
             self.0.blocked.set(room.is_pending());
             ready!(room)?;
-            match uninterrupted(|| write(&self.0.stream)) {
+            match retry_on_interrupt(|| write(&self.0.stream)) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(error) if is_shortage(&error) => {
+                Err(error) if is_resource_exhaustion(&error) => {
                     cx.waker().wake_by_ref();
                     return Poll::Pending;
                 }
@@ -606,5 +615,4 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/socket.rs"]
 mod tests;
--- a/src/bin/magpiechute/system_errors.rs
+++ b/src/bin/load-balancer/socket/system_errors.rs
@@ -11,7 +11,7 @@
 
 /// True for an error of the system that says that this process or machine is short of descriptors, buffers, memory, or
 /// places to watch descriptors (ENOSPC of epoll_ctl(2)).
-pub fn is_shortage(error: &io::Error) -> bool {
+pub fn is_resource_exhaustion(error: &io::Error) -> bool {
     const SHORTAGES: [i32; 5] = [
         libc::ENFILE,
         libc::EMFILE,
@@ -25,7 +25,7 @@
 }
 
 /// Makes a call again that was interrupted.
-pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_on_interrupt<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -35,20 +35,20 @@
 }
 
 /// True for an error that may be over a moment later, whatever was called.
-pub fn is_passing(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     const PASSING: [i32; 3] = [libc::EINTR, libc::EAGAIN, libc::EIO];
-    is_shortage(error)
+    is_resource_exhaustion(error)
         || error
             .raw_os_error()
             .is_some_and(|number| PASSING.contains(&number))
 }
 
 /// Makes a call of a start again while it fails for a moment. The thread sleeps between: nobody is served yet.
-pub fn outlasting<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_transient_errors<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let until = Instant::now() + START_PATIENCE;
     loop {
         match call() {
-            Err(error) if is_passing(&error) && Instant::now() < until => {
+            Err(error) if is_transient(&error) && Instant::now() < until => {
                 thread::sleep(START_AGAIN)
             }
             result => return result,
@@ -58,7 +58,7 @@
 
 /// True for an error of connect that says nothing of the other side: this machine lacks something for the moment, a
 /// local port or a route included, or the call was interrupted.
-pub fn is_local(error: &io::Error) -> bool {
+pub fn is_local_error(error: &io::Error) -> bool {
     const LOCAL: [i32; 6] = [
         libc::EINTR,
         libc::EAGAIN,
@@ -67,7 +67,7 @@
         libc::ENETDOWN,
         libc::ENETUNREACH,
     ];
-    is_shortage(error)
+    is_resource_exhaustion(error)
         || error
             .raw_os_error()
             .is_some_and(|number| LOCAL.contains(&number))
@@ -75,7 +75,7 @@
 
 /// True for an error of accept that is over with the call: it was interrupted, or the connection that was next in the
 /// queue has failed. See accept(2).
-pub fn is_over(error: &io::Error) -> bool {
+pub fn is_connection_error(error: &io::Error) -> bool {
     const OVER: [i32; 11] = [
         libc::EINTR,
         libc::ECONNABORTED,
@@ -95,6 +95,6 @@
 }
 
 /// True for the error that says that this process holds as many descriptors as it may.
-pub fn is_own_limit(error: &io::Error) -> bool {
+pub fn is_descriptor_limit(error: &io::Error) -> bool {
     error.raw_os_error() == Some(libc::EMFILE)
 }
--- a/tests/unit/socket.rs
+++ b/src/bin/load-balancer/socket/tests.rs
@@ -5,21 +5,26 @@
 /// Guards against either side starving the other.
 #[test]
 fn clients_leave_room_for_upstreams_and_all_leave_room_for_discovery() {
-    let budget = Budget::new(256, true);
-    let take_all = |purpose| std::iter::from_fn(|| budget.take(purpose)).collect::<Vec<_>>();
-    let clients = take_all(Purpose::Client);
+    let budget = DescriptorBudget::new(256, true);
+    let take_all = |purpose| std::iter::from_fn(|| budget.acquire(purpose)).collect::<Vec<_>>();
+    let clients = take_all(Purpose::ClientConnection);
     let upstreams = take_all(Purpose::Upstream);
     assert!(upstreams.len() > 256 / 3 && clients.len() > 256 / 3);
-    assert!(budget.take(Purpose::Client).is_none());
-    assert!(!take_all(Purpose::Refusal).is_empty() && budget.take(Purpose::Discovery).is_some());
+    assert!(budget.acquire(Purpose::ClientConnection).is_none());
+    assert!(
+        !take_all(Purpose::Rejection).is_empty() && budget.acquire(Purpose::Discovery).is_some()
+    );
     assert_eq!(take_all(Purpose::Admin).len(), ADMIN);
-    assert!(budget.held() > 200);
+    assert!(budget.in_use() > 200);
     // A second process takes a half of them. Guards against a watch that waits until so many clients have left.
-    budget.limit(128);
+    budget.set_limit(128);
     assert_eq!(take_all(Purpose::Discovery).len(), DISCOVERY);
     drop((clients, upstreams));
-    let (clients, upstreams) = (take_all(Purpose::Client), take_all(Purpose::Upstream));
-    assert!(clients.len() > 30 && upstreams.len() > 30 && budget.held() <= 128);
+    let (clients, upstreams) = (
+        take_all(Purpose::ClientConnection),
+        take_all(Purpose::Upstream),
+    );
+    assert!(clients.len() > 30 && upstreams.len() > 30 && budget.in_use() <= 128);
     drop(clients);
     assert!(!take_all(Purpose::Upstream).is_empty());
 }
@@ -36,8 +41,8 @@
             .await
             .expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let permit = Budget::new(64, false)
-            .take(Purpose::Upstream)
+        let permit = DescriptorBudget::new(64, false)
+            .acquire(Purpose::Upstream)
             .expect("room");
         let mut socket = Socket::connect(address, permit, Duration::from_secs(60))
             .await
--- a/src/bin/magpiechute/upstream.rs
+++ b/src/bin/load-balancer/upstream/mod.rs
@@ -1,9 +1,12 @@
 //! Attempts at upstreams, and the idle connections that they leave behind.
 
-use crate::bodies::{Download, Memory, Sending, Upload, HELD_BACK, LARGEST_BODY, READ_AHEAD};
-use crate::socket::{Budget, Peer, Purpose, Socket};
-use crate::stats::Stats;
-use crate::system_errors::is_shortage;
+use crate::body::{
+    Download, MemoryBudget, Upload, UploadBody, MAX_BODY_BYTES, MAX_RESPONSE_DELAY,
+    READ_AHEAD_BYTES,
+};
+use crate::metrics::Metrics;
+use crate::socket::system_errors::is_resource_exhaustion;
+use crate::socket::{DescriptorBudget, PeerHandle, Purpose, Socket};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming};
@@ -13,7 +16,7 @@
 };
 use hyper::http::response::Parts;
 use hyper::{Method, Request, StatusCode, Uri, Version};
-use ryequay::{Outcome, UpstreamId};
+use load_balancer::{AttemptOutcome, UpstreamId};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::future::pending;
@@ -36,7 +39,7 @@
 
 /// The headers that go through a balancer: not those of one connection only, nor those that describe the body,
 /// which are set anew.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     const OURS: [&str; 10] = [
         "connection",
         "content-length",
@@ -59,22 +62,22 @@
 
 /// A request as it goes on to an upstream, but for the time left.
 #[derive(Debug)]
-pub struct Forward {
+pub struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
     pub upload: Rc<Upload>,
-    pub client: Peer,
+    pub client: PeerHandle,
     /// Its client waits for so long from its last byte on.
     pub wait: Duration,
     /// It is to be settled by then in any case, if this is said of the process.
     pub settled: Rc<Cell<Option<Instant>>>,
 }
 
-impl Forward {
+impl ForwardedRequest {
     /// When its client gives up, if it sends nothing more.
     pub fn deadline(&self) -> Instant {
-        let deadline = self.upload.moved() + self.wait;
+        let deadline = self.upload.last_progress() + self.wait;
         self.settled
             .get()
             .map_or(deadline, |settled| deadline.min(settled))
@@ -84,17 +87,17 @@
 /// An answer.
 pub struct Answer {
     pub headers: HeaderMap,
-    pub body: Content,
+    pub body: ResponseContent,
 }
 
 /// The body of an answer: here whole, or still coming.
-pub enum Content {
-    Whole(Bytes),
+pub enum ResponseContent {
+    Complete(Bytes),
     Streamed(Box<Download>),
 }
 
 /// How an attempt ended; an answer comes with `Outcome::Ok` only.
-pub type Ended = Result<Answer, Outcome>;
+pub type AttemptEnd = Result<Answer, AttemptOutcome>;
 
 struct Idle {
     since: Instant,
@@ -108,27 +111,27 @@
 }
 
 /// Idle connections to upstreams, and the limits on all that go there.
-pub struct Pool {
+pub struct ConnectionPool {
     places: RefCell<HashMap<UpstreamId, Place>>,
-    budget: Rc<Budget>,
-    stats: Rc<Stats>,
-    memory: Rc<Memory>,
+    budget: Rc<DescriptorBudget>,
+    metrics: Rc<Metrics>,
+    memory: Rc<MemoryBudget>,
     connect_timeout: Duration,
     keep: Duration,
 }
 
-impl Pool {
+impl ConnectionPool {
     pub fn new(
-        budget: Rc<Budget>,
-        stats: Rc<Stats>,
-        memory: Rc<Memory>,
+        budget: Rc<DescriptorBudget>,
+        metrics: Rc<Metrics>,
+        memory: Rc<MemoryBudget>,
         connect_timeout: f64,
         idle_timeout: f64,
     ) -> Self {
-        Pool {
+        ConnectionPool {
             places: RefCell::default(),
             budget,
-            stats,
+            metrics,
             memory,
             connect_timeout: Duration::from_secs_f64(connect_timeout.min(60.0)),
             keep: Duration::from_secs_f64((idle_timeout * (1.0 - MARGIN)).min(3600.0)),
@@ -136,7 +139,7 @@
     }
 
     /// From now on connections to this upstream may be kept.
-    pub fn open(&self, upstream: UpstreamId, address: SocketAddr) {
+    pub fn allow(&self, upstream: UpstreamId, address: SocketAddr) {
         let mut places = self.places.borrow_mut();
         let place = places.entry(upstream).or_insert(Place {
             address,
@@ -151,12 +154,12 @@
     }
 
     /// Shuts the idle connections to this upstream, and keeps no more of them.
-    pub fn close(&self, upstream: UpstreamId) {
+    pub fn remove(&self, upstream: UpstreamId) {
         self.places.borrow_mut().remove(&upstream);
     }
 
     /// Shuts the idle connections to this upstream.
-    pub fn shed(&self, upstream: UpstreamId) {
+    pub fn close_idle(&self, upstream: UpstreamId) {
         self.places
             .borrow_mut()
             .get_mut(&upstream)
@@ -165,21 +168,21 @@
     }
 
     /// Shuts all idle connections, and keeps none any more.
-    pub fn clear(&self) {
+    pub fn close_all(&self) {
         self.places.borrow_mut().clear();
     }
 
     /// Shuts those that have been idle for too long or that the upstream has closed.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         for place in self.places.borrow_mut().values_mut() {
             place
                 .idle
-                .retain(|idle| idle.since.elapsed() < self.keep && idle.socket.is_quiet());
+                .retain(|idle| idle.since.elapsed() < self.keep && idle.socket.is_open_and_idle());
         }
     }
 
     /// Shuts the connection that has been idle for longest, if there is one.
-    pub fn evict(&self) -> bool {
+    pub fn evict_oldest(&self) -> bool {
         let mut places = self.places.borrow_mut();
         let oldest = places.values_mut().filter(|place| !place.idle.is_empty());
         let oldest = oldest.min_by_key(|place| place.idle[0].since);
@@ -195,7 +198,7 @@
         while let Some(Idle { since, socket }) = place.idle.pop() {
             // Guards against a request written to a connection that the upstream has closed, or is about
             // to: it would end as a reset, which may have run.
-            if since.elapsed() < self.keep && socket.is_quiet() {
+            if since.elapsed() < self.keep && socket.is_open_and_idle() {
                 return Some((socket, since.elapsed()));
             }
         }
@@ -208,7 +211,7 @@
         let place = places
             .get_mut(&upstream)
             .filter(|place| place.address == address);
-        let Some(place) = place.filter(|_| socket.is_quiet()) else {
+        let Some(place) = place.filter(|_| socket.is_open_and_idle()) else {
             return;
         };
         place.idle.push(Idle {
@@ -220,31 +223,30 @@
         }
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<Socket, Outcome> {
-        let permit = self.budget.take(Purpose::Upstream).or_else(|| {
-            self.evict();
-            self.budget.take(Purpose::Upstream)
+    async fn connect(&self, address: SocketAddr) -> Result<Socket, AttemptOutcome> {
+        let permit = self.budget.acquire(Purpose::Upstream).or_else(|| {
+            self.evict_oldest();
+            self.budget.acquire(Purpose::Upstream)
         });
         // Guards against resting an upstream because we have no descriptor: that is no news of it.
-        let permit = permit.ok_or(Outcome::NotSent)?;
+        let permit = permit.ok_or(AttemptOutcome::NotSent)?;
         Socket::connect(address, permit, self.connect_timeout)
             .await
-            .map_err(|error| match is_shortage(&error) {
-                true => Outcome::NotSent,
-                false => Outcome::ConnectFailed,
+            .map_err(|error| match is_resource_exhaustion(&error) {
+                true => AttemptOutcome::NotSent,
+                false => AttemptOutcome::ConnectFailed,
             })
     }
 }
 
-/// One attempt. It ends at `until` or the request's deadline at the latest; dropping it closes its connection.
+/// One attempt. It ends at the request's deadline at the latest; dropping it closes its connection.
 pub struct Attempt {
-    pub pool: Rc<Pool>,
+    pub pool: Rc<ConnectionPool>,
     pub upstream: UpstreamId,
     pub address: SocketAddr,
-    pub request: Rc<Forward>,
-    pub until: Option<Instant>,
+    pub request: Rc<ForwardedRequest>,
     /// Its last byte must be written by then, or never.
-    pub whole_by: Option<Instant>,
+    pub write_deadline: Option<Instant>,
     /// What is held back of a deadline, so that its client hears in time.
     pub margin: Duration,
     /// Set when the first byte is about to be written: for how long the connection had been idle.
@@ -264,8 +266,7 @@
 
 impl Attempt {
     fn deadline(&self) -> Instant {
-        let deadline = self.request.deadline() - self.margin;
-        self.until.map_or(deadline, |until| until.min(deadline))
+        self.request.deadline() - self.margin
     }
 
     /// Ends at the deadline, wherever that has moved meanwhile.
@@ -278,7 +279,7 @@
     /// Ends when it may not be written any more and has not been. Guards against a repeat on a connection that came up
     /// late, or that takes bytes slowly, when upstreams no more know it for one.
     async fn too_late(&self, handed_over: impl Fn() -> bool) {
-        let Some(by) = self.whole_by else {
+        let Some(by) = self.write_deadline else {
             return pending().await;
         };
         while by > Instant::now() {
@@ -290,19 +291,21 @@
     }
 
     /// Runs it to its end. "Never ran" is said only where the last byte can't have been handed over.
-    pub async fn run(self) -> Ended {
+    pub async fn run(self) -> AttemptEnd {
         loop {
             let kept = self.pool.take(self.upstream, self.address);
             let fresh = kept.is_none();
             let (socket, idle) = match kept {
                 Some(kept) => kept,
-                None if self.request.client.has_left() => return Err(Outcome::NotSent),
+                None if self.request.client.is_disconnected() => {
+                    return Err(AttemptOutcome::NotSent)
+                }
                 None => {
                     let socket = tokio::select! {
                         biased;
-                        () = self.too_late(|| false) => return Err(Outcome::NotSent),
+                        () = self.too_late(|| false) => return Err(AttemptOutcome::NotSent),
                         socket = self.pool.connect(self.address) => socket?,
-                        () = self.expired() => return Err(Outcome::ConnectFailed),
+                        () = self.expired() => return Err(AttemptOutcome::ConnectFailed),
                     };
                     (socket, Duration::ZERO)
                 }
@@ -314,7 +317,7 @@
             let handed_over = || socket.written() - written >= whole.get();
             let ended = tokio::select! {
                 biased;
-                () = self.too_late(handed_over) => return Err(Outcome::NotSent),
+                () = self.too_late(handed_over) => return Err(AttemptOutcome::NotSent),
                 ended = self.exchange(&socket, whole.clone()) => Some(ended),
                 () = self.expired() => None,
             };
@@ -327,29 +330,33 @@
                     answer
                 }
                 // Guards against blaming the upstream for a client that broke off.
-                Some(_) if self.request.upload.broken().is_some() => Err(Outcome::NotSent),
-                Some(_) if !handed_over && self.request.client.has_left() => Err(Outcome::NotSent),
+                Some(_) if self.request.upload.error().is_some() => Err(AttemptOutcome::NotSent),
+                Some(_) if !handed_over && self.request.client.is_disconnected() => {
+                    Err(AttemptOutcome::NotSent)
+                }
                 // Guards against an answer that was there before its request.
-                Some(Ok((answer, _))) => answer.and(Err(Outcome::ConnectFailed)),
+                Some(Ok((answer, _))) => answer.and(Err(AttemptOutcome::ConnectFailed)),
                 // A kept connection that was found dead in time tells nothing of the upstream.
                 Some(Err(_))
-                    if !fresh && socket.written() == written && self.request.upload.is_fresh() =>
+                    if !fresh
+                        && socket.written() == written
+                        && self.request.upload.is_replayable() =>
                 {
                     self.begun.set(None);
                     continue;
                 }
-                _ if !handed_over => Err(Outcome::ConnectFailed),
+                _ if !handed_over => Err(AttemptOutcome::ConnectFailed),
                 // Guards against resting an upstream that spoilt an answer or broke off: it is alive.
-                Some(Err(_)) if socket.read() > read => Err(Outcome::Spoilt),
-                Some(Err(_)) => Err(Outcome::Reset),
-                None => Err(Outcome::TimedOut),
+                Some(Err(_)) if socket.read() > read => Err(AttemptOutcome::InvalidResponse),
+                Some(Err(_)) => Err(AttemptOutcome::Reset),
+                None => Err(AttemptOutcome::TimedOut),
             };
         }
     }
 
     /// The request, and the bytes that its head has on the wire at the least: hyper writes the headers as they are
     /// here, and may add some. So a connection that broke before so many were written never carried all of it.
-    fn message(&self, body: impl FnOnce(usize) -> Sending) -> Request<Sending> {
+    fn message(&self, body: impl FnOnce(usize) -> UploadBody) -> Request<UploadBody> {
         let mut headers = self.request.headers.clone();
         let left = (self.deadline() - Instant::now()).as_secs_f64();
         if let Ok(left) = HeaderValue::from_str(&format!("{left:.3}")) {
@@ -378,14 +385,14 @@
         &self,
         socket: &Socket,
         whole: Rc<Cell<usize>>,
-    ) -> hyper::Result<(Ended, bool)> {
-        socket.begin(self.request.client.clone(), LARGEST_PREFACE);
+    ) -> hyper::Result<(AttemptEnd, bool)> {
+        socket.begin_exchange(self.request.client.clone(), LARGEST_PREFACE);
         let begin = socket.written();
         let message = self.message(|head| {
-            let (socket, stats) = (socket.clone(), self.pool.stats.clone());
-            Sending::new(self.request.upload.clone(), move |body| {
+            let (socket, metrics) = (socket.clone(), self.pool.metrics.clone());
+            UploadBody::new(self.request.upload.clone(), move |body| {
                 whole.set(head + body as usize);
-                socket.count_at(begin + whole.get(), stats);
+                socket.complete_at(begin + whole.get(), metrics);
             })
         });
         let mut http = http1::Builder::new();
@@ -396,7 +403,7 @@
         let talk = async {
             let (head, body) = sender.send_request(message).await?.into_parts();
             if !is_sound(&head) {
-                return Ok((Err(Outcome::Spoilt), After::Close));
+                return Ok((Err(AttemptOutcome::InvalidResponse), After::Close));
             }
             let kept =
                 head.version == Version::HTTP_11 && !names(&head.headers, CONNECTION, "close");
@@ -459,16 +466,16 @@
         &self,
         socket: &Socket,
         mut body: Incoming,
-    ) -> hyper::Result<(Result<Content, Outcome>, After)> {
+    ) -> hyper::Result<(Result<ResponseContent, AttemptOutcome>, After)> {
         let length = body.size_hint().exact();
-        if length.is_some_and(|length| length > LARGEST_BODY) {
-            return Ok((Err(Outcome::Spoilt), After::Close));
+        if length.is_some_and(|length| length > MAX_BODY_BYTES) {
+            return Ok((Err(AttemptOutcome::InvalidResponse), After::Close));
         }
         let room = self.pool.memory.try_take();
-        let large = room.is_none() || length.is_some_and(|length| length > READ_AHEAD as u64);
-        let held_back = Instant::now() + HELD_BACK;
+        let large = room.is_none() || length.is_some_and(|length| length > READ_AHEAD_BYTES as u64);
+        let held_back = Instant::now() + MAX_RESPONSE_DELAY;
         let (mut ahead, mut size) = (VecDeque::new(), 0);
-        while size <= READ_AHEAD && !(large && size > 0) {
+        while size <= READ_AHEAD_BYTES && !(large && size > 0) {
             let frame = match length {
                 None if size > 0 => match timeout_at(held_back, part(socket, &mut body)).await {
                     Ok(frame) => frame,
@@ -483,7 +490,7 @@
                         whole.extend_from_slice(&data);
                         whole
                     });
-                return Ok((Ok(Content::Whole(whole.freeze())), After::Reuse));
+                return Ok((Ok(ResponseContent::Complete(whole.freeze())), After::Reuse));
             };
             if let Ok(data) = frame?.into_data() {
                 size += data.len();
@@ -491,11 +498,11 @@
             }
         }
         // Whoever passes it on waits only so long for the next part.
-        socket.allow_more();
+        socket.unlimit_read();
         let (whole, over) = oneshot::channel();
         let download = Download::new(ahead, body, length, whole, room);
         Ok((
-            Ok(Content::Streamed(Box::new(download))),
+            Ok(ResponseContent::Streamed(Box::new(download))),
             After::Stream { over, kept: true },
         ))
     }
@@ -504,7 +511,7 @@
 /// The next part of a body. Guards against what hyper reads for as long as it comes, and gives to nobody: the size of a
 /// chunk that has no end.
 async fn part(socket: &Socket, body: &mut Incoming) -> Option<hyper::Result<Frame<Bytes>>> {
-    socket.allow(LARGEST_PREFACE);
+    socket.limit_read(LARGEST_PREFACE);
     body.frame().await
 }
 
@@ -513,7 +520,7 @@
     let mut size = 0;
     while let Some(frame) = part(socket, &mut body).await {
         size += frame?.data_ref().map_or(0, Bytes::len);
-        if size > READ_AHEAD {
+        if size > READ_AHEAD_BYTES {
             return Ok(After::Close);
         }
     }
@@ -552,17 +559,16 @@
         .any(|item| item.trim().eq_ignore_ascii_case(word))
 }
 
-fn outcome(status: StatusCode, headers: &HeaderMap) -> Result<(), Outcome> {
+fn outcome(status: StatusCode, headers: &HeaderMap) -> Result<(), AttemptOutcome> {
     let not_started = headers.get("not-started").is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Ok(()),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_started => {
-            Err(Outcome::Rejected)
+            Err(AttemptOutcome::Rejected)
         }
-        _ => Err(Outcome::Error),
+        _ => Err(AttemptOutcome::Error),
     }
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/upstream.rs"]
 mod tests;
--- a/tests/unit/upstream.rs
+++ b/src/bin/load-balancer/upstream/tests.rs
@@ -13,17 +13,17 @@
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let budget = Budget::new(256, false);
+        let budget = DescriptorBudget::new(256, false);
         let classes = ["read".to_string()];
-        let pool = Pool::new(
+        let pool = ConnectionPool::new(
             budget.clone(),
-            Stats::new(&classes),
-            Memory::new(32 << 20),
+            Metrics::new(&classes),
+            MemoryBudget::new(32 << 20),
             1.0,
             60.0,
         );
         let upstream = UpstreamId::of("u0");
-        pool.open(upstream, address);
+        pool.allow(upstream, address);
         let mut peers = Vec::new();
         for _ in 0..3 * MOST_IDLE {
             let socket = pool.connect(address).await.expect("a connection");
@@ -31,10 +31,10 @@
             pool.put(upstream, address, socket);
         }
         assert_eq!(pool.places.borrow()[&upstream].idle.len(), MOST_IDLE);
-        let held = budget.held();
-        pool.close(upstream);
+        let held = budget.in_use();
+        pool.remove(upstream);
         assert_eq!(
-            held - budget.held(),
+            held - budget.in_use(),
             MOST_IDLE,
             "the others have been closed"
         );
--- a/src/bin/ryequay-wirehost.rs
+++ b/src/bin/simulator-adapter.rs
@@ -6,10 +6,10 @@
 fn main() -> ExitCode {
     let input = BufReader::with_capacity(1 << 20, io::stdin().lock());
     let output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
-    match ryequay::wire::serve(input, output) {
+    match load_balancer::simulator::serve(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("ryequay-wirehost: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
