--- a/src/lib.rs
+++ b/src/lib.rs
@@ -32,7 +32,12 @@
 //! // An outcome frees the slot and wakes it.
 //! actions.clear();
 //! let served = |id| Event::AttemptEnded(AttemptResult {
-//!     id: RequestId(id), attempt: 0, outcome: AttemptOutcome::Success, elapsed: 0.2, connection_idle: None, request_concluded: true,
+//!     id: RequestId(id),
+//!     attempt: 0,
+//!     outcome: AttemptOutcome::Success,
+//!     elapsed: 0.2,
+//!     connection_idle: None,
+//!     request_concluded: true,
 //! });
 //! balancer.handle(0.3, served(1), &mut actions);
 //! assert!(matches!(actions[0], Action::StartAttempt { id: RequestId(2), upstream: UpstreamId(1), .. }));
