--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -289,16 +289,16 @@
     for moved in [false, true] {
         for mode in ["push", "ask"] {
             let mut rig = Rig::new(mode);
-            let (away, elsewhere) = (Away::start(), Away::start());
+            let (away, elsewhere) = (Refusing::new(), Refusing::new());
             let at = |address| Rig::config(&rig.known, address, mode);
             rig.program = Program::start(&at(away.address), "127.0.0.1:0");
             rig.warm();
             sleep(Duration::from_secs(8));
             let back = if moved {
                 rig.program.reload(&at(elsewhere.address));
-                elsewhere.back()
+                elsewhere.discovery()
             } else {
-                away.back()
+                away.discovery()
             };
             // Its first call is made at once, with all these seconds to spare.
             let mut swallowed = back
