--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -324,13 +324,13 @@
 
     /// What the module has learned.
     pub fn learned_state(&self) -> LearnedState {
-        self.balancer.knowledge()
+        self.balancer.learned_state()
     }
 
     /// Gives the module what the one before has learned and written down this long ago.
     pub fn restore(&mut self, age: Duration, knowledge: LearnedState) {
         self.balancer
-            .recall(self.clock.at(Instant::now()), age.as_secs_f64(), knowledge);
+            .restore(self.clock.at(Instant::now()), age.as_secs_f64(), knowledge);
     }
 
     /// The request classes.
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -1,7 +1,7 @@
 //! What one process of a balancer leaves to the next.
 
 use crate::decision::balancer::Balancer;
-use crate::decision::state::{Learned, Rate, Upstream, Usual};
+use crate::decision::state::{LatencyEstimate, RequestRate, Upstream, UpstreamStats};
 use crate::decision::UpstreamId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -13,17 +13,19 @@
 pub struct LearnedState {
     pub(crate) at: f64,
     /// Of each upstream: the start that is listed, when it was put back, and what was learned of it.
-    pub(crate) upstreams: BTreeMap<u64, (f64, f64, Learned)>,
+    pub(crate) upstreams: BTreeMap<u64, (f64, f64, UpstreamStats)>,
     /// When each is taken to have started.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub(crate) started: BTreeMap<u64, f64>,
-    pub(crate) usual: Vec<Usual>,
-    pub(crate) rates: Vec<Rate>,
-    pub(crate) paces: BTreeMap<usize, f64>,
+    pub(crate) usual: Vec<LatencyEstimate>,
+    pub(crate) rates: Vec<RequestRate>,
+    #[serde(rename = "paces")]
+    pub(crate) kind_latency: BTreeMap<usize, f64>,
     #[serde(rename = "reach", alias = "subset")]
     pub(crate) subset: f64,
     pub(crate) pass: f64,
-    pub(crate) met_crowd: bool,
+    #[serde(rename = "met_crowd")]
+    pub(crate) congestion_seen: bool,
     pub(crate) strain: f64,
 }
 
@@ -36,14 +38,17 @@
             learned.moments().for_each(shift);
         }
         self.started.values_mut().for_each(shift);
-        self.rates.iter_mut().map(Rate::moment).for_each(shift);
+        self.rates
+            .iter_mut()
+            .map(RequestRate::moment)
+            .for_each(shift);
         self
     }
 }
 
 impl Balancer {
     /// What has been learned so far.
-    pub fn knowledge(&self) -> LearnedState {
+    pub fn learned_state(&self) -> LearnedState {
         let learned = |(id, u): (&UpstreamId, &Upstream)| {
             (id.0, (u.entry.started_at, u.returned, u.learned.clone()))
         };
@@ -55,46 +60,52 @@
                 .iter()
                 .map(|(id, u)| (id.0, u.started))
                 .collect(),
-            usual: self.usual.clone(),
-            rates: self.rates.clone(),
-            paces: self.turns.paces.clone(),
-            subset: self.turns.subset,
-            pass: self.turns.pass,
-            met_crowd: self.turns.met_crowd,
-            strain: self.strain,
+            usual: self.latency.clone(),
+            rates: self.tenant_rates.clone(),
+            kind_latency: self.rotation.kind_latency.clone(),
+            subset: self.rotation.subset_size,
+            pass: self.rotation.pass,
+            congestion_seen: self.rotation.congestion_seen,
+            strain: self.congestion,
         }
     }
 
     /// Takes over what another balancer with these settings has learned and put down `age` seconds ago, by whatever
     /// clock. What is older than the time in which an upstream warms up says nothing any more, nor does what is known
     /// of an upstream that has started again.
-    pub fn recall(&mut self, now: f64, age: f64, knowledge: LearnedState) {
+    pub fn restore(&mut self, now: f64, age: f64, learned_state: LearnedState) {
         self.now = self.now.max(now);
-        let classes = self.cfg.classes.len();
-        let fits =
-            knowledge.usual.len() == classes && knowledge.rates.len() == self.cfg.tenants.len();
-        if !fits || age >= self.cfg.rules.slow_start_window {
+        let classes = self.settings.classes.len();
+        let fits = learned_state.usual.len() == classes
+            && learned_state.rates.len() == self.settings.tenants.len();
+        if !fits || age >= self.settings.rules.slow_start_window {
             return;
         }
-        let by = self.now - age.max(0.0) - knowledge.at;
-        let knowledge = knowledge.shifted(by);
-        for (id, (since, returned, learned)) in knowledge.upstreams {
+        let by = self.now - age.max(0.0) - learned_state.at;
+        let learned_state = learned_state.shifted(by);
+        for (id, (since, returned, learned)) in learned_state.upstreams {
             let listed = self
                 .upstreams
                 .get_mut(&UpstreamId(id))
                 .filter(|u| u.entry.started_at == since);
-            if let Some(u) =
-                listed.filter(|_| learned.health.len() == classes + 1 && learned.width > 0.0)
+            if let Some(u) = listed
+                .filter(|_| learned.health.len() == classes + 1 && learned.limit_multiplier > 0.0)
             {
                 (u.returned, u.learned) = (returned, learned);
-                u.started = knowledge.started.get(&id).copied().unwrap_or(u.started);
+                u.started = learned_state.started.get(&id).copied().unwrap_or(u.started);
             }
         }
-        (self.usual, self.rates, self.strain) =
-            (knowledge.usual, knowledge.rates, knowledge.strain);
-        self.turns.paces = knowledge.paces;
-        (self.turns.pass, self.turns.met_crowd) = (knowledge.pass, knowledge.met_crowd);
-        let most = (self.turns.order.len() as f64).max(self.turns.least_subset);
-        self.turns.subset = knowledge.subset.clamp(self.turns.least_subset, most);
+        (self.latency, self.tenant_rates, self.congestion) = (
+            learned_state.usual,
+            learned_state.rates,
+            learned_state.strain,
+        );
+        self.rotation.kind_latency = learned_state.kind_latency;
+        (self.rotation.pass, self.rotation.congestion_seen) =
+            (learned_state.pass, learned_state.congestion_seen);
+        let most = (self.rotation.order.len() as f64).max(self.rotation.min_subset_size);
+        self.rotation.subset_size = learned_state
+            .subset
+            .clamp(self.rotation.min_subset_size, most);
     }
 }
--- a/src/decision/poll_schedule.rs
+++ b/src/decision/poll_schedule.rs
@@ -25,7 +25,7 @@
 const DOUBLINGS: i32 = 8;
 
 /// Calls for the list of upstreams.
-pub(crate) struct Asking {
+pub(crate) struct PollSchedule {
     /// Those that have failed since the list was last heard.
     failures: i32,
     /// When one was last made.
@@ -34,9 +34,9 @@
     stale: bool,
 }
 
-impl Default for Asking {
+impl Default for PollSchedule {
     fn default() -> Self {
-        Asking {
+        PollSchedule {
             failures: 0,
             at: f64::INFINITY,
             stale: false,
@@ -44,7 +44,7 @@
     }
 }
 
-impl Asking {
+impl PollSchedule {
     /// Asks now.
     pub(crate) fn ask(&mut self, now: f64) -> Action {
         self.at = now;
@@ -65,12 +65,15 @@
     pub(crate) fn note(
         &mut self,
         scope: ListScope,
-        cfg: &Settings,
+        settings: &Settings,
         now: f64,
         rng: &mut impl Rng,
         actions: &mut Vec<Action>,
     ) {
-        let (failed, told) = (scope == ListScope::Failed, cfg.rules.notification_deadline);
+        let (failed, told) = (
+            scope == ListScope::Failed,
+            settings.rules.notification_deadline,
+        );
         let took = (now - self.at).max(0.0);
         let late = failed && took > SOON * told;
         self.failures = match (failed, late) {
@@ -78,7 +81,7 @@
             (true, false) => (self.failures + 1).min(PATIENT),
             (false, _) => 0,
         };
-        self.stale = cfg.discovery_mode == DiscoveryMode::Poll
+        self.stale = settings.discovery_mode == DiscoveryMode::Poll
             && matches!(scope, ListScope::Cached | ListScope::Failed);
         if !self.stale {
             return;
@@ -88,10 +91,10 @@
         } else {
             [FIRST, SOON][usize::from(failed)]
         };
-        let mut most =
-            (cfg.rules.poll_interval / 4.0 * f64::from(1 << self.failures.min(3))).min(part * told);
+        let mut most = (settings.rules.poll_interval / 4.0 * f64::from(1 << self.failures.min(3)))
+            .min(part * told);
         let mut least = 0.0;
-        let fleet = cfg.peer_count as f64 * APART;
+        let fleet = settings.peer_count as f64 * APART;
         if failed && fleet > most {
             let doublings = (self.failures - PATIENT).clamp(0, DOUBLINGS);
             // Discovery may have come back while a call that was no call in turn was tried.
@@ -104,7 +107,7 @@
             // A broken watch is no sign yet that calls wait in turn.
             least = if self.failures > 1 { most / 2.0 } else { 0.0 };
         }
-        let after = rng.random_range(least..most) + cfg.event_interval;
+        let after = rng.random_range(least..most) + settings.event_interval;
         actions.push(Action::SetTimer {
             after,
             token: POLL_TIMER,
--- a/src/decision/start_time.rs
+++ b/src/decision/start_time.rs
@@ -10,8 +10,8 @@
 /// Discovery that has something to tell a new balancer has told it by then, in seconds.
 const FIRST_NEWS: f64 = 2.0;
 
-/// Turns the starts of lists into moments of the balancer's clock.
-pub(crate) struct Starts {
+/// Rotation the starts of lists into moments of the balancer's clock.
+pub(crate) struct StartTimeEstimator {
     /// What is told before this moment may lie far behind.
     news_from: f64,
     /// The least time by which a start was heard of late, by the wall clocks. A clock that is ahead by more than that
@@ -19,10 +19,10 @@
     least_lag: f64,
 }
 
-impl Starts {
+impl StartTimeEstimator {
     /// Those of a balancer that starts now.
     pub(crate) fn new(now: f64) -> Self {
-        Starts {
+        StartTimeEstimator {
             news_from: now + FIRST_NEWS,
             least_lag: f64::INFINITY,
         }
--- a/tests/learned_state.rs
+++ b/tests/learned_state.rs
@@ -114,10 +114,10 @@
         paths
     };
     let rig = served_lost_and_ejected();
-    let written = json(&rig.balancer.knowledge());
+    let written = json(&rig.balancer.learned_state());
     let recorded: Value = serde_json::from_str(RECORDED).unwrap();
     assert_eq!(paths_of(&written), paths_of(&recorded));
-    let text = serde_json::to_string(&rig.balancer.knowledge()).unwrap();
+    let text = serde_json::to_string(&rig.balancer.learned_state()).unwrap();
     assert_eq!(
         text,
         RECORDED.trim_end(),
@@ -140,8 +140,8 @@
     rig.list(ListScope::Full, listed(98.0));
     // The clock of the process that reads it stands where that of the one that wrote it stood.
     rig.now = json(&recorded)["at"].as_f64().unwrap();
-    let before = json(&rig.balancer.knowledge());
-    rig.balancer.recall(rig.now, 0.0, recorded.clone());
-    assert_ne!(json(&rig.balancer.knowledge()), before);
-    assert_eq!(json(&rig.balancer.knowledge()), json(&recorded));
+    let before = json(&rig.balancer.learned_state());
+    rig.balancer.restore(rig.now, 0.0, recorded.clone());
+    assert_ne!(json(&rig.balancer.learned_state()), before);
+    assert_eq!(json(&rig.balancer.learned_state()), json(&recorded));
 }
--- a/tests/life_of_a_call.rs
+++ b/tests/life_of_a_call.rs
@@ -1132,7 +1132,7 @@
         run(&mut old, 1..40) >= 2,
         "what it costs to learn that one fails"
     );
-    let text = serde_json::to_string(&old.balancer.knowledge()).unwrap();
+    let text = serde_json::to_string(&old.balancer.learned_state()).unwrap();
     let drawn_by = |ahead: f64, later: f64, restarted: bool| {
         let mut new = Rig::new(settings(), 4);
         new.now = old.now + later + ahead;
@@ -1147,7 +1147,7 @@
             );
         }
         new.balancer
-            .recall(new.now, later, serde_json::from_str(&text).unwrap());
+            .restore(new.now, later, serde_json::from_str(&text).unwrap());
         run(&mut new, 1..40)
     };
     let drawn = |later: f64, restarted: bool| drawn_by(0.0, later, restarted);
@@ -1165,6 +1165,6 @@
     let mut other = Rig::with_classes(&[Idempotency::Idempotent, Idempotency::NonIdempotent], 4);
     other
         .balancer
-        .recall(old.now, 0.0, serde_json::from_str(&text).unwrap());
+        .restore(old.now, 0.0, serde_json::from_str(&text).unwrap());
     assert!(other.fill(1, 0) > 1);
 }
