--- /dev/null
+++ b/src/decision/concurrency_limit.rs
@@ -0,0 +1,176 @@
+//! The concurrency limit: how many attempts this balancer may have in flight at one upstream.
+//!
+//! The limit is an even share of the upstream's slots, times a multiplier that each upstream's results change.
+//! With nothing in flight, a request is allowed whatever the limit is.
+
+use super::event::AttemptOutcome;
+use super::latency::{Congestion, SMOOTHING};
+use super::upstream::{Upstream, UpstreamStats};
+
+/// Queued requests per slot of an upstream.
+const QUEUE_PER_SLOT: f64 = 8.0;
+/// Slots by which a limit grows with each response until congestion has been seen.
+const INITIAL_GROWTH: f64 = 0.5;
+/// Share of the time that single requests beyond the limit are allowed under congestion, where an even share is
+/// less than that.
+const CONGESTED_ALLOWANCE: f64 = 0.5;
+/// The multiplier keeps the limit at this many slots or more.
+const MIN_SLOTS: f64 = 0.5;
+/// Factor of the multiplier after an error, or after one connection that broke.
+const MILD_DECREASE: f64 = 1.0 - SMOOTHING;
+/// Factor of the multiplier after a loss.
+const STRONG_DECREASE: f64 = 0.5;
+
+/// What the last response shows of the demand.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Demand {
+    /// Responses are delayed by congestion.
+    Congested,
+    /// There is no congestion, but a request had to wait since the response before.
+    RequestsWaited,
+    /// Neither.
+    Satisfied,
+}
+
+/// State of the limit that all upstreams share.
+pub(super) struct ConcurrencyLimit {
+    /// Slots at one upstream before its multiplier; at least one.
+    slots: f64,
+    /// The same if balancers share it evenly; may be less than one.
+    even_slots: f64,
+    /// Share of the time in which a request may go to an upstream with nothing in flight, whatever the limit is.
+    single_request_allowance: f64,
+    request_waited: bool,
+}
+
+impl ConcurrencyLimit {
+    /// The limit before the first endpoint list.
+    pub(super) fn new() -> Self {
+        ConcurrencyLimit {
+            slots: 0.0,
+            even_slots: 0.0,
+            single_request_allowance: 1.0,
+            request_waited: false,
+        }
+    }
+
+    /// Sets the even share after a change of the endpoint list.
+    pub(super) fn set_even_slots(&mut self, even_slots: f64) {
+        self.even_slots = even_slots;
+        self.slots = even_slots.max(1.0);
+    }
+
+    /// One more attempt is within the limit, or nothing is in flight there.
+    pub(super) fn has_free_slot(&self, upstream: &Upstream) -> bool {
+        let in_flight = upstream.in_flight.len() as f64;
+        in_flight == 0.0 || in_flight + 1.0 <= self.slots * upstream.stats.limit_multiplier
+    }
+
+    /// One more request may wait at this upstream.
+    pub(super) fn has_queue_space(&self, upstream: &Upstream) -> bool {
+        let slots = (self.slots * upstream.stats.limit_multiplier).max(1.0);
+        (upstream.queue.len() as f64) < QUEUE_PER_SLOT * slots
+    }
+
+    /// Notes that a request has to wait.
+    pub(super) fn note_wait(&mut self) {
+        self.request_waited = true;
+    }
+
+    /// Adapts the limit to a successful response of an upstream. `covers_all`: the subset can't grow any more, so
+    /// the multiplier does.
+    pub(super) fn on_success(
+        &mut self,
+        stats: &mut UpstreamStats,
+        is_congested: bool,
+        congestion: &Congestion,
+        covers_all: bool,
+    ) -> Demand {
+        let request_waited = std::mem::take(&mut self.request_waited);
+        let demand = if is_congested {
+            Demand::Congested
+        } else if request_waited {
+            Demand::RequestsWaited
+        } else {
+            Demand::Satisfied
+        };
+        self.adapt_multiplier(&mut stats.limit_multiplier, demand, congestion, covers_all);
+        self.adapt_allowance(is_congested);
+        demand
+    }
+
+    fn adapt_multiplier(
+        &self,
+        multiplier: &mut f64,
+        demand: Demand,
+        congestion: &Congestion,
+        covers_all: bool,
+    ) {
+        // A limit is counted in whole attempts, so what a failure took of an even share has to come back whole,
+        // or the slot would be lost for good.
+        if *multiplier < 1.0 {
+            *multiplier = (*multiplier + SMOOTHING).min(1.0);
+            return;
+        }
+        match demand {
+            Demand::Congested => *multiplier += SMOOTHING * (1.0 - *multiplier),
+            Demand::Satisfied => *multiplier += SMOOTHING * SMOOTHING * (1.0 - *multiplier),
+            Demand::RequestsWaited if covers_all => {
+                // A restarted balancer has to regain its former limit soon, or it rejects requests meanwhile.
+                let growth = if congestion.was_seen {
+                    SMOOTHING
+                } else {
+                    INITIAL_GROWTH
+                };
+                *multiplier += growth / self.slots;
+            }
+            Demand::RequestsWaited => {}
+        }
+    }
+
+    /// Single requests of many balancers would void the limit, so under congestion they are allowed for a part
+    /// of the time only.
+    fn adapt_allowance(&mut self, is_congested: bool) {
+        let target = if is_congested && self.even_slots < CONGESTED_ALLOWANCE {
+            CONGESTED_ALLOWANCE
+        } else {
+            1.0
+        };
+        self.single_request_allowance += SMOOTHING * (target - self.single_request_allowance);
+    }
+
+    /// Bounds the multiplier from below, and pauses the upstream after an attempt of `elapsed` seconds for as long
+    /// as the single-request allowance asks for.
+    pub(super) fn finish_result(&self, stats: &mut UpstreamStats, elapsed: f64, now: f64) {
+        stats.limit_multiplier = stats.limit_multiplier.max(MIN_SLOTS / self.slots);
+        let pause = elapsed * (1.0 / self.single_request_allowance - 1.0);
+        stats.paused_until = stats.paused_until.max(now + pause);
+    }
+
+    /// The single-request allowance.
+    pub(super) fn single_request_allowance(&self) -> f64 {
+        self.single_request_allowance
+    }
+
+    /// Restores the single-request allowance.
+    pub(super) fn restore_single_request_allowance(&mut self, allowance: f64) {
+        self.single_request_allowance = allowance;
+    }
+}
+
+/// Lowers an upstream's limit after an error.
+pub(super) fn decrease_after_error(stats: &mut UpstreamStats) {
+    stats.limit_multiplier *= MILD_DECREASE;
+}
+
+/// Lowers an upstream's limit after an attempt that was lost. A single connection that broke counts less: if the
+/// process is gone, the next connection fails too.
+pub(super) fn decrease_after_loss(stats: &mut UpstreamStats, outcome: AttemptOutcome) {
+    let is_single =
+        outcome != AttemptOutcome::TimedOut && stats.outliers[0].consecutive_failures() == 0;
+    stats.limit_multiplier *= if is_single {
+        MILD_DECREASE
+    } else {
+        STRONG_DECREASE
+    };
+}
--- /dev/null
+++ b/src/decision/endpoint_list.rs
@@ -0,0 +1,87 @@
+//! Takes in the endpoint list from discovery.
+
+use super::action::Action;
+use super::balancer::Balancer;
+use super::event::{ListScope, UpstreamEntry, UpstreamState};
+use super::outlier::OutlierStats;
+use super::subset;
+use super::upstream::{Upstream, UpstreamStats};
+use rand::Rng;
+
+impl Balancer {
+    /// Merges a list or a change of it, or notes that discovery failed.
+    pub(super) fn on_endpoint_list(
+        &mut self,
+        scope: ListScope,
+        entries: Vec<UpstreamEntry>,
+        actions: &mut Vec<Action>,
+    ) {
+        self.poll_schedule
+            .on_list(scope, &self.settings, self.now, &mut self.rng, actions);
+        if !self.poll_schedule.is_stale() {
+            self.upstreams
+                .values_mut()
+                .for_each(Upstream::clear_suspicion);
+        }
+        if matches!(scope, ListScope::Full | ListScope::Cached) {
+            for upstream in self.upstreams.values_mut() {
+                upstream.entry.state = UpstreamState::Removed;
+            }
+        }
+        for entry in entries {
+            self.merge_entry(entry);
+        }
+        self.start_times.on_list(scope, self.now);
+        self.on_endpoints_changed(actions);
+    }
+
+    fn merge_entry(&mut self, entry: UpstreamEntry) {
+        let initial_stats = self.initial_stats();
+        let upstream = self
+            .upstreams
+            .entry(entry.id)
+            .or_insert_with(|| Upstream::new(entry.clone()));
+        // After a restart nothing learned of the old process holds, but attempts in flight there still free their
+        // slots when they end.
+        let is_new = upstream.stats.limit_multiplier == 0.0;
+        if is_new || upstream.entry.started_at != entry.started_at {
+            upstream.stats = initial_stats;
+            upstream.returned_at = 0.0;
+            upstream.started_at = self.start_times.estimate(entry.started_at, self.now);
+        }
+        upstream.in_maintenance = self.maintenance.is_out(entry.id);
+        upstream.entry = entry;
+    }
+
+    /// The statistics of an upstream of which nothing is known.
+    pub(super) fn initial_stats(&mut self) -> UpstreamStats {
+        let scopes = 0..=self.settings.classes.len();
+        UpstreamStats {
+            limit_multiplier: 1.0,
+            // A random part, so that the balancers of a fleet do not all send their first request at once.
+            slow_start_tokens: self.rng.random(),
+            outliers: scopes.map(|_| OutlierStats::new(self.now)).collect(),
+            ..UpstreamStats::default()
+        }
+    }
+
+    /// An upstream has become available or unavailable: chooses the subset anew, and reassigns requests that wait
+    /// for an unavailable upstream or for any at all.
+    pub(super) fn on_endpoints_changed(&mut self, actions: &mut Vec<Action>) {
+        let subset = subset::choose(&self.settings, &self.upstreams);
+        self.limit.set_even_slots(subset.even_slots);
+        self.rotation.set_subset(subset);
+        let mut waiting = std::mem::take(&mut self.unassigned);
+        for upstream in self.upstreams.values_mut() {
+            if !upstream.is_available() {
+                waiting.append(&mut upstream.queue);
+            }
+        }
+        for id in waiting {
+            self.assign(id, actions);
+        }
+        self.upstreams.retain(|_, upstream| {
+            upstream.entry.state == UpstreamState::Active || !upstream.in_flight.is_empty()
+        });
+    }
+}
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -1,44 +1,84 @@
-//! What one process of a balancer leaves to the next.
+//! The learned state: what one process of a balancer hands to the next.
+//!
+//! Its stored form is shared with other versions during an upgrade, so the stored names of fields never change.
 
-use crate::decision::balancer::Balancer;
-use crate::decision::state::{LatencyEstimate, RequestRate, Upstream, UpstreamStats};
-use crate::decision::UpstreamId;
-use serde::{Deserialize, Serialize};
+use super::admission::RequestRate;
+use super::balancer::Balancer;
+use super::event::UpstreamId;
+use super::latency::LatencyEstimate;
+use super::upstream::UpstreamStats;
+use serde::{Deserialize, Serialize, Serializer};
 use std::collections::BTreeMap;
 
-/// What a balancer has learned, for the one that takes its place. Nothing in it has to hold: whoever recalls it
-/// takes over what still fits. Fields that have changed their name are kept under the old one: during an upgrade
-/// the version before reads it too.
+/// What a balancer has learned, for the process that replaces it. Nothing in it has to be current:
+/// [`Balancer::restore`] takes what still applies. Moments are seconds on the clock of the balancer that saved it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LearnedState {
-    pub(crate) at: f64,
-    /// Of each upstream: the start that is listed, when it was put back, and what was learned of it.
-    pub(crate) upstreams: BTreeMap<u64, (f64, f64, UpstreamStats)>,
-    /// When each is taken to have started.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub(crate) started: BTreeMap<u64, f64>,
-    pub(crate) usual: Vec<LatencyEstimate>,
-    pub(crate) rates: Vec<RequestRate>,
+    #[serde(rename = "at")]
+    saved_at: f64,
+    upstreams: BTreeMap<u64, StoredUpstream>,
+    /// Estimated starts.
+    #[serde(
+        rename = "started",
+        default,
+        skip_serializing_if = "BTreeMap::is_empty"
+    )]
+    started_at: BTreeMap<u64, f64>,
+    /// Of each class.
+    #[serde(rename = "usual")]
+    latency: Vec<LatencyEstimate>,
+    /// Of each tenant.
+    #[serde(rename = "rates")]
+    tenant_rates: Vec<RequestRate>,
     #[serde(rename = "paces")]
-    pub(crate) kind_latency: BTreeMap<usize, f64>,
+    relative_latency_by_kind: BTreeMap<usize, f64>,
     #[serde(rename = "reach", alias = "subset")]
-    pub(crate) subset: f64,
-    pub(crate) pass: f64,
+    subset_size: f64,
+    #[serde(rename = "pass")]
+    single_request_allowance: f64,
     #[serde(rename = "met_crowd")]
-    pub(crate) congestion_seen: bool,
-    pub(crate) strain: f64,
+    congestion_was_seen: bool,
+    #[serde(rename = "strain")]
+    congestion_level: f64,
+}
+
+/// What was learned of one upstream; stored as an array.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(from = "(f64, f64, UpstreamStats)")]
+struct StoredUpstream {
+    /// Its start according to the endpoint list.
+    listed_start: f64,
+    /// When it returned from maintenance.
+    returned_at: f64,
+    stats: UpstreamStats,
+}
+
+impl From<(f64, f64, UpstreamStats)> for StoredUpstream {
+    fn from((listed_start, returned_at, stats): (f64, f64, UpstreamStats)) -> Self {
+        StoredUpstream {
+            listed_start,
+            returned_at,
+            stats,
+        }
+    }
+}
+
+impl Serialize for StoredUpstream {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (self.listed_start, self.returned_at, &self.stats).serialize(serializer)
+    }
 }
 
 impl LearnedState {
-    /// The same, with all moments later by so many seconds.
-    fn shifted(mut self, by: f64) -> Self {
-        let shift = |moment: &mut f64| *moment += if *moment > 0.0 { by } else { 0.0 };
-        for (_, returned, learned) in self.upstreams.values_mut() {
-            shift(returned);
-            learned.moments().for_each(shift);
+    /// The same with all moments shifted by this many seconds. A moment of 0 means never, and stays.
+    fn shifted(mut self, seconds: f64) -> Self {
+        let shift = |moment: &mut f64| *moment += if *moment > 0.0 { seconds } else { 0.0 };
+        for upstream in self.upstreams.values_mut() {
+            shift(&mut upstream.returned_at);
+            upstream.stats.moments().for_each(shift);
         }
-        self.started.values_mut().for_each(shift);
-        self.rates
+        self.started_at.values_mut().for_each(shift);
+        self.tenant_rates
             .iter_mut()
             .map(RequestRate::moment)
             .for_each(shift);
@@ -48,64 +88,77 @@
 
 impl Balancer {
     /// What has been learned so far.
+    #[must_use]
     pub fn learned_state(&self) -> LearnedState {
-        let learned = |(id, u): (&UpstreamId, &Upstream)| {
-            (id.0, (u.entry.started_at, u.returned, u.learned.clone()))
-        };
+        let mut upstreams = BTreeMap::new();
+        let mut started_at = BTreeMap::new();
+        for (id, upstream) in &self.upstreams {
+            let stored = StoredUpstream {
+                listed_start: upstream.entry.started_at,
+                returned_at: upstream.returned_at,
+                stats: upstream.stats.clone(),
+            };
+            upstreams.insert(id.0, stored);
+            started_at.insert(id.0, upstream.started_at);
+        }
         LearnedState {
-            at: self.now,
-            upstreams: self.upstreams.iter().map(learned).collect(),
-            started: self
-                .upstreams
-                .iter()
-                .map(|(id, u)| (id.0, u.started))
-                .collect(),
-            usual: self.latency.clone(),
-            rates: self.tenant_rates.clone(),
-            kind_latency: self.rotation.kind_latency.clone(),
-            subset: self.rotation.subset_size,
-            pass: self.rotation.pass,
-            congestion_seen: self.rotation.congestion_seen,
-            strain: self.congestion,
+            saved_at: self.now,
+            upstreams,
+            started_at,
+            latency: self.latency.clone(),
+            tenant_rates: self.tenant_rates.clone(),
+            relative_latency_by_kind: self.rotation.relative_latency_by_kind().clone(),
+            subset_size: self.rotation.subset_size(),
+            single_request_allowance: self.limit.single_request_allowance(),
+            congestion_was_seen: self.congestion.was_seen,
+            congestion_level: self.congestion.level,
         }
     }
 
-    /// Takes over what another balancer with these settings has learned and put down `age` seconds ago, by whatever
-    /// clock. What is older than the time in which an upstream warms up says nothing any more, nor does what is known
-    /// of an upstream that has started again.
-    pub fn restore(&mut self, now: f64, age: f64, learned_state: LearnedState) {
+    /// Takes over what another balancer with these settings learned and saved `age` seconds ago. Ignored are a state
+    /// older than the slow-start window or of other settings, and what is known of an upstream that has been restarted
+    /// since.
+    pub fn restore(&mut self, now: f64, age: f64, state: LearnedState) {
         self.now = self.now.max(now);
-        let classes = self.settings.classes.len();
-        let fits = learned_state.usual.len() == classes
-            && learned_state.rates.len() == self.settings.tenants.len();
-        if !fits || age >= self.settings.rules.slow_start_window {
+        let has_same_shape = state.latency.len() == self.settings.classes.len()
+            && state.tenant_rates.len() == self.settings.tenants.len();
+        if !has_same_shape || age >= self.settings.rules.slow_start_window {
             return;
         }
-        let by = self.now - age.max(0.0) - learned_state.at;
-        let learned_state = learned_state.shifted(by);
-        for (id, (since, returned, learned)) in learned_state.upstreams {
-            let listed = self
-                .upstreams
-                .get_mut(&UpstreamId(id))
-                .filter(|u| u.entry.started_at == since);
-            if let Some(u) = listed
-                .filter(|_| learned.health.len() == classes + 1 && learned.limit_multiplier > 0.0)
-            {
-                (u.returned, u.learned) = (returned, learned);
-                u.started = learned_state.started.get(&id).copied().unwrap_or(u.started);
-            }
+        let shift = self.now - age.max(0.0) - state.saved_at;
+        let state = state.shifted(shift);
+        for (id, stored) in state.upstreams {
+            let started_at = state.started_at.get(&id).copied();
+            self.restore_upstream(UpstreamId(id), stored, started_at);
+        }
+        self.latency = state.latency;
+        self.tenant_rates = state.tenant_rates;
+        self.congestion.level = state.congestion_level;
+        self.congestion.was_seen = state.congestion_was_seen;
+        self.rotation
+            .restore_relative_latency(state.relative_latency_by_kind);
+        self.limit
+            .restore_single_request_allowance(state.single_request_allowance);
+        self.rotation.restore_subset_size(state.subset_size);
+    }
+
+    fn restore_upstream(
+        &mut self,
+        id: UpstreamId,
+        stored: StoredUpstream,
+        started_at: Option<f64>,
+    ) {
+        let scopes = self.settings.classes.len() + 1;
+        if stored.stats.outliers.len() != scopes || stored.stats.limit_multiplier <= 0.0 {
+            return;
+        }
+        let Some(upstream) = self.upstreams.get_mut(&id) else {
+            return;
+        };
+        if upstream.entry.started_at == stored.listed_start {
+            upstream.returned_at = stored.returned_at;
+            upstream.stats = stored.stats;
+            upstream.started_at = started_at.unwrap_or(upstream.started_at);
         }
-        (self.latency, self.tenant_rates, self.congestion) = (
-            learned_state.usual,
-            learned_state.rates,
-            learned_state.strain,
-        );
-        self.rotation.kind_latency = learned_state.kind_latency;
-        (self.rotation.pass, self.rotation.congestion_seen) =
-            (learned_state.pass, learned_state.congestion_seen);
-        let most = (self.rotation.order.len() as f64).max(self.rotation.min_subset_size);
-        self.rotation.subset_size = learned_state
-            .subset
-            .clamp(self.rotation.min_subset_size, most);
     }
 }
--- /dev/null
+++ b/src/decision/maintenance.rs
@@ -0,0 +1,110 @@
+//! Upstreams that operators take out of service and put back.
+
+use super::action::Action;
+use super::balancer::Balancer;
+use super::event::{Maintenance, UpstreamId};
+use std::collections::BTreeMap;
+
+/// An upstream that operators have put back.
+struct Return {
+    at: f64,
+    awaits_request: bool,
+}
+
+/// What operators have ordered. It holds whether or not the upstream is listed. Moments are seconds.
+#[derive(Default)]
+pub(super) struct MaintenanceRegister {
+    /// Upstreams out of service, and since when.
+    out_since: BTreeMap<UpstreamId, f64>,
+    returned: BTreeMap<UpstreamId, Return>,
+}
+
+impl MaintenanceRegister {
+    /// Operators have taken this upstream out of service.
+    pub(super) fn is_out(&self, upstream: UpstreamId) -> bool {
+        self.out_since.contains_key(&upstream)
+    }
+
+    /// Upstreams that were put back and have had no request since.
+    pub(super) fn awaiting_request(&self) -> impl Iterator<Item = &UpstreamId> {
+        let awaiting = self.returned.iter().filter(|(_, it)| it.awaits_request);
+        awaiting.map(|(id, _)| id)
+    }
+
+    /// This upstream was put back and has had no request since.
+    pub(super) fn awaits_request(&self, upstream: UpstreamId) -> bool {
+        let returned = self.returned.get(&upstream);
+        returned.is_some_and(|it| it.awaits_request)
+    }
+
+    /// This upstream was put back less than `window` seconds ago.
+    pub(super) fn returned_within(&self, upstream: UpstreamId, window: f64, now: f64) -> bool {
+        let returned = self.returned.get(&upstream);
+        returned.is_some_and(|it| now - it.at < window)
+    }
+
+    /// A request has gone to this upstream.
+    pub(super) fn note_request(&mut self, upstream: UpstreamId) {
+        if let Some(returned) = self.returned.get_mut(&upstream) {
+            returned.awaits_request = false;
+        }
+    }
+
+    fn begin(&mut self, upstream: UpstreamId, now: f64) {
+        self.out_since.entry(upstream).or_insert(now);
+        self.returned.remove(&upstream);
+    }
+
+    /// Returns since when the upstream was out; `None` if it was not.
+    fn end(&mut self, upstream: UpstreamId, now: f64) -> Option<f64> {
+        let out_since = self.out_since.remove(&upstream)?;
+        let returned = Return {
+            at: now,
+            awaits_request: true,
+        };
+        self.returned.insert(upstream, returned);
+        Some(out_since)
+    }
+}
+
+impl Balancer {
+    /// Takes an upstream out of service or puts it back. The operators' orders take precedence over the endpoint
+    /// list.
+    pub(super) fn on_maintenance(
+        &mut self,
+        id: UpstreamId,
+        change: Maintenance,
+        actions: &mut Vec<Action>,
+    ) {
+        let initial_stats = self.initial_stats();
+        match change {
+            Maintenance::Begin => {
+                self.maintenance.begin(id, self.now);
+                let upstream = self.upstreams.get_mut(&id);
+                let Some(upstream) = upstream.filter(|it| !it.in_maintenance) else {
+                    return;
+                };
+                upstream.in_maintenance = true;
+            }
+            Maintenance::End => {
+                let Some(out_since) = self.maintenance.end(id, self.now) else {
+                    return;
+                };
+                let upstream = self.upstreams.get_mut(&id);
+                let Some(upstream) = upstream.filter(|it| it.in_maintenance) else {
+                    return;
+                };
+                upstream.in_maintenance = false;
+                // Discovery may report a restart late or never, so the upstream counts as warming up unless it
+                // is known to have started before.
+                upstream.returned_at = if upstream.started_at < out_since {
+                    self.now
+                } else {
+                    0.0
+                };
+                upstream.stats = initial_stats;
+            }
+        }
+        self.on_endpoints_changed(actions);
+    }
+}
--- a/src/decision/poll_schedule.rs
+++ b/src/decision/poll_schedule.rs
@@ -1,68 +1,88 @@
-//! When a balancer asks discovery for the list, where lists are asked for. Decides, as `src/balance.rs` does,
-//! by the types beside it.
+//! When a balancer polls discovery for the endpoint list, in poll mode.
+//!
+//! Polls that discovery refuses after queueing them cost it as much as others, so a large fleet could overload it
+//! for good. Each balancer therefore polls at a random moment, and the later the more peers it has.
 
-use crate::decision::{Action, DiscoveryMode, ListScope, Settings};
+use super::action::Action;
+use super::event::ListScope;
+use super::settings::{DiscoveryMode, Settings};
 use rand::Rng;
 
-/// Timer for the subscription to the list; requests use their id, which is smaller.
-pub(crate) const POLL_TIMER: u64 = u64::MAX >> 1;
-/// Longest waits before a call, over the time after which its news count as told: for the first one, after
-/// one that failed as soon as this, and after one that waited in turn. Two of these and what they wait for
-/// fit in there.
-const FIRST: f64 = 0.25;
-const SOON: f64 = 0.1;
-const LATER: f64 = 0.12;
-/// The same after any that failed, where there are many peers: a call that then waits in turn is still in
-/// time.
-const LONGEST: f64 = 0.6;
-/// So far apart, in seconds, are the calls of all peers after failures, on the mean: what one is let cost
-/// discovery.
-const APART: f64 = 0.04;
-/// Calls that may fail in a row, refused after they have waited in turn, before waits grow beyond the
-/// longest: discovery is overrun. Those that fail at once don't count here, as they cost it nothing.
-const PATIENT: i32 = 4;
-/// Further doublings of that, at the most.
-const DOUBLINGS: i32 = 8;
+/// Token of the poll timer; request ids, the tokens of other timers, are smaller.
+pub(super) const POLL_TIMER: u64 = u64::MAX >> 1;
 
-/// Calls for the list of upstreams.
-pub(crate) struct PollSchedule {
-    /// Those that have failed since the list was last heard.
+// Shares of the notification deadline. Two delays and the polls that they precede fit within it.
+
+/// Longest delay of the first poll.
+const FIRST_DELAY_SHARE: f64 = 0.25;
+/// Longest delay after a poll that failed at once; one that takes longer than this was queued by discovery.
+const FAST_FAILURE_SHARE: f64 = 0.1;
+/// Longest delay after a queued poll that failed.
+const QUEUED_FAILURE_SHARE: f64 = 0.12;
+/// Longest delay after a failure in a large fleet. A poll that is queued then still ends in time.
+const LARGE_FLEET_SHARE: f64 = 0.6;
+
+/// Mean time between the polls of all peers after failures, in seconds.
+const FLEET_POLL_INTERVAL: f64 = 0.04;
+/// Polls per poll interval before the first failure.
+const POLLS_PER_INTERVAL: f64 = 4.0;
+/// Failures up to which the first delays double.
+const MAX_SHORT_DOUBLINGS: i32 = 3;
+/// Consecutive failures of queued polls after which delays exceed the longest one: discovery is overloaded. Polls
+/// that fail at once cost it nothing and count only up to here.
+const FAILURES_BEFORE_BACKOFF: i32 = 4;
+/// Doublings of the longest delay.
+const MAX_BACKOFF_DOUBLINGS: i32 = 8;
+
+/// How a call to discovery went.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum PollResult {
+    /// A list came.
+    List,
+    /// It failed at once, or a watch broke.
+    FailedFast,
+    /// It failed after discovery had queued it.
+    FailedQueued,
+}
+
+/// A range of delays, in seconds.
+struct DelayRange {
+    min: f64,
+    max: f64,
+}
+
+/// State of the polls. Moments are seconds.
+pub(super) struct PollSchedule {
+    /// Consecutive failures.
     failures: i32,
-    /// When one was last made.
-    at: f64,
-    /// Asked for, and not heard since the start, since a call failed or since a watch broke.
-    stale: bool,
+    last_poll_at: f64,
+    /// The list is polled, and has not been received since the start, a failure or a broken watch.
+    is_stale: bool,
 }
 
-impl Default for PollSchedule {
-    fn default() -> Self {
+impl PollSchedule {
+    /// The schedule before the first poll.
+    pub(super) fn new() -> Self {
         PollSchedule {
             failures: 0,
-            at: f64::INFINITY,
-            stale: false,
+            last_poll_at: f64::INFINITY,
+            is_stale: false,
         }
     }
-}
 
-impl PollSchedule {
-    /// Asks now.
-    pub(crate) fn ask(&mut self, now: f64) -> Action {
-        self.at = now;
+    /// Polls now.
+    pub(super) fn poll(&mut self, now: f64) -> Action {
+        self.last_poll_at = now;
         Action::WatchEndpoints
     }
 
-    /// What is listed may have changed unheard.
-    pub(crate) fn is_stale(&self) -> bool {
-        self.stale
+    /// Changes of the endpoints may have been missed.
+    pub(super) fn is_stale(&self) -> bool {
+        self.is_stale
     }
 
-    /// Takes note of news, or of a call that failed, and sets the time of the next call if there is to be
-    /// one.
-    ///
-    /// Guards against a fleet that overruns discovery for good, as calls that are refused after their turn
-    /// cost it as much as others: each balancer asks at a moment of its own, and the later the more peers it
-    /// has.
-    pub(crate) fn note(
+    /// Notes a list or a failed poll, and schedules the next poll if one is needed.
+    pub(super) fn on_list(
         &mut self,
         scope: ListScope,
         settings: &Settings,
@@ -70,52 +90,71 @@
         rng: &mut impl Rng,
         actions: &mut Vec<Action>,
     ) {
-        let (failed, told) = (
-            scope == ListScope::Failed,
-            settings.rules.notification_deadline,
-        );
-        let took = (now - self.at).max(0.0);
-        let late = failed && took > SOON * told;
-        self.failures = match (failed, late) {
-            (true, true) => self.failures + 1,
-            (true, false) => (self.failures + 1).min(PATIENT),
-            (false, _) => 0,
+        let elapsed = (now - self.last_poll_at).max(0.0);
+        let deadline = settings.rules.notification_deadline;
+        let result = if scope != ListScope::Failed {
+            PollResult::List
+        } else if elapsed > FAST_FAILURE_SHARE * deadline {
+            PollResult::FailedQueued
+        } else {
+            PollResult::FailedFast
         };
-        self.stale = settings.discovery_mode == DiscoveryMode::Poll
+        self.count_failure(result);
+        self.is_stale = settings.discovery_mode == DiscoveryMode::Poll
             && matches!(scope, ListScope::Cached | ListScope::Failed);
-        if !self.stale {
+        if !self.is_stale {
             return;
         }
-        let part = if late {
-            LATER
-        } else {
-            [FIRST, SOON][usize::from(failed)]
-        };
-        let mut most = (settings.rules.poll_interval / 4.0 * f64::from(1 << self.failures.min(3)))
-            .min(part * told);
-        let mut least = 0.0;
-        let fleet = settings.peer_count as f64 * APART;
-        if failed && fleet > most {
-            let doublings = (self.failures - PATIENT).clamp(0, DOUBLINGS);
-            // Discovery may have come back while a call that was no call in turn was tried.
-            let longest = if late {
-                LONGEST * told
-            } else {
-                LONGEST * told - took
-            };
-            most = fleet.min(longest * f64::from(1 << doublings));
-            // A broken watch is no sign yet that calls wait in turn.
-            least = if self.failures > 1 { most / 2.0 } else { 0.0 };
-        }
-        let after = rng.random_range(least..most) + settings.event_interval;
+        let delays = self.delays(result, settings, elapsed);
+        let after = rng.random_range(delays.min..delays.max) + settings.event_interval;
         actions.push(Action::SetTimer {
             after,
             token: POLL_TIMER,
         });
-        let text = format!("discovery failed, asked again in {after:.1} s");
-        actions.extend(failed.then_some(Action::Log {
-            upstream: None,
-            text,
-        }));
+        if result != PollResult::List {
+            actions.push(Action::Log {
+                upstream: None,
+                text: format!("discovery poll failed; polling again in {after:.1} s"),
+            });
+        }
+    }
+
+    fn count_failure(&mut self, result: PollResult) {
+        self.failures = match result {
+            PollResult::List => 0,
+            PollResult::FailedFast => (self.failures + 1).min(FAILURES_BEFORE_BACKOFF),
+            PollResult::FailedQueued => self.failures + 1,
+        };
+    }
+
+    /// The range of the next delay. `elapsed`: what the last poll took, in seconds.
+    fn delays(&self, result: PollResult, settings: &Settings, elapsed: f64) -> DelayRange {
+        let deadline = settings.rules.notification_deadline;
+        let share = match result {
+            PollResult::List => FIRST_DELAY_SHARE,
+            PollResult::FailedFast => FAST_FAILURE_SHARE,
+            PollResult::FailedQueued => QUEUED_FAILURE_SHARE,
+        };
+        let first_delay = settings.rules.poll_interval / POLLS_PER_INTERVAL;
+        let factor = f64::from(1 << self.failures.min(MAX_SHORT_DOUBLINGS));
+        let max = (first_delay * factor).min(share * deadline);
+        let fleet_delay = settings.peer_count as f64 * FLEET_POLL_INTERVAL;
+        if result == PollResult::List || fleet_delay <= max {
+            return DelayRange { min: 0.0, max };
+        }
+        let longest = match result {
+            PollResult::FailedQueued => LARGE_FLEET_SHARE * deadline,
+            // Discovery may have recovered since the poll began.
+            _ => LARGE_FLEET_SHARE * deadline - elapsed,
+        };
+        let max = fleet_delay.min(longest * self.backoff_factor());
+        // After a single failure, which may be a broken watch, polls need not be queued yet.
+        let min = if self.failures > 1 { max / 2.0 } else { 0.0 };
+        DelayRange { min, max }
+    }
+
+    fn backoff_factor(&self) -> f64 {
+        let doublings = self.failures - FAILURES_BEFORE_BACKOFF;
+        f64::from(1 << doublings.clamp(0, MAX_BACKOFF_DOUBLINGS))
     }
 }
--- a/src/decision/start_time.rs
+++ b/src/decision/start_time.rs
@@ -1,53 +1,52 @@
-//! When upstreams started, on a balancer's own clock. Decides, as `src/balance.rs` does, by the types of
-//! the types beside it.
+//! Estimates when upstreams started, on this balancer's clock.
 //!
-//! A list gives a start in another machine's wall-clock time, and the wall clock of either machine may be wrong by an
-//! hour. What can be trusted is a span of this balancer's monotonic clock: an upstream is at least as old as the time
-//! since its start was heard of.
+//! A list gives a start in another machine's wall-clock time, and either wall clock may be wrong by an hour. A span
+//! of this balancer's monotonic clock can be trusted: an upstream is at least as old as the time since its start
+//! was first listed.
 
-use crate::decision::ListScope;
+use super::event::ListScope;
 
-/// Discovery that has something to tell a new balancer has told it by then, in seconds.
-const FIRST_NEWS: f64 = 2.0;
+/// By then, in seconds, a new balancer has received what discovery knew before it started.
+const INITIAL_LIST_TIME: f64 = 2.0;
 
-/// Rotation the starts of lists into moments of the balancer's clock.
-pub(crate) struct StartTimeEstimator {
-    /// What is told before this moment may lie far behind.
-    news_from: f64,
-    /// The least time by which a start was heard of late, by the wall clocks. A clock that is ahead by more than that
+/// Converts the starts of endpoint lists into moments of the balancer's clock. All times are seconds.
+pub(super) struct StartTimeEstimator {
+    /// Starts that are listed before this moment may lie far back.
+    initial_until: f64,
+    /// Least delay, by the wall clocks, with which a start was listed. A wall clock that is ahead by more than that
     /// would have shown no start so soon.
-    least_lag: f64,
+    min_delay: f64,
 }
 
 impl StartTimeEstimator {
-    /// Those of a balancer that starts now.
-    pub(crate) fn new(now: f64) -> Self {
+    /// The estimator of a balancer that starts now.
+    pub(super) fn new(now: f64) -> Self {
         StartTimeEstimator {
-            news_from: now + FIRST_NEWS,
-            least_lag: f64::INFINITY,
+            initial_until: now + INITIAL_LIST_TIME,
+            min_delay: f64::INFINITY,
         }
     }
 
-    /// The moment at which an upstream is taken to have started, of which a list tells this start for the first time
-    /// now; 0 means long ago. What a balancer is told as it starts itself may lie far behind it, so there the wall
-    /// clocks are all there is to go by. After that a start is news: it is taken for as late as it is later than the
-    /// promptest one so far. None lies ahead.
-    pub(crate) fn began(&mut self, since: f64, now: f64) -> f64 {
-        if since <= 0.0 {
+    /// Estimates the start of an upstream that is listed with this start for the first time; 0 means long ago. A start
+    /// that is listed while the balancer starts may lie far back, and the wall clocks alone tell how far. Later ones
+    /// are recent: a start counts as older only by as much as its delay exceeds the least delay so far. None lies in
+    /// the future.
+    pub(super) fn estimate(&mut self, listed_start: f64, now: f64) -> f64 {
+        if listed_start <= 0.0 {
             return 0.0;
         }
-        let lag = (now - since).max(0.0);
-        if now < self.news_from {
-            return now - lag;
+        let delay = (now - listed_start).max(0.0);
+        if now < self.initial_until {
+            return now - delay;
         }
-        self.least_lag = self.least_lag.min(lag);
-        now - (lag - self.least_lag)
+        self.min_delay = self.min_delay.min(delay);
+        now - (delay - self.min_delay)
     }
 
-    /// A list of this scope has been taken in at this moment.
-    pub(crate) fn note(&mut self, scope: ListScope, now: f64) {
+    /// Notes that a list of this scope has been merged.
+    pub(super) fn on_list(&mut self, scope: ListScope, now: f64) {
         if matches!(scope, ListScope::Full | ListScope::Delta) {
-            self.news_from = self.news_from.min(now);
+            self.initial_until = self.initial_until.min(now);
         }
     }
 }
--- /dev/null
+++ b/src/decision/upstream.rs
@@ -0,0 +1,197 @@
+//! An upstream as this balancer sees it: its list entry, what is in flight or queued there, and statistics.
+
+use super::event::{AttemptOutcome, RequestId, UpstreamEntry, UpstreamId, UpstreamState};
+use super::latency::{OVERDUE_FACTOR, SMOOTHING};
+use super::outlier::OutlierStats;
+use super::settings::Rules;
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, VecDeque};
+
+/// An upstream that rejects this many requests in a row and answers none may be draining.
+const REJECTIONS_OF_DRAINING: u32 = 3;
+
+/// All upstreams that are listed or have attempts in flight.
+pub(super) type Upstreams = BTreeMap<UpstreamId, Upstream>;
+
+/// An attempt in flight at an upstream. Moments and durations are seconds.
+pub(super) struct InFlightAttempt {
+    /// The request that it belongs to.
+    pub(super) request: RequestId,
+    /// Its request class.
+    pub(super) class: usize,
+    /// When it started.
+    pub(super) sent_at: f64,
+    /// When the upstream had received all of it; infinite while the client still sends its body.
+    pub(super) upload_completed_at: f64,
+    /// How long it is expected to take.
+    pub(super) expected_latency: f64,
+    /// For how long its connection had been idle.
+    pub(super) connection_idle: f64,
+}
+
+impl InFlightAttempt {
+    /// It has taken far longer than expected.
+    pub(super) fn is_overdue(&self, now: f64) -> bool {
+        now - self.upload_completed_at > OVERDUE_FACTOR * self.expected_latency
+    }
+}
+
+/// An upstream.
+pub(super) struct Upstream {
+    /// Its entry in the endpoint list.
+    pub(super) entry: UpstreamEntry,
+    /// Operators have taken it out of service.
+    pub(super) in_maintenance: bool,
+    consecutive_rejections: u32,
+    /// It is left out until the endpoint list is current again.
+    pub(super) is_suspected_draining: bool,
+    /// Estimated start; 0: long ago.
+    pub(super) started_at: f64,
+    /// When it returned from maintenance, if it may have been restarted meanwhile; else 0.
+    pub(super) returned_at: f64,
+    /// Its attempts in flight.
+    pub(super) in_flight: Vec<InFlightAttempt>,
+    /// Requests that wait for a slot here.
+    pub(super) queue: VecDeque<RequestId>,
+    /// Virtual time of its next turn in the rotation.
+    pub(super) next_turn: f64,
+    /// Since when each of its idle connections is idle, as far as is known.
+    idle_connections: Vec<f64>,
+    /// What has been learned of it.
+    pub(super) stats: UpstreamStats,
+}
+
+impl Upstream {
+    /// An upstream that has just been listed.
+    pub(super) fn new(entry: UpstreamEntry) -> Self {
+        Upstream {
+            entry,
+            in_maintenance: false,
+            consecutive_rejections: 0,
+            is_suspected_draining: false,
+            started_at: 0.0,
+            returned_at: 0.0,
+            in_flight: Vec::new(),
+            queue: VecDeque::new(),
+            next_turn: 0.0,
+            idle_connections: Vec::new(),
+            stats: UpstreamStats::default(),
+        }
+    }
+
+    /// It takes requests according to the endpoint list and the operators, and does not seem to be draining.
+    pub(super) fn is_available(&self) -> bool {
+        self.entry.state == UpstreamState::Active
+            && !self.in_maintenance
+            && !self.is_suspected_draining
+    }
+
+    /// Counts consecutive rejections. Returns whether they suggest that it is draining.
+    pub(super) fn seems_draining_after(&mut self, outcome: AttemptOutcome) -> bool {
+        match outcome {
+            AttemptOutcome::Rejected => self.consecutive_rejections += 1,
+            AttemptOutcome::Success | AttemptOutcome::Error | AttemptOutcome::InvalidResponse => {
+                self.consecutive_rejections = 0;
+            }
+            _ => {}
+        }
+        self.consecutive_rejections >= REJECTIONS_OF_DRAINING
+    }
+
+    /// Drops the suspicion of draining: the endpoint list is current.
+    pub(super) fn clear_suspicion(&mut self) {
+        self.consecutive_rejections = 0;
+        self.is_suspected_draining = false;
+    }
+
+    /// Share of its full capacity that it has at least.
+    pub(super) fn slow_start_share(&self, rules: &Rules, now: f64) -> f64 {
+        rules.slow_start_share(self.started_at.max(self.returned_at), now)
+    }
+
+    /// Removes the attempt of this request from those in flight.
+    pub(super) fn remove_in_flight(&mut self, request: RequestId) -> Option<InFlightAttempt> {
+        let is_of_request = |attempt: &InFlightAttempt| attempt.request == request;
+        let index = self.in_flight.iter().position(is_of_request)?;
+        Some(self.in_flight.remove(index))
+    }
+
+    /// Notes that a connection became idle.
+    pub(super) fn add_idle_connection(&mut self, now: f64) {
+        self.idle_connections.push(now);
+    }
+
+    /// Forgets the connections that their pool has closed after `max_idle` seconds.
+    pub(super) fn drop_expired_connections(&mut self, max_idle: f64, now: f64) {
+        self.idle_connections.retain(|since| now - since < max_idle);
+    }
+
+    /// Whether the oldest idle connection has been idle for longer than `timeout` seconds. If so, forgets all.
+    pub(super) fn drop_untrusted_connections(&mut self, timeout: f64, now: f64) -> bool {
+        let oldest = self.idle_connections.first();
+        let is_untrusted = oldest.is_some_and(|since| now - since > timeout);
+        if is_untrusted {
+            self.idle_connections.clear();
+        }
+        is_untrusted
+    }
+
+    /// Takes the connection that became idle last; returns for how long it was idle (0: a new one is needed).
+    pub(super) fn take_idle_connection(&mut self, now: f64) -> f64 {
+        self.idle_connections.pop().map_or(0.0, |since| now - since)
+    }
+}
+
+/// What a balancer has learned of an upstream; void once its process restarts.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub(super) struct UpstreamStats {
+    /// Multiplier of the concurrency limit.
+    #[serde(rename = "width")]
+    pub(super) limit_multiplier: f64,
+    /// Mean latency over the one to expect.
+    #[serde(rename = "pace")]
+    pub(super) relative_latency: f64,
+    /// Successful responses that `relative_latency` rests on.
+    #[serde(rename = "answers")]
+    pub(super) responses: f64,
+    /// Of all requests, then of each class.
+    #[serde(rename = "health")]
+    pub(super) outliers: Vec<OutlierStats>,
+    /// Share of its requests that were lost silently, as a slow moving average.
+    #[serde(rename = "losses")]
+    pub(super) silent_loss_rate: f64,
+    /// It gets no request until then, after a rejection or between requests beyond the limit.
+    #[serde(rename = "full_until")]
+    pub(super) paused_until: f64,
+    /// How long the connection had been idle on which the last request was lost silently; 0: none was.
+    #[serde(rename = "suspect")]
+    pub(super) suspect_idle_time: f64,
+    /// Requests that slow start allows it by now; at most 1.
+    #[serde(rename = "credit", alias = "allowance")]
+    pub(super) slow_start_tokens: f64,
+}
+
+impl UpstreamStats {
+    /// All moments in it.
+    pub(super) fn moments(&mut self) -> impl Iterator<Item = &mut f64> {
+        let outliers = self.outliers.iter_mut().flat_map(OutlierStats::moments);
+        outliers.chain([&mut self.paused_until])
+    }
+
+    /// Adds the relative latency of a successful response.
+    pub(super) fn add_relative_latency(&mut self, relative_latency: f64) {
+        self.responses += 1.0;
+        let weight = SMOOTHING.max(1.0 / self.responses);
+        self.relative_latency += weight * (relative_latency - self.relative_latency);
+    }
+
+    /// Adds slow-start tokens.
+    pub(super) fn add_slow_start_tokens(&mut self, tokens: f64) {
+        self.slow_start_tokens = (self.slow_start_tokens + tokens).min(1.0);
+    }
+
+    /// Takes the slow-start token of one attempt.
+    pub(super) fn take_slow_start_token(&mut self) {
+        self.slow_start_tokens = (self.slow_start_tokens - 1.0).max(0.0);
+    }
+}
