--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -7,8 +7,8 @@
 use super::settings::Class;
 use serde::{Deserialize, Serialize};
 
-/// Share of the time that the latency objective leaves beyond the expected latency, or of the expected latency,
-/// that a request may wait.
+/// Share of the time that the latency objective leaves beyond the expected latency, or of the
+/// expected latency, that a request may wait.
 const QUEUE_TIME_SHARE: f64 = 0.4;
 /// The same where late responses have a weight.
 const QUEUE_TIME_SHARE_LATE_WEIGHT: f64 = 2.0 * QUEUE_TIME_SHARE;
@@ -29,8 +29,8 @@
         &mut self.updated_at
     }
 
-    /// Counts one request. Returns the share of the rate that exceeds the quota (requests per second; 0: no
-    /// quota). The average decays over `window` seconds.
+    /// Counts one request. Returns the share of the rate that exceeds the quota (requests per
+    /// second; 0: no quota). The average decays over `window` seconds.
     fn add_request(&mut self, quota: f64, now: f64, window: f64) -> f64 {
         let decay = (-(now - self.updated_at) / window).exp();
         self.per_second = self.per_second * decay + 1.0 / window;
@@ -70,9 +70,9 @@
         self.assign(id, actions);
     }
 
-    /// How long a request may wait, in seconds. The first tier sheds it while others can still meet the latency
-    /// objective. In deeper tiers work has been spent on it already, so it waits as long as a response can come in
-    /// time.
+    /// How long a request may wait, in seconds. The first tier sheds it while others can still
+    /// meet the latency objective. In deeper tiers work has been spent on it already, so it waits
+    /// as long as a response can come in time.
     fn queue_time(&self, class: &Class, expected_latency: f64, remaining: f64) -> f64 {
         if self.settings.tier > 0 {
             return remaining - (expected_latency / 2.0).min(remaining / 2.0);
@@ -86,8 +86,8 @@
         remaining.min(share * slack)
     }
 
-    /// Counts a request of this tenant. Returns the share of its traffic that exceeds this balancer's part of the
-    /// quota.
+    /// Counts a request of this tenant. Returns the share of its traffic that exceeds this
+    /// balancer's part of the quota.
     fn over_quota_share(&mut self, tenant: usize, window: f64) -> f64 {
         let settings = self.settings.tenants.get(tenant);
         let quota = settings.map_or(0.0, |it| it.quota_per_second);
@@ -96,8 +96,9 @@
         rate.map_or(0.0, |it| it.add_request(quota, self.now, window))
     }
 
-    /// The priority weight that a request earns per second of its expected latency. Requests beyond their tenant's
-    /// quota count less, so that one tenant can't take the capacity of the others.
+    /// The priority weight that a request earns per second of its expected latency. Requests
+    /// beyond their tenant's quota count less, so that one tenant can't take the capacity of the
+    /// others.
     pub(super) fn weight_per_second(&self, id: RequestId) -> f64 {
         let request = &self.requests[&id];
         let work = if self.settings.weight_by_work {
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -12,7 +12,8 @@
 use super::settings::{Idempotency, Limits};
 use super::upstream::{InFlightAttempt, Upstream};
 
-/// An upstream is suspected of draining only while fewer than this share of the available ones are.
+/// An upstream is suspected of draining only while fewer than this share of the available ones
+/// are.
 const MAX_SUSPECTED_SHARE: f64 = 0.5;
 
 impl Balancer {
@@ -79,8 +80,8 @@
         }
     }
 
-    /// An attempt has ended: learns from it, concludes or retries its request, and uses the free slot. A result that
-    /// has been reported before is ignored.
+    /// An attempt has ended: learns from it, concludes or retries its request, and uses the free
+    /// slot. A result that has been reported before is ignored.
     pub(super) fn on_attempt_ended(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
         let (id, outcome) = (result.id, result.outcome);
         let Some(request) = self.requests.get_mut(&id) else {
@@ -139,7 +140,8 @@
         }
     }
 
-    /// Adapts the concurrency limit, and with a success also the latency estimates, to the end of an attempt.
+    /// Adapts the concurrency limit, and with a success also the latency estimates, to the end of
+    /// an attempt.
     fn adapt_limit(
         &mut self,
         id: UpstreamId,
@@ -181,8 +183,8 @@
         self.limit.finish_result(stats, ended.elapsed, self.now);
     }
 
-    /// Leaves out an upstream that rejects all requests while the endpoint list is stale: it may be draining. If many
-    /// reject, they are overloaded instead.
+    /// Leaves out an upstream that rejects all requests while the endpoint list is stale: it may
+    /// be draining. If many reject, they are overloaded instead.
     fn detect_draining(
         &mut self,
         id: UpstreamId,
@@ -213,8 +215,9 @@
     }
 }
 
-/// Chooses the connection of an attempt; returns for how long it has been idle, in seconds (0: it is new). If the
-/// oldest idle connection has been idle for longer than the estimated timeout, all are closed first.
+/// Chooses the connection of an attempt; returns for how long it has been idle, in seconds (0: it
+/// is new). If the oldest idle connection has been idle for longer than the estimated timeout,
+/// all are closed first.
 fn take_connection(
     upstream: &mut Upstream,
     idle_timeout: &mut IdleTimeoutEstimator,
--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -1,8 +1,8 @@
 //! The balancer: owns the state of all parts and passes each event to the part that handles it.
 //!
-//! A balancer counts its attempts in flight at each upstream. A request goes to the upstream under its concurrency
-//! limit whose turn it is in the rotation; if there is none, it waits in a queue until a slot becomes free or its
-//! queue time is over.
+//! A balancer counts its attempts in flight at each upstream. A request goes to the upstream
+//! under its concurrency limit whose turn it is in the rotation; if there is none, it waits in a
+//! queue until a slot becomes free or its queue time is over.
 
 use super::action::Action;
 use super::admission::RequestRate;
@@ -49,8 +49,8 @@
 }
 
 impl Balancer {
-    /// A balancer that knows no upstream yet: give it an `Event::EndpointList` next. `now` is the moment on the
-    /// embedder's clock, in seconds; `seed` starts the random generator.
+    /// A balancer that knows no upstream yet: give it an `Event::EndpointList` next. `now` is the
+    /// moment on the embedder's clock, in seconds; `seed` starts the random generator.
     ///
     /// # Errors
     ///
@@ -82,7 +82,8 @@
         })
     }
 
-    /// Handles one event that happened `now`, in seconds, and appends the actions that follow from it.
+    /// Handles one event that happened `now`, in seconds, and appends the actions that follow
+    /// from it.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Requests open, slots taken (both 0 when all is done), and upstreams listed or with attempts in flight.
+    /// Requests open, slots taken (both 0 when all is done), and upstreams listed or with
+    /// attempts in flight.
     #[must_use]
     pub fn load(&self) -> (usize, usize, usize) {
         let slots = self.upstreams.values().map(|it| it.in_flight.len()).sum();
--- a/src/decision/conclusion.rs
+++ b/src/decision/conclusion.rs
@@ -4,14 +4,17 @@
 use super::balancer::Balancer;
 use super::event::RequestId;
 
-/// Retry-After of a rejection over the expected latency. Of a few requests in flight one has ended by then.
+/// Retry-After of a rejection over the expected latency. Of a few requests in flight one has
+/// ended by then.
 const RETRY_AFTER_SHARE: f64 = 0.25;
 
 impl Balancer {
-    /// Ends a request for which no response will come: rejected if a repeat does no harm, else failed.
+    /// Ends a request for which no response will come: rejected if a repeat does no harm, else
+    /// failed.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = &self.requests[&id];
-        // Without it clients that come back too soon would be rejected again, and later ones would waste capacity.
+        // Without it clients that come back too soon would be rejected again, and later ones
+        // would waste capacity.
         let retry_after = self
             .settings
             .limits
--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -1,7 +1,7 @@
 //! The concurrency limit: how many attempts this balancer may have in flight at one upstream.
 //!
-//! The limit is an even share of the upstream's slots, times a multiplier that each upstream's results change.
-//! With nothing in flight, a request is allowed whatever the limit is.
+//! The limit is an even share of the upstream's slots, times a multiplier that each upstream's
+//! results change. With nothing in flight, a request is allowed whatever the limit is.
 
 use super::event::AttemptOutcome;
 use super::latency::{Congestion, SMOOTHING};
@@ -11,8 +11,8 @@
 const QUEUE_PER_SLOT: f64 = 8.0;
 /// Slots by which a limit grows with each response until congestion has been seen.
 const INITIAL_GROWTH: f64 = 0.5;
-/// Share of the time that single requests beyond the limit are allowed under congestion, where an even share is
-/// less than that.
+/// Share of the time that single requests beyond the limit are allowed under congestion, where an
+/// even share is less than that.
 const CONGESTED_ALLOWANCE: f64 = 0.5;
 /// The multiplier keeps the limit at this many slots or more.
 const MIN_SLOTS: f64 = 0.5;
@@ -38,7 +38,8 @@
     slots: f64,
     /// The same if balancers share it evenly; may be less than one.
     even_slots: f64,
-    /// Share of the time in which a request may go to an upstream with nothing in flight, whatever the limit is.
+    /// Share of the time in which a request may go to an upstream with nothing in flight,
+    /// whatever the limit is.
     single_request_allowance: f64,
     request_waited: bool,
 }
@@ -77,8 +78,8 @@
         self.request_waited = true;
     }
 
-    /// Adapts the limit to a successful response of an upstream. `covers_all`: the subset can't grow any more, so
-    /// the multiplier does.
+    /// Adapts the limit to a successful response of an upstream. `covers_all`: the subset can't
+    /// grow any more, so the multiplier does.
     pub(super) fn on_success(
         &mut self,
         stats: &mut UpstreamStats,
@@ -106,8 +107,8 @@
         congestion: &Congestion,
         covers_all: bool,
     ) {
-        // A limit is counted in whole attempts, so what a failure took of an even share has to come back whole,
-        // or the slot would be lost for good.
+        // A limit is counted in whole attempts, so what a failure took of an even share has to
+        // come back whole, or the slot would be lost for good.
         if *multiplier < 1.0 {
             *multiplier = (*multiplier + SMOOTHING).min(1.0);
             return;
@@ -116,7 +117,8 @@
             Demand::Congested => *multiplier += SMOOTHING * (1.0 - *multiplier),
             Demand::Satisfied => *multiplier += SMOOTHING * SMOOTHING * (1.0 - *multiplier),
             Demand::RequestsWaited if covers_all => {
-                // A restarted balancer has to regain its former limit soon, or it rejects requests meanwhile.
+                // A restarted balancer has to regain its former limit soon, or it rejects
+                // requests meanwhile.
                 let growth = if congestion.was_seen {
                     SMOOTHING
                 } else {
@@ -128,8 +130,8 @@
         }
     }
 
-    /// Single requests of many balancers would void the limit, so under congestion they are allowed for a part
-    /// of the time only.
+    /// Single requests of many balancers would void the limit, so under congestion they are
+    /// allowed for a part of the time only.
     fn adapt_allowance(&mut self, is_congested: bool) {
         let target = if is_congested && self.even_slots < CONGESTED_ALLOWANCE {
             CONGESTED_ALLOWANCE
@@ -139,8 +141,8 @@
         self.single_request_allowance += SMOOTHING * (target - self.single_request_allowance);
     }
 
-    /// Bounds the multiplier from below, and pauses the upstream after an attempt of `elapsed` seconds for as long
-    /// as the single-request allowance asks for.
+    /// Bounds the multiplier from below, and pauses the upstream after an attempt of `elapsed`
+    /// seconds for as long as the single-request allowance asks for.
     pub(super) fn finish_result(&self, stats: &mut UpstreamStats, elapsed: f64, now: f64) {
         stats.limit_multiplier = stats.limit_multiplier.max(MIN_SLOTS / self.slots);
         let pause = elapsed * (1.0 / self.single_request_allowance - 1.0);
@@ -163,8 +165,8 @@
     stats.limit_multiplier *= MILD_DECREASE;
 }
 
-/// Lowers an upstream's limit after an attempt that was lost. A single connection that broke counts less: if the
-/// process is gone, the next connection fails too.
+/// Lowers an upstream's limit after an attempt that was lost. A single connection that broke
+/// counts less: if the process is gone, the next connection fails too.
 pub(super) fn decrease_after_loss(stats: &mut UpstreamStats, outcome: AttemptOutcome) {
     let is_single =
         outcome != AttemptOutcome::TimedOut && stats.outliers[0].consecutive_failures() == 0;
--- a/src/decision/ended_attempt.rs
+++ b/src/decision/ended_attempt.rs
@@ -33,7 +33,8 @@
         let is_overdue = result.elapsed > OVERDUE_FACTOR * attempt.expected_latency;
         let is_lost = match outcome {
             AttemptOutcome::Cancelled => is_overdue,
-            // The upstream is not to blame for a client that gives up before the latency objective.
+            // The upstream is not to blame for a client that gives up before the latency
+            // objective.
             AttemptOutcome::TimedOut => is_overdue || !has_short_deadline,
             AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => true,
             _ => false,
@@ -44,7 +45,8 @@
             sent_at: attempt.sent_at,
             elapsed: result.elapsed,
             expected_latency: attempt.expected_latency,
-            // The embedder's figure goes first: the connection may have been closed since it was estimated.
+            // The embedder's figure goes first: the connection may have been closed since it was
+            // estimated.
             connection_idle: result.connection_idle.unwrap_or(attempt.connection_idle),
             is_response: is_reusable(outcome) || outcome == AttemptOutcome::InvalidResponse,
             is_lost,
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -41,8 +41,8 @@
             .upstreams
             .entry(entry.id)
             .or_insert_with(|| Upstream::new(entry.clone()));
-        // After a restart nothing learned of the old process holds, but attempts in flight there still free their
-        // slots when they end.
+        // After a restart nothing learned of the old process holds, but attempts in flight there
+        // still free their slots when they end.
         let is_new = upstream.stats.limit_multiplier == 0.0;
         if is_new || upstream.entry.started_at != entry.started_at {
             upstream.stats = initial_stats;
@@ -58,15 +58,16 @@
         let scopes = 0..=self.settings.classes.len();
         UpstreamStats {
             limit_multiplier: 1.0,
-            // A random part, so that the balancers of a fleet do not all send their first request at once.
+            // A random part, so that the balancers of a fleet do not all send their first request
+            // at once.
             slow_start_tokens: self.rng.random(),
             outliers: scopes.map(|_| OutlierStats::new(self.now)).collect(),
             ..UpstreamStats::default()
         }
     }
 
-    /// An upstream has become available or unavailable: chooses the subset anew, and reassigns requests that wait
-    /// for an unavailable upstream or for any at all.
+    /// An upstream has become available or unavailable: chooses the subset anew, and reassigns
+    /// requests that wait for an unavailable upstream or for any at all.
     pub(super) fn on_endpoints_changed(&mut self, actions: &mut Vec<Action>) {
         let subset = subset::choose(&self.settings, &self.upstreams);
         self.limit.set_even_slots(subset.even_slots);
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -72,8 +72,8 @@
     Success,
     /// The upstream answered with an error; it may have run.
     Error,
-    /// What came can't be read as the response to this request, and its connection is of no further
-    /// use; it may have run.
+    /// What came can't be read as the response to this request, and its connection is of no
+    /// further use; it may have run.
     InvalidResponse,
     /// Rejected before it began; it never ran.
     Rejected,
@@ -153,8 +153,8 @@
         /// The upstreams of the list.
         endpoints: Vec<UpstreamEntry>,
     },
-    /// Operators take an upstream out of service or put it back. This holds until they say otherwise,
-    /// whatever discovery lists; the upstream may be restarted while it is out.
+    /// Operators take an upstream out of service or put it back. This holds until they say
+    /// otherwise, whatever discovery lists; the upstream may be restarted while it is out.
     Maintenance {
         /// Which upstream; it need not be listed now.
         upstream: UpstreamId,
--- a/src/decision/idle_timeout.rs
+++ b/src/decision/idle_timeout.rs
@@ -1,11 +1,13 @@
-//! Estimates after which idle time upstreams, or what lies between, drop connections without notice.
+//! Estimates after which idle time upstreams, or what lies between, drop connections without
+//! notice.
 
 use super::ended_attempt::EndedAttempt;
 use super::event::AttemptOutcome;
 use super::latency::SMOOTHING;
 
-/// Evidence that one response on an old connection removes; a reset adds 1. A reset costs a request, a new
-/// connection a small part of one, so the resets tolerated are this share of the responses.
+/// Evidence that one response on an old connection removes; a reset adds 1. A reset costs a
+/// request, a new connection a small part of one, so the resets tolerated are this share of the
+/// responses.
 const EVIDENCE_PER_RESPONSE: f64 = 0.04;
 /// Evidence at which the timeout is lowered: two resets with few responses between them.
 const EVIDENCE_THRESHOLD: f64 = 1.5;
@@ -34,7 +36,8 @@
 }
 
 impl IdleTimeoutEstimator {
-    /// An estimator that starts with `max_timeout`, the time after which idle connections are closed in any case.
+    /// An estimator that starts with `max_timeout`, the time after which idle connections are
+    /// closed in any case.
     pub(super) fn new(max_timeout: f64, now: f64) -> Self {
         IdleTimeoutEstimator {
             timeout: max_timeout,
@@ -52,11 +55,11 @@
         self.timeout
     }
 
-    /// Adds an attempt that has ended. `suspect_idle_time` belongs to its upstream: how long the connection had
-    /// been idle on which the last request was lost without notice (0: none was).
+    /// Adds an attempt that has ended. `suspect_idle_time` belongs to its upstream: how long the
+    /// connection had been idle on which the last request was lost without notice (0: none was).
     ///
-    /// Returns whether the attempt's connection may have been dropped while idle, so that its loss says nothing
-    /// of the upstream.
+    /// Returns whether the attempt's connection may have been dropped while idle, so that its
+    /// loss says nothing of the upstream.
     pub(super) fn observe(
         &mut self,
         ended: &EndedAttempt,
@@ -103,9 +106,9 @@
     ended.connection_idle > ended.expected_latency
 }
 
-/// A reset on an idle connection, or a silent loss on one followed by a response on a newer one, points to
-/// connections dropped while idle. A response on a connection as old speaks against it, and so does a reset on
-/// one that was new.
+/// A reset on an idle connection, or a silent loss on one followed by a response on a newer one,
+/// points to connections dropped while idle. A response on a connection as old speaks against it,
+/// and so does a reset on one that was new.
 fn observation(ended: &EndedAttempt, suspect_idle_time: f64) -> Observation {
     let idle = ended.connection_idle;
     // So soon that no work can have been done.
--- a/src/decision/latency.rs
+++ b/src/decision/latency.rs
@@ -6,13 +6,14 @@
 pub(super) const SMOOTHING: f64 = 0.1;
 /// An attempt is overdue after this many times its expected latency.
 pub(super) const OVERDUE_FACTOR: f64 = 6.0;
-/// Work hints are rough: what a request takes beyond the mean counts for at most this many mean requests.
+/// Work hints are rough: what a request takes beyond the mean counts for at most this many mean
+/// requests.
 pub(super) const MAX_EXCESS_WORK: f64 = 4.0;
-/// Congested: responses take more than this share of what the latency objective leaves beyond the baseline
-/// latency, on average.
+/// Congested: responses take more than this share of what the latency objective leaves beyond the
+/// baseline latency, on average.
 const CONGESTION_THRESHOLD: f64 = 0.25;
-/// Largest share of the latency objective that counts as baseline latency. The estimate may have started
-/// under congestion.
+/// Largest share of the latency objective that counts as baseline latency. The estimate may have
+/// started under congestion.
 const MAX_BASELINE_SHARE: f64 = 0.5;
 
 /// Latency and work of a class's requests, as moving averages.
@@ -47,8 +48,8 @@
         let weight = SMOOTHING.max(1.0 / self.samples);
         self.mean_latency += weight * (latency - self.mean_latency);
         self.mean_work += weight * (work - self.mean_work);
-        // The baseline follows the mean down at once but up so slowly that some seconds of congestion do not
-        // raise it.
+        // The baseline follows the mean down at once but up so slowly that some seconds of
+        // congestion do not raise it.
         let current = self.mean_latency / self.mean_work;
         let weight_up = if weight > SMOOTHING {
             1.0
@@ -72,8 +73,8 @@
         }
     }
 
-    /// The latency to expect for this much work, but at least that of a mean request: work hints are too rough
-    /// to call an attempt overdue sooner.
+    /// The latency to expect for this much work, but at least that of a mean request: work hints
+    /// are too rough to call an attempt overdue sooner.
     pub(super) fn expected_at_least_mean(&self, work: f64) -> f64 {
         self.expected(work).max(self.expected(self.mean_work))
     }
@@ -97,8 +98,8 @@
         }
     }
 
-    /// The latency to expect for this much work without congestion, in seconds. `max_mean` bounds that of a
-    /// mean request.
+    /// The latency to expect for this much work without congestion, in seconds. `max_mean` bounds
+    /// that of a mean request.
     fn baseline(&self, work: f64, max_mean: f64) -> f64 {
         self.baseline_per_work.min(max_mean / self.mean_work) * work
     }
@@ -114,8 +115,8 @@
 }
 
 impl Congestion {
-    /// Adds one successful response. Only what exceeds the baseline latency counts: large requests and single
-    /// slow responses are not congestion.
+    /// Adds one successful response. Only what exceeds the baseline latency counts: large
+    /// requests and single slow responses are not congestion.
     pub(super) fn add(
         &mut self,
         latency: f64,
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Whether a balancer of this tier has to reduce its concurrency. In deeper tiers the first tier bounds what
-    /// comes, and a waiting request holds a slot there.
+    /// Whether a balancer of this tier has to reduce its concurrency. In deeper tiers the first
+    /// tier bounds what comes, and a waiting request holds a slot there.
     pub(super) fn update(&mut self, tier: usize) -> bool {
         let is_congested = tier == 0 && self.level > CONGESTION_THRESHOLD;
         self.was_seen |= is_congested;
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -1,6 +1,7 @@
 //! The learned state: what one process of a balancer hands to the next.
 //!
-//! Its stored form is shared with other versions during an upgrade, so the stored names of fields never change.
+//! Its stored form is shared with other versions during an upgrade, so the stored names of fields
+//! never change.
 
 use super::admission::RequestRate;
 use super::balancer::Balancer;
@@ -10,8 +11,9 @@
 use serde::{Deserialize, Serialize, Serializer};
 use std::collections::BTreeMap;
 
-/// What a balancer has learned, for the process that replaces it. Nothing in it has to be current:
-/// [`Balancer::restore`] takes what still applies. Moments are seconds on the clock of the balancer that saved it.
+/// What a balancer has learned, for the process that replaces it. Nothing in it has to be
+/// current: [`Balancer::restore`] takes what still applies. Moments are seconds on the clock of
+/// the balancer that saved it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LearnedState {
     #[serde(rename = "at")]
@@ -70,7 +72,8 @@
 }
 
 impl LearnedState {
-    /// The same with all moments shifted by this many seconds. A moment of 0 means never, and stays.
+    /// The same with all moments shifted by this many seconds. A moment of 0 means never, and
+    /// stays.
     fn shifted(mut self, seconds: f64) -> Self {
         let shift = |moment: &mut f64| *moment += if *moment > 0.0 { seconds } else { 0.0 };
         for upstream in self.upstreams.values_mut() {
@@ -115,9 +118,9 @@
         }
     }
 
-    /// Takes over what another balancer with these settings learned and saved `age` seconds ago. Ignored are a state
-    /// older than the slow-start window or of other settings, and what is known of an upstream that has been restarted
-    /// since.
+    /// Takes over what another balancer with these settings learned and saved `age` seconds ago.
+    /// Ignored are a state older than the slow-start window or of other settings, and what is
+    /// known of an upstream that has been restarted since.
     pub fn restore(&mut self, now: f64, age: f64, state: LearnedState) {
         self.now = self.now.max(now);
         let has_same_shape = state.latency.len() == self.settings.classes.len()
--- a/src/decision/maintenance.rs
+++ b/src/decision/maintenance.rs
@@ -11,7 +11,8 @@
     awaits_request: bool,
 }
 
-/// What operators have ordered. It holds whether or not the upstream is listed. Moments are seconds.
+/// What operators have ordered. It holds whether or not the upstream is listed. Moments are
+/// seconds.
 #[derive(Default)]
 pub(super) struct MaintenanceRegister {
     /// Upstreams out of service, and since when.
@@ -68,8 +69,8 @@
 }
 
 impl Balancer {
-    /// Takes an upstream out of service or puts it back. The operators' orders take precedence over the endpoint
-    /// list.
+    /// Takes an upstream out of service or puts it back. The operators' orders take precedence
+    /// over the endpoint list.
     pub(super) fn on_maintenance(
         &mut self,
         id: UpstreamId,
@@ -95,8 +96,8 @@
                     return;
                 };
                 upstream.in_maintenance = false;
-                // Discovery may report a restart late or never, so the upstream counts as warming up unless it
-                // is known to have started before.
+                // Discovery may report a restart late or never, so the upstream counts as warming
+                // up unless it is known to have started before.
                 upstream.returned_at = if upstream.started_at < out_since {
                     self.now
                 } else {
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -1,8 +1,8 @@
 //! Outlier detection: ejects upstreams that fail or are silent while their peers answer.
 //!
-//! Judged by all requests at an upstream and by those of each class. An ejected upstream gets no requests until the
-//! ejection is over, then one at a time until one succeeds. If most of the subset would be left out, none is (panic
-//! mode).
+//! Judged by all requests at an upstream and by those of each class. An ejected upstream gets no
+//! requests until the ejection is over, then one at a time until one succeeds. If most of the
+//! subset would be left out, none is (panic mode).
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -24,9 +24,11 @@
 const ERROR_RATE_MARGIN: f64 = 0.3;
 /// Responses without error that an upstream is presumed to have given before the first.
 const PRESUMED_RESPONSES: f64 = 3.0;
-/// Silent losses are no sign of a single upstream if its rate is at most this many times its peers' mean.
+/// Silent losses are no sign of a single upstream if its rate is at most this many times its
+/// peers' mean.
 const COMMON_LOSS_FACTOR: f64 = 2.0;
-/// An ejection for one class keeps the trial requests that can't be repeated back for this many times as long.
+/// An ejection for one class keeps the trial requests that can't be repeated back for this many
+/// times as long.
 const TRIAL_DELAY_FACTOR: f64 = 2.0;
 
 /// Outlier statistics of an upstream: of all its requests or of one class. Moments are seconds.
@@ -82,15 +84,17 @@
     is_first: bool,
 }
 
-/// Mean error rates of an upstream's peers; 1 if there are none, as there is nothing to compare with.
+/// Mean error rates of an upstream's peers; 1 if there are none, as there is nothing to compare
+/// with.
 struct PeerErrorRates {
     all_requests: f64,
     class: f64,
 }
 
 impl Evidence<'_> {
-    /// Consecutive failures that lead to an ejection. One broken connection says little: if the process is gone, the
-    /// next one fails too. Nor does one silent loss where the peers have them as well.
+    /// Consecutive failures that lead to an ejection. One broken connection says little: if the
+    /// process is gone, the next one fails too. Nor does one silent loss where the peers have
+    /// them as well.
     fn failures_to_eject(&self) -> i32 {
         if self.is_common_loss || self.ended.is_connection_failure() {
             2
@@ -173,9 +177,10 @@
         self.error_rate += weight * (f64::from(u8::from(is_error)) - self.error_rate);
     }
 
-    /// Losses count while the upstream answers nothing. For a class, a silent loss counts also if the upstream
-    /// answers others, and so do errors that its peers do not have: an upstream that fails fast would draw requests
-    /// as it is always free, and a rejection has taken a slot until it came back.
+    /// Losses count while the upstream answers nothing. For a class, a silent loss counts also if
+    /// the upstream answers others, and so do errors that its peers do not have: an upstream that
+    /// fails fast would draw requests as it is always free, and a rejection has taken a slot
+    /// until it came back.
     fn is_failure(&self, evidence: &Evidence, scope: Scope, is_outlier: bool) -> bool {
         let ended = evidence.ended;
         let is_unanswered = ended.is_lost && self.is_silent_since(ended.sent_at);
@@ -226,7 +231,8 @@
         for attempt in &upstream.in_flight {
             of_class += usize::from(attempt.class == class);
             if attempt.is_overdue(self.now) {
-                // Counts though requests sent later were answered: the upstream may lose a part of the class.
+                // Counts though requests sent later were answered: the upstream may lose a part
+                // of the class.
                 has_overdue_of_class |= attempt.class == class;
                 unanswered += usize::from(all_stats.is_silent_since(attempt.sent_at));
             }
@@ -238,7 +244,8 @@
             && upstream.stats.outliers[1 + class].allows_request(of_class, self.now)
     }
 
-    /// The peers lose requests silently about as often, so the losses happen on the way to all of them.
+    /// The peers lose requests silently about as often, so the losses happen on the way to all of
+    /// them.
     fn has_common_losses(&self, upstream: &Upstream) -> bool {
         let (mut sum, mut peers) = (0.0, 0.0);
         for peer in self.rotation.peers_of(upstream.entry.id, &self.upstreams) {
@@ -254,7 +261,8 @@
         !upstream.is_available() || classes.all(|class| !self.is_eligible(upstream, class))
     }
 
-    /// Adds the end of an attempt to the upstream's outlier statistics, and ejects it if they call for it.
+    /// Adds the end of an attempt to the upstream's outlier statistics, and ejects it if they
+    /// call for it.
     pub(super) fn detect_outlier(
         &mut self,
         id: UpstreamId,
@@ -285,7 +293,8 @@
         }
     }
 
-    /// Adds to the upstream's rate of silent losses. Returns whether this is such a loss and its peers have them too.
+    /// Adds to the upstream's rate of silent losses. Returns whether this is such a loss and its
+    /// peers have them too.
     fn add_to_loss_rate(&mut self, id: UpstreamId, ended: &EndedAttempt) -> bool {
         let is_lost_silently = ended.is_lost_silently();
         let upstream = self.upstreams.get_mut(&id).expect("had it in flight");
@@ -314,7 +323,8 @@
     }
 }
 
-/// The log line for the first ejection of a series. An ejection for all requests covers that for the class.
+/// The log line for the first ejection of a series. An ejection for all requests covers that for
+/// the class.
 fn ejection_log(
     id: UpstreamId,
     of_all: &Verdict,
@@ -334,8 +344,8 @@
     })
 }
 
-/// A trial request after an ejection may be lost. Where the class of a result can be repeated, it does the trials for
-/// those that can't: they come after it, and wait longer if it fails.
+/// A trial request after an ejection may be lost. Where the class of a result can be repeated, it
+/// does the trials for those that can't: they come after it, and wait longer if it fails.
 fn schedule_trials(stats: &mut [OutlierStats], classes: &[Class], of_class: &Verdict, now: f64) {
     let duration = of_class.ejection.as_ref().map_or(0.0, |it| it.duration);
     if duration <= 0.0 && !of_class.has_recovered {
--- a/src/decision/poll_schedule.rs
+++ b/src/decision/poll_schedule.rs
@@ -1,7 +1,8 @@
 //! When a balancer polls discovery for the endpoint list, in poll mode.
 //!
-//! Polls that discovery refuses after queueing them cost it as much as others, so a large fleet could overload it
-//! for good. Each balancer therefore polls at a random moment, and the later the more peers it has.
+//! Polls that discovery refuses after queueing them cost it as much as others, so a large fleet
+//! could overload it for good. Each balancer therefore polls at a random moment, and the later
+//! the more peers it has.
 
 use super::action::Action;
 use super::event::ListScope;
@@ -15,7 +16,8 @@
 
 /// Longest delay of the first poll.
 const FIRST_DELAY_SHARE: f64 = 0.25;
-/// Longest delay after a poll that failed at once; one that takes longer than this was queued by discovery.
+/// Longest delay after a poll that failed at once; one that takes longer than this was queued by
+/// discovery.
 const FAST_FAILURE_SHARE: f64 = 0.1;
 /// Longest delay after a queued poll that failed.
 const QUEUED_FAILURE_SHARE: f64 = 0.12;
@@ -28,8 +30,8 @@
 const POLLS_PER_INTERVAL: f64 = 4.0;
 /// Failures up to which the first delays double.
 const MAX_SHORT_DOUBLINGS: i32 = 3;
-/// Consecutive failures of queued polls after which delays exceed the longest one: discovery is overloaded. Polls
-/// that fail at once cost it nothing and count only up to here.
+/// Consecutive failures of queued polls after which delays exceed the longest one: discovery is
+/// overloaded. Polls that fail at once cost it nothing and count only up to here.
 const FAILURES_BEFORE_BACKOFF: i32 = 4;
 /// Doublings of the longest delay.
 const MAX_BACKOFF_DOUBLINGS: i32 = 8;
--- a/src/decision/queue.rs
+++ b/src/decision/queue.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Gives free slots of an upstream to requests of its own queue, else of the longest one in the subset. Those
-    /// with the largest weight per second go first.
+    /// Gives free slots of an upstream to requests of its own queue, else of the longest one in
+    /// the subset. Those with the largest weight per second go first.
     pub(super) fn dispatch_queued(&mut self, upstream_id: UpstreamId, actions: &mut Vec<Action>) {
         while let Some(id) = self.next_queued(upstream_id) {
             let upstream = &self.upstreams[&upstream_id];
@@ -94,7 +94,8 @@
         };
         let own = Some(upstream).filter(|id| length(*id) > 0);
         let queue = &self.upstreams[&own.or_else(longest)?].queue;
-        // Of equals the last one counts as the largest, so the order is reversed to find the oldest.
+        // Of equals the last one counts as the largest, so the order is reversed to find the
+        // oldest.
         let candidates = queue.iter().rev().copied();
         let weight = |id: RequestId| self.weight_per_second(id);
         candidates.max_by(|a, b| weight(*a).total_cmp(&weight(*b)))
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -14,8 +14,8 @@
     pub(super) outcome: Option<AttemptOutcome>,
 }
 
-/// A request from its arrival until it is concluded and its last attempt has ended. Moments are seconds on
-/// the balancer's clock.
+/// A request from its arrival until it is concluded and its last attempt has ended. Moments are
+/// seconds on the balancer's clock.
 #[derive(Default)]
 pub(super) struct PendingRequest {
     /// Index into `Settings::classes`.
@@ -54,8 +54,8 @@
             .find(|attempt| !attempt.outcome.is_some_and(AttemptOutcome::never_started))
     }
 
-    /// How long upstreams still drop repeats, in seconds; `None` where no repeat can occur or the class has no
-    /// idempotency key.
+    /// How long upstreams still drop repeats, in seconds; `None` where no repeat can occur or the
+    /// class has no idempotency key.
     pub(super) fn deduplication_time_left(&self, class: &Class, now: f64) -> Option<f64> {
         let first = self
             .first_possible_run()
@@ -63,7 +63,8 @@
         Some(first.sent_at + class.idempotency_window - now)
     }
 
-    /// Whether the endpoint list, the limits and the class's idempotency allow an attempt at this upstream.
+    /// Whether the endpoint list, the limits and the class's idempotency allow an attempt at this
+    /// upstream.
     pub(super) fn may_be_sent_to(
         &self,
         upstream: &Upstream,
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -9,8 +9,8 @@
 const RETRY_SHARE: f64 = 0.02;
 /// Largest budget, in retries.
 const MAX_BUDGET: f64 = 10.0;
-/// What a retry after an invalid response or a broken connection takes of the budget. Retries after errors and
-/// time-outs add to an overload; these failures are rarely due to one.
+/// What a retry after an invalid response or a broken connection takes of the budget. Retries
+/// after errors and time-outs add to an overload; these failures are rarely due to one.
 const BROKEN_CONNECTION_COST: f64 = 0.2;
 /// What a hedged request, or any other retry of an attempt that may have run, takes of the budget.
 const FULL_COST: f64 = 1.0;
@@ -47,8 +47,8 @@
 }
 
 impl Balancer {
-    /// Retries a request whose last attempt ended without a final response, if the budget allows it and a response
-    /// can still come in time; else gives it up.
+    /// Retries a request whose last attempt ended without a final response, if the budget allows
+    /// it and a response can still come in time; else gives it up.
     pub(super) fn retry(
         &mut self,
         id: RequestId,
@@ -66,8 +66,8 @@
         self.assign(id, actions);
     }
 
-    /// A timer of this request has fired: its time in the queue is over, a pause has ended, or its only attempt is
-    /// overdue.
+    /// A timer of this request has fired: its time in the queue is over, a pause has ended, or
+    /// its only attempt is overdue.
     pub(super) fn on_request_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get(&id);
         let Some(request) = request.filter(|request| !request.is_concluded) else {
@@ -98,8 +98,8 @@
         })
     }
 
-    /// Sends a hedged request. Where two attempts at a time are not allowed, cancels the overdue one; its end leads
-    /// to a retry.
+    /// Sends a hedged request. Where two attempts at a time are not allowed, cancels the overdue
+    /// one; its end leads to a retry.
     fn replace_overdue_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let limits = &self.settings.limits;
         let request = &self.requests[&id];
--- a/src/decision/rotation.rs
+++ b/src/decision/rotation.rs
@@ -1,7 +1,8 @@
-//! The rotation: weighted round robin with virtual time over the upstreams of this balancer's subset.
+//! The rotation: weighted round robin with virtual time over the upstreams of this balancer's
+//! subset.
 //!
-//! Turns are even in the time that requests take, not in their number: after a turn, an upstream's next one
-//! comes later by its relative latency.
+//! Turns are even in the time that requests take, not in their number: after a turn, an
+//! upstream's next one comes later by its relative latency.
 
 use super::concurrency_limit::Demand;
 use super::event::UpstreamId;
@@ -10,7 +11,8 @@
 use super::upstream::{Upstream, UpstreamStats, Upstreams};
 use std::collections::BTreeMap;
 
-/// Upstreams by which the subset grows for a request that had to wait, and shrinks under congestion.
+/// Upstreams by which the subset grows for a request that had to wait, and shrinks under
+/// congestion.
 const SUBSET_STEP: f64 = 0.5;
 
 /// State of the rotation.
@@ -98,8 +100,8 @@
         self.subset_size = (self.subset_size + step).clamp(self.min_subset_size, max);
     }
 
-    /// The upstream of the subset whose turn comes first. `turns_ahead` gives the turns that have to pass at an
-    /// upstream before this request's, or `None` if it can't take the request.
+    /// The upstream of the subset whose turn comes first. `turns_ahead` gives the turns that have
+    /// to pass at an upstream before this request's, or `None` if it can't take the request.
     pub(super) fn next(
         &self,
         upstreams: &Upstreams,
@@ -122,8 +124,8 @@
         upstream.next_turn = self.virtual_time + relative_latency;
     }
 
-    /// The upstream's latency over the one to expect. Its machine kind stands in for it until enough responses
-    /// have come.
+    /// The upstream's latency over the one to expect. Its machine kind stands in for it until
+    /// enough responses have come.
     fn relative_latency(&self, upstream: &Upstream) -> f64 {
         let kind = &upstream.entry.machine_kind;
         let by_kind = self
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -15,8 +15,9 @@
 }
 
 impl Balancer {
-    /// The upstream whose turn it is, of those of the subset that accept this request. One that operators have put
-    /// back goes first once, even outside of the subset, so that they see it in use.
+    /// The upstream whose turn it is, of those of the subset that accept this request. One that
+    /// operators have put back goes first once, even outside of the subset, so that they see it
+    /// in use.
     pub(super) fn select_upstream(&self, request: &PendingRequest) -> Option<UpstreamId> {
         let policy = self.outlier_policy(request.class);
         let accepts = |upstream: &Upstream| self.accepts(upstream, request, policy);
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,6 +1,8 @@
-//! The settings of one balancer: request classes, tenants, its place in the fleet, limits and rules.
+//! The settings of one balancer: request classes, tenants, its place in the fleet, limits and
+//! rules.
 //!
-//! Durations are seconds as `f64`. [`Settings::validate`] checks every figure that the decisions rely on.
+//! Durations are seconds as `f64`. [`Settings::validate`] checks every figure that the decisions
+//! rely on.
 
 use thiserror::Error;
 
@@ -106,7 +108,8 @@
     pub connect_timeout: f64,
     /// Most requests that may be open at a time.
     pub max_open_requests: usize,
-    /// Longest Retry-After that a rejection may tell its client, in seconds; `None`: it may tell none.
+    /// Longest Retry-After that a rejection may tell its client, in seconds; `None`: it may tell
+    /// none.
     pub max_retry_after: Option<f64>,
 }
 
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,22 +1,23 @@
 //! Slow start: how many requests an upstream gets while it warms up.
 //!
-//! Each request that arrives entitles each upstream of the subset to an even part of a request, and one in slow
-//! start only to its present share of capacity of that part. An attempt takes a whole token, so a warming upstream
-//! is not overloaded even while all others are down.
+//! Each request that arrives entitles each upstream of the subset to an even part of a request,
+//! and one in slow start only to its present share of capacity of that part. An attempt takes a
+//! whole token, so a warming upstream is not overloaded even while all others are down.
 
 use super::balancer::Balancer;
 use super::rotation::Rotation;
 use super::settings::Rules;
 use super::upstream::Upstreams;
 
-/// Part of a request that counts where responses do not keep up with requests, so that slow start goes on while
-/// all upstreams warm up and none has answered yet.
+/// Part of a request that counts where responses do not keep up with requests, so that slow start
+/// goes on while all upstreams warm up and none has answered yet.
 const UNANSWERED_SHARE: f64 = 0.1;
 /// Credit beyond the attempts in flight that responses can accumulate, in requests.
 const MAX_UNUSED_CREDIT: f64 = 3.0;
 
-/// Bounds what requests add to the tokens by what responses show that the subset can take. Without it a surge of
-/// requests, as when clients reconnect, would go to a warming upstream in its share, however large.
+/// Bounds what requests add to the tokens by what responses show that the subset can take.
+/// Without it a surge of requests, as when clients reconnect, would go to a warming upstream in
+/// its share, however large.
 #[derive(Default)]
 pub(super) struct SlowStart {
     /// Requests that count whole before further responses come.
@@ -24,7 +25,8 @@
 }
 
 impl SlowStart {
-    /// Adds a response: so many requests count that a warming upstream gets half of what the rules allow it.
+    /// Adds a response: so many requests count that a warming upstream gets half of what the
+    /// rules allow it.
     pub(super) fn add_response(
         &mut self,
         rotation: &Rotation,
@@ -52,9 +54,10 @@
 }
 
 impl Balancer {
-    /// Gives the slow-start tokens of one more request to the upstreams of the subset. Upstreams outside get none,
-    /// or else many balancers whose subsets grow together would spend saved tokens at once. The exception is one
-    /// returned from maintenance that still awaits a request: for it, requests count over the whole list.
+    /// Gives the slow-start tokens of one more request to the upstreams of the subset. Upstreams
+    /// outside get none, or else many balancers whose subsets grow together would spend saved
+    /// tokens at once. The exception is one returned from maintenance that still awaits a
+    /// request: for it, requests count over the whole list.
     pub(super) fn add_slow_start_tokens(&mut self) {
         let counted = self.slow_start.take_credit();
         let maintenance = &self.maintenance;
--- a/src/decision/start_time.rs
+++ b/src/decision/start_time.rs
@@ -1,20 +1,21 @@
 //! Estimates when upstreams started, on this balancer's clock.
 //!
-//! A list gives a start in another machine's wall-clock time, and either wall clock may be wrong by an hour. A span
-//! of this balancer's monotonic clock can be trusted: an upstream is at least as old as the time since its start
-//! was first listed.
+//! A list gives a start in another machine's wall-clock time, and either wall clock may be wrong
+//! by an hour. A span of this balancer's monotonic clock can be trusted: an upstream is at least
+//! as old as the time since its start was first listed.
 
 use super::event::ListScope;
 
 /// By then, in seconds, a new balancer has received what discovery knew before it started.
 const INITIAL_LIST_TIME: f64 = 2.0;
 
-/// Converts the starts of endpoint lists into moments of the balancer's clock. All times are seconds.
+/// Converts the starts of endpoint lists into moments of the balancer's clock. All times are
+/// seconds.
 pub(super) struct StartTimeEstimator {
     /// Starts that are listed before this moment may lie far back.
     initial_until: f64,
-    /// Least delay, by the wall clocks, with which a start was listed. A wall clock that is ahead by more than that
-    /// would have shown no start so soon.
+    /// Least delay, by the wall clocks, with which a start was listed. A wall clock that is ahead
+    /// by more than that would have shown no start so soon.
     min_delay: f64,
 }
 
@@ -27,10 +28,10 @@
         }
     }
 
-    /// Estimates the start of an upstream that is listed with this start for the first time; 0 means long ago. A start
-    /// that is listed while the balancer starts may lie far back, and the wall clocks alone tell how far. Later ones
-    /// are recent: a start counts as older only by as much as its delay exceeds the least delay so far. None lies in
-    /// the future.
+    /// Estimates the start of an upstream that is listed with this start for the first time; 0
+    /// means long ago. A start that is listed while the balancer starts may lie far back, and the
+    /// wall clocks alone tell how far. Later ones are recent: a start counts as older only by as
+    /// much as its delay exceeds the least delay so far. None lies in the future.
     pub(super) fn estimate(&mut self, listed_start: f64, now: f64) -> f64 {
         if listed_start <= 0.0 {
             return 0.0;
--- a/src/decision/subset.rs
+++ b/src/decision/subset.rs
@@ -1,8 +1,9 @@
 //! Subsetting: which of the available upstreams each balancer of the fleet prefers.
 //!
-//! Where balancers outnumber the slots of an upstream, a limit per balancer could not fall below one attempt
-//! each and would be void. So each balancer uses only as many upstreams as give it whole slots, in its own zone
-//! where crossing zones has a price. The subsets of all balancers cover the upstreams evenly.
+//! Where balancers outnumber the slots of an upstream, a limit per balancer could not fall below
+//! one attempt each and would be void. So each balancer uses only as many upstreams as give it
+//! whole slots, in its own zone where crossing zones has a price. The subsets of all balancers
+//! cover the upstreams evenly.
 
 use super::event::{UpstreamEntry, UpstreamId};
 use super::settings::Settings;
@@ -10,7 +11,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Attempts of all balancers that one upstream is presumed to run at a time, before anything is known.
+/// Attempts of all balancers that one upstream is presumed to run at a time, before anything is
+/// known.
 const PRESUMED_SLOTS: f64 = 2.0;
 /// Smallest subset, so that alternatives remain when some upstreams fail.
 const MIN_SUBSET_SIZE: usize = 3;
@@ -25,7 +27,8 @@
     pub(super) even_slots: f64,
 }
 
-/// The upstreams from which subsets are cut, and this balancer's rank among those that cut from the same.
+/// The upstreams from which subsets are cut, and this balancer's rank among those that cut from
+/// the same.
 struct Pool {
     size: usize,
     rank: usize,
@@ -73,8 +76,9 @@
     }
 }
 
-/// Orders upstreams by locality and a shuffle, and rotates the pool so that this balancer's subset comes first.
-/// Balancers whose subsets together make up the pool once share a shuffle; the next ones use another.
+/// Orders upstreams by locality and a shuffle, and rotates the pool so that this balancer's
+/// subset comes first. Balancers whose subsets together make up the pool once share a shuffle;
+/// the next ones use another.
 fn order(
     settings: &Settings,
     available: &[&UpstreamEntry],
--- a/src/decision/upstream.rs
+++ b/src/decision/upstream.rs
@@ -1,4 +1,5 @@
-//! An upstream as this balancer sees it: its list entry, what is in flight or queued there, and statistics.
+//! An upstream as this balancer sees it: its list entry, what is in flight or queued there, and
+//! statistics.
 
 use super::event::{AttemptOutcome, RequestId, UpstreamEntry, UpstreamId, UpstreamState};
 use super::latency::{OVERDUE_FACTOR, SMOOTHING};
@@ -79,7 +80,8 @@
         }
     }
 
-    /// It takes requests according to the endpoint list and the operators, and does not seem to be draining.
+    /// It takes requests according to the endpoint list and the operators, and does not seem to
+    /// be draining.
     pub(super) fn is_available(&self) -> bool {
         self.entry.state == UpstreamState::Active
             && !self.in_maintenance
@@ -126,7 +128,8 @@
         self.idle_connections.retain(|since| now - since < max_idle);
     }
 
-    /// Whether the oldest idle connection has been idle for longer than `timeout` seconds. If so, forgets all.
+    /// Whether the oldest idle connection has been idle for longer than `timeout` seconds. If so,
+    /// forgets all.
     pub(super) fn drop_untrusted_connections(&mut self, timeout: f64, now: f64) -> bool {
         let oldest = self.idle_connections.first();
         let is_untrusted = oldest.is_some_and(|since| now - since > timeout);
@@ -136,7 +139,8 @@
         is_untrusted
     }
 
-    /// Takes the connection that became idle last; returns for how long it was idle (0: a new one is needed).
+    /// Takes the connection that became idle last; returns for how long it was idle (0: a new one
+    /// is needed).
     pub(super) fn take_idle_connection(&mut self, now: f64) -> f64 {
         self.idle_connections.pop().map_or(0.0, |since| now - since)
     }
@@ -163,7 +167,8 @@
     /// It gets no request until then, after a rejection or between requests beyond the limit.
     #[serde(rename = "full_until")]
     pub(super) paused_until: f64,
-    /// How long the connection had been idle on which the last request was lost silently; 0: none was.
+    /// How long the connection had been idle on which the last request was lost silently; 0: none
+    /// was.
     #[serde(rename = "suspect")]
     pub(super) suspect_idle_time: f64,
     /// Requests that slow start allows it by now; at most 1.
