--- a/src/decision/action.rs
+++ b/src/decision/action.rs
@@ -14,14 +14,14 @@
         /// Its last byte has to be written within this time, or it must not go; `None`: no limit.
         write_within: Option<f64>,
     },
-    /// Final answer: rejected. The request never ran or is idempotent, so a retry does no harm.
+    /// Final response: rejected. The request never ran or is idempotent, so a retry does no harm.
     Reject {
         /// Which request.
         id: RequestId,
         /// How long the client should wait before a retry (Retry-After).
         retry_after: Option<f64>,
     },
-    /// Final answer: failed. The request may have run.
+    /// Final response: failed. The request may have run.
     Fail {
         /// Which request.
         id: RequestId,
--- a/src/decision/conclusion.rs
+++ b/src/decision/conclusion.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its final response, and the release of what is held for it.
+//! The end of a request: its final response, and the release of its resources.
 
 use super::action::Action;
 use super::balancer::Balancer;
--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -107,8 +107,8 @@
         congestion: &Congestion,
         covers_all: bool,
     ) {
-        // A limit is counted in whole attempts, so what a failure took of an even share has to
-        // come back whole, or the slot would be lost for good.
+        // A limit is counted in integral attempts: unless an even share is restored completely
+        // after a failure, one slot would be lost permanently.
         if *multiplier < 1.0 {
             *multiplier = (*multiplier + SMOOTHING).min(1.0);
             return;
--- a/src/decision/ended_attempt.rs
+++ b/src/decision/ended_attempt.rs
@@ -16,7 +16,7 @@
     pub(super) expected_latency: f64,
     /// For how long its connection had been idle (0: it was new).
     pub(super) connection_idle: f64,
-    /// The upstream answered, be it with an error or a rejection.
+    /// The upstream responded, possibly with an error or a rejection.
     pub(super) is_response: bool,
     /// The upstream is to blame for the missing response.
     pub(super) is_lost: bool,
@@ -67,7 +67,7 @@
         self.is_lost && is_silent
     }
 
-    /// The upstream answered with an error or a rejection.
+    /// The upstream responded with an error or a rejection.
     pub(super) fn is_error(&self) -> bool {
         matches!(
             self.outcome,
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -1,4 +1,4 @@
-//! What a balancer is told: requests, results of attempts, endpoint lists, timers.
+//! The events that a balancer handles: requests, results of attempts, endpoint lists, timers.
 //!
 //! Moments are seconds as `f64` on a clock of the embedder's choice; durations are seconds too.
 
@@ -61,7 +61,7 @@
     Full,
     /// All upstreams as this balancer last saw them; may be stale.
     Cached,
-    /// A call to discovery failed; the previous list stays in force.
+    /// A poll failed or a watch broke; the previous list stays in force.
     Failed,
 }
 
@@ -70,7 +70,7 @@
 pub enum AttemptOutcome {
     /// Served.
     Success,
-    /// The upstream answered with an error; it may have run.
+    /// The upstream responded with an error; it may have run.
     Error,
     /// What came can't be read as the response to this request, and its connection is of no
     /// further use; it may have run.
@@ -100,7 +100,7 @@
     }
 }
 
-/// A request that came in; the balancer owes it one final answer.
+/// A request that arrived; the balancer gives it exactly one final response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Its id.
@@ -130,7 +130,7 @@
     pub elapsed: f64,
     /// For how many seconds its connection had been idle (0: it was new), if the embedder knows.
     pub connection_idle: Option<f64>,
-    /// The request has its final answer.
+    /// The request has its final response.
     pub request_concluded: bool,
 }
 
@@ -146,7 +146,7 @@
 /// What happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Discovery has told of upstreams, or a call to it has failed.
+    /// The endpoint list or a change of it came from discovery, or a poll failed.
     EndpointList {
         /// What `endpoints` stand for.
         scope: ListScope,
@@ -161,7 +161,7 @@
         /// Whether it goes out or comes back.
         change: Maintenance,
     },
-    /// A request came in.
+    /// A request arrived.
     Request(Request),
     /// The last byte of this streamed request has gone to its upstream, whose time begins now.
     UploadCompleted(RequestId),
@@ -169,8 +169,8 @@
     ResponseStarted(RequestId),
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// The client of this request disconnected; nothing is owed any more.
+    /// The client of this request disconnected; it needs no response.
     ClientDisconnected(RequestId),
-    /// A timer that `Action::SetTimer` asked for has fired; its token comes back.
+    /// A timer that `Action::SetTimer` set has fired; this is its token.
     TimerFired(u64),
 }
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: ejects upstreams that fail or are silent while their peers answer.
+//! Outlier detection: ejects upstreams that fail or do not respond while their peers do.
 //!
 //! Judged by all requests at an upstream and by those of each class. An ejected upstream gets no
 //! requests until the ejection is over, then one at a time until one succeeds. If most of the
@@ -34,7 +34,7 @@
 /// Outlier statistics of an upstream: of all its requests or of one class. Moments are seconds.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct OutlierStats {
-    /// When the upstream last answered.
+    /// When the upstream last responded.
     #[serde(rename = "heard")]
     last_response_at: f64,
     /// Share of errors and rejections among the responses, as a moving average.
@@ -134,7 +134,7 @@
         self.consecutive_failures
     }
 
-    /// The upstream has not answered since this moment.
+    /// The upstream has not responded since this moment.
     pub(super) fn is_silent_since(&self, moment: f64) -> bool {
         self.last_response_at <= moment
     }
@@ -177,8 +177,8 @@
         self.error_rate += weight * (f64::from(u8::from(is_error)) - self.error_rate);
     }
 
-    /// Losses count while the upstream answers nothing. For a class, a silent loss counts also if
-    /// the upstream answers others, and so do errors that its peers do not have: an upstream that
+    /// Losses count while the upstream responds to nothing. For a class, a silent loss counts also if
+    /// the upstream responds to others, and so do errors that its peers do not have: an upstream that
     /// fails fast would draw requests as it is always free, and a rejection has taken a slot
     /// until it came back.
     fn is_failure(&self, evidence: &Evidence, scope: Scope, is_outlier: bool) -> bool {
@@ -231,7 +231,7 @@
         for attempt in &upstream.in_flight {
             of_class += usize::from(attempt.class == class);
             if attempt.is_overdue(self.now) {
-                // Counts though requests sent later were answered: the upstream may lose a part
+                // Counts though later requests got a response: the upstream may lose a part
                 // of the class.
                 has_overdue_of_class |= attempt.class == class;
                 unanswered += usize::from(all_stats.is_silent_since(attempt.sent_at));
--- a/src/decision/poll_schedule.rs
+++ b/src/decision/poll_schedule.rs
@@ -36,7 +36,7 @@
 /// Doublings of the longest delay.
 const MAX_BACKOFF_DOUBLINGS: i32 = 8;
 
-/// How a call to discovery went.
+/// Result of a poll.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PollResult {
     /// A list came.
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -108,7 +108,7 @@
     pub connect_timeout: f64,
     /// Most requests that may be open at a time.
     pub max_open_requests: usize,
-    /// Longest Retry-After that a rejection may tell its client, in seconds; `None`: it may tell
+    /// Longest Retry-After that a rejection may carry, in seconds; `None`: it may carry
     /// none.
     pub max_retry_after: Option<f64>,
 }
@@ -150,7 +150,7 @@
     pub cross_zone: f64,
 }
 
-/// Everything that a balancer is told at its start.
+/// The configuration of one balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The request classes.
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -10,7 +10,7 @@
 use super::upstream::Upstreams;
 
 /// Part of a request that counts where responses do not keep up with requests, so that slow start
-/// goes on while all upstreams warm up and none has answered yet.
+/// goes on while all upstreams warm up and none has responded yet.
 const UNANSWERED_SHARE: f64 = 0.1;
 /// Credit beyond the attempts in flight that responses can accumulate, in requests.
 const MAX_UNUSED_CREDIT: f64 = 3.0;
@@ -20,7 +20,7 @@
 /// its share, however large.
 #[derive(Default)]
 pub(super) struct SlowStart {
-    /// Requests that count whole before further responses come.
+    /// Requests that count in full before further responses come.
     credit: f64,
 }
 
--- a/src/decision/start_time.rs
+++ b/src/decision/start_time.rs
@@ -30,7 +30,7 @@
 
     /// Estimates the start of an upstream that is listed with this start for the first time; 0
     /// means long ago. A start that is listed while the balancer starts may lie far back, and the
-    /// wall clocks alone tell how far. Later ones are recent: a start counts as older only by as
+    /// wall clocks alone show how far. Later ones are recent: a start counts as older only by as
     /// much as its delay exceeds the least delay so far. None lies in the future.
     pub(super) fn estimate(&mut self, listed_start: f64, now: f64) -> f64 {
         if listed_start <= 0.0 {
--- a/src/decision/upstream.rs
+++ b/src/decision/upstream.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// An upstream that rejects this many requests in a row and answers none may be draining.
+/// An upstream that rejects this many requests in a row may be draining.
 const REJECTIONS_OF_DRAINING: u32 = 3;
 
 /// All upstreams that are listed or have attempts in flight.
