--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -314,7 +314,7 @@
     /// All that operators are told in figures.
     pub fn render_metrics(&self) -> String {
         self.metrics
-            .render(self.targets.len(), self.balancer.excluded())
+            .render(self.targets.len(), self.balancer.excluded_upstreams())
     }
 
     /// The memory for what is read ahead of bodies.
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -140,8 +140,10 @@
             dispatcher.borrow_mut().client_disconnected(id);
         }
         assert!(bodies > 0);
-        let free =
-            || dispatcher.borrow().open.is_empty() && dispatcher.borrow().balancer.load().1 == 0;
+        let free = || {
+            dispatcher.borrow().open.is_empty()
+                && dispatcher.borrow().balancer.load().attempts_in_flight == 0
+        };
         let all_free = async {
             while !free() {
                 sleep(Duration::from_millis(5)).await;
@@ -150,7 +152,7 @@
         timeout(Duration::from_secs(20), all_free)
             .await
             .expect("all is free in the end");
-        assert_eq!(dispatcher.borrow().balancer.load().0, 0);
+        assert_eq!(dispatcher.borrow().balancer.load().open_requests, 0);
         assert!(dispatcher.borrow().events.is_empty());
     });
 }
@@ -180,7 +182,7 @@
             .expect("one");
         assert!(matches!(answer, FinalResponse::Failed));
         assert_eq!(
-            dispatcher.borrow().balancer.load().0,
+            dispatcher.borrow().balancer.load().open_requests,
             dispatcher.borrow().open.len()
         );
     });
--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -23,6 +23,17 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
+/// What a balancer keeps track of. Without open requests and attempts in flight it is idle.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Load {
+    /// Requests without a final response or with attempts in flight.
+    pub open_requests: usize,
+    /// Attempts in flight.
+    pub attempts_in_flight: usize,
+    /// Upstreams that are listed or have attempts in flight.
+    pub upstreams: usize,
+}
+
 /// One balancer. The modules beside this one hold the decisions, each for the state that it owns.
 pub struct Balancer {
     pub(super) settings: Settings,
@@ -107,17 +118,20 @@
         }
     }
 
-    /// Requests open, slots taken (both 0 when all is done), and upstreams listed or with
-    /// attempts in flight.
+    /// What the balancer keeps track of now.
     #[must_use]
-    pub fn load(&self) -> (usize, usize, usize) {
-        let slots = self.upstreams.values().map(|it| it.in_flight.len()).sum();
-        (self.requests.len(), slots, self.upstreams.len())
+    pub fn load(&self) -> Load {
+        let in_flight = self.upstreams.values().map(|it| it.in_flight.len());
+        Load {
+            open_requests: self.requests.len(),
+            attempts_in_flight: in_flight.sum(),
+            upstreams: self.upstreams.len(),
+        }
     }
 
     /// How many upstreams that the endpoint list has in service get no request of any class now.
     #[must_use]
-    pub fn excluded(&self) -> usize {
+    pub fn excluded_upstreams(&self) -> usize {
         let is_listed = |it: &&Upstream| it.entry.state == UpstreamState::Active;
         let listed = self.upstreams.values().filter(is_listed);
         listed.filter(|it| self.is_excluded(it)).count()
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -41,7 +41,13 @@
 mod upstream;
 
 pub use action::Action;
-pub use balancer::Balancer;
-pub use event::*;
+pub use balancer::{Balancer, Load};
+pub use event::{
+    AttemptOutcome, AttemptResult, Event, ListScope, Maintenance, Request, RequestId,
+    UpstreamEntry, UpstreamId, UpstreamState,
+};
 pub use learned_state::LearnedState;
-pub use settings::*;
+pub use settings::{
+    Class, DeduplicationScope, DiscoveryMode, Idempotency, Limits, Prices, Rules, Settings,
+    SettingsError, Tenant,
+};
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -74,10 +74,10 @@
         )
     }
 
-    /// Requests open and slots taken.
-    pub fn load(&self) -> (usize, usize) {
-        let (open, slots, _) = self.balancer.load();
-        (open, slots)
+    /// Open requests, and attempts in flight.
+    pub fn open_and_in_flight(&self) -> (usize, usize) {
+        let load = self.balancer.load();
+        (load.open_requests, load.attempts_in_flight)
     }
 
     pub fn on(&mut self, event: Event) -> Vec<Action> {
--- a/tests/life_of_a_call.rs
+++ b/tests/life_of_a_call.rs
@@ -21,9 +21,9 @@
     for outcome in OUTCOMES {
         let mut rig = Rig::with_classes(&[Idempotency::NonIdempotent], 1);
         rig.on(request(1, 0, 2.0));
-        assert_eq!(rig.load(), (1, 1));
+        assert_eq!(rig.open_and_in_flight(), (1, 1));
         rig.on(end(1, 0, outcome));
-        assert_eq!(rig.load().1, 0, "{outcome:?}");
+        assert_eq!(rig.balancer.load().attempts_in_flight, 0, "{outcome:?}");
     }
 }
 
@@ -34,7 +34,7 @@
     rig.on(request(2, 0, 2.0));
     rig.on(end(1, 0, AttemptOutcome::Success));
     rig.on(end(1, 0, AttemptOutcome::Success));
-    assert_eq!(rig.load(), (1, 1));
+    assert_eq!(rig.open_and_in_flight(), (1, 1));
 }
 
 #[test]
@@ -74,7 +74,7 @@
         .filter(|id| refused(&rig.on(request(*id, 0, 2.0)), *id))
         .count();
     assert!(refusals > 100, "only {refusals} refused at once");
-    assert!(rig.load().0 < 100);
+    assert!(rig.balancer.load().open_requests < 100);
 }
 
 #[test]
@@ -90,7 +90,7 @@
     let one_queue = (1..200)
         .filter(|id| !refused(&one.on(request(*id, 0, 2.0)), *id))
         .count()
-        - one.balancer.load().1;
+        - one.balancer.load().attempts_in_flight;
     assert!(
         held as usize >= 3 * one_queue / 2,
         "{held} held by three, {one_queue} by one"
@@ -128,7 +128,7 @@
     rig.on(request(1, 0, 2.0));
     rig.on(Event::ClientDisconnected(RequestId(1)));
     assert_eq!(
-        rig.load(),
+        rig.open_and_in_flight(),
         (1, 1),
         "its slot is taken until its attempt ends"
     );
@@ -138,7 +138,7 @@
         actions.iter().all(log),
         "nothing is sent or answered any more: {actions:?}"
     );
-    assert_eq!(rig.load(), (0, 0));
+    assert_eq!(rig.open_and_in_flight(), (0, 0));
 }
 
 #[test]
@@ -151,7 +151,7 @@
     rig.on(Event::ClientDisconnected(RequestId(98)));
     rig.on(Event::TimerFired(97));
     rig.on(Event::ResponseStarted(RequestId(96)));
-    assert_eq!(rig.load(), (1, 1));
+    assert_eq!(rig.open_and_in_flight(), (1, 1));
 }
 
 #[test]
@@ -355,8 +355,8 @@
         rig.on(end(round, 0, AttemptOutcome::Success));
     }
     rig.list(ListScope::Delta, Vec::new());
-    assert_eq!(rig.load(), (0, 0));
-    assert!(rig.balancer.load().2 <= 4);
+    assert_eq!(rig.open_and_in_flight(), (0, 0));
+    assert!(rig.balancer.load().upstreams <= 4);
 }
 
 #[test]
@@ -383,7 +383,11 @@
     let mut rig = Rig::with_classes(&[Idempotency::NonIdempotent], 1);
     rig.on(request(1, 0, 2.0));
     assert!(sends(&rig.on(end(1, 0, AttemptOutcome::Rejected))).is_empty());
-    assert_eq!(rig.load().0, 0, "its only upstream was tried: refused");
+    assert_eq!(
+        rig.balancer.load().open_requests,
+        0,
+        "its only upstream was tried: refused"
+    );
     let mut rig = Rig::with_classes(&[Idempotency::NonIdempotent], 2);
     let held = rig.fill(1, 0);
     rig.on(end(1, 0, AttemptOutcome::Rejected));
@@ -821,7 +825,7 @@
                 }));
             }
         }
-        rig.load().1
+        rig.balancer.load().attempts_in_flight
     };
     assert!(
         widened(1) > widened(0),
@@ -985,7 +989,7 @@
         }
         rig.now += 0.01;
     }
-    let widened = rig.load().1;
+    let widened = rig.balancer.load().attempts_in_flight;
     assert!(widened > 3, "{widened}");
     while let Some((id, _)) = sent.pop() {
         sent.extend(sends(&rig.on(end(id, 0, AttemptOutcome::Success))));
@@ -1020,7 +1024,7 @@
         sent.extend(sends(&rig.on(Event::AttemptEnded(call))));
         rig.now += 0.01;
     }
-    rig.load().1
+    rig.balancer.load().attempts_in_flight
 }
 
 /// Guards against a limit that stays at a few calls because the work alone fills much of the aim, of one second.
--- a/tests/poll_schedule.rs
+++ b/tests/poll_schedule.rs
@@ -315,7 +315,7 @@
 fn behind_a_stale_list_upstreams_that_turn_all_away_are_left_out() {
     let (mut rig, mut had) = play_calls(true, 6, 2, 300);
     assert!(had[1] <= 3 && had[2] <= 3, "{had:?}");
-    assert_eq!(rig.balancer.excluded(), 2, "operators are told");
+    assert_eq!(rig.balancer.excluded_upstreams(), 2, "operators are told");
     // It is heard again, and lists them still: they are tried as before.
     rig.list(ListScope::Delta, vec![]);
     let before = had.clone();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -196,7 +196,7 @@
     };
     let mut rig = Rig::with_classes(&[Idempotency::Idempotent], 2);
     rig.fill(1, 0);
-    let held = rig.load().0 as u64;
+    let held = rig.balancer.load().open_requests as u64;
     // What waits there moves; what is out ends by itself.
     assert!(sends(&rig.on(maintain(1, true))).is_empty());
     rig.on(maintain(1, true));
@@ -224,9 +224,9 @@
         !later.is_empty() && later.iter().all(|(_, to)| *to == 2),
         "{later:?}"
     );
-    assert_eq!(rig.balancer.excluded(), 1);
+    assert_eq!(rig.balancer.excluded_upstreams(), 1);
     rig.on(maintain(1, false));
-    assert_eq!(rig.balancer.excluded(), 0);
+    assert_eq!(rig.balancer.excluded_upstreams(), 0);
     // Unknown ones are no trouble.
     rig.on(maintain(77, false));
 }
@@ -804,7 +804,7 @@
             );
         }
     }
-    prop_assert_eq!(rig.load(), (0, 0));
+    prop_assert_eq!(rig.open_and_in_flight(), (0, 0));
     Ok(())
 }
 
@@ -833,9 +833,13 @@
     rig.on(request(1, 0, 2.0));
     assert!(rig.on(Event::ResponseStarted(RequestId(1))).is_empty());
     assert!(rig.later(30.0, 1).is_empty(), "it has no deadline any more");
-    assert_eq!(rig.load(), (1, 1), "its slot is taken while it streams");
+    assert_eq!(
+        rig.open_and_in_flight(),
+        (1, 1),
+        "its slot is taken while it streams"
+    );
     assert!(rig.on(end(1, 0, AttemptOutcome::Success)).is_empty());
-    assert_eq!(rig.load(), (0, 0));
+    assert_eq!(rig.open_and_in_flight(), (0, 0));
 }
 
 #[test]
