--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,14 @@
-//! Load balancing for services that call services: which upstream a request goes to, how long it may
-//! wait, when it is retried, rejected or given up. The library does no I/O and reads no clock.
+//! Load balancing for services that call services: which upstream a request goes to, how long
+//! it may wait, when it is retried, rejected or given up. The library does no I/O and reads
+//! no clock.
 //!
-//! The embedder's event loop owns a [`Balancer`], reports what happens as an [`Event`], and carries
-//! out the [`Action`]s that come back, in their order. The embedder gives the time with each event,
-//! in seconds of any clock; the balancer's time never goes back. What the balancer holds for a
-//! request is released when the request has its final response and its last attempt has ended, so
-//! the end of each attempt has to be reported. The work for one request grows with the size of the
-//! subset that a balancer uses, not with the number of upstreams.
+//! The embedder's event loop owns a [`Balancer`], reports what happens as an [`Event`], and
+//! carries out the [`Action`]s that come back, in their order. The embedder gives the time
+//! with each event, in seconds of any clock; the balancer's time never goes back. What the
+//! balancer holds for a request is released when the request has its final response and its
+//! last attempt has ended, so the end of each attempt has to be reported. The work for one
+//! request grows with the size of the subset that a balancer uses, not with the number of
+//! upstreams.
 //!
 //! ```
 //! use load_balancer::{
