--- /dev/null
+++ b/tests/decision/concurrency_limit.rs
@@ -0,0 +1,230 @@
+//! The concurrency limit: how it follows failures, latency and demand.
+
+use crate::harness::{attempt_ended, request, started_attempts, without_retries, Harness};
+use load_balancer::{
+    Action, AttemptOutcome, AttemptResult, Event, Idempotency, RequestId, Settings,
+};
+
+/// Attempts in flight at the only upstream after these losses and one success; an even share is two.
+fn slots_after_losses(outcomes: &[(AttemptOutcome, f64)]) -> u64 {
+    let mut harness = Harness::new(without_retries(Settings::simple()), 1);
+    harness.handle(request(1, 0, 2.0));
+    harness.handle(attempt_ended(1, 0, AttemptOutcome::Success));
+    for (id, (outcome, idle)) in (10..).zip(outcomes) {
+        harness.now += 0.1;
+        harness.handle(request(id, 0, 2.0));
+        harness.handle(Event::AttemptEnded(AttemptResult {
+            id: RequestId(id),
+            attempt: 0,
+            outcome: *outcome,
+            elapsed: 0.001,
+            connection_idle: Some(*idle),
+            request_concluded: false,
+        }));
+    }
+    // Past an ejection.
+    harness.now += 20.0;
+    harness.handle(request(50, 0, 2.0));
+    harness.handle(attempt_ended(50, 0, AttemptOutcome::Success));
+    harness.fill_slots(100, 0) - 100
+}
+
+/// Connections break now and then, and must not keep the limit low.
+#[test]
+fn single_broken_connection_lowers_the_limit_like_an_error() {
+    for outcome in [AttemptOutcome::Reset, AttemptOutcome::ConnectFailed] {
+        assert_eq!(slots_after_losses(&[(outcome, 0.0)]), 2, "{outcome:?}");
+        // With no answer in between they are no accident.
+        assert_eq!(slots_after_losses(&[(outcome, 0.0); 3]), 1, "{outcome:?}");
+    }
+    // What may have been dropped while idle says nothing of the upstream.
+    assert_eq!(slots_after_losses(&[(AttemptOutcome::Reset, 0.5); 3]), 2);
+}
+
+#[test]
+fn deeper_tiers_raise_the_limit_though_responses_take_long() {
+    let widened = |tier: usize| {
+        let mut harness = Harness::new(
+            Settings {
+                tier,
+                tier_count: 3,
+                peer_count: 6,
+                ..Settings::simple()
+            },
+            1,
+        );
+        for id in 1..=100 {
+            harness.handle(request(id, 0, 2.0));
+            harness.now += 0.01;
+            let (id, outcome) = (RequestId(id), AttemptOutcome::Success);
+            if id.0 % 2 == 0 {
+                let id = RequestId(id.0 / 2);
+                harness.handle(Event::AttemptEnded(AttemptResult {
+                    id,
+                    attempt: 0,
+                    outcome,
+                    elapsed: 0.9,
+                    connection_idle: None,
+                    request_concluded: true,
+                }));
+            }
+        }
+        harness.balancer.load().attempts_in_flight
+    };
+    assert!(
+        widened(1) > widened(0),
+        "{} deeper, {} at the entry",
+        widened(1),
+        widened(0)
+    );
+}
+
+#[test]
+fn single_request_allowance_is_reduced_under_congestion_in_large_fleets() {
+    let waits = |peer_count: usize| {
+        let mut harness = Harness::new(
+            Settings {
+                peer_count,
+                ..Settings::simple()
+            },
+            3,
+        );
+        for id in 1..=60 {
+            harness.handle(request(id, 0, 20.0));
+            let (id, outcome) = (RequestId(id), AttemptOutcome::Success);
+            harness.now += 1.0;
+            harness.handle(Event::AttemptEnded(AttemptResult {
+                id,
+                attempt: 0,
+                outcome,
+                elapsed: 0.9,
+                connection_idle: None,
+                request_concluded: true,
+            }));
+        }
+        let ids = [101, 102, 103, 104];
+        let sent: Vec<_> = ids
+            .iter()
+            .flat_map(|id| started_attempts(&harness.handle(request(*id, 0, 20.0))))
+            .collect();
+        let actions = harness.handle(attempt_ended(sent[0].0, 0, AttemptOutcome::Success));
+        let held = ids
+            .iter()
+            .find(|id| !sent.iter().any(|s| s.0 == **id))
+            .unwrap();
+        let woken = started_attempts(&actions).len();
+        let timer = |a: &Action| matches!(a, Action::SetTimer { .. });
+        assert!(woken > 0 || actions.iter().any(timer), "{actions:?}");
+        assert_eq!(
+            woken + started_attempts(&harness.fire_timer_after(0.2, *held)).len(),
+            1,
+            "sent after the rest"
+        );
+        woken == 0
+    };
+    assert!(waits(300) && !waits(2));
+}
+
+#[test]
+fn raised_limit_decays_slowly() {
+    // Calls wait and are answered quickly, so one upstream's slice widens; then come forty calls one by one.
+    let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 1);
+    let mut sent = Vec::new();
+    for id in 1..=200 {
+        sent.extend(started_attempts(&harness.handle(request(id, 0, 5.0))));
+        if id % 2 == 0 && !sent.is_empty() {
+            let (first, _) = sent.remove(0);
+            sent.extend(started_attempts(&harness.handle(attempt_ended(
+                first,
+                0,
+                AttemptOutcome::Success,
+            ))));
+        }
+        harness.now += 0.01;
+    }
+    let widened = harness.balancer.load().attempts_in_flight;
+    assert!(widened > 3, "{widened}");
+    while let Some((id, _)) = sent.pop() {
+        sent.extend(started_attempts(&harness.handle(attempt_ended(
+            id,
+            0,
+            AttemptOutcome::Success,
+        ))));
+    }
+    for id in 301..=320 {
+        harness.handle(request(id, 0, 5.0));
+        harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
+    }
+    let held = harness.fill_slots(400, 0);
+    assert!(
+        held - 400 >= 4,
+        "{} after {widened}; an even slice is two",
+        held - 400
+    );
+}
+
+/// Slots of one upstream after so many responses that take `elapsed`, while requests always wait.
+fn slots_after(answers: u64, elapsed: impl Fn(u64) -> f64) -> usize {
+    let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 1);
+    let mut sent = Vec::new();
+    for id in 1..=answers {
+        sent.extend(started_attempts(&harness.handle(request(id, 0, 50.0))));
+        let call = AttemptResult {
+            id: RequestId(sent.remove(0).0),
+            attempt: 0,
+            outcome: AttemptOutcome::Success,
+            elapsed: elapsed(id),
+            connection_idle: None,
+            request_concluded: true,
+        };
+        sent.extend(started_attempts(&harness.handle(request(
+            1000 + id,
+            0,
+            50.0,
+        ))));
+        sent.extend(started_attempts(&harness.handle(Event::AttemptEnded(call))));
+        harness.now += 0.01;
+    }
+    harness.balancer.load().attempts_in_flight
+}
+
+/// The work alone may take much of the latency objective, which is one second.
+#[test]
+fn limit_grows_while_latency_is_at_its_baseline() {
+    let calm = slots_after(400, |_| 0.35);
+    let risen = slots_after(400, |id| if id < 100 { 0.35 } else { 0.7 });
+    assert!(calm > 4, "{calm}; an even slice is two");
+    assert!(risen <= 2, "{risen}");
+    // One that starts in a crowd has never seen it calm.
+    let crowded = slots_after(400, |_| 0.9);
+    assert!(crowded <= 2, "{crowded}");
+}
+
+/// Some responses are late for other reasons, as when a connection behind the upstream is established late.
+/// Congestion delays most of them.
+#[test]
+fn tail_latency_is_no_congestion() {
+    let late =
+        |share: u64, of: u64| move |id: u64| if id > 40 && id % of < share { 1.5 } else { 0.1 };
+    let calm = slots_after(400, late(0, 1));
+    for (share, of) in [(1, 4), (1, 3), (2, 5)] {
+        let tail = slots_after(400, late(share, of));
+        assert_eq!(tail, calm, "{share} of {of} are late");
+    }
+    let crowd = slots_after(400, late(3, 4));
+    assert!(crowd <= 2, "{crowd}; an even slice is two");
+}
+
+/// A restarted balancer would reject requests for long while its upstreams have capacity.
+#[test]
+fn limit_of_a_new_balancer_grows_fast_until_congestion() {
+    let fresh = slots_after(24, |_| 0.2);
+    assert!(fresh >= 8, "{fresh}");
+    // Late answers narrow it; from then on it widens by little.
+    let before = slots_after(80, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
+    let after = slots_after(100, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
+    assert!(
+        (before..=before + 3).contains(&after) && after < fresh,
+        "{before} and {after}"
+    );
+}
--- a/tests/slow_start.rs
+++ b/tests/decision/fleet_slow_start.rs
@@ -6,9 +6,11 @@
 //! in a window that is no longer, turned away or not, while it is cold, are a fall. It counts where over two thirds
 //! came from balancers that had been told of the start.
 
-mod common;
-use common::entry;
-use load_balancer::*;
+use crate::harness::{entry, request};
+use load_balancer::{
+    Action, AttemptOutcome, AttemptResult, Balancer, Event, ListScope, Maintenance, RequestId,
+    Rules, Settings, UpstreamEntry, UpstreamId, UpstreamState,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -346,7 +348,7 @@
                     let remaining = self.settings.classes[0].deadline;
                     self.calls
                         .insert(id, (tries, Vec::new(), self.now + remaining));
-                    self.handle(caller, common::request(id, 0, remaining));
+                    self.handle(caller, request(id, 0, remaining));
                 }
                 What::Timer { caller, token } => self.handle(caller, Event::TimerFired(token)),
                 What::End {
--- /dev/null
+++ b/tests/decision/idempotency.rs
@@ -0,0 +1,108 @@
+//! Idempotency: which attempts may follow one that may have run.
+
+use crate::harness::{attempt_ended, is_failed, is_rejected, request, started_attempts, Harness};
+use load_balancer::{Action, AttemptOutcome, DeduplicationScope, Idempotency};
+
+const WITH_IDEMPOTENCY_KEY: [Idempotency; 3] = [
+    Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::All,
+    },
+    Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::Zone,
+    },
+    Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::Cell,
+    },
+];
+
+#[test]
+fn non_idempotent_request_fails_after_an_attempt_that_may_have_run() {
+    for outcome in [
+        AttemptOutcome::Error,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::Reset,
+        AttemptOutcome::Cancelled,
+    ] {
+        let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
+        harness.handle(request(1, 0, 2.0));
+        let actions = harness.handle(attempt_ended(1, 0, outcome));
+        assert!(
+            started_attempts(&actions).is_empty() && is_failed(&actions, 1),
+            "{outcome:?}: {actions:?}"
+        );
+    }
+}
+
+#[test]
+fn non_idempotent_request_is_retried_after_an_attempt_that_never_ran() {
+    for outcome in [AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed] {
+        let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
+        let first = started_attempts(&harness.handle(request(1, 0, 2.0)));
+        let second = started_attempts(&harness.handle(attempt_ended(1, 0, outcome)));
+        assert!(
+            second.len() == 1 && second[0].1 != first[0].1,
+            "{outcome:?}"
+        );
+    }
+}
+
+#[test]
+fn retry_with_idempotency_key_stays_within_scope_and_window() {
+    for idempotency in WITH_IDEMPOTENCY_KEY {
+        let mut harness = Harness::with_classes(&[idempotency], 8);
+        let first = started_attempts(&harness.handle(request(1, 0, 5.0)))[0].1;
+        let again = started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Reset)));
+        assert_eq!(again.len(), 1, "{idempotency:?}");
+        let same_cell = again[0].1 % 2 == first % 2;
+        assert!(
+            same_cell
+                || idempotency
+                    != Idempotency::IdempotencyKey {
+                        scope: DeduplicationScope::Cell
+                    }
+        );
+        let mut harness = Harness::with_classes(&[idempotency], 8);
+        harness.handle(request(1, 0, 5.0));
+        harness.now += 1.5;
+        let actions = harness.handle(attempt_ended(1, 0, AttemptOutcome::Reset));
+        assert!(started_attempts(&actions).is_empty(), "the window is over");
+        assert_eq!(
+            is_rejected(&actions, 1),
+            idempotency
+                == Idempotency::IdempotencyKey {
+                    scope: DeduplicationScope::All
+                }
+        );
+    }
+}
+
+/// A retry may start inside the window and arrive after it.
+#[test]
+fn retry_with_idempotency_key_has_to_be_written_within_the_window() {
+    let within = |actions: &[Action]| {
+        actions.iter().find_map(|action| match action {
+            Action::StartAttempt { write_within, .. } => Some(*write_within),
+            _ => None,
+        })
+    };
+    for (idempotency, limited) in WITH_IDEMPOTENCY_KEY
+        .map(|keyed| (keyed, true))
+        .into_iter()
+        .chain([(Idempotency::Idempotent, false)])
+    {
+        let mut harness = Harness::with_classes(&[idempotency], 8);
+        assert_eq!(within(&harness.handle(request(1, 0, 5.0))), Some(None));
+        harness.now += 0.25;
+        assert_eq!(
+            within(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Reset))),
+            Some(limited.then_some(0.75)),
+            "{idempotency:?}"
+        );
+        // One that never ran may come as late as it likes.
+        assert_eq!(within(&harness.handle(request(2, 0, 5.0))), Some(None));
+        assert_eq!(
+            within(&harness.handle(attempt_ended(2, 0, AttemptOutcome::Rejected))),
+            Some(None)
+        );
+    }
+}
--- /dev/null
+++ b/tests/decision/idle_connections.rs
@@ -0,0 +1,102 @@
+//! Idle connections: how long they are trusted.
+
+use crate::harness::{attempt_ended, attempt_lost, request, started_attempts, Harness};
+use load_balancer::{Action, AttemptOutcome, Idempotency};
+
+/// Requests to one upstream at intervals of a second, which end as `outcome` says after 50 ms. Returns how often idle
+/// connections are closed.
+fn count_closes(outcome: impl Fn(u64) -> AttemptOutcome) -> usize {
+    let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
+    let mut closed = 0;
+    for id in 1..=20 {
+        harness.now += 1.0;
+        let actions = harness.handle(request(id, 0, 2.0));
+        assert_eq!(started_attempts(&actions).len(), 1);
+        closed += actions
+            .iter()
+            .filter(|a| matches!(a, Action::CloseIdleConnections { .. }))
+            .count();
+        harness.now += 0.05;
+        match outcome(id) {
+            AttemptOutcome::Success => {
+                harness.handle(attempt_ended(id, 0, AttemptOutcome::Success))
+            }
+            outcome => harness.handle(attempt_lost(id, outcome, 0.001)),
+        };
+    }
+    closed
+}
+
+#[test]
+fn idle_connections_are_closed_before_use_after_two_resets() {
+    assert_eq!(count_closes(|_| AttemptOutcome::Success), 0);
+    assert_eq!(
+        count_closes(|id| if id == 2 {
+            AttemptOutcome::Reset
+        } else {
+            AttemptOutcome::Success
+        }),
+        0,
+        "one sign is none"
+    );
+    let often = count_closes(|id| {
+        if id == 2 || id == 4 {
+            AttemptOutcome::Reset
+        } else {
+            AttemptOutcome::Success
+        }
+    });
+    assert!(often >= 12, "closed {often} times");
+    // Nor need they be many: each may be a call that can't be repeated.
+    assert!(
+        count_closes(|id| if id == 2 || id == 11 {
+            AttemptOutcome::Reset
+        } else {
+            AttemptOutcome::Success
+        }) >= 6
+    );
+}
+
+/// A new connection for each request would not help.
+#[test]
+fn idle_connections_are_kept_while_new_ones_break_as_well() {
+    // The call after a reset finds no idle connection, so that every other reset is one of a new connection.
+    let both = |id: u64| {
+        if id % 6 == 2 || id % 6 == 3 {
+            AttemptOutcome::Reset
+        } else {
+            AttemptOutcome::Success
+        }
+    };
+    assert_eq!(count_closes(both), 0);
+    // The trust that two on idle ones took comes back with the next on a new one.
+    assert_eq!(
+        count_closes(|id| if [2, 4, 6].contains(&id) {
+            AttemptOutcome::Reset
+        } else {
+            AttemptOutcome::Success
+        }),
+        1
+    );
+}
+
+/// Connections are quiet for as long while a request is in flight.
+#[test]
+fn connections_idle_for_less_than_a_request_takes_are_kept() {
+    let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
+    for id in 1..=40 {
+        harness.now += 0.02;
+        let actions = harness.handle(request(id, 0, 2.0));
+        assert!(
+            !actions
+                .iter()
+                .any(|a| matches!(a, Action::CloseIdleConnections { .. })),
+            "call {id}: {actions:?}"
+        );
+        harness.now += 0.1;
+        match id % 4 {
+            0 => harness.handle(attempt_lost(id, AttemptOutcome::Reset, 0.001)),
+            _ => harness.handle(attempt_ended(id, 0, AttemptOutcome::Success)),
+        };
+    }
+}
--- a/tests/learned_state.rs
+++ b/tests/decision/learned_state.rs
@@ -1,13 +1,17 @@
 //! The stored form of what a balancer has learned: two versions read it from each other during an upgrade.
 
-mod common;
-use common::{class, entry, sends, Rig};
-use load_balancer::*;
+use crate::harness::{
+    attempt_ended, class, entry, request, started_attempts, without_retries, Harness,
+};
+use load_balancer::{
+    AttemptOutcome, AttemptResult, Event, Idempotency, LearnedState, ListScope, Maintenance,
+    Request, RequestId, Settings, Tenant, UpstreamEntry, UpstreamId,
+};
 use serde_json::Value;
 use std::collections::BTreeSet;
 
 /// What `served_lost_and_ejected` wrote at commit 47c951f.
-const RECORDED: &str = include_str!("data/learned-state-47c951f.json");
+const RECORDED: &str = include_str!("../data/learned-state-47c951f.json");
 
 fn settings() -> Settings {
     let tenant = |name: &str, quota_per_second| Tenant {
@@ -35,20 +39,20 @@
 
 /// A balancer that has served, lost and retried requests, has ejected an upstream that fails, has one in slow
 /// start and one returned from maintenance.
-fn served_lost_and_ejected() -> Rig {
-    let mut rig = Rig::new(settings(), 0);
-    rig.list(ListScope::Full, listed(98.0));
+fn served_lost_and_ejected() -> Harness {
+    let mut harness = Harness::new(settings(), 0);
+    harness.update_endpoints(ListScope::Full, listed(98.0));
     let maintain = |change| Event::Maintenance {
         upstream: UpstreamId(5),
         change,
     };
     for id in 1..=60 {
         match id {
-            10 => drop(rig.on(maintain(Maintenance::Begin))),
-            20 => drop(rig.on(maintain(Maintenance::End))),
+            10 => drop(harness.handle(maintain(Maintenance::Begin))),
+            20 => drop(harness.handle(maintain(Maintenance::End))),
             _ => {}
         }
-        let mut actions = rig.on(Event::Request(Request {
+        let mut actions = harness.handle(Event::Request(Request {
             id: RequestId(id),
             class: id as usize % 2,
             tenant: id as usize % 3 % 2,
@@ -56,10 +60,10 @@
             cost_hint: (id % 4 == 0).then_some(1.5),
             streamed: false,
         }));
-        rig.now += 0.05;
+        harness.now += 0.05;
         // Each attempt ends before the next request comes; a retry shows in the actions of the end before.
         let mut attempt = 0;
-        while let Some((request, upstream)) = sends(&actions).first().copied() {
+        while let Some((request, upstream)) = started_attempts(&actions).first().copied() {
             let outcome = match upstream {
                 1 => AttemptOutcome::Error,
                 2 if id % 5 == 0 => AttemptOutcome::Reset,
@@ -67,7 +71,7 @@
                 3 if id % 11 == 0 => AttemptOutcome::Rejected,
                 _ => AttemptOutcome::Success,
             };
-            actions = rig.on(Event::AttemptEnded(AttemptResult {
+            actions = harness.handle(Event::AttemptEnded(AttemptResult {
                 id: RequestId(request),
                 attempt,
                 outcome,
@@ -78,7 +82,7 @@
             attempt += 1;
         }
     }
-    rig
+    harness
 }
 
 fn json(state: &LearnedState) -> Value {
@@ -113,11 +117,11 @@
         field_paths(value, "", &mut paths);
         paths
     };
-    let rig = served_lost_and_ejected();
-    let written = json(&rig.balancer.learned_state());
+    let harness = served_lost_and_ejected();
+    let written = json(&harness.balancer.learned_state());
     let recorded: Value = serde_json::from_str(RECORDED).unwrap();
     assert_eq!(paths_of(&written), paths_of(&recorded));
-    let text = serde_json::to_string(&rig.balancer.learned_state()).unwrap();
+    let text = serde_json::to_string(&harness.balancer.learned_state()).unwrap();
     assert_eq!(
         text,
         RECORDED.trim_end(),
@@ -136,12 +140,82 @@
 #[test]
 fn what_47c951f_wrote_is_restored_whole() {
     let recorded: LearnedState = serde_json::from_str(RECORDED).unwrap();
-    let mut rig = Rig::new(settings(), 0);
-    rig.list(ListScope::Full, listed(98.0));
+    let mut harness = Harness::new(settings(), 0);
+    harness.update_endpoints(ListScope::Full, listed(98.0));
     // The clock of the process that reads it stands where that of the one that wrote it stood.
-    rig.now = json(&recorded)["at"].as_f64().unwrap();
-    let before = json(&rig.balancer.learned_state());
-    rig.balancer.restore(rig.now, 0.0, recorded.clone());
-    assert_ne!(json(&rig.balancer.learned_state()), before);
-    assert_eq!(json(&rig.balancer.learned_state()), json(&recorded));
+    harness.now = json(&recorded)["at"].as_f64().unwrap();
+    let before = json(&harness.balancer.learned_state());
+    harness.balancer.restore(harness.now, 0.0, recorded.clone());
+    assert_ne!(json(&harness.balancer.learned_state()), before);
+    assert_eq!(json(&harness.balancer.learned_state()), json(&recorded));
+}
+
+/// After an upgrade the new process need not pay again for what the old one had learned.
+#[test]
+fn restored_balancer_knows_what_the_other_learned() {
+    let settings = || {
+        without_retries(Settings {
+            classes: vec![class(Idempotency::NonIdempotent)],
+            ..Settings::simple()
+        })
+    };
+    let run = |harness: &mut Harness, ids: std::ops::Range<u64>| {
+        let mut drawn = 0;
+        for id in ids {
+            let upstream = started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1;
+            harness.now += 0.002;
+            drawn += u32::from(upstream == 1);
+            harness.handle(attempt_ended(
+                id,
+                0,
+                if upstream == 1 {
+                    AttemptOutcome::Error
+                } else {
+                    AttemptOutcome::Success
+                },
+            ));
+        }
+        drawn
+    };
+    let mut old = Harness::new(settings(), 4);
+    assert!(
+        run(&mut old, 1..40) >= 2,
+        "what it costs to learn that one fails"
+    );
+    let text = serde_json::to_string(&old.balancer.learned_state()).unwrap();
+    let drawn_by = |ahead: f64, later: f64, restarted: bool| {
+        let mut new = Harness::new(settings(), 4);
+        new.now = old.now + later + ahead;
+        if restarted {
+            let now = new.now - 50.0;
+            new.update_endpoints(
+                ListScope::Delta,
+                vec![UpstreamEntry {
+                    started_at: now,
+                    ..entry(1)
+                }],
+            );
+        }
+        new.balancer
+            .restore(new.now, later, serde_json::from_str(&text).unwrap());
+        run(&mut new, 1..40)
+    };
+    let drawn = |later: f64, restarted: bool| drawn_by(0.0, later, restarted);
+    assert_eq!(drawn(0.1, false), 0);
+    for ahead in [-3600.0, -5.0, 5.0, 3600.0] {
+        assert_eq!(
+            drawn_by(ahead, 0.1, false),
+            0,
+            "its clock is {ahead} s ahead"
+        );
+    }
+    assert!(drawn(0.1, true) >= 2, "it may be another program now");
+    assert!(drawn(60.0, false) >= 2, "too long ago");
+    // Settings that have changed fit nothing.
+    let mut other =
+        Harness::with_classes(&[Idempotency::Idempotent, Idempotency::NonIdempotent], 4);
+    other
+        .balancer
+        .restore(old.now, 0.0, serde_json::from_str(&text).unwrap());
+    assert!(other.fill_slots(1, 0) > 1);
 }
--- /dev/null
+++ b/tests/decision/lifecycle.rs
@@ -0,0 +1,135 @@
+//! The life of a request: slots, results, and what is released in the end.
+
+use crate::harness::{attempt_ended, request, started_attempts, Harness};
+use load_balancer::{
+    Action, AttemptOutcome, Balancer, Event, Idempotency, RequestId, Settings, SettingsError,
+};
+
+const OUTCOMES: [AttemptOutcome; 9] = [
+    AttemptOutcome::Success,
+    AttemptOutcome::Error,
+    AttemptOutcome::InvalidResponse,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::Reset,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
+];
+
+#[test]
+fn every_outcome_frees_its_slot() {
+    for outcome in OUTCOMES {
+        let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
+        harness.handle(request(1, 0, 2.0));
+        assert_eq!(harness.open_and_in_flight(), (1, 1));
+        harness.handle(attempt_ended(1, 0, outcome));
+        assert_eq!(harness.balancer.load().attempts_in_flight, 0, "{outcome:?}");
+    }
+}
+
+#[test]
+fn repeated_result_counts_once() {
+    let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 1);
+    harness.handle(request(1, 0, 2.0));
+    harness.handle(request(2, 0, 2.0));
+    harness.handle(attempt_ended(1, 0, AttemptOutcome::Success));
+    harness.handle(attempt_ended(1, 0, AttemptOutcome::Success));
+    assert_eq!(harness.open_and_in_flight(), (1, 1));
+}
+
+#[test]
+fn late_result_leaks_nothing() {
+    let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
+    harness.handle(request(1, 0, 2.0));
+    harness.handle(Event::ClientDisconnected(RequestId(1)));
+    assert_eq!(
+        harness.open_and_in_flight(),
+        (1, 1),
+        "its slot is taken until its attempt ends"
+    );
+    let actions = harness.handle(attempt_ended(1, 0, AttemptOutcome::TimedOut));
+    let log = |a: &Action| matches!(a, Action::Log { .. });
+    assert!(
+        actions.iter().all(log),
+        "nothing is sent or answered any more: {actions:?}"
+    );
+    assert_eq!(harness.open_and_in_flight(), (0, 0));
+}
+
+#[test]
+fn unknown_ids_are_ignored() {
+    let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
+    harness.handle(attempt_ended(99, 0, AttemptOutcome::Success));
+    harness.handle(request(1, 0, 2.0));
+    harness.handle(attempt_ended(1, 5, AttemptOutcome::Success));
+    harness.handle(request(2, 17, 2.0));
+    harness.handle(Event::ClientDisconnected(RequestId(98)));
+    harness.handle(Event::TimerFired(97));
+    harness.handle(Event::ResponseStarted(RequestId(96)));
+    assert_eq!(harness.open_and_in_flight(), (1, 1));
+}
+
+#[test]
+fn clock_that_steps_back_does_no_harm() {
+    let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
+    harness.handle(request(1, 0, 2.0));
+    harness.now -= 50.0;
+    harness.handle(attempt_ended(1, 0, AttemptOutcome::Success));
+    assert_eq!(
+        started_attempts(&harness.handle(request(2, 0, 2.0))).len(),
+        1
+    );
+}
+
+#[test]
+fn started_response_is_left_alone() {
+    let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 3);
+    harness.handle(request(1, 0, 2.0));
+    assert!(harness
+        .handle(Event::ResponseStarted(RequestId(1)))
+        .is_empty());
+    assert!(
+        harness.fire_timer_after(30.0, 1).is_empty(),
+        "it has no deadline any more"
+    );
+    assert_eq!(
+        harness.open_and_in_flight(),
+        (1, 1),
+        "its slot is taken while it streams"
+    );
+    assert!(harness
+        .handle(attempt_ended(1, 0, AttemptOutcome::Success))
+        .is_empty());
+    assert_eq!(harness.open_and_in_flight(), (0, 0));
+}
+
+#[test]
+fn invalid_settings_are_rejected_by_name() {
+    let bad = |change: fn(&mut Settings)| {
+        let mut settings = Settings::simple();
+        change(&mut settings);
+        Balancer::new(settings, 1, 0.0).err()
+    };
+    assert_eq!(bad(|s| s.classes.clear()), Some(SettingsError::NoClasses));
+    assert_eq!(
+        bad(|s| s.classes[0].latency_objective = 0.0).map(|e| e.to_string().contains("aim")),
+        Some(true)
+    );
+    assert!(matches!(
+        bad(|s| s.rules.poll_interval = f64::NAN),
+        Some(SettingsError::BadNumber(..))
+    ));
+    assert!(matches!(
+        bad(|s| s.peer_index = 3),
+        Some(SettingsError::BadIndex {
+            index: 3,
+            count: 1,
+            ..
+        })
+    ));
+    assert!(matches!(
+        bad(|s| s.peer_count = 0),
+        Some(SettingsError::BadIndex { .. })
+    ));
+}
--- /dev/null
+++ b/tests/decision/outlier_classes.rs
@@ -0,0 +1,161 @@
+//! Outlier detection by request class.
+
+use crate::harness::{attempt_ended, class, request, started_attempts, without_retries, Harness};
+use load_balancer::{AttemptOutcome, Idempotency, Settings};
+
+/// Two classes at four upstreams; upstream 1 serves only the first. Returns how many requests of each class it gets.
+fn fail_one_class(outcome: AttemptOutcome) -> (u32, u32) {
+    let classes = vec![
+        class(Idempotency::NonIdempotent),
+        class(Idempotency::NonIdempotent),
+    ];
+    let mut harness = Harness::new(
+        without_retries(Settings {
+            classes,
+            ..Settings::simple()
+        }),
+        4,
+    );
+    let mut taken = (0, 0);
+    for id in 1..=200 {
+        let wanted = usize::from(id % 7 < 3);
+        let upstream = started_attempts(&harness.handle(request(id, wanted, 2.0)))[0].1;
+        harness.now += 0.01;
+        if upstream == 1 && id > 50 {
+            taken = if wanted == 0 {
+                (taken.0 + 1, taken.1)
+            } else {
+                (taken.0, taken.1 + 1)
+            };
+        }
+        let bad = upstream == 1 && wanted == 1;
+        harness.handle(attempt_ended(
+            id,
+            0,
+            if bad {
+                outcome
+            } else {
+                AttemptOutcome::Success
+            },
+        ));
+    }
+    taken
+}
+
+#[test]
+fn upstream_that_loses_one_class_keeps_the_others() {
+    let (served, failed) = fail_one_class(AttemptOutcome::TimedOut);
+    assert!(
+        served >= 6 && failed <= 2,
+        "{served} of the good class, {failed} of the bad"
+    );
+    let (served, unharmed) = fail_one_class(AttemptOutcome::Success);
+    assert!(served >= 15 && unharmed >= 12, "{served} and {unharmed}");
+}
+
+/// Each rejected request has held a slot until it came back.
+#[test]
+fn upstream_that_alone_rejects_one_class_keeps_the_others() {
+    let (served, turned_away) = fail_one_class(AttemptOutcome::Rejected);
+    assert!(
+        served >= 15 && turned_away <= 4,
+        "{served} of the good class, {turned_away} of the bad"
+    );
+}
+
+#[test]
+fn rejections_by_all_upstreams_eject_none() {
+    let mut harness = Harness::new(without_retries(Settings::simple()), 4);
+    let mut taken = [0; 5];
+    for id in 1..=200 {
+        // Past the pause that follows on each.
+        harness.now += 1.0;
+        taken[started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1 as usize] += 1;
+        harness.handle(attempt_ended(
+            id,
+            0,
+            if id % 3 == 0 {
+                AttemptOutcome::Success
+            } else {
+                AttemptOutcome::Rejected
+            },
+        ));
+    }
+    assert!(taken[1..].iter().all(|n| *n > 20), "{taken:?}");
+}
+
+#[test]
+fn errors_at_all_upstreams_eject_none() {
+    let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
+    let mut taken = [0; 5];
+    for id in 1..=200 {
+        taken[started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1 as usize] += 1;
+        harness.now += 0.01;
+        harness.handle(attempt_ended(
+            id,
+            0,
+            if id % 3 == 0 {
+                AttemptOutcome::Success
+            } else {
+                AttemptOutcome::Error
+            },
+        ));
+    }
+    assert!(taken[1..].iter().all(|n| *n > 20), "{taken:?}");
+}
+
+/// Requests of three classes in turn; upstream 1 of four fails them all. Returns how many of each class it gets.
+fn fail_all_classes(classes: [Idempotency; 3], calls: u64) -> [u32; 3] {
+    let classes = classes.map(class).to_vec();
+    let mut harness = Harness::new(
+        without_retries(Settings {
+            classes,
+            ..Settings::simple()
+        }),
+        4,
+    );
+    let mut failed = [0; 3];
+    for id in 1..=calls {
+        let class = (id % 3) as usize;
+        let upstream = started_attempts(&harness.handle(request(id, class, 2.0)))[0].1;
+        harness.now += 0.01;
+        failed[class] += u32::from(upstream == 1);
+        harness.handle(attempt_ended(
+            id,
+            0,
+            if upstream == 1 {
+                AttemptOutcome::Error
+            } else {
+                AttemptOutcome::Success
+            },
+        ));
+    }
+    failed
+}
+
+#[test]
+fn failures_of_all_classes_count_together() {
+    let failed = fail_all_classes([Idempotency::NonIdempotent; 3], 60);
+    assert!(
+        failed.iter().sum::<u32>() <= 5,
+        "{failed:?}; each by itself takes two"
+    );
+}
+
+/// A trial request that can not be repeated may be lost.
+#[test]
+fn idempotent_requests_do_the_trials_of_a_failing_upstream() {
+    let mixed = fail_all_classes(
+        [
+            Idempotency::Idempotent,
+            Idempotency::NonIdempotent,
+            Idempotency::NonIdempotent,
+        ],
+        6000,
+    );
+    assert!(mixed[0] >= 4, "{mixed:?}: it is tried");
+    assert!(mixed[1] + mixed[2] <= 6, "{mixed:?}");
+    // Nobody else can try it for them.
+    let alike = fail_all_classes([Idempotency::NonIdempotent; 3], 6000);
+    assert!(alike.iter().all(|failed| *failed >= 4), "{alike:?}");
+}
--- /dev/null
+++ b/tests/decision/poll_schedule.rs
@@ -0,0 +1,143 @@
+//! The poll schedule of one balancer.
+
+use crate::fleet_poll_schedule::{NOTIFICATION_DEADLINE, QUEUE_TIMEOUT};
+use load_balancer::{Action, Balancer, DiscoveryMode, Event, ListScope, Settings};
+
+#[test]
+fn balancers_poll_at_random_moments() {
+    let settings = Settings {
+        discovery_mode: DiscoveryMode::Poll,
+        ..Settings::simple()
+    };
+    let mut waits = Vec::new();
+    for seed in 0..50 {
+        let mut balancer = Balancer::new(settings.clone(), seed, 0.0).unwrap();
+        let mut sum = 0.0;
+        for scope in [ListScope::Cached, ListScope::Failed, ListScope::Failed] {
+            let mut actions = Vec::new();
+            balancer.handle(
+                sum,
+                Event::EndpointList {
+                    scope,
+                    endpoints: Vec::new(),
+                },
+                &mut actions,
+            );
+            let Action::SetTimer { after, token } = actions[0] else {
+                panic!("{actions:?}")
+            };
+            assert!(after < 4.0 * settings.rules.poll_interval);
+            sum += after;
+            let mut actions = Vec::new();
+            balancer.handle(sum, Event::TimerFired(token), &mut actions);
+            assert_eq!(actions, [Action::WatchEndpoints]);
+            if scope == ListScope::Cached {
+                assert!(after < settings.rules.poll_interval, "asked in time");
+                waits.push(after);
+            }
+        }
+    }
+    waits.sort_by(f64::total_cmp);
+    assert!(
+        waits[40] - waits[10] > 1.0,
+        "they ask at moments of their own"
+    );
+}
+
+/// Also where a watch broke, and after it up to two polls failed at once.
+#[test]
+fn polls_are_repeated_within_the_notification_deadline() {
+    let mut settings = Settings {
+        discovery_mode: DiscoveryMode::Poll,
+        ..Settings::simple()
+    };
+    settings.rules.notification_deadline = 6.0;
+    let wait = |balancer: &mut Balancer, now, scope| {
+        let mut actions = Vec::new();
+        balancer.handle(
+            now,
+            Event::EndpointList {
+                scope,
+                endpoints: Vec::new(),
+            },
+            &mut actions,
+        );
+        let Action::SetTimer { after, token } = actions[0] else {
+            panic!("{actions:?}")
+        };
+        balancer.handle(now + after, Event::TimerFired(token), &mut actions);
+        after
+    };
+    for seed in 0..50 {
+        let mut balancer = Balancer::new(settings.clone(), seed, 0.0).unwrap();
+        let mut now = wait(&mut balancer, 0.0, ListScope::Cached);
+        assert!(now < 1.6, "{now}");
+        // Called `taken` ago, it fails; then again and again at once.
+        for taken in [2.0, 100.0] {
+            let after = wait(&mut balancer, now + taken, ListScope::Failed);
+            assert!(after < 1.6, "{after}");
+            now += taken + after;
+            let mut sum = 0.0;
+            for _ in 0..3 {
+                sum += wait(&mut balancer, now + sum, ListScope::Failed);
+            }
+            assert!(sum < 2.0, "{sum}");
+            now += sum;
+        }
+    }
+}
+
+/// Holds unless all polls have failed for longer than the deadline.
+#[test]
+fn polls_end_within_the_notification_deadline_in_fleets_of_any_size() {
+    for (peer_count, seed) in [1, 3, 30, 100, 1000, 8700]
+        .iter()
+        .flat_map(|n| (0..50).map(move |s| (*n, s)))
+    {
+        let mut settings = Settings {
+            peer_count,
+            discovery_mode: DiscoveryMode::Poll,
+            ..Settings::simple()
+        };
+        settings.rules.notification_deadline = NOTIFICATION_DEADLINE;
+        let mut balancer = Balancer::new(settings, seed, 0.0).unwrap();
+        let mut now = 0.0;
+        for (count, scope) in [ListScope::Cached]
+            .into_iter()
+            .chain([ListScope::Failed; 4])
+            .chain([ListScope::Delta])
+            .enumerate()
+        {
+            let mut actions = Vec::new();
+            balancer.handle(
+                now,
+                Event::EndpointList {
+                    scope,
+                    endpoints: vec![],
+                },
+                &mut actions,
+            );
+            if scope == ListScope::Delta {
+                assert_eq!(actions, []);
+                balancer.handle(
+                    now,
+                    Event::EndpointList {
+                        scope: ListScope::Failed,
+                        endpoints: vec![],
+                    },
+                    &mut actions,
+                );
+            }
+            let Action::SetTimer { after, token } = actions[0] else {
+                panic!("{actions:?}")
+            };
+            assert!(
+                after + QUEUE_TIMEOUT < NOTIFICATION_DEADLINE - 0.3,
+                "{peer_count} {count} {after}"
+            );
+            now += after;
+            balancer.handle(now, Event::TimerFired(token), &mut actions);
+            now += QUEUE_TIMEOUT;
+        }
+    }
+}
