--- a/tests/decision/concurrency_limit.rs
+++ b/tests/decision/concurrency_limit.rs
@@ -22,7 +22,7 @@
             request_concluded: false,
         }));
     }
-    // Past an ejection.
+    // After a possible ejection.
     harness.now += 20.0;
     harness.handle(request(50, 0, 2.0));
     harness.handle(attempt_ended(50, 0, AttemptOutcome::Success));
@@ -34,16 +34,16 @@
 fn single_broken_connection_lowers_the_limit_like_an_error() {
     for outcome in [AttemptOutcome::Reset, AttemptOutcome::ConnectFailed] {
         assert_eq!(slots_after_losses(&[(outcome, 0.0)]), 2, "{outcome:?}");
-        // With no answer in between they are no accident.
+        // Without a response in between, the upstream is to blame.
         assert_eq!(slots_after_losses(&[(outcome, 0.0); 3]), 1, "{outcome:?}");
     }
-    // What may have been dropped while idle says nothing of the upstream.
+    // The connections may have been dropped while idle.
     assert_eq!(slots_after_losses(&[(AttemptOutcome::Reset, 0.5); 3]), 2);
 }
 
 #[test]
 fn deeper_tiers_raise_the_limit_though_responses_take_long() {
-    let widened = |tier: usize| {
+    let raised = |tier: usize| {
         let mut harness = Harness::new(
             Settings {
                 tier,
@@ -72,16 +72,16 @@
         harness.balancer.load().attempts_in_flight
     };
     assert!(
-        widened(1) > widened(0),
-        "{} deeper, {} at the entry",
-        widened(1),
-        widened(0)
+        raised(1) > raised(0),
+        "{} in tier 1, {} in tier 0",
+        raised(1),
+        raised(0)
     );
 }
 
 #[test]
 fn single_request_allowance_is_reduced_under_congestion_in_large_fleets() {
-    let waits = |peer_count: usize| {
+    let is_paused = |peer_count: usize| {
         let mut harness = Harness::new(
             Settings {
                 peer_count,
@@ -103,38 +103,38 @@
             }));
         }
         let ids = [101, 102, 103, 104];
-        let sent: Vec<_> = ids
+        let started: Vec<_> = ids
             .iter()
             .flat_map(|id| started_attempts(&harness.handle(request(*id, 0, 20.0))))
             .collect();
-        let actions = harness.handle(attempt_ended(sent[0].0, 0, AttemptOutcome::Success));
-        let held = ids
+        let actions = harness.handle(attempt_ended(started[0].0, 0, AttemptOutcome::Success));
+        let queued = ids
             .iter()
-            .find(|id| !sent.iter().any(|s| s.0 == **id))
+            .find(|id| !started.iter().any(|s| s.0 == **id))
             .unwrap();
-        let woken = started_attempts(&actions).len();
+        let dispatched = started_attempts(&actions).len();
         let timer = |a: &Action| matches!(a, Action::SetTimer { .. });
-        assert!(woken > 0 || actions.iter().any(timer), "{actions:?}");
+        assert!(dispatched > 0 || actions.iter().any(timer), "{actions:?}");
         assert_eq!(
-            woken + started_attempts(&harness.fire_timer_after(0.2, *held)).len(),
+            dispatched + started_attempts(&harness.fire_timer_after(0.2, *queued)).len(),
             1,
-            "sent after the rest"
+            "started after the pause"
         );
-        woken == 0
+        dispatched == 0
     };
-    assert!(waits(300) && !waits(2));
+    assert!(is_paused(300) && !is_paused(2));
 }
 
 #[test]
 fn raised_limit_decays_slowly() {
-    // Calls wait and are answered quickly, so one upstream's slice widens; then come forty calls one by one.
+    // Requests wait and get fast responses, so the limit grows; then twenty requests come one by one.
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 1);
-    let mut sent = Vec::new();
+    let mut started = Vec::new();
     for id in 1..=200 {
-        sent.extend(started_attempts(&harness.handle(request(id, 0, 5.0))));
-        if id % 2 == 0 && !sent.is_empty() {
-            let (first, _) = sent.remove(0);
-            sent.extend(started_attempts(&harness.handle(attempt_ended(
+        started.extend(started_attempts(&harness.handle(request(id, 0, 5.0))));
+        if id % 2 == 0 && !started.is_empty() {
+            let (first, _) = started.remove(0);
+            started.extend(started_attempts(&harness.handle(attempt_ended(
                 first,
                 0,
                 AttemptOutcome::Success,
@@ -142,10 +142,10 @@
         }
         harness.now += 0.01;
     }
-    let widened = harness.balancer.load().attempts_in_flight;
-    assert!(widened > 3, "{widened}");
-    while let Some((id, _)) = sent.pop() {
-        sent.extend(started_attempts(&harness.handle(attempt_ended(
+    let raised = harness.balancer.load().attempts_in_flight;
+    assert!(raised > 3, "{raised}");
+    while let Some((id, _)) = started.pop() {
+        started.extend(started_attempts(&harness.handle(attempt_ended(
             id,
             0,
             AttemptOutcome::Success,
@@ -155,34 +155,36 @@
         harness.handle(request(id, 0, 5.0));
         harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
     }
-    let held = harness.fill_slots(400, 0);
+    let queued = harness.fill_slots(400, 0);
     assert!(
-        held - 400 >= 4,
-        "{} after {widened}; an even slice is two",
-        held - 400
+        queued - 400 >= 4,
+        "{} after {raised}; an even share is two",
+        queued - 400
     );
 }
 
 /// Slots of one upstream after so many responses that take `elapsed`, while requests always wait.
 fn slots_after(answers: u64, elapsed: impl Fn(u64) -> f64) -> usize {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 1);
-    let mut sent = Vec::new();
+    let mut started = Vec::new();
     for id in 1..=answers {
-        sent.extend(started_attempts(&harness.handle(request(id, 0, 50.0))));
-        let call = AttemptResult {
-            id: RequestId(sent.remove(0).0),
+        started.extend(started_attempts(&harness.handle(request(id, 0, 50.0))));
+        let result = AttemptResult {
+            id: RequestId(started.remove(0).0),
             attempt: 0,
             outcome: AttemptOutcome::Success,
             elapsed: elapsed(id),
             connection_idle: None,
             request_concluded: true,
         };
-        sent.extend(started_attempts(&harness.handle(request(
+        started.extend(started_attempts(&harness.handle(request(
             1000 + id,
             0,
             50.0,
         ))));
-        sent.extend(started_attempts(&harness.handle(Event::AttemptEnded(call))));
+        started.extend(started_attempts(
+            &harness.handle(Event::AttemptEnded(result)),
+        ));
         harness.now += 0.01;
     }
     harness.balancer.load().attempts_in_flight
@@ -191,13 +193,13 @@
 /// The work alone may take much of the latency objective, which is one second.
 #[test]
 fn limit_grows_while_latency_is_at_its_baseline() {
-    let calm = slots_after(400, |_| 0.35);
-    let risen = slots_after(400, |id| if id < 100 { 0.35 } else { 0.7 });
-    assert!(calm > 4, "{calm}; an even slice is two");
-    assert!(risen <= 2, "{risen}");
-    // One that starts in a crowd has never seen it calm.
-    let crowded = slots_after(400, |_| 0.9);
-    assert!(crowded <= 2, "{crowded}");
+    let at_baseline = slots_after(400, |_| 0.35);
+    let above_baseline = slots_after(400, |id| if id < 100 { 0.35 } else { 0.7 });
+    assert!(at_baseline > 4, "{at_baseline}; an even share is two");
+    assert!(above_baseline <= 2, "{above_baseline}");
+    // A balancer that starts under congestion has never seen the baseline.
+    let congested = slots_after(400, |_| 0.9);
+    assert!(congested <= 2, "{congested}");
 }
 
 /// Some responses are late for other reasons, as when a connection behind the upstream is established late.
@@ -206,13 +208,13 @@
 fn tail_latency_is_no_congestion() {
     let late =
         |share: u64, of: u64| move |id: u64| if id > 40 && id % of < share { 1.5 } else { 0.1 };
-    let calm = slots_after(400, late(0, 1));
+    let at_baseline = slots_after(400, late(0, 1));
     for (share, of) in [(1, 4), (1, 3), (2, 5)] {
         let tail = slots_after(400, late(share, of));
-        assert_eq!(tail, calm, "{share} of {of} are late");
+        assert_eq!(tail, at_baseline, "{share} of {of} are late");
     }
-    let crowd = slots_after(400, late(3, 4));
-    assert!(crowd <= 2, "{crowd}; an even slice is two");
+    let congested = slots_after(400, late(3, 4));
+    assert!(congested <= 2, "{congested}; an even share is two");
 }
 
 /// A restarted balancer would reject requests for long while its upstreams have capacity.
@@ -220,7 +222,7 @@
 fn limit_of_a_new_balancer_grows_fast_until_congestion() {
     let fresh = slots_after(24, |_| 0.2);
     assert!(fresh >= 8, "{fresh}");
-    // Late answers narrow it; from then on it widens by little.
+    // Late responses lower it; from then on it grows slowly.
     let before = slots_after(80, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
     let after = slots_after(100, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
     assert!(
--- a/tests/decision/endpoint_list.rs
+++ b/tests/decision/endpoint_list.rs
@@ -9,10 +9,10 @@
 fn draining_and_removed_upstreams_get_no_requests() {
     for state in [UpstreamState::Draining, UpstreamState::Removed] {
         let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 2);
-        let held = harness.fill_slots(1, 0);
-        // What waits for the drained one moves to the other's queue, and is sent there only.
+        let queued = harness.fill_slots(1, 0);
+        // Requests queued at the draining upstream are reassigned to the other.
         harness.update_endpoints(ListScope::Delta, vec![UpstreamEntry { state, ..entry(1) }]);
-        for id in 1..held {
+        for id in 1..queued {
             assert!(started_attempts(&harness.handle(attempt_ended(
                 id,
                 0,
@@ -38,7 +38,7 @@
 #[test]
 fn requests_queued_at_a_draining_upstream_are_reassigned() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
-    let held = harness.fill_slots(1, 0);
+    let queued = harness.fill_slots(1, 0);
     harness.update_endpoints(
         ListScope::Delta,
         vec![UpstreamEntry {
@@ -48,7 +48,7 @@
     );
     assert_eq!(
         started_attempts(&harness.update_endpoints(ListScope::Delta, vec![entry(2)])),
-        [(held, 2)]
+        [(queued, 2)]
     );
 }
 
@@ -90,13 +90,13 @@
     assert!(harness.balancer.load().upstreams <= 4);
 }
 
-/// A balancer whose list is stale or current, with `upstreams` of which the first `full` reject all requests. Returns
-/// how many requests each had.
+/// A balancer whose list is stale or current, with `upstreams` of which the first `rejecting` reject all requests. Returns
+/// how many requests each counts.
 fn send_with_rejections(
     stale: bool,
     upstreams: u64,
-    full: u64,
-    calls: u64,
+    rejecting: u64,
+    requests: u64,
 ) -> (Harness, Vec<usize>) {
     let mut settings = Settings {
         discovery_mode: DiscoveryMode::Poll,
@@ -107,22 +107,28 @@
     if stale {
         harness.update_endpoints(ListScope::Failed, vec![]);
     }
-    let mut had = vec![0; upstreams as usize + 1];
-    send_requests(&mut harness, 1, full, calls, &mut had);
-    (harness, had)
+    let mut counts = vec![0; upstreams as usize + 1];
+    send_requests(&mut harness, 1, rejecting, requests, &mut counts);
+    (harness, counts)
 }
 
-fn send_requests(harness: &mut Harness, first: u64, full: u64, calls: u64, had: &mut [usize]) {
-    for id in first..first + calls {
+fn send_requests(
+    harness: &mut Harness,
+    first: u64,
+    rejecting: u64,
+    requests: u64,
+    counts: &mut [usize],
+) {
+    for id in first..first + requests {
         harness.now += 0.5;
         let mut actions = harness.handle(request(id, 0, 60.0));
         let mut attempt = 0;
         while let Some((_, upstream)) = started_attempts(&actions)
             .into_iter()
-            .find(|(sent, _)| *sent == id)
+            .find(|(request, _)| *request == id)
         {
-            had[upstream as usize] += 1;
-            let outcome = if upstream <= full {
+            counts[upstream as usize] += 1;
+            let outcome = if upstream <= rejecting {
                 AttemptOutcome::Rejected
             } else {
                 AttemptOutcome::Success
@@ -136,28 +142,28 @@
 /// While the list is stale, upstreams may drain unnoticed.
 #[test]
 fn upstreams_that_reject_everything_are_left_out_while_the_list_is_stale() {
-    let (mut harness, mut had) = send_with_rejections(true, 6, 2, 300);
-    assert!(had[1] <= 3 && had[2] <= 3, "{had:?}");
+    let (mut harness, mut counts) = send_with_rejections(true, 6, 2, 300);
+    assert!(counts[1] <= 3 && counts[2] <= 3, "{counts:?}");
     assert_eq!(
         harness.balancer.excluded_upstreams(),
         2,
-        "operators are told"
+        "shown to operators"
     );
-    // It is heard again, and lists them still: they are tried as before.
+    // The list is current again, and they are in it.
     harness.update_endpoints(ListScope::Delta, vec![]);
-    let before = had.clone();
-    send_requests(&mut harness, 1000, 0, 300, &mut had);
-    assert!(had[1] > before[1] && had[2] > before[2], "{had:?}");
+    let before = counts.clone();
+    send_requests(&mut harness, 1000, 0, 300, &mut counts);
+    assert!(counts[1] > before[1] && counts[2] > before[2], "{counts:?}");
 }
 
 /// A current list takes precedence, and if most upstreams reject they are overloaded.
 #[test]
 fn rejecting_upstreams_stay_in_use_while_the_list_is_current_or_most_reject() {
-    let (_, had) = send_with_rejections(false, 6, 2, 300);
-    assert!(had[1] > 3 && had[2] > 3, "{had:?}");
-    let (_, had) = send_with_rejections(true, 6, 6, 300);
+    let (_, counts) = send_with_rejections(false, 6, 2, 300);
+    assert!(counts[1] > 3 && counts[2] > 3, "{counts:?}");
+    let (_, counts) = send_with_rejections(true, 6, 6, 300);
     assert!(
-        had[1..].iter().filter(|had| **had > 3).count() >= 3,
-        "{had:?}"
+        counts[1..].iter().filter(|counts| **counts > 3).count() >= 3,
+        "{counts:?}"
     );
 }
--- a/tests/decision/idempotency.rs
+++ b/tests/decision/idempotency.rs
@@ -51,9 +51,9 @@
     for idempotency in WITH_IDEMPOTENCY_KEY {
         let mut harness = Harness::with_classes(&[idempotency], 8);
         let first = started_attempts(&harness.handle(request(1, 0, 5.0)))[0].1;
-        let again = started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Reset)));
-        assert_eq!(again.len(), 1, "{idempotency:?}");
-        let same_cell = again[0].1 % 2 == first % 2;
+        let retry = started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Reset)));
+        assert_eq!(retry.len(), 1, "{idempotency:?}");
+        let same_cell = retry[0].1 % 2 == first % 2;
         assert!(
             same_cell
                 || idempotency
@@ -79,29 +79,35 @@
 /// A retry may start inside the window and arrive after it.
 #[test]
 fn retry_with_idempotency_key_has_to_be_written_within_the_window() {
-    let within = |actions: &[Action]| {
+    let write_within = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
             Action::StartAttempt { write_within, .. } => Some(*write_within),
             _ => None,
         })
     };
-    for (idempotency, limited) in WITH_IDEMPOTENCY_KEY
-        .map(|keyed| (keyed, true))
+    for (idempotency, is_limited) in WITH_IDEMPOTENCY_KEY
+        .map(|idempotency| (idempotency, true))
         .into_iter()
         .chain([(Idempotency::Idempotent, false)])
     {
         let mut harness = Harness::with_classes(&[idempotency], 8);
-        assert_eq!(within(&harness.handle(request(1, 0, 5.0))), Some(None));
+        assert_eq!(
+            write_within(&harness.handle(request(1, 0, 5.0))),
+            Some(None)
+        );
         harness.now += 0.25;
         assert_eq!(
-            within(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Reset))),
-            Some(limited.then_some(0.75)),
+            write_within(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Reset))),
+            Some(is_limited.then_some(0.75)),
             "{idempotency:?}"
         );
-        // One that never ran may come as late as it likes.
-        assert_eq!(within(&harness.handle(request(2, 0, 5.0))), Some(None));
+        // After an attempt that never ran there is no limit.
+        assert_eq!(
+            write_within(&harness.handle(request(2, 0, 5.0))),
+            Some(None)
+        );
         assert_eq!(
-            within(&harness.handle(attempt_ended(2, 0, AttemptOutcome::Rejected))),
+            write_within(&harness.handle(attempt_ended(2, 0, AttemptOutcome::Rejected))),
             Some(None)
         );
     }
--- a/tests/decision/idle_connections.rs
+++ b/tests/decision/idle_connections.rs
@@ -3,16 +3,16 @@
 use crate::harness::{attempt_ended, attempt_lost, request, started_attempts, Harness};
 use load_balancer::{Action, AttemptOutcome, Idempotency};
 
-/// Requests to one upstream at intervals of a second, which end as `outcome` says after 50 ms. Returns how often idle
-/// connections are closed.
+/// Requests to one upstream at intervals of a second, which end as `outcome` says after 50 ms. Returns how closes idle
+/// connections are closes.
 fn count_closes(outcome: impl Fn(u64) -> AttemptOutcome) -> usize {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
-    let mut closed = 0;
+    let mut closes = 0;
     for id in 1..=20 {
         harness.now += 1.0;
         let actions = harness.handle(request(id, 0, 2.0));
         assert_eq!(started_attempts(&actions).len(), 1);
-        closed += actions
+        closes += actions
             .iter()
             .filter(|a| matches!(a, Action::CloseIdleConnections { .. }))
             .count();
@@ -24,7 +24,7 @@
             outcome => harness.handle(attempt_lost(id, outcome, 0.001)),
         };
     }
-    closed
+    closes
 }
 
 #[test]
@@ -37,17 +37,17 @@
             AttemptOutcome::Success
         }),
         0,
-        "one sign is none"
+        "one reset is not enough"
     );
-    let often = count_closes(|id| {
+    let closes = count_closes(|id| {
         if id == 2 || id == 4 {
             AttemptOutcome::Reset
         } else {
             AttemptOutcome::Success
         }
     });
-    assert!(often >= 12, "closed {often} times");
-    // Nor need they be many: each may be a call that can't be repeated.
+    assert!(closes >= 12, "closes {closes} times");
+    // Each may cost a request that can't be repeated, so few are enough.
     assert!(
         count_closes(|id| if id == 2 || id == 11 {
             AttemptOutcome::Reset
@@ -60,16 +60,16 @@
 /// A new connection for each request would not help.
 #[test]
 fn idle_connections_are_kept_while_new_ones_break_as_well() {
-    // The call after a reset finds no idle connection, so that every other reset is one of a new connection.
-    let both = |id: u64| {
+    // The request after a reset finds no idle connection, so every other reset is on a new one.
+    let on_idle_and_new = |id: u64| {
         if id % 6 == 2 || id % 6 == 3 {
             AttemptOutcome::Reset
         } else {
             AttemptOutcome::Success
         }
     };
-    assert_eq!(count_closes(both), 0);
-    // The trust that two on idle ones took comes back with the next on a new one.
+    assert_eq!(count_closes(on_idle_and_new), 0);
+    // A reset on a new connection restores the timeout that two on idle ones lowered.
     assert_eq!(
         count_closes(|id| if [2, 4, 6].contains(&id) {
             AttemptOutcome::Reset
@@ -91,7 +91,7 @@
             !actions
                 .iter()
                 .any(|a| matches!(a, Action::CloseIdleConnections { .. })),
-            "call {id}: {actions:?}"
+            "request {id}: {actions:?}"
         );
         harness.now += 0.1;
         match id % 4 {
--- a/tests/decision/learned_state.rs
+++ b/tests/decision/learned_state.rs
@@ -61,7 +61,7 @@
             streamed: false,
         }));
         harness.now += 0.05;
-        // Each attempt ends before the next request comes; a retry shows in the actions of the end before.
+        // Each attempt ends before the next request arrives; a retry follows from the end before it.
         let mut attempt = 0;
         while let Some((request, upstream)) = started_attempts(&actions).first().copied() {
             let outcome = match upstream {
@@ -142,7 +142,7 @@
     let recorded: LearnedState = serde_json::from_str(RECORDED).unwrap();
     let mut harness = Harness::new(settings(), 0);
     harness.update_endpoints(ListScope::Full, listed(98.0));
-    // The clock of the process that reads it stands where that of the one that wrote it stood.
+    // Both processes' clocks show the same.
     harness.now = json(&recorded)["at"].as_f64().unwrap();
     let before = json(&harness.balancer.learned_state());
     harness.balancer.restore(harness.now, 0.0, recorded.clone());
@@ -150,7 +150,7 @@
     assert_eq!(json(&harness.balancer.learned_state()), json(&recorded));
 }
 
-/// After an upgrade the new process need not pay again for what the old one had learned.
+/// After an upgrade the new process need not lose requests to learn the same again.
 #[test]
 fn restored_balancer_knows_what_the_other_learned() {
     let settings = || {
@@ -160,11 +160,11 @@
         })
     };
     let run = |harness: &mut Harness, ids: std::ops::Range<u64>| {
-        let mut drawn = 0;
+        let mut lost = 0;
         for id in ids {
             let upstream = started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1;
             harness.now += 0.002;
-            drawn += u32::from(upstream == 1);
+            lost += u32::from(upstream == 1);
             harness.handle(attempt_ended(
                 id,
                 0,
@@ -175,17 +175,14 @@
                 },
             ));
         }
-        drawn
+        lost
     };
     let mut old = Harness::new(settings(), 4);
-    assert!(
-        run(&mut old, 1..40) >= 2,
-        "what it costs to learn that one fails"
-    );
+    assert!(run(&mut old, 1..40) >= 2, "before the outlier is detected");
     let text = serde_json::to_string(&old.balancer.learned_state()).unwrap();
-    let drawn_by = |ahead: f64, later: f64, restarted: bool| {
+    let lost_with_clock = |clock_offset: f64, age: f64, restarted: bool| {
         let mut new = Harness::new(settings(), 4);
-        new.now = old.now + later + ahead;
+        new.now = old.now + age + clock_offset;
         if restarted {
             let now = new.now - 50.0;
             new.update_endpoints(
@@ -197,21 +194,21 @@
             );
         }
         new.balancer
-            .restore(new.now, later, serde_json::from_str(&text).unwrap());
+            .restore(new.now, age, serde_json::from_str(&text).unwrap());
         run(&mut new, 1..40)
     };
-    let drawn = |later: f64, restarted: bool| drawn_by(0.0, later, restarted);
-    assert_eq!(drawn(0.1, false), 0);
-    for ahead in [-3600.0, -5.0, 5.0, 3600.0] {
+    let lost = |age: f64, restarted: bool| lost_with_clock(0.0, age, restarted);
+    assert_eq!(lost(0.1, false), 0);
+    for clock_offset in [-3600.0, -5.0, 5.0, 3600.0] {
         assert_eq!(
-            drawn_by(ahead, 0.1, false),
+            lost_with_clock(clock_offset, 0.1, false),
             0,
-            "its clock is {ahead} s ahead"
+            "its clock is {clock_offset} s clock_offset"
         );
     }
-    assert!(drawn(0.1, true) >= 2, "it may be another program now");
-    assert!(drawn(60.0, false) >= 2, "too long ago");
-    // Settings that have changed fit nothing.
+    assert!(lost(0.1, true) >= 2, "it may run another program now");
+    assert!(lost(60.0, false) >= 2, "too long ago");
+    // A state of other settings is ignored.
     let mut other =
         Harness::with_classes(&[Idempotency::Idempotent, Idempotency::NonIdempotent], 4);
     other
--- a/tests/decision/lifecycle.rs
+++ b/tests/decision/lifecycle.rs
@@ -49,10 +49,10 @@
         "its slot is taken until its attempt ends"
     );
     let actions = harness.handle(attempt_ended(1, 0, AttemptOutcome::TimedOut));
-    let log = |a: &Action| matches!(a, Action::Log { .. });
+    let is_log = |a: &Action| matches!(a, Action::Log { .. });
     assert!(
-        actions.iter().all(log),
-        "nothing is sent or answered any more: {actions:?}"
+        actions.iter().all(is_log),
+        "no attempt and no response follow: {actions:?}"
     );
     assert_eq!(harness.open_and_in_flight(), (0, 0));
 }
@@ -91,12 +91,12 @@
         .is_empty());
     assert!(
         harness.fire_timer_after(30.0, 1).is_empty(),
-        "it has no deadline any more"
+        "its timer has no effect"
     );
     assert_eq!(
         harness.open_and_in_flight(),
         (1, 1),
-        "its slot is taken while it streams"
+        "its slot is taken while the response is streamed"
     );
     assert!(harness
         .handle(attempt_ended(1, 0, AttemptOutcome::Success))
@@ -106,22 +106,25 @@
 
 #[test]
 fn invalid_settings_are_rejected_by_name() {
-    let bad = |change: fn(&mut Settings)| {
+    let error_of = |change: fn(&mut Settings)| {
         let mut settings = Settings::simple();
         change(&mut settings);
         Balancer::new(settings, 1, 0.0).err()
     };
-    assert_eq!(bad(|s| s.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(
-        bad(|s| s.classes[0].latency_objective = 0.0).map(|e| e.to_string().contains("aim")),
+        error_of(|s| s.classes.clear()),
+        Some(SettingsError::NoClasses)
+    );
+    assert_eq!(
+        error_of(|s| s.classes[0].latency_objective = 0.0).map(|e| e.to_string().contains("aim")),
         Some(true)
     );
     assert!(matches!(
-        bad(|s| s.rules.poll_interval = f64::NAN),
+        error_of(|s| s.rules.poll_interval = f64::NAN),
         Some(SettingsError::BadNumber(..))
     ));
     assert!(matches!(
-        bad(|s| s.peer_index = 3),
+        error_of(|s| s.peer_index = 3),
         Some(SettingsError::BadIndex {
             index: 3,
             count: 1,
@@ -129,7 +132,7 @@
         })
     ));
     assert!(matches!(
-        bad(|s| s.peer_count = 0),
+        error_of(|s| s.peer_count = 0),
         Some(SettingsError::BadIndex { .. })
     ));
 }
--- a/tests/decision/maintenance.rs
+++ b/tests/decision/maintenance.rs
@@ -1,4 +1,4 @@
-//! Maintenance: upstreams that operators take out of service and put back.
+//! Maintenance: upstreams that operators take is_out of service and put after_return.
 
 use crate::harness::{attempt_ended, entry, request, started_attempts, Harness};
 use load_balancer::{
@@ -9,9 +9,9 @@
 /// Orders of operators take precedence over discovery.
 #[test]
 fn upstream_in_maintenance_gets_no_requests_whatever_is_listed() {
-    let maintain = |upstream, out| Event::Maintenance {
+    let maintain = |upstream, is_out| Event::Maintenance {
         upstream: UpstreamId(upstream),
-        change: if out {
+        change: if is_out {
             Maintenance::Begin
         } else {
             Maintenance::End
@@ -19,8 +19,8 @@
     };
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
     harness.fill_slots(1, 0);
-    let held = harness.balancer.load().open_requests as u64;
-    // What waits there moves; what is out ends by itself.
+    let open = harness.balancer.load().open_requests as u64;
+    // Queued requests are reassigned; attempts in flight go on.
     assert!(started_attempts(&harness.handle(maintain(1, true))).is_empty());
     harness.handle(maintain(1, true));
     let relisted = UpstreamEntry {
@@ -36,69 +36,70 @@
         }],
     );
     harness.update_endpoints(ListScope::Delta, vec![entry(1)]);
-    for id in 1..=held {
-        let woken =
+    for id in 1..=open {
+        let started =
             started_attempts(&harness.handle(attempt_ended(id, 0, AttemptOutcome::Success)));
-        assert!(woken.iter().all(|(_, to)| *to == 2), "{woken:?}");
+        assert!(started.iter().all(|(_, to)| *to == 2), "{started:?}");
     }
-    let later: Vec<_> = (50..60)
+    let started_later: Vec<_> = (50..60)
         .flat_map(|id| started_attempts(&harness.handle(request(id, 0, 2.0))))
         .collect();
     assert!(
-        !later.is_empty() && later.iter().all(|(_, to)| *to == 2),
-        "{later:?}"
+        !started_later.is_empty() && started_later.iter().all(|(_, to)| *to == 2),
+        "{started_later:?}"
     );
     assert_eq!(harness.balancer.excluded_upstreams(), 1);
     harness.handle(maintain(1, false));
     assert_eq!(harness.balancer.excluded_upstreams(), 0);
-    // Unknown ones are no trouble.
+    // Unknown upstreams are accepted.
     harness.handle(maintain(77, false));
 }
 
-/// It may have been restarted while it was out.
+/// It may have been restarted_at while it was is_out.
 #[test]
 fn upstream_returned_from_maintenance_is_in_slow_start() {
-    let shares = |restarted: Option<f64>, known_before: bool| {
+    let requests_after = |restarted_at: Option<f64>, listed_before: bool| {
         let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 3);
         harness.handle(Event::Maintenance {
             upstream: UpstreamId(1),
             change: Maintenance::Begin,
         });
-        let news = UpstreamEntry {
-            started_at: restarted.unwrap_or(0.0),
+        let restarted_entry = UpstreamEntry {
+            started_at: restarted_at.unwrap_or(0.0),
             ..entry(1)
         };
         harness.now += 5.0;
-        let list =
-            |harness: &mut Harness| harness.update_endpoints(ListScope::Delta, vec![news.clone()]);
-        known_before.then(|| list(&mut harness));
+        let list = |harness: &mut Harness| {
+            harness.update_endpoints(ListScope::Delta, vec![restarted_entry.clone()])
+        };
+        listed_before.then(|| list(&mut harness));
         harness.handle(Event::Maintenance {
             upstream: UpstreamId(1),
             change: Maintenance::End,
         });
-        (!known_before).then(|| list(&mut harness));
-        let calls = (1..=300).map(|id| {
+        (!listed_before).then(|| list(&mut harness));
+        let upstreams = (1..=300).map(|id| {
             let to = started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1;
             harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
             to
         });
-        calls.filter(|to| *to == 1).count()
+        upstreams.filter(|to| *to == 1).count()
     };
-    for (restarted, known_before) in [
+    for (restarted_at, listed_before) in [
         (None, true),
         (None, false),
         (Some(104.0), true),
         (Some(104.0), false),
     ] {
-        let count = shares(restarted, known_before);
+        let count = requests_after(restarted_at, listed_before);
         assert!(
             (15..=50).contains(&count),
-            "{count} of 300 for {restarted:?}, {known_before}"
+            "{count} of 300 for {restarted_at:?}, {listed_before}"
         );
     }
 }
 
-/// Operators who put an upstream back expect to see it in use.
+/// Operators who put an upstream after_return expect to see it in use.
 #[test]
 fn upstream_returned_from_maintenance_is_used_once_outside_the_subset() {
     let mut harness = Harness::new(
@@ -108,25 +109,25 @@
         },
         12,
     );
-    let call = |harness: &mut Harness, id: u64| {
+    let send = |harness: &mut Harness, id: u64| {
         let to = started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1;
         harness.now += 0.05;
         harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
         to
     };
-    let maintain = |upstream, out| Event::Maintenance {
+    let maintain = |upstream, is_out| Event::Maintenance {
         upstream: UpstreamId(upstream),
-        change: if out {
+        change: if is_out {
             Maintenance::Begin
         } else {
             Maintenance::End
         },
     };
-    let used: Vec<_> = (1..60).map(|id| call(&mut harness, id)).collect();
+    let used: Vec<_> = (1..60).map(|id| send(&mut harness, id)).collect();
     let idle: Vec<_> = (1..=12).filter(|id| !used.contains(id)).collect();
-    assert!(idle.len() > 5, "few are needed");
+    assert!(idle.len() > 5, "the subset is small");
     harness.handle(maintain(idle[0], true));
-    // It is restarted, and forgotten meanwhile.
+    // It is restarted_at, and removed from the list meanwhile.
     harness.update_endpoints(
         ListScope::Delta,
         vec![UpstreamEntry {
@@ -141,14 +142,17 @@
             ..entry(idle[0])
         }],
     );
-    // The second call to put it back says nothing new.
+    // The second event has no effect.
     harness.handle(maintain(idle[0], false));
     harness.handle(maintain(idle[0], false));
-    let back: Vec<_> = (100..200).map(|id| call(&mut harness, id)).collect();
+    let after_return: Vec<_> = (100..200).map(|id| send(&mut harness, id)).collect();
     assert_eq!(
-        back.iter().filter(|id| **id == idle[0]).count(),
+        after_return.iter().filter(|id| **id == idle[0]).count(),
         1,
-        "{back:?}"
+        "{after_return:?}"
+    );
+    assert!(
+        !after_return.iter().any(|id| idle[1..].contains(id)),
+        "{after_return:?}"
     );
-    assert!(!back.iter().any(|id| idle[1..].contains(id)), "{back:?}");
 }
--- a/tests/decision/outlier_classes.rs
+++ b/tests/decision/outlier_classes.rs
@@ -16,30 +16,30 @@
         }),
         4,
     );
-    let mut taken = (0, 0);
+    let mut counts = (0, 0);
     for id in 1..=200 {
-        let wanted = usize::from(id % 7 < 3);
-        let upstream = started_attempts(&harness.handle(request(id, wanted, 2.0)))[0].1;
+        let class_index = usize::from(id % 7 < 3);
+        let upstream = started_attempts(&harness.handle(request(id, class_index, 2.0)))[0].1;
         harness.now += 0.01;
         if upstream == 1 && id > 50 {
-            taken = if wanted == 0 {
-                (taken.0 + 1, taken.1)
+            counts = if class_index == 0 {
+                (counts.0 + 1, counts.1)
             } else {
-                (taken.0, taken.1 + 1)
+                (counts.0, counts.1 + 1)
             };
         }
-        let bad = upstream == 1 && wanted == 1;
+        let is_failure = upstream == 1 && class_index == 1;
         harness.handle(attempt_ended(
             id,
             0,
-            if bad {
+            if is_failure {
                 outcome
             } else {
                 AttemptOutcome::Success
             },
         ));
     }
-    taken
+    counts
 }
 
 #[test]
@@ -47,30 +47,33 @@
     let (served, failed) = fail_one_class(AttemptOutcome::TimedOut);
     assert!(
         served >= 6 && failed <= 2,
-        "{served} of the good class, {failed} of the bad"
+        "{served} of the class served, {failed} of the other"
+    );
+    let (served, served_too) = fail_one_class(AttemptOutcome::Success);
+    assert!(
+        served >= 15 && served_too >= 12,
+        "{served} and {served_too}"
     );
-    let (served, unharmed) = fail_one_class(AttemptOutcome::Success);
-    assert!(served >= 15 && unharmed >= 12, "{served} and {unharmed}");
 }
 
 /// Each rejected request has held a slot until it came back.
 #[test]
 fn upstream_that_alone_rejects_one_class_keeps_the_others() {
-    let (served, turned_away) = fail_one_class(AttemptOutcome::Rejected);
+    let (served, rejected) = fail_one_class(AttemptOutcome::Rejected);
     assert!(
-        served >= 15 && turned_away <= 4,
-        "{served} of the good class, {turned_away} of the bad"
+        served >= 15 && rejected <= 4,
+        "{served} of the class served, {rejected} of the other"
     );
 }
 
 #[test]
 fn rejections_by_all_upstreams_eject_none() {
     let mut harness = Harness::new(without_retries(Settings::simple()), 4);
-    let mut taken = [0; 5];
+    let mut counts = [0; 5];
     for id in 1..=200 {
-        // Past the pause that follows on each.
+        // After the pause that follows each rejection.
         harness.now += 1.0;
-        taken[started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1 as usize] += 1;
+        counts[started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1 as usize] += 1;
         harness.handle(attempt_ended(
             id,
             0,
@@ -81,15 +84,15 @@
             },
         ));
     }
-    assert!(taken[1..].iter().all(|n| *n > 20), "{taken:?}");
+    assert!(counts[1..].iter().all(|n| *n > 20), "{counts:?}");
 }
 
 #[test]
 fn errors_at_all_upstreams_eject_none() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
-    let mut taken = [0; 5];
+    let mut counts = [0; 5];
     for id in 1..=200 {
-        taken[started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1 as usize] += 1;
+        counts[started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1 as usize] += 1;
         harness.now += 0.01;
         harness.handle(attempt_ended(
             id,
@@ -101,11 +104,11 @@
             },
         ));
     }
-    assert!(taken[1..].iter().all(|n| *n > 20), "{taken:?}");
+    assert!(counts[1..].iter().all(|n| *n > 20), "{counts:?}");
 }
 
 /// Requests of three classes in turn; upstream 1 of four fails them all. Returns how many of each class it gets.
-fn fail_all_classes(classes: [Idempotency; 3], calls: u64) -> [u32; 3] {
+fn fail_all_classes(classes: [Idempotency; 3], requests: u64) -> [u32; 3] {
     let classes = classes.map(class).to_vec();
     let mut harness = Harness::new(
         without_retries(Settings {
@@ -115,7 +118,7 @@
         4,
     );
     let mut failed = [0; 3];
-    for id in 1..=calls {
+    for id in 1..=requests {
         let class = (id % 3) as usize;
         let upstream = started_attempts(&harness.handle(request(id, class, 2.0)))[0].1;
         harness.now += 0.01;
@@ -138,7 +141,7 @@
     let failed = fail_all_classes([Idempotency::NonIdempotent; 3], 60);
     assert!(
         failed.iter().sum::<u32>() <= 5,
-        "{failed:?}; each by itself takes two"
+        "{failed:?}; each class by itself takes two"
     );
 }
 
@@ -153,9 +156,12 @@
         ],
         6000,
     );
-    assert!(mixed[0] >= 4, "{mixed:?}: it is tried");
+    assert!(mixed[0] >= 4, "{mixed:?}: there are trials");
     assert!(mixed[1] + mixed[2] <= 6, "{mixed:?}");
-    // Nobody else can try it for them.
-    let alike = fail_all_classes([Idempotency::NonIdempotent; 3], 6000);
-    assert!(alike.iter().all(|failed| *failed >= 4), "{alike:?}");
+    // There are no others to do the trials.
+    let non_idempotent = fail_all_classes([Idempotency::NonIdempotent; 3], 6000);
+    assert!(
+        non_idempotent.iter().all(|failed| *failed >= 4),
+        "{non_idempotent:?}"
+    );
 }
--- a/tests/decision/outliers.rs
+++ b/tests/decision/outliers.rs
@@ -15,27 +15,27 @@
         );
         harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
     }
-    // Its answer ends the silence.
+    // A response ends the silence.
     harness.handle(attempt_ended(1, 0, AttemptOutcome::Success));
-    let back = (20..28).any(|id| {
-        let sent = started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1;
+    let is_used_again = (20..28).any(|id| {
+        let upstreams = started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1;
         harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
-        sent == silent
+        upstreams == silent
     });
-    assert!(back);
+    assert!(is_used_again);
 }
 
 #[test]
 fn ejected_upstream_gets_one_trial_request_at_a_time() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
-    let dead = started_attempts(&harness.handle(request(1, 0, 2.0)))[0].1;
+    let failing = started_attempts(&harness.handle(request(1, 0, 2.0)))[0].1;
     harness.handle(attempt_ended(1, 0, AttemptOutcome::ConnectFailed));
     for id in 100..105 {
-        let to = started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1;
+        let upstream = started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1;
         harness.handle(attempt_ended(
             id,
             0,
-            if to == dead {
+            if upstream == failing {
                 AttemptOutcome::ConnectFailed
             } else {
                 AttemptOutcome::Success
@@ -43,14 +43,17 @@
         ));
     }
     harness.now += 60.0;
-    let sent: Vec<u64> = (2..8)
+    let upstreams: Vec<u64> = (2..8)
         .flat_map(|id| started_attempts(&harness.handle(request(id, 0, 2.0))))
         .map(|s| s.1)
         .collect();
     assert_eq!(
-        sent.iter().filter(|upstream| **upstream == dead).count(),
+        upstreams
+            .iter()
+            .filter(|upstream| **upstream == failing)
+            .count(),
         1,
-        "one trial: {sent:?}"
+        "one trial: {upstreams:?}"
     );
 }
 
@@ -64,7 +67,7 @@
     assert_eq!(
         started_attempts(&harness.handle(request(9, 0, 2.0))).len(),
         1,
-        "all silent: then all are used"
+        "all are silent, so all are used"
     );
 }
 
@@ -83,30 +86,30 @@
     }
     assert_eq!(
         lines, 1,
-        "one line when an upstream falls silent, not one for each trial"
+        "one line for the first ejection, none for failed trials"
     );
 }
 
-/// An upstream may lose a part of a class and respond to the rest.
+/// An upstream may lose a part of a class and respond upstream the rest.
 #[test]
 fn overdue_attempt_excludes_its_class_though_others_get_responses() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
-    let there = started_attempts(&harness.handle(request(1, 0, 20.0)))[0].1;
-    let mut taken = 0;
+    let upstream_of_lost = started_attempts(&harness.handle(request(1, 0, 20.0)))[0].1;
+    let mut count = 0;
     for id in 2..60 {
         let upstream = started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1;
         harness.now += 0.1;
         harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
-        taken += u32::from(upstream == there && harness.now > 103.0);
+        count += u32::from(upstream == upstream_of_lost && harness.now > 103.0);
     }
-    assert_eq!(taken, 0);
-    // It is ejected for as long as the silence took.
+    assert_eq!(count, 0);
+    // The ejection lasts as long as the silence did.
     harness.handle(attempt_lost(1, AttemptOutcome::TimedOut, 6.0));
     harness.now += 5.0;
-    let next: Vec<_> = (60..64)
+    let upstreams: Vec<_> = (60..64)
         .map(|id| started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1)
         .collect();
-    assert!(!next.contains(&there), "{next:?}");
+    assert!(!upstreams.contains(&upstream_of_lost), "{upstreams:?}");
 }
 
 /// Where all upstreams lose a request now and then, ejections would go round.
@@ -115,34 +118,34 @@
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
     let mut id = 0;
     let mut lose_one = |harness: &mut Harness| {
-        let swallowed = id;
-        let there = started_attempts(&harness.handle(request(swallowed, 0, 2.0)))[0].1;
-        let mut taken = 0;
+        let lost = id;
+        let upstream_of_lost = started_attempts(&harness.handle(request(lost, 0, 2.0)))[0].1;
+        let mut count = 0;
         for number in 1..=24 {
             id += 1;
-            let to = started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1;
+            let upstream = started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1;
             harness.now += 0.08;
             harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
-            // The first half goes by before it is overdue.
-            taken += u32::from(number > 12 && to == there);
+            // It is overdue from the second half on.
+            count += u32::from(number > 12 && upstream == upstream_of_lost);
         }
-        harness.handle(attempt_lost(swallowed, AttemptOutcome::TimedOut, 1.92));
+        harness.handle(attempt_lost(lost, AttemptOutcome::TimedOut, 1.92));
         id += 1;
-        taken
+        count
     };
     assert_eq!(
         lose_one(&mut harness),
         0,
-        "what one alone has lost does leave it out"
+        "a loss at one upstream alone excludes it"
     );
     for _ in 0..8 {
         lose_one(&mut harness);
     }
     let late: u32 = (0..4).map(|_| lose_one(&mut harness)).sum();
-    assert!(late >= 8, "{late} of 48, where an even turn is 12");
+    assert!(late >= 8, "{late} of 48, where an even share is 12");
 }
 
-/// The upstream is to blame for neither.
+/// The upstream is upstream blame for neither.
 #[test]
 fn short_client_deadline_or_single_broken_connection_ejects_none() {
     for outcome in [
@@ -152,20 +155,23 @@
         AttemptOutcome::ConnectFailed,
     ] {
         let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
-        let there = started_attempts(&harness.handle(request(1, 0, 0.5)))[0].1;
+        let upstream_of_lost = started_attempts(&harness.handle(request(1, 0, 0.5)))[0].1;
         harness.now += 0.1;
         harness.handle(attempt_lost(1, outcome, 0.1));
-        let next: Vec<_> = (2..6)
+        let upstreams: Vec<_> = (2..6)
             .map(|id| started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1)
             .collect();
-        assert!(next.contains(&there), "{outcome:?} {next:?}");
+        assert!(
+            upstreams.contains(&upstream_of_lost),
+            "{outcome:?} {upstreams:?}"
+        );
     }
 }
 
-/// The upstream is not to blame for a slow upload.
+/// The upstream is not upstream blame for a slow upload.
 #[test]
 fn streamed_request_is_overdue_only_after_its_upload() {
-    let turns_there = |written: bool| {
+    let requests_there = |is_uploaded: bool| {
         let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 3);
         let streamed = Request {
             id: RequestId(1),
@@ -175,17 +181,21 @@
             cost_hint: None,
             streamed: true,
         };
-        let there = started_attempts(&harness.handle(Event::Request(streamed)))[0].1;
+        let upstream_of_lost = started_attempts(&harness.handle(Event::Request(streamed)))[0].1;
         harness.now += 1.0;
-        if written {
+        if is_uploaded {
             harness.handle(Event::UploadCompleted(RequestId(1)));
         }
         harness.now += 10.0;
-        let to: Vec<_> = (2..12)
+        let upstream: Vec<_> = (2..12)
             .map(|id| started_attempts(&harness.handle(request(id, 0, 2.0))))
             .collect();
-        to.iter().flatten().filter(|(_, to)| *to == there).count()
+        upstream
+            .iter()
+            .flatten()
+            .filter(|(_, upstream)| *upstream == upstream_of_lost)
+            .count()
     };
-    assert!(turns_there(false) > 0, "its client still sends");
-    assert_eq!(turns_there(true), 0, "it is silent");
+    assert!(requests_there(false) > 0, "its client is still uploading");
+    assert_eq!(requests_there(true), 0, "it is overdue");
 }
--- a/tests/decision/poll_schedule.rs
+++ b/tests/decision/poll_schedule.rs
@@ -9,7 +9,7 @@
         discovery_mode: DiscoveryMode::Poll,
         ..Settings::simple()
     };
-    let mut waits = Vec::new();
+    let mut delays = Vec::new();
     for seed in 0..50 {
         let mut balancer = Balancer::new(settings.clone(), seed, 0.0).unwrap();
         let mut sum = 0.0;
@@ -32,16 +32,13 @@
             balancer.handle(sum, Event::TimerFired(token), &mut actions);
             assert_eq!(actions, [Action::WatchEndpoints]);
             if scope == ListScope::Cached {
-                assert!(after < settings.rules.poll_interval, "asked in time");
-                waits.push(after);
+                assert!(after < settings.rules.poll_interval, "polled in time");
+                delays.push(after);
             }
         }
     }
-    waits.sort_by(f64::total_cmp);
-    assert!(
-        waits[40] - waits[10] > 1.0,
-        "they ask at moments of their own"
-    );
+    delays.sort_by(f64::total_cmp);
+    assert!(delays[40] - delays[10] > 1.0, "the moments are spread");
 }
 
 /// Also where a watch broke, and after it up to two polls failed at once.
@@ -52,7 +49,7 @@
         ..Settings::simple()
     };
     settings.rules.notification_deadline = 6.0;
-    let wait = |balancer: &mut Balancer, now, scope| {
+    let next_delay = |balancer: &mut Balancer, now, scope| {
         let mut actions = Vec::new();
         balancer.handle(
             now,
@@ -70,16 +67,16 @@
     };
     for seed in 0..50 {
         let mut balancer = Balancer::new(settings.clone(), seed, 0.0).unwrap();
-        let mut now = wait(&mut balancer, 0.0, ListScope::Cached);
+        let mut now = next_delay(&mut balancer, 0.0, ListScope::Cached);
         assert!(now < 1.6, "{now}");
-        // Called `taken` ago, it fails; then again and again at once.
-        for taken in [2.0, 100.0] {
-            let after = wait(&mut balancer, now + taken, ListScope::Failed);
+        // A poll fails after `elapsed` seconds, and the next three at once.
+        for elapsed in [2.0, 100.0] {
+            let after = next_delay(&mut balancer, now + elapsed, ListScope::Failed);
             assert!(after < 1.6, "{after}");
-            now += taken + after;
+            now += elapsed + after;
             let mut sum = 0.0;
             for _ in 0..3 {
-                sum += wait(&mut balancer, now + sum, ListScope::Failed);
+                sum += next_delay(&mut balancer, now + sum, ListScope::Failed);
             }
             assert!(sum < 2.0, "{sum}");
             now += sum;
--- a/tests/decision/queues.rs
+++ b/tests/decision/queues.rs
@@ -8,65 +8,66 @@
 #[test]
 fn ended_attempt_dispatches_a_queued_request() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
-    let held = harness.fill_slots(1, 0);
+    let queued = harness.fill_slots(1, 0);
     assert_eq!(
         started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Success))),
-        [(held, 1)]
+        [(queued, 1)]
     );
-    // An error narrows the slice by up to one call, so the next end at the latest wakes the waiter.
+    // An error lowers the limit by up to one slot, so the second one frees a slot at the latest.
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
-    let held = harness.fill_slots(1, 0);
-    let mut woken = started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Error)));
-    woken.extend(started_attempts(&harness.handle(attempt_ended(
+    let queued = harness.fill_slots(1, 0);
+    let mut dispatched =
+        started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Error)));
+    dispatched.extend(started_attempts(&harness.handle(attempt_ended(
         2,
         0,
         AttemptOutcome::Error,
     ))));
-    assert_eq!(woken, [(held, 1)]);
+    assert_eq!(dispatched, [(queued, 1)]);
 }
 
 #[test]
 fn queued_request_is_given_up_once_at_its_queue_deadline() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
-    let held = harness.fill_slots(1, 0);
-    let actions = harness.fire_timer_after(2.1, held);
-    assert!(is_rejected(&actions, held));
+    let queued = harness.fill_slots(1, 0);
+    let actions = harness.fire_timer_after(2.1, queued);
+    assert!(is_rejected(&actions, queued));
     assert!(
         !harness
-            .fire_timer_after(0.1, held)
+            .fire_timer_after(0.1, queued)
             .iter()
             .any(|a| matches!(a, Action::Reject { .. })),
-        "one answer only"
+        "one final response only"
     );
 }
 
 #[test]
 fn full_queue_rejects() {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 1);
-    let refusals = (1..200)
+    let rejections = (1..200)
         .filter(|id| is_rejected(&harness.handle(request(*id, 0, 2.0)), *id))
         .count();
-    assert!(refusals > 100, "only {refusals} refused at once");
+    assert!(rejections > 100, "only {rejections} rejected at once");
     assert!(harness.balancer.load().open_requests < 100);
 }
 
 #[test]
 fn request_goes_to_another_queue_when_one_is_full() {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 3);
-    let mut held = 0;
+    let mut queued = 0;
     for id in 1..200 {
         let actions = harness.handle(request(id, 0, 2.0));
-        held += u32::from(!is_rejected(&actions, id) && started_attempts(&actions).is_empty());
+        queued += u32::from(!is_rejected(&actions, id) && started_attempts(&actions).is_empty());
     }
-    // Each of the three queues is used, so more calls wait than any one of them takes.
+    // All three queues are used, so more requests wait than one queue takes.
     let mut one = Harness::with_classes(&[Idempotency::Idempotent], 1);
     let one_queue = (1..200)
         .filter(|id| !is_rejected(&one.handle(request(*id, 0, 2.0)), *id))
         .count()
         - one.balancer.load().attempts_in_flight;
     assert!(
-        held as usize >= 3 * one_queue / 2,
-        "{held} held by three, {one_queue} by one"
+        queued as usize >= 3 * one_queue / 2,
+        "{queued} in three queues, {one_queue} in one"
     );
 }
 
@@ -80,46 +81,52 @@
     assert_eq!(
         harness.balancer.load().open_requests,
         0,
-        "its only upstream was tried: refused"
+        "its only upstream was tried, so it is rejected"
     );
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 2);
-    let held = harness.fill_slots(1, 0);
+    let queued = harness.fill_slots(1, 0);
     harness.handle(attempt_ended(1, 0, AttemptOutcome::Rejected));
     harness.now += 0.95;
-    let waiting = (1..=held)
+    let waiting = (1..=queued)
         .filter(|id| is_rejected(&harness.handle(Event::TimerFired(*id)), *id))
         .count();
-    assert!(waiting >= 1, "the aim of one second is as good as over");
+    assert!(
+        waiting >= 1,
+        "the latency objective of one second can't be met"
+    );
 }
 
 /// A request that is given up has its final response at once.
 #[test]
 fn rejection_carries_retry_after_where_allowed() {
-    for (most, at_most) in [(None, 0.0), (Some(0.01), 0.01), (Some(2.0), 2.0)] {
+    for (max, upper_bound) in [(None, 0.0), (Some(0.01), 0.01), (Some(2.0), 2.0)] {
         let mut settings = Settings::simple();
-        settings.limits.max_retry_after = most;
+        settings.limits.max_retry_after = max;
         let mut harness = Harness::new(settings, 1);
         harness.handle(request(1, 0, 2.0));
         let actions = harness.handle(attempt_ended(1, 0, AttemptOutcome::Rejected));
-        let told = actions.iter().find_map(|a| match a {
+        let retry_after = actions.iter().find_map(|a| match a {
             Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         });
-        let told = told.expect("refused at once");
-        assert_eq!(told.is_some(), most.is_some());
-        assert!(told.is_none_or(|t| t > 0.0 && t <= at_most), "{told:?}");
+        let retry_after = retry_after.expect("rejected at once");
+        assert_eq!(retry_after.is_some(), max.is_some());
+        assert!(
+            retry_after.is_none_or(|t| t > 0.0 && t <= upper_bound),
+            "{retry_after:?}"
+        );
     }
 }
 
 /// Two classes with the same latency; the second has the larger priority weight.
 fn two_priorities() -> Settings {
-    let cheap = class(Idempotency::NonIdempotent);
-    let dear = Class {
+    let low = class(Idempotency::NonIdempotent);
+    let high = Class {
         priority_weight: 5.0,
-        ..cheap.clone()
+        ..low.clone()
     };
     Settings {
-        classes: vec![cheap, dear],
+        classes: vec![low, high],
         ..Settings::simple()
     }
 }
@@ -127,12 +134,12 @@
 #[test]
 fn higher_priority_weight_is_dispatched_first() {
     let mut harness = Harness::new(two_priorities(), 1);
-    let cheap = harness.fill_slots(1, 0);
-    let dear = cheap + 1;
-    assert!(started_attempts(&harness.handle(request(dear, 1, 2.0))).is_empty());
+    let low = harness.fill_slots(1, 0);
+    let high = low + 1;
+    assert!(started_attempts(&harness.handle(request(high, 1, 2.0))).is_empty());
     assert_eq!(
         started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Success))),
-        [(dear, 1)]
+        [(high, 1)]
     );
 }
 
@@ -142,7 +149,7 @@
         name: name.into(),
         quota_per_second: 10.0,
     };
-    let tenants = vec![tenant("flood"), tenant("calm")];
+    let tenants = vec![tenant("over quota"), tenant("within quota")];
     let mut harness = Harness::new(
         Settings {
             tenants,
@@ -176,6 +183,6 @@
     assert_eq!(
         started_attempts(&harness.handle(attempt_ended(95, 0, AttemptOutcome::Success))),
         [(200, 1)],
-        "held last, woken first"
+        "queued last, dispatched first"
     );
 }
--- a/tests/decision/retries.rs
+++ b/tests/decision/retries.rs
@@ -53,32 +53,32 @@
             attempt: 0
         }]
     );
-    let again = started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Cancelled)));
-    assert!(again.len() == 1 && again[0].1 != first, "{again:?}");
+    let retry = started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Cancelled)));
+    assert!(retry.len() == 1 && retry[0].1 != first, "{retry:?}");
 }
 
 #[test]
 fn broken_connections_are_retried_within_the_budget() {
-    let given_up = |outcome: AttemptOutcome| {
+    let count_given_up = |outcome: AttemptOutcome| {
         let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 4);
-        let mut given_up = 0;
+        let mut count_given_up = 0;
         for id in 1..=300 {
             harness.handle(request(id, 0, 2.0));
             harness.now += 0.1;
-            // One attempt in twenty; what is sent again is answered.
+            // One attempt in twenty is lost, and its retry succeeds.
             if id % 20 == 0 {
                 let actions = harness.handle(attempt_lost(id, outcome, 0.001));
-                given_up += u32::from(started_attempts(&actions).is_empty());
+                count_given_up += u32::from(started_attempts(&actions).is_empty());
                 harness.handle(attempt_ended(id, 1, AttemptOutcome::Success));
             } else {
                 harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
             }
         }
-        given_up
+        count_given_up
     };
-    assert_eq!(given_up(AttemptOutcome::Reset), 0);
+    assert_eq!(count_given_up(AttemptOutcome::Reset), 0);
     assert!(
-        given_up(AttemptOutcome::Error) > 5,
-        "an error may tell of a crowd"
+        count_given_up(AttemptOutcome::Error) > 5,
+        "errors may be due to congestion"
     );
 }
--- a/tests/decision/rotation.rs
+++ b/tests/decision/rotation.rs
@@ -1,4 +1,4 @@
-//! The rotation: which upstream of the subset gets the next request.
+//! The rotation: which upstream of the subset gets the started_next request.
 
 use crate::harness::{attempt_ended, entry, request, started_attempts, Harness};
 use load_balancer::{
@@ -8,18 +8,18 @@
 #[test]
 fn rotation_is_even() {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 5);
-    let mut taken = [0; 6];
+    let mut counts = [0; 6];
     for id in 1..=50 {
-        let sent = started_attempts(&harness.handle(request(id, 0, 2.0)));
-        taken[sent[0].1 as usize] += 1;
+        let started = started_attempts(&harness.handle(request(id, 0, 2.0)));
+        counts[started[0].1 as usize] += 1;
         harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
     }
-    assert_eq!(taken, [0, 10, 10, 10, 10, 10]);
+    assert_eq!(counts, [0, 10, 10, 10, 10, 10]);
 }
 
 #[test]
 fn rotation_is_even_in_response_time() {
-    // Upstreams 1 and 2 are of a kind that takes three times as long as that of 3 and 4.
+    // The machine kind of upstreams 1 and 2 takes three times as long as that of 3 and 4.
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 0);
     let entries = (1..=4)
         .map(|id| UpstreamEntry {
@@ -28,11 +28,11 @@
         })
         .collect();
     harness.update_endpoints(ListScope::Full, entries);
-    let mut taken = [0; 5];
+    let mut counts = [0; 5];
     for id in 1..=400 {
         let upstream = started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1;
         let elapsed = if upstream <= 2 { 0.3 } else { 0.1 };
-        taken[upstream as usize] += u32::from(id > 200);
+        counts[upstream as usize] += u32::from(id > 200);
         let (id, outcome) = (RequestId(id), AttemptOutcome::Success);
         harness.handle(Event::AttemptEnded(AttemptResult {
             id,
@@ -43,19 +43,19 @@
             request_concluded: true,
         }));
     }
-    let (slow, fast) = (taken[1] + taken[2], taken[3] + taken[4]);
+    let (slow, fast) = (counts[1] + counts[2], counts[3] + counts[4]);
     assert!(
-        taken[1].abs_diff(taken[2]) <= 3 && taken[3].abs_diff(taken[4]) <= 3,
-        "{taken:?}"
+        counts[1].abs_diff(counts[2]) <= 3 && counts[3].abs_diff(counts[4]) <= 3,
+        "{counts:?}"
     );
-    assert!((2 * slow..4 * slow).contains(&fast), "{taken:?}");
+    assert!((2 * slow..4 * slow).contains(&fast), "{counts:?}");
 }
 
-/// On slow upstreams large requests would be late, while small ones go to all.
+/// On slow upstreams large requests would be late, while small ones go upstream all.
 #[test]
 fn large_request_prefers_a_fast_upstream() {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
-    let call = |harness: &mut Harness, id: u64, hint: f64| {
+    let send = |harness: &mut Harness, id: u64, hint: f64| {
         let request = Request {
             id: RequestId(id),
             class: 0,
@@ -64,8 +64,8 @@
             cost_hint: Some(hint),
             streamed: false,
         };
-        let to = started_attempts(&harness.handle(Event::Request(request)))[0].1;
-        let elapsed = hint * if to == 1 { 1.0 } else { 3.0 };
+        let upstream = started_attempts(&harness.handle(Event::Request(request)))[0].1;
+        let elapsed = hint * if upstream == 1 { 1.0 } else { 3.0 };
         harness.now += elapsed;
         let (id, outcome) = (RequestId(id), AttemptOutcome::Success);
         harness.handle(Event::AttemptEnded(AttemptResult {
@@ -76,26 +76,29 @@
             connection_idle: None,
             request_concluded: true,
         }));
-        to
+        upstream
     };
-    let light: Vec<_> = (0..60).map(|id| call(&mut harness, id, 0.1)).collect();
+    let small: Vec<_> = (0..60).map(|id| send(&mut harness, id, 0.1)).collect();
     assert!(
-        light[30..].contains(&1) && light[30..].contains(&2),
-        "{light:?}"
+        small[30..].contains(&1) && small[30..].contains(&2),
+        "{small:?}"
     );
-    let heavy: Vec<_> = (100..104).map(|id| call(&mut harness, id, 0.4)).collect();
-    assert_eq!(heavy, [1, 1, 1, 1]);
+    let large: Vec<_> = (100..104).map(|id| send(&mut harness, id, 0.4)).collect();
+    assert_eq!(large, [1, 1, 1, 1]);
 }
 
 #[test]
 fn rejecting_upstream_is_paused() {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 4);
-    let sent = started_attempts(&harness.handle(request(1, 0, 2.0)));
-    let bad = sent[0].1;
-    let mut next = started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Rejected)));
-    assert_ne!(next[0].1, bad, "the retry goes elsewhere");
+    let started = started_attempts(&harness.handle(request(1, 0, 2.0)));
+    let rejecting = started[0].1;
+    let mut started_next =
+        started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Rejected)));
+    assert_ne!(started_next[0].1, rejecting, "the retry goes elsewhere");
     for id in 2..=6 {
-        next = started_attempts(&harness.handle(request(id, 0, 2.0)));
-        assert!(next.iter().all(|(_, upstream)| *upstream != bad));
+        started_next = started_attempts(&harness.handle(request(id, 0, 2.0)));
+        assert!(started_next
+            .iter()
+            .all(|(_, upstream)| *upstream != rejecting));
     }
 }
--- a/tests/decision/slow_start.rs
+++ b/tests/decision/slow_start.rs
@@ -7,18 +7,18 @@
 
 /// How many of 200 requests go to the last of ten upstreams.
 fn requests_to_the_last(harness: &mut Harness) -> u32 {
-    let mut taken = 0;
+    let mut count = 0;
     for id in 1..=200 {
-        taken += u32::from(started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1 == 10);
+        count += u32::from(started_attempts(&harness.handle(request(id, 0, 2.0)))[0].1 == 10);
         harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
     }
-    taken
+    count
 }
 
 #[test]
 fn warming_upstream_gets_its_share_of_capacity() {
-    // One of ten starts at a fifth of its work, some time ago.
-    let taken = |age: f64| {
+    // One of ten started `age` seconds ago, at a fifth of its capacity.
+    let count = |age: f64| {
         let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 9);
         harness.update_endpoints(
             ListScope::Delta,
@@ -30,19 +30,19 @@
         harness.now += age;
         requests_to_the_last(&mut harness)
     };
-    assert!((2..=5).contains(&taken(0.0)), "{} at the start", taken(0.0));
-    assert!((9..=13).contains(&taken(5.0)), "{} half way", taken(5.0));
-    assert_eq!(taken(10.0), 20);
+    assert!((2..=5).contains(&count(0.0)), "{} at the start", count(0.0));
+    assert!((9..=13).contains(&count(5.0)), "{} half-way", count(5.0));
+    assert_eq!(count(10.0), 20);
 }
 
 /// A start may be listed late, or lie in the future as wall clocks differ; the least delay so far shows by how much.
 #[test]
 fn upstream_age_does_not_depend_on_wall_clocks() {
-    let told = |harness: &mut Harness, id: u64, since: f64| {
+    let list_start = |harness: &mut Harness, id: u64, started_at: f64| {
         harness.update_endpoints(
             ListScope::Delta,
             vec![UpstreamEntry {
-                started_at: since,
+                started_at: started_at,
                 ..entry(id)
             }],
         );
@@ -50,35 +50,37 @@
     for ahead in [-3600.0, -5.0, 0.0, 5.0, 3600.0] {
         let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 9);
         harness.now += 10_000.0;
-        let since = harness.now - ahead;
-        told(&mut harness, 10, since);
-        let taken = requests_to_the_last(&mut harness);
+        let started_at = harness.now - ahead;
+        list_start(&mut harness, 10, started_at);
+        let count = requests_to_the_last(&mut harness);
         assert!(
-            (2..=5).contains(&taken),
-            "{taken} at the start, {ahead} s ahead"
+            (2..=5).contains(&count),
+            "{count} at the start, {ahead} s ahead"
         );
         harness.now += 10.0;
-        let taken = requests_to_the_last(&mut harness);
+        let count = requests_to_the_last(&mut harness);
         assert!(
-            (18..=22).contains(&taken),
-            "{taken} once it is warm, {ahead} s ahead"
+            (18..=22).contains(&count),
+            "{count} after slow start, {ahead} s ahead"
         );
     }
-    // One is heard of after half a second, the next, once a network heals, after more than it takes to warm up.
+    // One start is listed after half a second, the id one, after a network fault, later than slow start
+    // takes.
     for (late, least, most) in [(0.5, 2, 5), (5.5, 9, 13), (10.5, 18, 22)] {
         let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 9);
         let now = harness.now;
-        told(&mut harness, 9, now - 0.5);
+        list_start(&mut harness, 9, now - 0.5);
         harness.now += 20.0;
         let now = harness.now;
-        told(&mut harness, 10, now - late);
-        let taken = requests_to_the_last(&mut harness);
+        list_start(&mut harness, 10, now - late);
+        let count = requests_to_the_last(&mut harness);
         assert!(
-            (least..=most).contains(&taken),
-            "{taken}, told {late} s late"
+            (least..=most).contains(&count),
+            "{count}, listed {late} s late"
         );
     }
-    // What a balancer is told at its own start lies behind it: ten that started long before take every call.
+    // Starts listed as the balancer starts lie in the past: ten upstreams that started long before take
+    // every request.
     for scope in [ListScope::Cached, ListScope::Full, ListScope::Delta] {
         let settings = Settings {
             classes: vec![class(Idempotency::Idempotent)],
@@ -88,12 +90,12 @@
             balancer: Balancer::new(settings, 7, 100.0).unwrap(),
             now: 100.0,
         };
-        let since = harness.now - 20.0;
+        let started_at = harness.now - 20.0;
         harness.update_endpoints(
             scope,
             (1..=10)
                 .map(|id| UpstreamEntry {
-                    started_at: since,
+                    started_at: started_at,
                     ..entry(id)
                 })
                 .collect(),
@@ -119,26 +121,26 @@
             ..entry(4)
         }],
     );
-    // The three warm ones reject all; the cold one still gets no more than its part of even turns.
-    let (mut next, mut cold) = (1, 0);
-    while next <= 100 {
-        let mut sent = started_attempts(&harness.handle(request(next, 0, 2.0)));
+    // Three upstreams reject all requests; the warming one still gets no more than its share.
+    let (mut id, mut to_warming) = (1, 0);
+    while id <= 100 {
+        let mut started = started_attempts(&harness.handle(request(id, 0, 2.0)));
         let mut attempt = 0;
-        while let Some((id, upstream)) = sent.first().copied() {
-            cold += usize::from(upstream == 4);
+        while let Some((id, upstream)) = started.first().copied() {
+            to_warming += usize::from(upstream == 4);
             let outcome = if upstream == 4 {
                 AttemptOutcome::Success
             } else {
                 AttemptOutcome::Rejected
             };
-            sent = started_attempts(&harness.handle(attempt_ended(id, attempt, outcome)));
+            started = started_attempts(&harness.handle(attempt_ended(id, attempt, outcome)));
             attempt += 1;
         }
-        harness.fire_timer_after(0.5, next);
+        harness.fire_timer_after(0.5, id);
         harness.now -= 0.5;
-        next += 1;
+        id += 1;
     }
-    assert!(cold <= 10, "{cold} of 100 calls");
+    assert!(to_warming <= 10, "{to_warming} of 100 requests");
 }
 
 #[test]
@@ -172,15 +174,15 @@
     }
     assert!(
         first <= 50,
-        "{first} of 100 fresh balancers sent to it at once"
+        "{first} of 100 new balancers started to it at once"
     );
 }
 
 #[test]
 fn balancers_whose_subsets_grow_together_spare_a_warming_upstream() {
-    // Forty callers turn over three of nine upstreams each; a tenth is listed that stays at a hundredth of its
-    // work. After many calls each, all have to wait at once and widen their subset to it.
-    let mut cold = 0;
+    // The subsets of forty balancers have three of nine upstreams each; a tenth is listed that stays at a
+    // hundredth of its capacity. After many requests each, all have to queue and grow their subsets.
+    let mut to_warming = 0;
     for peer_index in 0..40 {
         let mut settings = Settings {
             peer_index,
@@ -205,24 +207,24 @@
             harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
             id += 1;
         }
-        let mut sent: Vec<u64> = Vec::new();
+        let mut started: Vec<u64> = Vec::new();
         for _ in 0..60 {
             let mut actions = harness.handle(request(id, 0, 20.0));
             actions.extend(harness.handle(request(id + 1, 0, 20.0)));
-            if id % 4 == 1 && !sent.is_empty() {
+            if id % 4 == 1 && !started.is_empty() {
                 actions.extend(harness.handle(attempt_ended(
-                    sent.remove(0),
+                    started.remove(0),
                     0,
                     AttemptOutcome::Success,
                 )));
             }
             id += 2;
-            sent.extend(started_attempts(&actions).iter().map(|s| s.0));
-            cold += started_attempts(&actions)
+            started.extend(started_attempts(&actions).iter().map(|s| s.0));
+            to_warming += started_attempts(&actions)
                 .iter()
                 .filter(|s| s.1 == 10)
                 .count();
         }
     }
-    assert!(cold <= 8, "{cold} calls from 40 callers");
+    assert!(to_warming <= 8, "{to_warming} requests of 40 balancers");
 }
