--- a/src/decision/conclusion.rs
+++ b/src/decision/conclusion.rs
@@ -30,7 +30,8 @@
         self.conclude(id, actions);
     }
 
-    /// The request needs no response any more: takes it out of its queue and cancels its attempts.
+    /// The request needs no response any more: takes it out of its queue and cancels its
+    /// attempts.
     pub(super) fn conclude(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get_mut(&id);
         let Some(request) = request.filter(|request| !request.is_concluded) else {
--- a/src/decision/latency.rs
+++ b/src/decision/latency.rs
@@ -108,7 +108,8 @@
 /// How much responses are delayed by other requests.
 #[derive(Default)]
 pub(super) struct Congestion {
-    /// Moving average of what responses take of the latency objective beyond the baseline latency.
+    /// Moving average of what responses take of the latency objective beyond the baseline
+    /// latency.
     pub(super) level: f64,
     /// There has been congestion since the start.
     pub(super) was_seen: bool,
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -177,10 +177,10 @@
         self.error_rate += weight * (f64::from(u8::from(is_error)) - self.error_rate);
     }
 
-    /// Losses count while the upstream responds to nothing. For a class, a silent loss counts also if
-    /// the upstream responds to others, and so do errors that its peers do not have: an upstream that
-    /// fails fast would draw requests as it is always free, and a rejection has taken a slot
-    /// until it came back.
+    /// Losses count while the upstream responds to nothing. For a class, a silent loss counts
+    /// also if the upstream responds to others, and so do errors that its peers do not have: an
+    /// upstream that fails fast would draw requests as it is always free, and a rejection has
+    /// taken a slot until it came back.
     fn is_failure(&self, evidence: &Evidence, scope: Scope, is_outlier: bool) -> bool {
         let ended = evidence.ended;
         let is_unanswered = ended.is_lost && self.is_silent_since(ended.sent_at);
--- a/src/decision/poll_schedule.rs
+++ b/src/decision/poll_schedule.rs
@@ -58,7 +58,8 @@
     /// Consecutive failures.
     failures: i32,
     last_poll_at: f64,
-    /// The list is polled, and has not been received since the start, a failure or a broken watch.
+    /// The list is polled, and has not been received since the start, a failure or a broken
+    /// watch.
     is_stale: bool,
 }
 
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -12,7 +12,8 @@
 /// What a retry after an invalid response or a broken connection takes of the budget. Retries
 /// after errors and time-outs add to an overload; these failures are rarely due to one.
 const BROKEN_CONNECTION_COST: f64 = 0.2;
-/// What a hedged request, or any other retry of an attempt that may have run, takes of the budget.
+/// What a hedged request, or any other retry of an attempt that may have run, takes of the
+/// budget.
 const FULL_COST: f64 = 1.0;
 
 /// How many retries the balancer may still make.
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -118,8 +118,8 @@
 pub struct Rules {
     /// Without a watch, the endpoint list has to be polled again within this time, in seconds.
     pub poll_interval: f64,
-    /// A change counts as notified this long after discovery had it, in seconds, whether or not it
-    /// arrived.
+    /// A change counts as notified this long after discovery had it, in seconds, whether or not
+    /// it arrived.
     pub notification_deadline: f64,
     /// Share of its capacity that an upstream has when it starts.
     pub initial_capacity_share: f64,
@@ -186,8 +186,8 @@
 }
 
 impl Settings {
-    /// Settings with one idempotent class, pushed endpoint lists and moderate figures: a start for
-    /// tests and examples.
+    /// Settings with one idempotent class, pushed endpoint lists and moderate figures: a start
+    /// for tests and examples.
     #[must_use]
     pub fn simple() -> Self {
         Settings {
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -68,7 +68,8 @@
         let awaiting = outside.filter(|id| maintenance.awaits_request(**id));
         for (id, sharing) in within.chain(awaiting.map(|id| (id, all))) {
             let rules = &self.settings.rules;
-            // Balancers inside and outside of its subset both send to it, so each side gives half.
+            // Balancers inside and outside of its subset both send to it, so each side gives
+            // half.
             let has_returned = maintenance.returned_within(*id, rules.slow_start_window, self.now);
             let sides = if has_returned && self.rotation.may_be_partial() {
                 2.0
--- a/tests/decision/concurrency_limit.rs
+++ b/tests/decision/concurrency_limit.rs
@@ -5,7 +5,8 @@
     Action, AttemptOutcome, AttemptResult, Event, Idempotency, RequestId, Settings,
 };
 
-/// Attempts in flight at the only upstream after these losses and one success; an even share is two.
+/// Attempts in flight at the only upstream after these losses and one success; an even share is
+/// two.
 fn slots_after_losses(outcomes: &[(AttemptOutcome, f64)]) -> u64 {
     let mut harness = Harness::new(without_retries(Settings::simple()), 1);
     harness.handle(request(1, 0, 2.0));
@@ -127,7 +128,8 @@
 
 #[test]
 fn raised_limit_decays_slowly() {
-    // Requests wait and get fast responses, so the limit grows; then twenty requests come one by one.
+    // Requests wait and get fast responses, so the limit grows; then twenty requests come one by
+    // one.
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 1);
     let mut started = Vec::new();
     for id in 1..=200 {
@@ -202,8 +204,8 @@
     assert!(congested <= 2, "{congested}");
 }
 
-/// Some responses are late for other reasons, as when a connection behind the upstream is established late.
-/// Congestion delays most of them.
+/// Some responses are late for other reasons, as when a connection behind the upstream is
+/// established late. Congestion delays most of them.
 #[test]
 fn tail_latency_is_no_congestion() {
     let late =
--- a/tests/decision/endpoint_list.rs
+++ b/tests/decision/endpoint_list.rs
@@ -90,8 +90,8 @@
     assert!(harness.balancer.load().upstreams <= 4);
 }
 
-/// A balancer whose list is stale or current, with `upstreams` of which the first `rejecting` reject all requests. Returns
-/// how many requests each counts.
+/// A balancer whose list is stale or current, with `upstreams` of which the first `rejecting`
+/// reject all requests. Returns how many requests each counts.
 fn send_with_rejections(
     stale: bool,
     upstreams: u64,
--- a/tests/decision/fleet_poll_schedule.rs
+++ b/tests/decision/fleet_poll_schedule.rs
@@ -1,7 +1,7 @@
 //! The polls of a whole fleet at one discovery.
 //!
-//! Discovery handles polls one after the other. Each costs it the same, also one that it refuses because its turn
-//! has not come in time: a fleet that polls too often would be refused forever.
+//! Discovery handles polls one after the other. Each costs it the same, also one that it refuses
+//! because its turn has not come in time: a fleet that polls too often would be refused forever.
 
 use crate::harness::entry;
 use load_balancer::{Action, Balancer, DiscoveryMode, Event, ListScope, Settings};
--- a/tests/decision/fleet_slow_start.rs
+++ b/tests/decision/fleet_slow_start.rs
@@ -1,10 +1,11 @@
 //! Slow start of the fleet: what all balancers together send to upstreams that have just started.
 //!
-//! Reading of the rule: what the settings allow at a moment is `rules.fallMultiple` x the least part of its work
-//! that `rules.startCapacity` and `rules.cold` promise by then x `rules.tipAfter` x what a warm upstream takes, a
-//! figure of this world. N is that of a window's first moment, so the least in it. More than N + 2 sqrt(N) + 2 arrivals
-//! in a window that is no longer, turned away or not, while it is cold, are a fall. It counts where over two thirds
-//! came from balancers that had been told of the start.
+//! Reading of the rule: what the settings allow at a moment is `rules.fallMultiple` x the least
+//! part of its work that `rules.startCapacity` and `rules.cold` promise by then x
+//! `rules.tipAfter` x what a warm upstream takes, a figure of this world. N is that of a
+//! window's first moment, so the least in it. More than N + 2 sqrt(N) + 2 arrivals in a window
+//! that is no longer, turned away or not, while it is cold, are a fall. It counts where over two
+//! thirds came from balancers that had been told of the start.
 
 use crate::harness::{entry, request};
 use load_balancer::{
@@ -32,7 +33,8 @@
 enum Trouble {
     /// So many restart at once.
     Restart(usize),
-    /// So many are replaced one after the other within seven seconds, each by one that joins as it leaves.
+    /// So many are replaced one after the other within seven seconds, each by one that joins as
+    /// it leaves.
     Replace(usize),
     /// The same, all at once.
     Swap(usize),
@@ -54,7 +56,8 @@
     seed: u64,
 }
 
-/// Calls of mean work a second that a warm upstream takes: few, so that a call of each balancer weighs.
+/// Calls of mean work a second that a warm upstream takes: few, so that a call of each balancer
+/// weighs.
 const CAPACITY: f64 = 4.0;
 
 #[derive(Default)]
@@ -539,7 +542,8 @@
         }
     }
 
-    /// Takes the next calls into work. A cold upstream is slower by as much as the settings allow it.
+    /// Takes the next calls into work. A cold upstream is slower by as much as the settings
+    /// allow it.
     fn serve(&mut self, upstream: u64) {
         loop {
             let server = self.servers.get_mut(&upstream).unwrap();
@@ -693,8 +697,8 @@
     play_all(100);
 }
 
-/// Guards against an upstream that gets its part twice once operators have put it back: from the callers that turn
-/// it over, and a first call from each of the others.
+/// Guards against an upstream that gets its part twice once operators have put it back: from the
+/// callers that turn it over, and a first call from each of the others.
 #[test]
 fn one_put_back_gets_no_more_from_a_large_fleet_than_one_that_restarts() {
     let worst = |trouble| {
--- a/tests/decision/idle_connections.rs
+++ b/tests/decision/idle_connections.rs
@@ -3,8 +3,8 @@
 use crate::harness::{attempt_ended, attempt_lost, request, started_attempts, Harness};
 use load_balancer::{Action, AttemptOutcome, Idempotency};
 
-/// Requests to one upstream at intervals of a second, which end as `outcome` says after 50 ms. Returns how closes idle
-/// connections are closes.
+/// Requests to one upstream at intervals of a second, which end as `outcome` says after 50 ms.
+/// Returns how closes idle connections are closes.
 fn count_closes(outcome: impl Fn(u64) -> AttemptOutcome) -> usize {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
     let mut closes = 0;
--- a/tests/decision/invariants.rs
+++ b/tests/decision/invariants.rs
@@ -3,217 +3,310 @@
 use crate::harness::{attempt_ended, class, entry, request, Harness, WITH_IDEMPOTENCY_KEY};
 use load_balancer::{
     Action, AttemptOutcome, AttemptResult, Balancer, DeduplicationScope, DiscoveryMode, Event,
-    Idempotency, ListScope, RequestId, Settings, UpstreamEntry, UpstreamState,
+    Idempotency, ListScope, RequestId, Settings, UpstreamEntry, UpstreamId, UpstreamState,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// What the world knows of one request.
+/// Of the request classes.
+const IDEMPOTENCY: [Idempotency; 5] = [
+    Idempotency::Idempotent,
+    Idempotency::NonIdempotent,
+    WITH_IDEMPOTENCY_KEY[0],
+    WITH_IDEMPOTENCY_KEY[1],
+    WITH_IDEMPOTENCY_KEY[2],
+];
+
+const OUTCOMES: [AttemptOutcome; 9] = [
+    AttemptOutcome::Success,
+    AttemptOutcome::Success,
+    AttemptOutcome::Error,
+    AttemptOutcome::InvalidResponse,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::Reset,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
+];
+
+const UPSTREAMS: u64 = 6;
+/// How long clients wait, in seconds.
+const REMAINING: f64 = 2.0;
+/// How far the clock goes on at a step without an event, in seconds.
+const TICK: f64 = 0.02;
+/// Deduplication window of the harness's classes, in seconds.
+const WINDOW: f64 = 1.0;
+
+/// One random step: what happens, to which request or upstream, and how.
+type Step = (u8, u64, u8);
+
+/// An attempt as the test knows it.
+struct SentAttempt {
+    upstream: u64,
+    sent_at: f64,
+    outcome: Option<AttemptOutcome>,
+}
+
+impl SentAttempt {
+    fn may_have_run(&self) -> bool {
+        !self.outcome.is_some_and(AttemptOutcome::never_started)
+    }
+}
+
+/// A request as the test knows it.
 #[derive(Default)]
-struct Known {
+struct SentRequest {
     class: usize,
     deadline: f64,
-    answered: bool,
-    tries: Vec<(u64, f64, Option<AttemptOutcome>)>,
+    is_concluded: bool,
+    attempts: Vec<SentAttempt>,
 }
 
-/// Plays random events and checks every action against the rules.
-fn play(
-    steps: Vec<(u8, u64, u8)>,
-    hedging_allowed: bool,
-    cancellation_allowed: bool,
-    ask: bool,
-) -> Result<(), TestCaseError> {
-    let effects = [
-        Idempotency::Idempotent,
-        Idempotency::NonIdempotent,
-        WITH_IDEMPOTENCY_KEY[0],
-        WITH_IDEMPOTENCY_KEY[1],
-        WITH_IDEMPOTENCY_KEY[2],
-    ];
-    let zoned = |id: u64| UpstreamEntry {
+impl SentRequest {
+    fn idempotency(&self) -> Idempotency {
+        IDEMPOTENCY[self.class]
+    }
+
+    fn first_possible_run(&self) -> Option<&SentAttempt> {
+        self.attempts.iter().find(|attempt| attempt.may_have_run())
+    }
+}
+
+/// Plays random events and checks each action against the rules.
+struct RandomPlay {
+    settings: Settings,
+    harness: Harness,
+    /// Whether each upstream is listed as active.
+    is_active: BTreeMap<u64, bool>,
+    requests: BTreeMap<u64, SentRequest>,
+    /// Moment and token.
+    timers: Vec<(f64, u64)>,
+    next_request: u64,
+}
+
+fn entry_in_zone(id: u64) -> UpstreamEntry {
+    UpstreamEntry {
         zone: id as usize % 3,
         ..entry(id)
-    };
-    let mut settings = Settings {
-        classes: effects.map(class).to_vec(),
-        ..Settings::simple()
-    };
-    settings.limits.hedging_allowed = hedging_allowed;
-    settings.limits.cancellation_allowed = cancellation_allowed;
-    settings.discovery_mode = if ask {
-        DiscoveryMode::Poll
-    } else {
-        DiscoveryMode::Push
-    };
-    let mut harness = Harness::new(settings.clone(), 0);
-    harness.update_endpoints(ListScope::Full, (1..=6).map(zoned).collect());
-    let mut on: BTreeMap<u64, bool> = (1..=6).map(|id| (id, true)).collect();
-    let mut known: BTreeMap<u64, Known> = BTreeMap::new();
-    let mut timers: Vec<(f64, u64)> = Vec::new();
-    let mut next = 1;
-    let quiet = std::iter::repeat_n((9, 0, 0), 4000);
-    for (kind, pick, detail) in steps.into_iter().chain(quiet) {
-        let open: Vec<(u64, u32)> = known
-            .iter()
-            .flat_map(|(id, k)| {
-                k.tries
-                    .iter()
-                    .enumerate()
-                    .map(move |(n, t)| (*id, n as u32, t.2))
-            })
-            .filter(|t| t.2.is_none())
-            .map(|t| (t.0, t.1))
-            .collect();
-        // Attempts end at their deadline at the latest.
-        let due = open
-            .iter()
-            .find(|(id, _)| known[id].deadline <= harness.now)
-            .copied();
-        timers.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let event = match kind {
-            _ if due.is_some() => {
-                let (id, n) = due.unwrap();
-                let k = known.get_mut(&id).unwrap();
-                k.tries[n as usize].2 = Some(AttemptOutcome::TimedOut);
-                let (outcome, concluded) = (AttemptOutcome::TimedOut, k.answered);
-                Event::AttemptEnded(AttemptResult {
-                    id: RequestId(id),
-                    attempt: n,
-                    outcome,
-                    elapsed: 1.0,
-                    connection_idle: None,
-                    request_concluded: concluded,
-                })
-            }
-            _ if timers.last().is_some_and(|t| t.0 <= harness.now) => {
-                Event::TimerFired(timers.pop().unwrap().1)
-            }
-            0..=2 => {
-                let (class, deadline) = (detail as usize % 5, harness.now + 2.0);
-                known.insert(
-                    next,
-                    Known {
-                        class,
-                        deadline,
-                        ..Known::default()
-                    },
-                );
-                next += 1;
-                request(next - 1, class, 2.0)
-            }
-            3..=5 if !open.is_empty() => {
-                let (id, n) = open[pick as usize % open.len()];
-                let outcomes = [
-                    AttemptOutcome::Success,
-                    AttemptOutcome::Success,
-                    AttemptOutcome::Error,
-                    AttemptOutcome::InvalidResponse,
-                    AttemptOutcome::Rejected,
-                    AttemptOutcome::ConnectFailed,
-                    AttemptOutcome::Reset,
-                    AttemptOutcome::Cancelled,
-                    AttemptOutcome::NotSent,
-                ];
-                let outcome = outcomes[detail as usize % outcomes.len()];
-                let k = known.get_mut(&id).unwrap();
-                k.tries[n as usize].2 = Some(outcome);
-                k.answered |= outcome == AttemptOutcome::Success;
-                let (concluded, elapsed) = (k.answered, 0.05);
-                Event::AttemptEnded(AttemptResult {
-                    id: RequestId(id),
-                    attempt: n,
-                    outcome,
-                    elapsed,
-                    connection_idle: None,
-                    request_concluded: concluded,
-                })
-            }
-            6 => {
-                let (id, now_on) = (1 + pick % 6, detail % 3 != 0);
-                on.insert(id, now_on);
-                let state = if now_on {
-                    UpstreamState::Active
-                } else {
-                    UpstreamState::Draining
-                };
-                Event::EndpointList {
-                    scope: ListScope::Delta,
-                    endpoints: vec![UpstreamEntry { state, ..zoned(id) }],
-                }
-            }
-            7 if !known.is_empty() => {
-                let (id, k) = known
-                    .iter_mut()
-                    .nth(pick as usize % next.min(5) as usize % (next - 1) as usize)
-                    .unwrap();
-                k.answered = true;
-                Event::ClientDisconnected(RequestId(*id))
-            }
-            _ => {
-                harness.now += 0.02;
+    }
+}
+
+impl RandomPlay {
+    fn new(hedging_allowed: bool, cancellation_allowed: bool, mode: DiscoveryMode) -> Self {
+        let mut settings = Settings {
+            classes: IDEMPOTENCY.map(class).to_vec(),
+            discovery_mode: mode,
+            ..Settings::simple()
+        };
+        settings.limits.hedging_allowed = hedging_allowed;
+        settings.limits.cancellation_allowed = cancellation_allowed;
+        let mut harness = Harness::new(settings.clone(), 0);
+        let entries = (1..=UPSTREAMS).map(entry_in_zone).collect();
+        harness.update_endpoints(ListScope::Full, entries);
+        RandomPlay {
+            settings,
+            harness,
+            is_active: (1..=UPSTREAMS).map(|id| (id, true)).collect(),
+            requests: BTreeMap::new(),
+            timers: Vec::new(),
+            next_request: 1,
+        }
+    }
+
+    fn play(mut self, steps: Vec<Step>) -> Result<(), TestCaseError> {
+        let ticks = std::iter::repeat_n((9, 0, 0), 4000);
+        for step in steps.into_iter().chain(ticks) {
+            let Some(event) = self.next_event(step) else {
+                self.harness.now += TICK;
                 continue;
+            };
+            for action in self.harness.handle(event) {
+                self.check_action(&action)?;
             }
+            self.check_deadlines()?;
+        }
+        prop_assert_eq!(self.harness.open_and_in_flight(), (0, 0));
+        Ok(())
+    }
+
+    /// The event of a step; `None`: only the clock goes on. What is due goes first.
+    fn next_event(&mut self, (kind, pick, detail): Step) -> Option<Event> {
+        let in_flight = self.in_flight();
+        let now = self.harness.now;
+        let has_expired = |(id, _): &&(u64, usize)| self.requests[id].deadline <= now;
+        if let Some((id, attempt)) = in_flight.iter().find(has_expired).copied() {
+            return Some(self.end_attempt(id, attempt, AttemptOutcome::TimedOut, 1.0));
+        }
+        self.timers.sort_by(|a, b| b.0.total_cmp(&a.0));
+        if self.timers.last().is_some_and(|(moment, _)| *moment <= now) {
+            return self.timers.pop().map(|(_, token)| Event::TimerFired(token));
+        }
+        match kind {
+            0..=2 => Some(self.send_request(detail as usize % IDEMPOTENCY.len())),
+            3..=5 if !in_flight.is_empty() => {
+                let (id, attempt) = in_flight[pick as usize % in_flight.len()];
+                let outcome = OUTCOMES[detail as usize % OUTCOMES.len()];
+                Some(self.end_attempt(id, attempt, outcome, 0.05))
+            }
+            6 => Some(self.change_state(1 + pick % UPSTREAMS, detail % 3 != 0)),
+            7 if !self.requests.is_empty() => Some(self.disconnect_client(pick)),
+            _ => None,
+        }
+    }
+
+    fn in_flight(&self) -> Vec<(u64, usize)> {
+        let of_request = |(id, request): (&u64, &SentRequest)| {
+            let attempts = request.attempts.iter().enumerate();
+            let in_flight = attempts.filter(|(_, attempt)| attempt.outcome.is_none());
+            let id = *id;
+            in_flight.map(|(index, _)| (id, index)).collect::<Vec<_>>()
+        };
+        self.requests.iter().flat_map(of_request).collect()
+    }
+
+    fn send_request(&mut self, class: usize) -> Event {
+        let id = self.next_request;
+        self.next_request += 1;
+        let sent = SentRequest {
+            class,
+            deadline: self.harness.now + REMAINING,
+            ..SentRequest::default()
+        };
+        self.requests.insert(id, sent);
+        request(id, class, REMAINING)
+    }
+
+    fn end_attempt(
+        &mut self,
+        id: u64,
+        attempt: usize,
+        outcome: AttemptOutcome,
+        elapsed: f64,
+    ) -> Event {
+        let request = self.requests.get_mut(&id).unwrap();
+        request.attempts[attempt].outcome = Some(outcome);
+        request.is_concluded |= outcome == AttemptOutcome::Success;
+        Event::AttemptEnded(AttemptResult {
+            id: RequestId(id),
+            attempt: attempt as u32,
+            outcome,
+            elapsed,
+            connection_idle: None,
+            request_concluded: request.is_concluded,
+        })
+    }
+
+    fn change_state(&mut self, id: u64, is_active: bool) -> Event {
+        self.is_active.insert(id, is_active);
+        let state = if is_active {
+            UpstreamState::Active
+        } else {
+            UpstreamState::Draining
         };
-        for action in harness.handle(event) {
-            match action {
-                Action::StartAttempt { id, upstream, .. } => {
-                    let k = known.get_mut(&id.0).unwrap();
-                    prop_assert!(!k.answered, "sent after its answer");
-                    prop_assert!(on[&upstream.0], "sent to a drained upstream");
-                    prop_assert!(k.tries.len() < settings.limits.max_attempts as usize);
-                    prop_assert!(hedging_allowed || k.tries.iter().all(|t| t.2.is_some()));
-                    let ran = k
-                        .tries
-                        .iter()
-                        .find(|t| !t.2.is_some_and(AttemptOutcome::never_started));
-                    match (effects[k.class], ran) {
-                        (Idempotency::NonIdempotent, Some(_)) => {
-                            prop_assert!(false, "an effect twice")
-                        }
-                        (Idempotency::IdempotencyKey { scope }, Some(first)) => {
-                            prop_assert!(
-                                scope != DeduplicationScope::Cell || first.0 % 2 == upstream.0 % 2
-                            );
-                            prop_assert!(
-                                scope != DeduplicationScope::Zone || first.0 % 3 == upstream.0 % 3
-                            );
-                            prop_assert!(harness.now < first.1 + 1.0);
-                        }
-                        _ => {}
-                    }
-                    k.tries.push((upstream.0, harness.now, None));
-                }
-                Action::Reject { id, .. } | Action::Fail { id } => {
-                    let k = known.get_mut(&id.0).unwrap();
-                    prop_assert!(!k.answered, "answered twice");
-                    let ran = k
-                        .tries
-                        .iter()
-                        .any(|t| !t.2.is_some_and(AttemptOutcome::never_started));
-                    let bound = effects[k.class] == Idempotency::NonIdempotent
-                        || WITH_IDEMPOTENCY_KEY[1..].contains(&effects[k.class]);
-                    prop_assert!(
-                        matches!(action, Action::Fail { .. }) || !(ran && bound),
-                        "refused what may have run"
-                    );
-                    k.answered = true;
-                }
-                Action::CancelAttempt { .. } => {
-                    prop_assert!(cancellation_allowed, "cancelled where that is forbidden")
-                }
-                Action::SetTimer { after, token } => timers.push((harness.now + after, token)),
-                _ => {}
+        let entry = UpstreamEntry {
+            state,
+            ..entry_in_zone(id)
+        };
+        Event::EndpointList {
+            scope: ListScope::Delta,
+            endpoints: vec![entry],
+        }
+    }
+
+    fn disconnect_client(&mut self, pick: u64) -> Event {
+        let sent = self.next_request - 1;
+        let index = pick as usize % self.next_request.min(5) as usize % sent as usize;
+        let (id, request) = self.requests.iter_mut().nth(index).unwrap();
+        request.is_concluded = true;
+        Event::ClientDisconnected(RequestId(*id))
+    }
+
+    fn check_action(&mut self, action: &Action) -> Result<(), TestCaseError> {
+        match action {
+            Action::StartAttempt { id, upstream, .. } => self.check_attempt(*id, *upstream)?,
+            Action::Reject { id, .. } => self.check_final_response(*id, true)?,
+            Action::Fail { id } => self.check_final_response(*id, false)?,
+            Action::CancelAttempt { .. } => {
+                let allowed = self.settings.limits.cancellation_allowed;
+                prop_assert!(allowed, "cancelled where that is not allowed");
             }
+            Action::SetTimer { after, token } => {
+                self.timers.push((self.harness.now + after, *token));
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn check_attempt(&mut self, id: RequestId, upstream: UpstreamId) -> Result<(), TestCaseError> {
+        let limits = &self.settings.limits;
+        let request = self.requests.get_mut(&id.0).unwrap();
+        prop_assert!(!request.is_concluded, "sent after its final response");
+        prop_assert!(self.is_active[&upstream.0], "sent to a draining upstream");
+        prop_assert!(request.attempts.len() < limits.max_attempts as usize);
+        let mut attempts = request.attempts.iter();
+        let all_have_ended = attempts.all(|attempt| attempt.outcome.is_some());
+        prop_assert!(limits.hedging_allowed || all_have_ended);
+        if let Some(first) = request.first_possible_run() {
+            check_repeat(request.idempotency(), first, upstream, self.harness.now)?;
         }
-        for (id, k) in &known {
+        request.attempts.push(SentAttempt {
+            upstream: upstream.0,
+            sent_at: self.harness.now,
+            outcome: None,
+        });
+        Ok(())
+    }
+
+    fn check_final_response(
+        &mut self,
+        id: RequestId,
+        is_rejection: bool,
+    ) -> Result<(), TestCaseError> {
+        let request = self.requests.get_mut(&id.0).unwrap();
+        prop_assert!(!request.is_concluded, "a second final response");
+        let may_have_run = request.first_possible_run().is_some();
+        let idempotency = request.idempotency();
+        let is_unsafe_to_repeat = idempotency == Idempotency::NonIdempotent
+            || WITH_IDEMPOTENCY_KEY[1..].contains(&idempotency);
+        prop_assert!(
+            !is_rejection || !(may_have_run && is_unsafe_to_repeat),
+            "rejected what may have run"
+        );
+        request.is_concluded = true;
+        Ok(())
+    }
+
+    fn check_deadlines(&self) -> Result<(), TestCaseError> {
+        for (id, request) in &self.requests {
             prop_assert!(
-                k.answered || harness.now <= k.deadline + 0.02,
-                "{id} has no answer"
+                request.is_concluded || self.harness.now <= request.deadline + TICK,
+                "{id} has no final response"
             );
         }
+        Ok(())
+    }
+}
+
+/// Checks an attempt that follows one which may have run. Upstreams with the same remainder by 2
+/// share a cell, by 3 a zone.
+fn check_repeat(
+    idempotency: Idempotency,
+    first: &SentAttempt,
+    upstream: UpstreamId,
+    now: f64,
+) -> Result<(), TestCaseError> {
+    match idempotency {
+        Idempotency::Idempotent => {}
+        Idempotency::NonIdempotent => prop_assert!(false, "may run twice"),
+        Idempotency::IdempotencyKey { scope } => {
+            let is_same_cell = first.upstream % 2 == upstream.0 % 2;
+            let is_same_zone = first.upstream % 3 == upstream.0 % 3;
+            prop_assert!(scope != DeduplicationScope::Cell || is_same_cell);
+            prop_assert!(scope != DeduplicationScope::Zone || is_same_zone);
+            prop_assert!(now < first.sent_at + WINDOW);
+        }
     }
-    prop_assert_eq!(harness.open_and_in_flight(), (0, 0));
     Ok(())
 }
 
@@ -226,57 +319,63 @@
     })]
 
     #[test]
-    fn any_mix_of_events_keeps_the_rules(
+    fn random_events_keep_the_invariants(
         steps in prop::collection::vec((0u8..10, 0u64..1000, 0u8..120), 0..400),
         hedging_allowed: bool,
         cancellation_allowed: bool,
-        ask: bool,
+        is_polled: bool,
     ) {
-        play(steps, hedging_allowed, cancellation_allowed, ask)?;
+        let mode = if is_polled { DiscoveryMode::Poll } else { DiscoveryMode::Push };
+        RandomPlay::new(hedging_allowed, cancellation_allowed, mode).play(steps)?;
     }
 }
 
-#[test]
-fn decisions_are_deterministic_when_instances_are_interleaved() {
-    let settings = |peer_index| {
-        let classes = [Idempotency::Idempotent, Idempotency::NonIdempotent]
+/// The settings of one of two balancers.
+fn settings_of_peer(peer_index: usize) -> Settings {
+    Settings {
+        classes: [Idempotency::Idempotent, Idempotency::NonIdempotent]
             .map(class)
-            .to_vec();
-        Settings {
-            classes,
-            peer_index,
-            peer_count: 2,
-            discovery_mode: DiscoveryMode::Poll,
-            ..Settings::simple()
-        }
-    };
-    let start = |peer_index: usize| Harness {
-        balancer: Balancer::new(settings(peer_index), 5, 100.0).unwrap(),
+            .to_vec(),
+        peer_index,
+        peer_count: 2,
+        discovery_mode: DiscoveryMode::Poll,
+        ..Settings::simple()
+    }
+}
+
+fn start_peer(peer_index: usize) -> Harness {
+    Harness {
+        balancer: Balancer::new(settings_of_peer(peer_index), 5, 100.0).unwrap(),
         now: 100.0,
+    }
+}
+
+fn handle_step(harness: &mut Harness, step: u64) -> Vec<Action> {
+    harness.now += 0.02;
+    match step % 7 {
+        0 if step == 0 => harness.update_endpoints(ListScope::Cached, (1..=6).map(entry).collect()),
+        1 | 3 | 5 => harness.handle(request(step, (step % 2) as usize, 2.0)),
+        2 => harness.handle(attempt_ended(step - 1, 0, AttemptOutcome::Success)),
+        4 => harness.handle(attempt_ended(step - 1, 0, AttemptOutcome::Reset)),
+        6 => harness.handle(attempt_ended(step - 1, 0, AttemptOutcome::Rejected)),
+        _ => harness.handle(Event::TimerFired(step.saturating_sub(5))),
+    }
+}
+
+#[test]
+fn decisions_are_deterministic_when_instances_are_interleaved() {
+    let actions_alone = |peer_index| {
+        let mut harness = start_peer(peer_index);
+        (0..3000)
+            .map(|step| handle_step(&mut harness, step))
+            .collect::<Vec<_>>()
     };
-    let step = |harness: &mut Harness, n: u64| -> Vec<Action> {
-        harness.now += 0.02;
-        match n % 7 {
-            0 if n == 0 => {
-                harness.update_endpoints(ListScope::Cached, (1..=6).map(entry).collect())
-            }
-            1 | 3 | 5 => harness.handle(request(n, (n % 2) as usize, 2.0)),
-            2 => harness.handle(attempt_ended(n - 1, 0, AttemptOutcome::Success)),
-            4 => harness.handle(attempt_ended(n - 1, 0, AttemptOutcome::Reset)),
-            6 => harness.handle(attempt_ended(n - 1, 0, AttemptOutcome::Rejected)),
-            _ => harness.handle(Event::TimerFired(n.saturating_sub(5))),
-        }
-    };
-    let alone = |peer_index| {
-        let mut harness = start(peer_index);
-        (0..3000).map(|n| step(&mut harness, n)).collect::<Vec<_>>()
-    };
-    let (first, second) = (alone(0), alone(1));
-    assert_eq!(first, alone(0));
-    let (mut a, mut b) = (start(0), start(1));
-    for n in 0..3000 {
-        assert_eq!(step(&mut a, n), first[n as usize]);
-        assert_eq!(step(&mut b, n), second[n as usize]);
+    let (first, second) = (actions_alone(0), actions_alone(1));
+    assert_eq!(first, actions_alone(0));
+    let (mut peer_0, mut peer_1) = (start_peer(0), start_peer(1));
+    for step in 0..3000 {
+        assert_eq!(handle_step(&mut peer_0, step), first[step as usize]);
+        assert_eq!(handle_step(&mut peer_1, step), second[step as usize]);
     }
     assert_ne!(first, second);
 }
--- a/tests/decision/learned_state.rs
+++ b/tests/decision/learned_state.rs
@@ -1,4 +1,5 @@
-//! The stored form of what a balancer has learned: two versions read it from each other during an upgrade.
+//! The stored form of what a balancer has learned: two versions read it from each other during
+//! an upgrade.
 
 use crate::harness::{
     attempt_ended, class, entry, request, started_attempts, without_retries, Harness,
@@ -37,8 +38,8 @@
     (1..=5).map(entry_of_kind).collect()
 }
 
-/// A balancer that has served, lost and retried requests, has ejected an upstream that fails, has one in slow
-/// start and one returned from maintenance.
+/// A balancer that has served, lost and retried requests, has ejected an upstream that fails,
+/// has one in slow start and one returned from maintenance.
 fn served_lost_and_ejected() -> Harness {
     let mut harness = Harness::new(settings(), 0);
     harness.update_endpoints(ListScope::Full, listed(98.0));
@@ -61,7 +62,8 @@
             streamed: false,
         }));
         harness.now += 0.05;
-        // Each attempt ends before the next request arrives; a retry follows from the end before it.
+        // Each attempt ends before the next request arrives; a retry follows from the end before
+        // it.
         let mut attempt = 0;
         while let Some((request, upstream)) = started_attempts(&actions).first().copied() {
             let outcome = match upstream {
@@ -89,7 +91,8 @@
     serde_json::to_value(state).unwrap()
 }
 
-/// The paths of all fields, one for the elements of all arrays and for all numbers that serve as keys.
+/// The paths of all fields, one for the elements of all arrays and for all numbers that serve as
+/// keys.
 fn field_paths(value: &Value, path: &str, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
--- a/tests/decision/outlier_classes.rs
+++ b/tests/decision/outlier_classes.rs
@@ -3,7 +3,8 @@
 use crate::harness::{attempt_ended, class, request, started_attempts, without_retries, Harness};
 use load_balancer::{AttemptOutcome, Idempotency, Settings};
 
-/// Two classes at four upstreams; upstream 1 serves only the first. Returns how many requests of each class it gets.
+/// Two classes at four upstreams; upstream 1 serves only the first. Returns how many requests of
+/// each class it gets.
 fn fail_one_class(outcome: AttemptOutcome) -> (u32, u32) {
     let classes = vec![
         class(Idempotency::NonIdempotent),
@@ -107,7 +108,8 @@
     assert!(counts[1..].iter().all(|n| *n > 20), "{counts:?}");
 }
 
-/// Requests of three classes in turn; upstream 1 of four fails them all. Returns how many of each class it gets.
+/// Requests of three classes in turn; upstream 1 of four fails them all. Returns how many of
+/// each class it gets.
 fn fail_all_classes(classes: [Idempotency; 3], requests: u64) -> [u32; 3] {
     let classes = classes.map(class).to_vec();
     let mut harness = Harness::new(
--- a/tests/decision/slow_start.rs
+++ b/tests/decision/slow_start.rs
@@ -35,7 +35,8 @@
     assert_eq!(count(10.0), 20);
 }
 
-/// A start may be listed late, or lie in the future as wall clocks differ; the least delay so far shows by how much.
+/// A start may be listed late, or lie in the future as wall clocks differ; the least delay so
+/// far shows by how much.
 #[test]
 fn upstream_age_does_not_depend_on_wall_clocks() {
     let list_start = |harness: &mut Harness, id: u64, started_at: f64| {
@@ -64,8 +65,8 @@
             "{count} after slow start, {ahead} s ahead"
         );
     }
-    // One start is listed after half a second, the id one, after a network fault, later than slow start
-    // takes.
+    // One start is listed after half a second, the id one, after a network fault, later than
+    // slow start takes.
     for (late, least, most) in [(0.5, 2, 5), (5.5, 9, 13), (10.5, 18, 22)] {
         let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 9);
         let now = harness.now;
@@ -79,8 +80,8 @@
             "{count}, listed {late} s late"
         );
     }
-    // Starts listed as the balancer starts lie in the past: ten upstreams that started long before take
-    // every request.
+    // Starts listed as the balancer starts lie in the past: ten upstreams that started long
+    // before take every request.
     for scope in [ListScope::Cached, ListScope::Full, ListScope::Delta] {
         let settings = Settings {
             classes: vec![class(Idempotency::Idempotent)],
@@ -180,8 +181,9 @@
 
 #[test]
 fn balancers_whose_subsets_grow_together_spare_a_warming_upstream() {
-    // The subsets of forty balancers have three of nine upstreams each; a tenth is listed that stays at a
-    // hundredth of its capacity. After many requests each, all have to queue and grow their subsets.
+    // The subsets of forty balancers have three of nine upstreams each; a tenth is listed that
+    // stays at a hundredth of its capacity. After many requests each, all have to queue and grow
+    // their subsets.
     let mut to_warming = 0;
     for peer_index in 0..40 {
         let mut settings = Settings {
