--- a/tests/decision/fleet_poll_schedule.rs
+++ b/tests/decision/fleet_poll_schedule.rs
@@ -2,6 +2,7 @@
 //!
 //! Discovery handles polls one after the other. Each costs it the same, also one that it refuses
 //! because its turn has not come in time: a fleet that polls too often would be refused forever.
+//! All times are seconds.
 
 use crate::harness::entry;
 use load_balancer::{Action, Balancer, DiscoveryMode, Event, ListScope, Settings};
@@ -9,37 +10,45 @@
 use std::collections::BinaryHeap;
 
 pub const NOTIFICATION_DEADLINE: f64 = 6.0;
-/// A call whose turn has not come by then is refused.
+/// Discovery refuses a poll that has been queued for this long.
 pub const QUEUE_TIMEOUT: f64 = 2.0;
-/// With more work than this before it, in seconds, discovery refuses a call at once, at no cost.
-const FULL: f64 = 4.0;
-/// The fleet starts at 0 and has its lists; discovery is down between these.
-const DOWN: f64 = 8.0;
-const BACK: f64 = 16.0;
+/// With more work than this in its queue, discovery refuses a poll at once, at no cost.
+const MAX_QUEUED_WORK: f64 = 4.0;
+/// The fleet starts at 0 and has its lists; discovery is down from here to `OUTAGE_END`.
+const OUTAGE_START: f64 = 8.0;
+const OUTAGE_END: f64 = 16.0;
+/// A third of the fleet restarts then, as in a release.
+const RESTART: f64 = OUTAGE_END + 3.0;
 const END: f64 = 46.0;
 
+/// What happens to a balancer.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Happening {
+    /// Its timer with this token fires.
     Timer(u64),
-    Heard,
-    Refused,
+    /// Its list comes.
+    List,
+    /// Its poll is refused.
+    Refusal,
 }
 
 struct Node {
     balancer: Balancer,
-    /// Calls of before count no more once it has started anew.
-    life: u32,
-    heard: Option<f64>,
+    /// Counts its restarts; what was scheduled before a restart is void.
+    incarnation: u32,
+    list_since: Option<f64>,
 }
 
-/// A fleet of services of these sizes, of which a part starts anew around discovery's return.
+/// A fleet of services of several sizes.
 struct Fleet {
     settings: Vec<Settings>,
     nodes: Vec<Node>,
-    due: BinaryHeap<Reverse<(u64, usize, u32, Due)>>,
-    /// Calls that discovery works off in a second, and when it has worked off all that it has.
+    /// What will happen: moment in microseconds, node, its incarnation.
+    schedule: BinaryHeap<Reverse<(u64, usize, u32, Happening)>>,
+    /// Polls that discovery handles per second.
     capacity: f64,
-    busy: f64,
+    /// When discovery will have handled all polls in its queue.
+    busy_until: f64,
     seed: u64,
 }
 
@@ -47,145 +56,156 @@
     (seconds * 1e6) as u64
 }
 
+fn is_in_outage(now: f64) -> bool {
+    (OUTAGE_START..OUTAGE_END).contains(&now)
+}
+
+fn settings(peer_index: usize, peer_count: usize) -> Settings {
+    let mut settings = Settings {
+        peer_index,
+        peer_count,
+        discovery_mode: DiscoveryMode::Poll,
+        ..Settings::simple()
+    };
+    settings.rules.notification_deadline = NOTIFICATION_DEADLINE;
+    settings
+}
+
 impl Fleet {
     fn new(services: &[usize], capacity: f64, seed: u64) -> Self {
-        let settings = services.iter().flat_map(|&size| {
-            (0..size).map(move |peer_index| {
-                let mut settings = Settings {
-                    peer_index,
-                    peer_count: size,
-                    discovery_mode: DiscoveryMode::Poll,
-                    ..Settings::simple()
-                };
-                settings.rules.notification_deadline = NOTIFICATION_DEADLINE;
-                settings
-            })
-        });
-        let settings: Vec<_> = settings.collect();
+        let peers = services
+            .iter()
+            .flat_map(|&size| (0..size).map(move |peer_index| settings(peer_index, size)));
         let mut fleet = Fleet {
-            settings,
+            settings: peers.collect(),
             nodes: Vec::new(),
-            due: BinaryHeap::new(),
+            schedule: BinaryHeap::new(),
             capacity,
-            busy: 0.0,
+            busy_until: 0.0,
             seed,
         };
-        for at in 0..fleet.settings.len() {
-            let node = fleet.node(at, 0, 0.0);
+        for index in 0..fleet.settings.len() {
+            let node = fleet.start_node(index, 0, 0.0);
             fleet.nodes.push(node);
-            fleet.on(at, 0.0, ListScope::Cached);
+            fleet.pass_list(index, 0.0, ListScope::Cached);
         }
         fleet
     }
 
-    fn node(&self, at: usize, life: u32, now: f64) -> Node {
-        let seed = self.seed << 32 | u64::from(life) << 16 | at as u64;
+    fn start_node(&self, index: usize, incarnation: u32, now: f64) -> Node {
+        let seed = self.seed << 32 | u64::from(incarnation) << 16 | index as u64;
         Node {
-            balancer: Balancer::new(self.settings[at].clone(), seed, now).unwrap(),
-            life,
-            heard: None,
+            balancer: Balancer::new(self.settings[index].clone(), seed, now).unwrap(),
+            incarnation,
+            list_since: None,
         }
     }
 
-    /// Tells a balancer of a list, and minds when it will ask for one.
-    fn on(&mut self, at: usize, now: f64, scope: ListScope) {
+    /// Passes a list, or a failure, to a balancer and schedules its next poll.
+    fn pass_list(&mut self, index: usize, now: f64, scope: ListScope) {
         let mut actions = Vec::new();
-        let entries = if scope == ListScope::Failed {
+        let endpoints = if scope == ListScope::Failed {
             Vec::new()
         } else {
             vec![entry(1)]
         };
-        self.nodes[at].balancer.handle(
-            now,
-            Event::EndpointList {
-                scope,
-                endpoints: entries,
-            },
-            &mut actions,
-        );
+        let event = Event::EndpointList { scope, endpoints };
+        self.nodes[index].balancer.handle(now, event, &mut actions);
         for action in actions {
             if let Action::SetTimer { after, token } = action {
-                self.push(at, now + after, Due::Timer(token));
+                self.schedule(index, now + after, Happening::Timer(token));
             }
         }
     }
 
-    fn push(&mut self, at: usize, time: f64, due: Due) {
-        self.due
-            .push(Reverse((micros(time), at, self.nodes[at].life, due)));
+    fn schedule(&mut self, index: usize, moment: f64, happening: Happening) {
+        let incarnation = self.nodes[index].incarnation;
+        let entry = (micros(moment), index, incarnation, happening);
+        self.schedule.push(Reverse(entry));
     }
 
-    fn call(&mut self, at: usize, now: f64) {
-        let waits = (self.busy - now).max(0.0);
-        if (DOWN..BACK).contains(&now) {
-            return self.push(at, now + QUEUE_TIMEOUT, Due::Refused);
+    /// A poll comes to discovery.
+    fn poll(&mut self, index: usize, now: f64) {
+        let queued_work = (self.busy_until - now).max(0.0);
+        if is_in_outage(now) {
+            return self.schedule(index, now + QUEUE_TIMEOUT, Happening::Refusal);
+        }
+        if queued_work > MAX_QUEUED_WORK {
+            return self.schedule(index, now, Happening::Refusal);
         }
-        if waits > FULL {
-            return self.push(at, now, Due::Refused);
+        self.busy_until = self.busy_until.max(now) + 1.0 / self.capacity;
+        if queued_work < QUEUE_TIMEOUT {
+            self.schedule(index, self.busy_until, Happening::List);
+        } else {
+            self.schedule(index, now + QUEUE_TIMEOUT, Happening::Refusal);
         }
-        self.busy = self.busy.max(now) + 1.0 / self.capacity;
-        match waits < QUEUE_TIMEOUT {
-            true => self.push(at, self.busy, Due::Heard),
-            false => self.push(at, now + QUEUE_TIMEOUT, Due::Refused),
+    }
+
+    /// All lists become stale.
+    fn begin_outage(&mut self) {
+        self.busy_until = 0.0;
+        for index in 0..self.nodes.len() {
+            if self.nodes[index].list_since.take().is_some() {
+                self.pass_list(index, OUTAGE_START, ListScope::Failed);
+            }
         }
     }
 
-    fn start_anew(&mut self, at: usize, now: f64) {
-        self.nodes[at] = self.node(at, self.nodes[at].life + 1, now);
-        self.on(at, now, ListScope::Cached);
+    fn restart(&mut self, index: usize) {
+        let incarnation = self.nodes[index].incarnation + 1;
+        self.nodes[index] = self.start_node(index, incarnation, RESTART);
+        self.pass_list(index, RESTART, ListScope::Cached);
     }
 
-    /// Plays it; how long after discovery's return, or its own start, each of them had its list.
-    fn play(mut self) -> Vec<f64> {
-        let all = self.nodes.len();
-        let mut down = false;
-        let mut born = vec![BACK; all];
-        // A third of them three seconds after the return, as in a release.
-        let mut anew: Vec<_> = (0..all).filter(|at| at % 3 == 0).collect();
-        while let Some(Reverse((time, at, life, due))) = self.due.pop() {
-            let now = time as f64 / 1e6;
+    fn happen(&mut self, index: usize, now: f64, happening: Happening) {
+        match happening {
+            Happening::Timer(token) => {
+                let mut actions = Vec::new();
+                let event = Event::TimerFired(token);
+                self.nodes[index].balancer.handle(now, event, &mut actions);
+                if actions.contains(&Action::WatchEndpoints) {
+                    self.poll(index, now);
+                }
+            }
+            Happening::List if !is_in_outage(now) => {
+                self.nodes[index].list_since = Some(now);
+                self.pass_list(index, now, ListScope::Delta);
+            }
+            Happening::List | Happening::Refusal => self.pass_list(index, now, ListScope::Failed),
+        }
+    }
+
+    /// Runs to the end. Returns how long after the outage, or after its own restart, each
+    /// balancer had its list, in ascending order.
+    fn run(mut self) -> Vec<f64> {
+        let count = self.nodes.len();
+        let mut waits_since = vec![OUTAGE_END; count];
+        let mut outage_has_begun = false;
+        let mut to_restart: Vec<_> = (0..count).filter(|index| index % 3 == 0).collect();
+        while let Some(Reverse((micros, index, incarnation, happening))) = self.schedule.pop() {
+            let now = micros as f64 / 1e6;
             if now >= END {
                 break;
             }
-            if now >= DOWN && !down {
-                down = true;
-                self.busy = 0.0;
-                for at in 0..all {
-                    if self.nodes[at].heard.take().is_some() {
-                        self.on(at, DOWN, ListScope::Failed);
-                    }
-                }
+            if now >= OUTAGE_START && !outage_has_begun {
+                outage_has_begun = true;
+                self.begin_outage();
             }
-            if now >= BACK + 3.0 {
-                for at in std::mem::take(&mut anew) {
-                    born[at] = BACK + 3.0;
-                    self.start_anew(at, born[at]);
+            if now >= RESTART {
+                for index in std::mem::take(&mut to_restart) {
+                    waits_since[index] = RESTART;
+                    self.restart(index);
                 }
             }
-            if life != self.nodes[at].life {
-                continue;
-            }
-            match due {
-                Due::Timer(token) => {
-                    let mut actions = Vec::new();
-                    self.nodes[at]
-                        .balancer
-                        .handle(now, Event::TimerFired(token), &mut actions);
-                    let asks = actions.contains(&Action::WatchEndpoints);
-                    asks.then(|| self.call(at, now));
-                }
-                Due::Heard if !(DOWN..BACK).contains(&now) => {
-                    self.nodes[at].heard = Some(now);
-                    self.on(at, now, ListScope::Delta);
-                }
-                Due::Heard | Due::Refused => self.on(at, now, ListScope::Failed),
+            if incarnation == self.nodes[index].incarnation {
+                self.happen(index, now, happening);
             }
         }
-        let took =
-            |(node, born): (&Node, f64)| node.heard.map_or(f64::INFINITY, |heard| heard - born);
-        let mut took: Vec<_> = self.nodes.iter().zip(born).map(took).collect();
-        took.sort_by(f64::total_cmp);
-        took
+        let wait =
+            |(node, since): (&Node, f64)| node.list_since.map_or(f64::INFINITY, |at| at - since);
+        let mut waits: Vec<_> = self.nodes.iter().zip(waits_since).map(wait).collect();
+        waits.sort_by(f64::total_cmp);
+        waits
     }
 }
 
@@ -193,14 +213,14 @@
 #[test]
 fn fleet_recovers_its_lists_after_a_discovery_outage() {
     for seed in 0..6 {
-        // The whole fleet asked once takes discovery six seconds.
         for services in [&[270][..], &[50, 220], &[30, 90, 150], &[500]] {
-            let all = services.iter().sum::<usize>() as f64;
-            let took = Fleet::new(services, all / 6.0, seed).play();
-            let (half, last) = (took[took.len() / 2], took[took.len() - 1]);
+            // One poll of each balancer takes discovery six seconds.
+            let balancers = services.iter().sum::<usize>() as f64;
+            let waits = Fleet::new(services, balancers / 6.0, seed).run();
+            let (median, longest) = (waits[waits.len() / 2], waits[waits.len() - 1]);
             assert!(
-                half < NOTIFICATION_DEADLINE && last < 4.0 * NOTIFICATION_DEADLINE,
-                "{services:?}, seed {seed}: {half} {last}"
+                median < NOTIFICATION_DEADLINE && longest < 4.0 * NOTIFICATION_DEADLINE,
+                "{services:?}, seed {seed}: {median} {longest}"
             );
         }
     }
@@ -211,10 +231,10 @@
 fn small_fleet_recovers_within_the_notification_deadline() {
     for seed in 0..20 {
         for size in [1, 3, 6, 12] {
-            let took = Fleet::new(&[size], 20.0, seed).play();
+            let waits = Fleet::new(&[size], 20.0, seed).run();
             assert!(
-                took.iter().all(|took| *took < NOTIFICATION_DEADLINE - 0.4),
-                "{size}, seed {seed}: {took:?}"
+                waits.iter().all(|wait| *wait < NOTIFICATION_DEADLINE - 0.4),
+                "{size}, seed {seed}: {waits:?}"
             );
         }
     }
