--- /dev/null
+++ b/tests/decision/fleet_slow_start/faults.rs
@@ -0,0 +1,158 @@
+//! The faults that a simulation can have: they schedule what happens to upstreams and what
+//! balancers learn of it.
+
+use super::simulation::{Happening, Simulation};
+use crate::harness::entry;
+use load_balancer::{Maintenance, UpstreamEntry, UpstreamState};
+use rand::Rng;
+
+/// When upstreams start, in seconds. The load rises by half for some seconds then.
+pub const START: f64 = 4.0;
+/// For how long an upstream is down before it starts again, in seconds.
+const DOWNTIME: f64 = 0.5;
+
+/// What happens to some of the upstreams.
+#[derive(Clone, Copy, Debug)]
+pub enum Fault {
+    /// So many restart at once.
+    Restart(usize),
+    /// So many are replaced one after the other within seven seconds.
+    RollingReplacement(usize),
+    /// So many are replaced at once.
+    Replacement(usize),
+    /// So many restart behind a network that lets nothing through for two seconds.
+    NetworkOutage(usize),
+    /// So many restart while they are in maintenance, and return together.
+    Maintenance(usize),
+    /// So many restart while seven in ten balancers are new and have learned nothing.
+    NewBalancers(usize),
+}
+
+fn started(id: u64, started_at: f64) -> UpstreamEntry {
+    UpstreamEntry {
+        started_at,
+        ..entry(id)
+    }
+}
+
+fn draining(id: u64) -> UpstreamEntry {
+    UpstreamEntry {
+        state: UpstreamState::Draining,
+        ..entry(id)
+    }
+}
+
+impl Simulation {
+    /// Schedules the fault of this world.
+    pub fn schedule_fault(&mut self) {
+        match self.world.fault {
+            Fault::Restart(count) => self.schedule_restart(count),
+            Fault::RollingReplacement(count) => self.schedule_rolling_replacement(count as u64),
+            Fault::Replacement(count) => self.schedule_replacement(count as u64),
+            Fault::NetworkOutage(count) => self.schedule_network_outage(count),
+            Fault::Maintenance(count) => self.schedule_maintenance(count as u64),
+            Fault::NewBalancers(count) => self.schedule_new_balancers(count),
+        }
+    }
+
+    /// Returns the new entries.
+    fn restart_upstreams(&mut self, count: usize) -> Vec<UpstreamEntry> {
+        for upstream in 1..=count as u64 {
+            let restart = Happening::Start {
+                upstream,
+                downtime: DOWNTIME,
+            };
+            self.schedule(START - DOWNTIME, restart);
+        }
+        (1..=count as u64).map(|id| started(id, START)).collect()
+    }
+
+    fn schedule_restart(&mut self, count: usize) {
+        let entries = self.restart_upstreams(count);
+        self.notify_all(START, &entries);
+    }
+
+    fn schedule_rolling_replacement(&mut self, count: u64) {
+        let upstreams = self.world.upstreams as u64;
+        for n in 0..count {
+            let moment = START + 7.0 * n as f64 / count as f64;
+            let upstream = upstreams + 1 + n;
+            let start = Happening::Start {
+                upstream,
+                downtime: 0.0,
+            };
+            self.schedule(moment, start);
+            self.notify_all(moment, &[draining(1 + n), started(upstream, moment)]);
+        }
+    }
+
+    fn schedule_replacement(&mut self, count: u64) {
+        let upstreams = self.world.upstreams as u64;
+        for n in 1..=count {
+            let start = Happening::Start {
+                upstream: upstreams + n,
+                downtime: 0.0,
+            };
+            self.schedule(START, start);
+        }
+        let new = (1..=count).map(|n| started(upstreams + n, START));
+        let entries: Vec<_> = new.chain((1..=count).map(draining)).collect();
+        self.notify_all(START, &entries);
+    }
+
+    fn schedule_network_outage(&mut self, count: usize) {
+        let entries = self.restart_upstreams(count);
+        for id in 1..=count as u64 {
+            self.server(id).down_until = START + 2.0;
+        }
+        self.notify_all(START, &entries);
+    }
+
+    fn schedule_maintenance(&mut self, count: u64) {
+        for upstream in 1..=count {
+            let restart = Happening::Start {
+                upstream,
+                downtime: 1.0,
+            };
+            self.schedule(START - 1.0, restart);
+            for balancer in 0..self.world.balancers {
+                let delay = self.rng.random_range(0.0..0.2);
+                for (moment, change) in [
+                    (START - 3.0 + delay, Maintenance::Begin),
+                    (START + delay, Maintenance::End),
+                ] {
+                    let order = Happening::Maintenance {
+                        balancer,
+                        upstream,
+                        change,
+                    };
+                    self.schedule(moment, order);
+                }
+            }
+        }
+    }
+
+    fn schedule_new_balancers(&mut self, count: usize) {
+        let entries = self.restart_upstreams(count);
+        for balancer in 0..self.world.balancers {
+            if self.rng.random_bool(0.7) {
+                self.schedule(START + 0.2, Happening::BalancerRestart { balancer });
+            }
+        }
+        self.notify_all(START, &entries);
+    }
+
+    /// Notifies all balancers within half a second, some up to three seconds late.
+    fn notify_all(&mut self, moment: f64, entries: &[UpstreamEntry]) {
+        for balancer in 0..self.world.balancers {
+            let is_late = self.rng.random_bool(0.15);
+            let max_delay = if is_late { 3.0 } else { 0.5 };
+            let delay = self.rng.random_range(0.0..max_delay);
+            let entries = entries.to_vec();
+            self.schedule(
+                moment + delay,
+                Happening::Notification { balancer, entries },
+            );
+        }
+    }
+}
--- /dev/null
+++ b/tests/decision/fleet_slow_start/mod.rs
@@ -0,0 +1,115 @@
+//! Slow start of the fleet: what all balancers together send to upstreams that have just started.
+//!
+//! The budget of a window of `WINDOW` seconds is the overload multiple x the least share of
+//! capacity that slow start promises by then x what a warm upstream can take, N. More than N + 2
+//! sqrt(N) + 2 arrivals within a window during slow start, rejected or not, are an overload. It
+//! counts where over two thirds of them came from balancers that had been notified of the start.
+
+mod faults;
+mod simulation;
+
+use faults::Fault;
+use load_balancer::{Rules, Settings};
+use simulation::{Simulation, World};
+
+const SEEDS: u64 = 2;
+const UPSTREAMS: usize = 10;
+
+/// What a simulation shows.
+struct Outcome {
+    /// The worst window's arrivals over its budget.
+    worst_window: f64,
+    /// Share of the requests from the start of the fault on that were served in time.
+    served: f64,
+}
+
+fn simulate(world: World) -> Outcome {
+    let rules = Rules {
+        initial_capacity_share: 0.31,
+        slow_start_window: 9.0,
+        overload_multiple: 3.0,
+        ..Settings::simple().rules
+    };
+    let mut simulation = Simulation::new(world, rules);
+    simulation.run();
+    Outcome {
+        worst_window: simulation.worst_window(),
+        served: simulation.served_share(),
+    }
+}
+
+/// Simulates all faults, with a load that the fleet can take and with twice as much.
+fn check_all_faults(balancers: usize) {
+    for fault in [
+        Fault::Restart(1),
+        Fault::Restart(3),
+        Fault::RollingReplacement(6),
+        Fault::Replacement(10),
+        Fault::NetworkOutage(3),
+        Fault::Maintenance(3),
+        Fault::NewBalancers(3),
+    ] {
+        for load in [0.7, 1.4] {
+            let (mut worst, mut served): (f64, f64) = (0.0, 0.0);
+            for seed in 1..=SEEDS {
+                let outcome = simulate(World {
+                    balancers,
+                    upstreams: UPSTREAMS,
+                    load,
+                    fault,
+                    seed,
+                });
+                worst = worst.max(outcome.worst_window);
+                served += outcome.served / SEEDS as f64;
+            }
+            let case = format!("{balancers} balancers, {fault:?}, load {load}");
+            println!("{case}: {worst:.2} of the budget, served {served:.2}");
+            assert!(worst <= 1.0, "{case}: {worst:.2} of the budget");
+        }
+    }
+}
+
+#[test]
+fn three_balancers_spare_warming_upstreams() {
+    check_all_faults(3);
+}
+
+#[test]
+fn ten_balancers_spare_warming_upstreams() {
+    check_all_faults(10);
+}
+
+#[test]
+fn thirty_balancers_spare_warming_upstreams() {
+    check_all_faults(30);
+}
+
+#[test]
+fn a_hundred_balancers_spare_warming_upstreams() {
+    check_all_faults(100);
+}
+
+/// An upstream returned from maintenance gets requests from balancers that have it in their
+/// subset, and a first one from each of the others.
+#[test]
+fn return_from_maintenance_brings_no_more_load_than_a_restart() {
+    let sum_of_worst = |fault| {
+        let worst = |seed| {
+            let world = World {
+                balancers: 100,
+                upstreams: UPSTREAMS,
+                load: 1.4,
+                fault,
+                seed,
+            };
+            simulate(world).worst_window
+        };
+        (1..=3).map(worst).sum::<f64>()
+    };
+    let returned = sum_of_worst(Fault::Maintenance(3));
+    let restarted = sum_of_worst(Fault::Restart(3));
+    assert!(
+        returned <= 1.1 * restarted,
+        "{returned:.2} against {restarted:.2} of three budgets"
+    );
+}
