--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -90,10 +90,10 @@
     /// balancer's part of the quota.
     fn over_quota_share(&mut self, tenant: usize, window: f64) -> f64 {
         let settings = self.settings.tenants.get(tenant);
-        let quota = settings.map_or(0.0, |it| it.quota_per_second);
+        let quota = settings.map_or(0.0, |tenant| tenant.quota_per_second);
         let quota = quota / self.settings.peer_count as f64;
         let rate = self.tenant_rates.get_mut(tenant);
-        rate.map_or(0.0, |it| it.add_request(quota, self.now, window))
+        rate.map_or(0.0, |rate| rate.add_request(quota, self.now, window))
     }
 
     /// The priority weight that a request earns per second of its expected latency. Requests
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -24,9 +24,9 @@
         upstream_id: UpstreamId,
         actions: &mut Vec<Action>,
     ) {
-        let request = self.requests.get_mut(&id).expect("is pending");
+        let request = self.requests.get_mut(&id).expect("the request is pending");
         let upstream = self.upstreams.get_mut(&upstream_id);
-        let upstream = upstream.expect("was selected from the listed ones");
+        let upstream = upstream.expect("a selected upstream is listed");
         let expected_latency = self.latency[request.class].expected_at_least_mean(request.work);
         let limits = &self.settings.limits;
         let connection_idle =
@@ -73,8 +73,10 @@
         };
         request.is_uploading = false;
         let attempt = request.attempts.last();
-        let upstream = attempt.and_then(|it| self.upstreams.get_mut(&it.upstream.id));
-        let mut in_flight = upstream.into_iter().flat_map(|it| it.in_flight.iter_mut());
+        let upstream = attempt.and_then(|attempt| self.upstreams.get_mut(&attempt.upstream.id));
+        let mut in_flight = upstream
+            .into_iter()
+            .flat_map(|upstream| upstream.in_flight.iter_mut());
         if let Some(attempt) = in_flight.find(|attempt| attempt.request == id) {
             attempt.upload_completed_at = self.now;
         }
@@ -113,7 +115,10 @@
     fn record_result(&mut self, id: UpstreamId, result: &AttemptResult, actions: &mut Vec<Action>) {
         let request = &self.requests[&result.id];
         let (work, has_short_deadline) = (request.work, request.has_short_deadline);
-        let upstream = self.upstreams.get_mut(&id).expect("had it in flight");
+        let upstream = self
+            .upstreams
+            .get_mut(&id)
+            .expect("an upstream is kept while attempts are in flight");
         let Some(attempt) = upstream.remove_in_flight(result.id) else {
             return;
         };
@@ -149,7 +154,10 @@
         work: f64,
         is_stale_connection: bool,
     ) {
-        let upstream = self.upstreams.get_mut(&id).expect("had it in flight");
+        let upstream = self
+            .upstreams
+            .get_mut(&id)
+            .expect("an upstream is kept while attempts are in flight");
         let machine_kind = upstream.entry.machine_kind;
         let stats = &mut upstream.stats;
         match ended.outcome {
--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -121,7 +121,8 @@
     /// What the balancer keeps track of now.
     #[must_use]
     pub fn load(&self) -> Load {
-        let in_flight = self.upstreams.values().map(|it| it.in_flight.len());
+        let upstreams = self.upstreams.values();
+        let in_flight = upstreams.map(|upstream| upstream.in_flight.len());
         Load {
             open_requests: self.requests.len(),
             attempts_in_flight: in_flight.sum(),
@@ -132,8 +133,8 @@
     /// How many upstreams that the endpoint list has in service get no request of any class now.
     #[must_use]
     pub fn excluded_upstreams(&self) -> usize {
-        let is_listed = |it: &&Upstream| it.entry.state == UpstreamState::Active;
+        let is_listed = |upstream: &&Upstream| upstream.entry.state == UpstreamState::Active;
         let listed = self.upstreams.values().filter(is_listed);
-        listed.filter(|it| self.is_excluded(it)).count()
+        listed.filter(|upstream| self.is_excluded(upstream)).count()
     }
 }
--- a/src/decision/maintenance.rs
+++ b/src/decision/maintenance.rs
@@ -28,20 +28,21 @@
 
     /// Upstreams that were put back and have had no request since.
     pub(super) fn awaiting_request(&self) -> impl Iterator<Item = &UpstreamId> {
-        let awaiting = self.returned.iter().filter(|(_, it)| it.awaits_request);
+        let returned = self.returned.iter();
+        let awaiting = returned.filter(|(_, returned)| returned.awaits_request);
         awaiting.map(|(id, _)| id)
     }
 
     /// This upstream was put back and has had no request since.
     pub(super) fn awaits_request(&self, upstream: UpstreamId) -> bool {
         let returned = self.returned.get(&upstream);
-        returned.is_some_and(|it| it.awaits_request)
+        returned.is_some_and(|returned| returned.awaits_request)
     }
 
     /// This upstream was put back less than `window` seconds ago.
     pub(super) fn returned_within(&self, upstream: UpstreamId, window: f64, now: f64) -> bool {
         let returned = self.returned.get(&upstream);
-        returned.is_some_and(|it| now - it.at < window)
+        returned.is_some_and(|returned| now - returned.at < window)
     }
 
     /// A request has gone to this upstream.
@@ -82,7 +83,7 @@
             Maintenance::Begin => {
                 self.maintenance.begin(id, self.now);
                 let upstream = self.upstreams.get_mut(&id);
-                let Some(upstream) = upstream.filter(|it| !it.in_maintenance) else {
+                let Some(upstream) = upstream.filter(|upstream| !upstream.in_maintenance) else {
                     return;
                 };
                 upstream.in_maintenance = true;
@@ -92,7 +93,7 @@
                     return;
                 };
                 let upstream = self.upstreams.get_mut(&id);
-                let Some(upstream) = upstream.filter(|it| it.in_maintenance) else {
+                let Some(upstream) = upstream.filter(|upstream| upstream.in_maintenance) else {
                     return;
                 };
                 upstream.in_maintenance = false;
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -279,7 +279,10 @@
             expected_latency: ended.expected_latency.min(MAX_EXCESS_WORK * mean_latency),
             now: self.now,
         };
-        let upstream = self.upstreams.get_mut(&id).expect("had it in flight");
+        let upstream = self
+            .upstreams
+            .get_mut(&id)
+            .expect("an upstream is kept while attempts are in flight");
         let stats = &mut upstream.stats.outliers;
         let of_all = stats[0].add(&evidence, Scope::AllRequests, peers.all_requests);
         let scope = Scope::Class {
@@ -297,7 +300,10 @@
     /// peers have them too.
     fn add_to_loss_rate(&mut self, id: UpstreamId, ended: &EndedAttempt) -> bool {
         let is_lost_silently = ended.is_lost_silently();
-        let upstream = self.upstreams.get_mut(&id).expect("had it in flight");
+        let upstream = self
+            .upstreams
+            .get_mut(&id)
+            .expect("an upstream is kept while attempts are in flight");
         let rate = &mut upstream.stats.silent_loss_rate;
         *rate += SMOOTHING * SMOOTHING * (f64::from(u8::from(is_lost_silently)) - *rate);
         is_lost_silently && self.has_common_losses(&self.upstreams[&id])
@@ -347,7 +353,10 @@
 /// A trial request after an ejection may be lost. Where the class of a result can be repeated, it
 /// does the trials for those that can't: they come after it, and wait longer if it fails.
 fn schedule_trials(stats: &mut [OutlierStats], classes: &[Class], of_class: &Verdict, now: f64) {
-    let duration = of_class.ejection.as_ref().map_or(0.0, |it| it.duration);
+    let duration = of_class
+        .ejection
+        .as_ref()
+        .map_or(0.0, |ejection| ejection.duration);
     if duration <= 0.0 && !of_class.has_recovered {
         return;
     }
--- a/src/decision/queue.rs
+++ b/src/decision/queue.rs
@@ -42,8 +42,11 @@
             return self.give_up(id, actions);
         };
         let upstream = self.upstreams.get_mut(&upstream_id);
-        upstream.expect("is in the rotation").queue.push_back(id);
-        let request = self.requests.get_mut(&id).expect("is pending");
+        upstream
+            .expect("the rotation has listed upstreams only")
+            .queue
+            .push_back(id);
+        let request = self.requests.get_mut(&id).expect("the request is pending");
         request.queued_at = Some(upstream_id);
         actions.push(request_timer(id, request.queue_deadline - self.now));
         self.dispatch_queued(upstream_id, actions);
@@ -52,14 +55,14 @@
     /// Lets the request wait until an upstream is listed.
     fn await_upstream(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.unassigned.push_back(id);
-        let request = self.requests.get_mut(&id).expect("is pending");
+        let request = self.requests.get_mut(&id).expect("the request is pending");
         request.queue_deadline = request.deadline;
         actions.push(request_timer(id, request.deadline - self.now));
     }
 
     /// Removes the request from the queue that it waits in, if any.
     pub(super) fn dequeue(&mut self, id: RequestId) {
-        let request = self.requests.get_mut(&id).expect("is pending");
+        let request = self.requests.get_mut(&id).expect("the request is pending");
         let Some(upstream) = request.queued_at.take() else {
             return;
         };
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -76,7 +76,10 @@
             } else {
                 1.0
             };
-            let upstream = self.upstreams.get_mut(id).expect("is in the rotation");
+            let upstream = self
+                .upstreams
+                .get_mut(id)
+                .expect("the rotation has listed upstreams only");
             let share = upstream.slow_start_share(rules, self.now);
             upstream
                 .stats
--- a/tests/decision/fleet_slow_start/simulation.rs
+++ b/tests/decision/fleet_slow_start/simulation.rs
@@ -200,7 +200,10 @@
         let count = self.world.balancers;
         let weights: Vec<f64> = (0..count).map(|n| (1.0 + n as f64).powf(-0.8)).collect();
         let mean = weights.iter().sum::<f64>() / count as f64;
-        let weights: Vec<f64> = weights.iter().map(|it| it.min(5.0 * mean)).collect();
+        let weights: Vec<f64> = weights
+            .iter()
+            .map(|weight| weight.min(5.0 * mean))
+            .collect();
         let capacity = self.world.load * self.world.upstreams as f64 * CAPACITY;
         let rate_per_weight = capacity / weights.iter().sum::<f64>();
         let shift = self.rng.random_range(0..count);
@@ -517,7 +520,10 @@
             let budget = allowed + 2.0 * allowed.sqrt() + 2.0;
             let (mut count, mut notified) = (0.0, 0.0);
             let end = begin.moment + WINDOW;
-            for arrival in arrivals[first..].iter().take_while(|it| it.moment < end) {
+            for arrival in arrivals[first..]
+                .iter()
+                .take_while(|arrival| arrival.moment < end)
+            {
                 count += 1.0;
                 notified += f64::from(u8::from(arrival.was_notified));
                 if notified > count * 2.0 / 3.0 {
