--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,6 +1,8 @@
-//! The settings of one balancer: request classes, tenants, its place in the fleet, limits and rules.
+//! The settings of one balancer: request classes, tenants, its place in the fleet, limits and
+//! rules.
 //!
-//! Durations are seconds as `f64`. [`Settings::validate`] checks every figure that the decisions rely on.
+//! Durations are seconds as `f64`. [`Settings::validate`] checks every figure that the decisions
+//! rely on.
 
 use thiserror::Error;
 
@@ -106,7 +108,8 @@
     pub connect_timeout: f64,
     /// Most requests that may be open at a time.
     pub max_open_requests: usize,
-    /// Longest Retry-After that a rejection may tell its client, in seconds; `None`: it may tell none.
+    /// Longest Retry-After that a rejection may carry, in seconds; `None`: it may carry
+    /// none.
     pub max_retry_after: Option<f64>,
 }
 
@@ -115,8 +118,8 @@
 pub struct Rules {
     /// Without a watch, the endpoint list has to be polled again within this time, in seconds.
     pub poll_interval: f64,
-    /// A change counts as notified this long after discovery had it, in seconds, whether or not it
-    /// arrived.
+    /// A change counts as notified this long after discovery had it, in seconds, whether or not
+    /// it arrived.
     pub notification_deadline: f64,
     /// Share of its capacity that an upstream has when it starts.
     pub initial_capacity_share: f64,
@@ -147,7 +150,7 @@
     pub cross_zone: f64,
 }
 
-/// Everything that a balancer is told at its start.
+/// The configuration of one balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The request classes.
@@ -183,8 +186,8 @@
 }
 
 impl Settings {
-    /// Settings with one idempotent class, pushed endpoint lists and moderate figures: a start for
-    /// tests and examples.
+    /// Settings with one idempotent class, pushed endpoint lists and moderate figures: a start
+    /// for tests and examples.
     #[must_use]
     pub fn simple() -> Self {
         Settings {
--- /dev/null
+++ b/tests/decision/endpoint_list.rs
@@ -0,0 +1,169 @@
+//! The endpoint list: upstreams that drain, are removed, or may have done so unnoticed.
+
+use crate::harness::{attempt_ended, entry, is_rejected, request, started_attempts, Harness};
+use load_balancer::{
+    AttemptOutcome, DiscoveryMode, Idempotency, ListScope, Settings, UpstreamEntry, UpstreamState,
+};
+
+#[test]
+fn draining_and_removed_upstreams_get_no_requests() {
+    for state in [UpstreamState::Draining, UpstreamState::Removed] {
+        let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 2);
+        let queued = harness.fill_slots(1, 0);
+        // Requests queued at the draining upstream are reassigned to the other.
+        harness.update_endpoints(ListScope::Delta, vec![UpstreamEntry { state, ..entry(1) }]);
+        for id in 1..queued {
+            assert!(started_attempts(&harness.handle(attempt_ended(
+                id,
+                0,
+                AttemptOutcome::Success
+            )))
+            .iter()
+            .all(|(_, upstream)| *upstream == 2));
+        }
+        for id in 1000..1020 {
+            assert!(started_attempts(&harness.handle(request(id, 0, 2.0)))
+                .iter()
+                .all(|(_, upstream)| *upstream == 2));
+        }
+    }
+    let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
+    harness.update_endpoints(ListScope::Full, vec![entry(2)]);
+    assert_eq!(
+        started_attempts(&harness.handle(request(1, 0, 2.0))),
+        [(1, 2)]
+    );
+}
+
+#[test]
+fn requests_queued_at_a_draining_upstream_are_reassigned() {
+    let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
+    let queued = harness.fill_slots(1, 0);
+    harness.update_endpoints(
+        ListScope::Delta,
+        vec![UpstreamEntry {
+            state: UpstreamState::Draining,
+            ..entry(1)
+        }],
+    );
+    assert_eq!(
+        started_attempts(&harness.update_endpoints(ListScope::Delta, vec![entry(2)])),
+        [(queued, 2)]
+    );
+}
+
+#[test]
+fn request_waits_for_the_first_endpoint_list() {
+    let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 0);
+    assert!(started_attempts(&harness.handle(request(1, 0, 2.0))).is_empty());
+    assert_eq!(
+        started_attempts(&harness.update_endpoints(ListScope::Delta, vec![entry(1)])),
+        [(1, 1)]
+    );
+    let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 0);
+    harness.handle(request(1, 0, 2.0));
+    assert!(is_rejected(&harness.fire_timer_after(2.01, 1), 1));
+}
+
+#[test]
+fn endpoint_churn_leaks_nothing() {
+    let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 4);
+    for round in 0..2000_u64 {
+        harness.now += 0.5;
+        harness.handle(request(round, 0, 2.0));
+        let state = if round % 2 == 0 {
+            UpstreamState::Active
+        } else {
+            UpstreamState::Removed
+        };
+        harness.update_endpoints(
+            ListScope::Delta,
+            vec![UpstreamEntry {
+                state,
+                ..entry(5 + round / 2)
+            }],
+        );
+        harness.handle(attempt_ended(round, 0, AttemptOutcome::Success));
+    }
+    harness.update_endpoints(ListScope::Delta, Vec::new());
+    assert_eq!(harness.open_and_in_flight(), (0, 0));
+    assert!(harness.balancer.load().upstreams <= 4);
+}
+
+/// A balancer whose list is stale or current, with `upstreams` of which the first `rejecting`
+/// reject all requests. Returns how many requests each got.
+fn send_with_rejections(
+    stale: bool,
+    upstreams: u64,
+    rejecting: u64,
+    requests: u64,
+) -> (Harness, Vec<usize>) {
+    let mut settings = Settings {
+        discovery_mode: DiscoveryMode::Poll,
+        ..Settings::simple()
+    };
+    settings.classes[0].deadline = 60.0;
+    let mut harness = Harness::new(settings, upstreams);
+    if stale {
+        harness.update_endpoints(ListScope::Failed, vec![]);
+    }
+    let mut counts = vec![0; upstreams as usize + 1];
+    send_requests(&mut harness, 1, rejecting, requests, &mut counts);
+    (harness, counts)
+}
+
+fn send_requests(
+    harness: &mut Harness,
+    first: u64,
+    rejecting: u64,
+    requests: u64,
+    counts: &mut [usize],
+) {
+    for id in first..first + requests {
+        harness.now += 0.5;
+        let mut actions = harness.handle(request(id, 0, 60.0));
+        let mut attempt = 0;
+        while let Some((_, upstream)) = started_attempts(&actions)
+            .into_iter()
+            .find(|(request, _)| *request == id)
+        {
+            counts[upstream as usize] += 1;
+            let outcome = if upstream <= rejecting {
+                AttemptOutcome::Rejected
+            } else {
+                AttemptOutcome::Success
+            };
+            actions = harness.handle(attempt_ended(id, attempt, outcome));
+            attempt += 1;
+        }
+    }
+}
+
+/// While the list is stale, upstreams may drain unnoticed.
+#[test]
+fn upstreams_that_reject_everything_are_left_out_while_the_list_is_stale() {
+    let (mut harness, mut counts) = send_with_rejections(true, 6, 2, 300);
+    assert!(counts[1] <= 3 && counts[2] <= 3, "{counts:?}");
+    assert_eq!(
+        harness.balancer.excluded_upstreams(),
+        2,
+        "shown to operators"
+    );
+    // The list is current again, and they are in it.
+    harness.update_endpoints(ListScope::Delta, vec![]);
+    let before = counts.clone();
+    send_requests(&mut harness, 1000, 0, 300, &mut counts);
+    assert!(counts[1] > before[1] && counts[2] > before[2], "{counts:?}");
+}
+
+/// A current list takes precedence, and if most upstreams reject they are overloaded.
+#[test]
+fn rejecting_upstreams_stay_in_use_while_the_list_is_current_or_most_reject() {
+    let (_, counts) = send_with_rejections(false, 6, 2, 300);
+    assert!(counts[1] > 3 && counts[2] > 3, "{counts:?}");
+    let (_, counts) = send_with_rejections(true, 6, 6, 300);
+    assert!(
+        counts[1..].iter().filter(|counts| **counts > 3).count() >= 3,
+        "{counts:?}"
+    );
+}
--- /dev/null
+++ b/tests/decision/maintenance.rs
@@ -0,0 +1,161 @@
+//! Maintenance: upstreams that operators take out of service and put back.
+
+use crate::harness::{attempt_ended, entry, request, started_attempts, Harness};
+use load_balancer::{
+    AttemptOutcome, Event, Idempotency, ListScope, Maintenance, Settings, UpstreamEntry,
+    UpstreamId, UpstreamState,
+};
+
+/// Orders of operators take precedence over discovery.
+#[test]
+fn upstream_in_maintenance_gets_no_requests_whatever_is_listed() {
+    let maintain = |upstream, is_out| Event::Maintenance {
+        upstream: UpstreamId(upstream),
+        change: if is_out {
+            Maintenance::Begin
+        } else {
+            Maintenance::End
+        },
+    };
+    let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
+    harness.fill_slots(1, 0);
+    let open = harness.balancer.load().open_requests as u64;
+    // Queued requests are reassigned; attempts in flight go on.
+    assert!(started_attempts(&harness.handle(maintain(1, true))).is_empty());
+    harness.handle(maintain(1, true));
+    let relisted = UpstreamEntry {
+        started_at: 90.0,
+        ..entry(1)
+    };
+    harness.update_endpoints(ListScope::Full, vec![relisted.clone(), entry(2)]);
+    harness.update_endpoints(
+        ListScope::Delta,
+        vec![UpstreamEntry {
+            state: UpstreamState::Removed,
+            ..relisted
+        }],
+    );
+    harness.update_endpoints(ListScope::Delta, vec![entry(1)]);
+    for id in 1..=open {
+        let started =
+            started_attempts(&harness.handle(attempt_ended(id, 0, AttemptOutcome::Success)));
+        assert!(
+            started.iter().all(|(_, upstream)| *upstream == 2),
+            "{started:?}"
+        );
+    }
+    let started_later: Vec<_> = (50..60)
+        .flat_map(|id| started_attempts(&harness.handle(request(id, 0, 2.0))))
+        .collect();
+    assert!(
+        !started_later.is_empty() && started_later.iter().all(|(_, upstream)| *upstream == 2),
+        "{started_later:?}"
+    );
+    assert_eq!(harness.balancer.excluded_upstreams(), 1);
+    harness.handle(maintain(1, false));
+    assert_eq!(harness.balancer.excluded_upstreams(), 0);
+    // Unknown upstreams are accepted.
+    harness.handle(maintain(77, false));
+}
+
+/// It may have been restarted while it was out of service.
+#[test]
+fn upstream_returned_from_maintenance_is_in_slow_start() {
+    let requests_after = |restarted_at: Option<f64>, listed_before: bool| {
+        let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 3);
+        harness.handle(Event::Maintenance {
+            upstream: UpstreamId(1),
+            change: Maintenance::Begin,
+        });
+        let restarted_entry = UpstreamEntry {
+            started_at: restarted_at.unwrap_or(0.0),
+            ..entry(1)
+        };
+        harness.now += 5.0;
+        let list = |harness: &mut Harness| {
+            harness.update_endpoints(ListScope::Delta, vec![restarted_entry.clone()])
+        };
+        listed_before.then(|| list(&mut harness));
+        harness.handle(Event::Maintenance {
+            upstream: UpstreamId(1),
+            change: Maintenance::End,
+        });
+        (!listed_before).then(|| list(&mut harness));
+        let upstreams = (1..=300).map(|id| {
+            let upstream = harness.send(request(id, 0, 2.0));
+            harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
+            upstream
+        });
+        upstreams.filter(|upstream| *upstream == 1).count()
+    };
+    for (restarted_at, listed_before) in [
+        (None, true),
+        (None, false),
+        (Some(104.0), true),
+        (Some(104.0), false),
+    ] {
+        let count = requests_after(restarted_at, listed_before);
+        assert!(
+            (15..=50).contains(&count),
+            "{count} of 300 for {restarted_at:?}, {listed_before}"
+        );
+    }
+}
+
+/// Operators who put an upstream back expect to see it in use.
+#[test]
+fn upstream_returned_from_maintenance_is_used_once_outside_the_subset() {
+    let mut harness = Harness::new(
+        Settings {
+            peer_count: 40,
+            ..Settings::simple()
+        },
+        12,
+    );
+    let send = |harness: &mut Harness, id: u64| {
+        let upstream = harness.send(request(id, 0, 2.0));
+        harness.now += 0.05;
+        harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
+        upstream
+    };
+    let maintain = |upstream, is_out| Event::Maintenance {
+        upstream: UpstreamId(upstream),
+        change: if is_out {
+            Maintenance::Begin
+        } else {
+            Maintenance::End
+        },
+    };
+    let used: Vec<_> = (1..60).map(|id| send(&mut harness, id)).collect();
+    let idle: Vec<_> = (1..=12).filter(|id| !used.contains(id)).collect();
+    assert!(idle.len() > 5, "the subset is small");
+    harness.handle(maintain(idle[0], true));
+    // It is restarted, and removed from the list meanwhile.
+    harness.update_endpoints(
+        ListScope::Delta,
+        vec![UpstreamEntry {
+            state: UpstreamState::Removed,
+            ..entry(idle[0])
+        }],
+    );
+    harness.update_endpoints(
+        ListScope::Delta,
+        vec![UpstreamEntry {
+            started_at: harness.now,
+            ..entry(idle[0])
+        }],
+    );
+    // The second event has no effect.
+    harness.handle(maintain(idle[0], false));
+    harness.handle(maintain(idle[0], false));
+    let after_return: Vec<_> = (100..200).map(|id| send(&mut harness, id)).collect();
+    assert_eq!(
+        after_return.iter().filter(|id| **id == idle[0]).count(),
+        1,
+        "{after_return:?}"
+    );
+    assert!(
+        !after_return.iter().any(|id| idle[1..].contains(id)),
+        "{after_return:?}"
+    );
+}
--- /dev/null
+++ b/tests/decision/outliers.rs
@@ -0,0 +1,192 @@
+//! Outlier detection of silent upstreams, and panic mode.
+
+use crate::harness::{attempt_ended, attempt_lost, request, started_attempts, Harness};
+use load_balancer::{Action, AttemptOutcome, Event, Idempotency, Request, RequestId};
+
+#[test]
+fn silent_upstream_gets_no_requests_until_it_responds() {
+    let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
+    let silent = harness.send(request(1, 0, 20.0));
+    harness.now += 5.0;
+    for id in 2..20 {
+        assert_ne!(harness.send(request(id, 0, 2.0)), silent);
+        harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
+    }
+    // A response ends the silence.
+    harness.handle(attempt_ended(1, 0, AttemptOutcome::Success));
+    let is_used_again = (20..28).any(|id| {
+        let upstream = harness.send(request(id, 0, 2.0));
+        harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
+        upstream == silent
+    });
+    assert!(is_used_again);
+}
+
+#[test]
+fn ejected_upstream_gets_one_trial_request_at_a_time() {
+    let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
+    let failing = harness.send(request(1, 0, 2.0));
+    harness.handle(attempt_ended(1, 0, AttemptOutcome::ConnectFailed));
+    for id in 100..105 {
+        let upstream = harness.send(request(id, 0, 2.0));
+        harness.handle(attempt_ended(
+            id,
+            0,
+            if upstream == failing {
+                AttemptOutcome::ConnectFailed
+            } else {
+                AttemptOutcome::Success
+            },
+        ));
+    }
+    harness.now += 60.0;
+    let upstreams: Vec<u64> = (2..8)
+        .flat_map(|id| started_attempts(&harness.handle(request(id, 0, 2.0))))
+        .map(|(_, upstream)| upstream)
+        .collect();
+    assert_eq!(
+        upstreams
+            .iter()
+            .filter(|upstream| **upstream == failing)
+            .count(),
+        1,
+        "one trial: {upstreams:?}"
+    );
+}
+
+#[test]
+fn panic_mode_uses_all_upstreams_when_most_are_silent() {
+    let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
+    for id in 1..=4 {
+        harness.handle(request(id, 0, 20.0));
+    }
+    harness.now += 5.0;
+    assert_eq!(
+        started_attempts(&harness.handle(request(9, 0, 2.0))).len(),
+        1,
+        "all are silent, so all are used"
+    );
+}
+
+#[test]
+fn ejection_is_logged_once() {
+    let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
+    let mut lines = 0;
+    for id in 1..=20 {
+        harness.handle(request(id, 0, 2.0));
+        let actions = harness.handle(attempt_ended(id, 0, AttemptOutcome::ConnectFailed));
+        lines += actions
+            .iter()
+            .filter(|a| matches!(a, Action::Log { .. }))
+            .count();
+        harness.now += 60.0;
+    }
+    assert_eq!(
+        lines, 1,
+        "one line for the first ejection, none for failed trials"
+    );
+}
+
+/// An upstream may lose a part of a class and respond to the rest.
+#[test]
+fn overdue_attempt_excludes_its_class_though_others_get_responses() {
+    let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
+    let upstream_of_lost = harness.send(request(1, 0, 20.0));
+    let mut count = 0;
+    for id in 2..60 {
+        let upstream = harness.send(request(id, 0, 2.0));
+        harness.now += 0.1;
+        harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
+        count += u32::from(upstream == upstream_of_lost && harness.now > 103.0);
+    }
+    assert_eq!(count, 0);
+    // The ejection lasts as long as the silence did.
+    harness.handle(attempt_lost(1, AttemptOutcome::TimedOut, 6.0));
+    harness.now += 5.0;
+    let upstreams: Vec<_> = (60..64)
+        .map(|id| harness.send(request(id, 0, 2.0)))
+        .collect();
+    assert!(!upstreams.contains(&upstream_of_lost), "{upstreams:?}");
+}
+
+/// Where all upstreams lose single requests, ejections would hit one after the other.
+#[test]
+fn silent_losses_at_all_upstreams_eject_none() {
+    let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
+    let mut id = 0;
+    let mut lose_one = |harness: &mut Harness| {
+        let lost = id;
+        let upstream_of_lost = harness.send(request(lost, 0, 2.0));
+        let mut count = 0;
+        for number in 1..=24 {
+            id += 1;
+            let upstream = harness.send(request(id, 0, 2.0));
+            harness.now += 0.08;
+            harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
+            // It is overdue from the second half on.
+            count += u32::from(number > 12 && upstream == upstream_of_lost);
+        }
+        harness.handle(attempt_lost(lost, AttemptOutcome::TimedOut, 1.92));
+        id += 1;
+        count
+    };
+    assert_eq!(
+        lose_one(&mut harness),
+        0,
+        "a loss at one upstream alone excludes it"
+    );
+    for _ in 0..8 {
+        lose_one(&mut harness);
+    }
+    let late: u32 = (0..4).map(|_| lose_one(&mut harness)).sum();
+    assert!(late >= 8, "{late} of 48, where an even share is 12");
+}
+
+/// The upstream is to blame for neither.
+#[test]
+fn short_client_deadline_or_single_broken_connection_ejects_none() {
+    for outcome in [
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::Cancelled,
+        AttemptOutcome::Reset,
+        AttemptOutcome::ConnectFailed,
+    ] {
+        let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
+        let upstream_of_lost = harness.send(request(1, 0, 0.5));
+        harness.now += 0.1;
+        harness.handle(attempt_lost(1, outcome, 0.1));
+        let upstreams: Vec<_> = (2..6).map(|id| harness.send(request(id, 0, 2.0))).collect();
+        assert!(
+            upstreams.contains(&upstream_of_lost),
+            "{outcome:?} {upstreams:?}"
+        );
+    }
+}
+
+/// The upstream is not to blame for a slow upload.
+#[test]
+fn streamed_request_is_overdue_only_after_its_upload() {
+    let requests_there = |is_uploaded: bool| {
+        let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 3);
+        let streamed = Request {
+            id: RequestId(1),
+            class: 0,
+            tenant: 0,
+            remaining: 60.0,
+            cost_hint: None,
+            streamed: true,
+        };
+        let uploading_to = harness.send(Event::Request(streamed));
+        harness.now += 1.0;
+        if is_uploaded {
+            harness.handle(Event::UploadCompleted(RequestId(1)));
+        }
+        harness.now += 10.0;
+        (2..12)
+            .flat_map(|id| started_attempts(&harness.handle(request(id, 0, 2.0))))
+            .filter(|(_, upstream)| *upstream == uploading_to)
+            .count()
+    };
+    assert!(requests_there(false) > 0, "its client is still uploading");
+    assert_eq!(requests_there(true), 0, "it is overdue");
+}
--- /dev/null
+++ b/tests/decision/slow_start.rs
@@ -0,0 +1,231 @@
+//! Slow start of one balancer's upstreams.
+
+use crate::harness::{attempt_ended, class, entry, request, started_attempts, Harness};
+use load_balancer::{
+    AttemptOutcome, Balancer, Event, Idempotency, ListScope, Settings, UpstreamEntry,
+};
+
+/// How many of 200 requests go to the last of ten upstreams.
+fn requests_to_the_last(harness: &mut Harness) -> u32 {
+    let mut count = 0;
+    for id in 1..=200 {
+        count += u32::from(harness.send(request(id, 0, 2.0)) == 10);
+        harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
+    }
+    count
+}
+
+#[test]
+fn warming_upstream_gets_its_share_of_capacity() {
+    // One of ten started `age` seconds ago, at a fifth of its capacity.
+    let count = |age: f64| {
+        let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 9);
+        harness.update_endpoints(
+            ListScope::Delta,
+            vec![UpstreamEntry {
+                started_at: harness.now,
+                ..entry(10)
+            }],
+        );
+        harness.now += age;
+        requests_to_the_last(&mut harness)
+    };
+    assert!((2..=5).contains(&count(0.0)), "{} at the start", count(0.0));
+    assert!((9..=13).contains(&count(5.0)), "{} half-way", count(5.0));
+    assert_eq!(count(10.0), 20);
+}
+
+/// Lists an upstream that started then.
+fn list_start(harness: &mut Harness, id: u64, started_at: f64) {
+    let started = UpstreamEntry {
+        started_at,
+        ..entry(id)
+    };
+    harness.update_endpoints(ListScope::Delta, vec![started]);
+}
+
+#[test]
+fn upstream_age_does_not_depend_on_wall_clocks() {
+    for ahead in [-3600.0, -5.0, 0.0, 5.0, 3600.0] {
+        let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 9);
+        harness.now += 10_000.0;
+        let started_at = harness.now - ahead;
+        list_start(&mut harness, 10, started_at);
+        let count = requests_to_the_last(&mut harness);
+        assert!(
+            (2..=5).contains(&count),
+            "{count} at the start, {ahead} s ahead"
+        );
+        harness.now += 10.0;
+        let count = requests_to_the_last(&mut harness);
+        assert!(
+            (18..=22).contains(&count),
+            "{count} after slow start, {ahead} s ahead"
+        );
+    }
+}
+
+/// The least delay so far shows by how much a start is listed late.
+#[test]
+fn start_that_is_listed_late_counts_as_older() {
+    // The second start is listed late because of a network fault.
+    for (delay, min, max) in [(0.5, 2, 5), (5.5, 9, 13), (10.5, 18, 22)] {
+        let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 9);
+        let now = harness.now;
+        list_start(&mut harness, 9, now - 0.5);
+        harness.now += 20.0;
+        let now = harness.now;
+        list_start(&mut harness, 10, now - delay);
+        let count = requests_to_the_last(&mut harness);
+        assert!(
+            (min..=max).contains(&count),
+            "{count}, listed {delay} s late"
+        );
+    }
+}
+
+/// Starts listed as the balancer starts lie in the past: ten upstreams that started long before
+/// take every request.
+#[test]
+fn starts_of_the_first_list_lie_in_the_past() {
+    for scope in [ListScope::Cached, ListScope::Full, ListScope::Delta] {
+        let settings = Settings {
+            classes: vec![class(Idempotency::Idempotent)],
+            ..Settings::simple()
+        };
+        let mut harness = Harness {
+            balancer: Balancer::new(settings, 7, 100.0).unwrap(),
+            now: 100.0,
+        };
+        let started_at = harness.now - 20.0;
+        let started = |id| UpstreamEntry {
+            started_at,
+            ..entry(id)
+        };
+        harness.update_endpoints(scope, (1..=10).map(started).collect());
+        for id in 1..=100 {
+            let actions = harness.handle(request(id, 0, 2.0));
+            assert_eq!(started_attempts(&actions).len(), 1, "{scope:?}");
+            harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
+        }
+    }
+}
+
+#[test]
+fn warming_upstream_keeps_to_its_share_while_others_are_down() {
+    let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 3);
+    harness.update_endpoints(
+        ListScope::Delta,
+        vec![UpstreamEntry {
+            started_at: harness.now,
+            ..entry(4)
+        }],
+    );
+    // Three upstreams reject all requests; the warming one still gets no more than its share.
+    let (mut id, mut to_warming) = (1, 0);
+    while id <= 100 {
+        let mut started = started_attempts(&harness.handle(request(id, 0, 2.0)));
+        let mut attempt = 0;
+        while let Some((id, upstream)) = started.first().copied() {
+            to_warming += usize::from(upstream == 4);
+            let outcome = if upstream == 4 {
+                AttemptOutcome::Success
+            } else {
+                AttemptOutcome::Rejected
+            };
+            started = started_attempts(&harness.handle(attempt_ended(id, attempt, outcome)));
+            attempt += 1;
+        }
+        harness.fire_timer_after(0.5, id);
+        harness.now -= 0.5;
+        id += 1;
+    }
+    assert!(to_warming <= 10, "{to_warming} of 100 requests");
+}
+
+#[test]
+fn new_balancers_spare_a_warming_upstream() {
+    let mut first = 0;
+    for seed in 0..100 {
+        let mut balancer = Balancer::new(Settings::simple(), seed, 100.0).unwrap();
+        let mut actions = Vec::new();
+        let entries = vec![
+            entry(1),
+            UpstreamEntry {
+                started_at: 99.9,
+                ..entry(2)
+            },
+        ];
+        balancer.handle(
+            100.0,
+            Event::EndpointList {
+                scope: ListScope::Cached,
+                endpoints: entries,
+            },
+            &mut actions,
+        );
+        for id in 1..=2 {
+            balancer.handle(100.0, request(id, 0, 2.0), &mut actions);
+        }
+        first += started_attempts(&actions)
+            .iter()
+            .filter(|(_, upstream)| *upstream == 2)
+            .count();
+    }
+    assert!(
+        first <= 50,
+        "{first} of 100 new balancers sent to it at once"
+    );
+}
+
+#[test]
+fn balancers_whose_subsets_grow_together_spare_a_warming_upstream() {
+    // The subsets of forty balancers have three of nine upstreams each; a tenth is listed that
+    // stays at a hundredth of its capacity. After many requests each, all have to queue and grow
+    // their subsets.
+    let mut to_warming = 0;
+    for peer_index in 0..40 {
+        let mut settings = Settings {
+            peer_index,
+            peer_count: 40,
+            ..Settings::simple()
+        };
+        (
+            settings.rules.initial_capacity_share,
+            settings.rules.slow_start_window,
+        ) = (0.01, 1e6);
+        let mut harness = Harness::new(settings, 9);
+        harness.update_endpoints(
+            ListScope::Delta,
+            vec![UpstreamEntry {
+                started_at: harness.now,
+                ..entry(10)
+            }],
+        );
+        let mut id = 1;
+        for _ in 0..600 {
+            harness.handle(request(id, 0, 20.0));
+            harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
+            id += 1;
+        }
+        let mut started: Vec<u64> = Vec::new();
+        for _ in 0..60 {
+            let mut actions = harness.handle(request(id, 0, 20.0));
+            actions.extend(harness.handle(request(id + 1, 0, 20.0)));
+            if id % 4 == 1 && !started.is_empty() {
+                actions.extend(harness.handle(attempt_ended(
+                    started.remove(0),
+                    0,
+                    AttemptOutcome::Success,
+                )));
+            }
+            id += 2;
+            started.extend(started_attempts(&actions).iter().map(|s| s.0));
+            to_warming += started_attempts(&actions)
+                .iter()
+                .filter(|s| s.1 == 10)
+                .count();
+        }
+    }
+    assert!(to_warming <= 8, "{to_warming} requests of 40 balancers");
+}
