--- /dev/null
+++ b/src/bin/load-balancer/discovery/message.rs
@@ -0,0 +1,111 @@
+//! Decodes the body of a watch: JSON objects one after the other, with empty lines as keep-alives.
+
+use crate::discovery::endpoint::{Endpoint, EndpointList};
+use serde::Deserialize;
+use thiserror::Error;
+
+/// A longer message is no endpoint list.
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
+
+/// Why the body of a watch can't be decoded.
+#[derive(Debug, Error)]
+pub enum MessageError {
+    /// A message is not JSON, or not an endpoint list.
+    #[error("malformed endpoint list: {0}")]
+    Json(#[from] serde_json::Error),
+    /// A string is not closed on its line, so the end of its message can't be found.
+    #[error("malformed endpoint list: a string continues past the end of its line")]
+    UnterminatedString,
+    /// A message has not ended within `MAX_MESSAGE_BYTES`.
+    #[error("malformed endpoint list: it is longer than {MAX_MESSAGE_BYTES} bytes")]
+    TooLong,
+}
+
+/// An endpoint list on a watch. Unlike in the configuration file, the version and the endpoints have
+/// to be there: an object of another kind would otherwise pass for an empty list.
+#[derive(Deserialize)]
+struct WatchMessage {
+    #[serde(rename = "index")]
+    version: u64,
+    #[serde(default)]
+    snapshot: bool,
+    endpoints: Vec<Endpoint>,
+}
+
+/// Splits the body of a watch into messages. A message may be on one line or indented over several,
+/// and may arrive in any number of chunks.
+#[derive(Default)]
+pub struct MessageDecoder {
+    /// The bytes of the message so far.
+    text: Vec<u8>,
+    /// How many brackets of the message are open.
+    depth: usize,
+    in_string: bool,
+    is_escaped: bool,
+}
+
+impl MessageDecoder {
+    /// Decodes the next bytes and calls `on_list` for each message that they complete. True if they
+    /// complete a message or an empty line: only that shows that the watch is alive.
+    ///
+    /// # Errors
+    ///
+    /// If the body can't be decoded; nothing can be decoded after that.
+    pub fn decode(
+        &mut self,
+        chunk: &[u8],
+        mut on_list: impl FnMut(EndpointList),
+    ) -> Result<bool, MessageError> {
+        let mut is_alive = false;
+        for byte in chunk {
+            if self.depth == 0 && byte.is_ascii_whitespace() {
+                is_alive |= *byte == b'\n';
+                continue;
+            }
+            if self.push(*byte)? {
+                on_list(self.finish()?);
+                is_alive = true;
+            }
+        }
+        if self.text.len() > MAX_MESSAGE_BYTES {
+            return Err(MessageError::TooLong);
+        }
+        Ok(is_alive)
+    }
+
+    /// Appends a byte to the message; true if the message is complete with it.
+    fn push(&mut self, byte: u8) -> Result<bool, MessageError> {
+        self.text.push(byte);
+        if self.in_string {
+            self.in_string = byte != b'"' || self.is_escaped;
+            self.is_escaped = byte == b'\\' && !self.is_escaped;
+            // The rest of a truncated message never comes; without this check the next message would be
+            // read as part of its string.
+            if byte == b'\n' {
+                return Err(MessageError::UnterminatedString);
+            }
+            return Ok(false);
+        }
+        match byte {
+            b'"' => self.in_string = true,
+            b'{' | b'[' => self.depth += 1,
+            b'}' | b']' => self.depth = self.depth.saturating_sub(1),
+            _ => {}
+        }
+        Ok(self.depth == 0)
+    }
+
+    /// Parses the message, which is complete, and makes way for the next one.
+    fn finish(&mut self) -> Result<EndpointList, MessageError> {
+        let message: WatchMessage = serde_json::from_slice(&self.text)?;
+        self.text.clear();
+        Ok(EndpointList {
+            version: message.version,
+            snapshot: message.snapshot,
+            endpoints: message.endpoints,
+        })
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/bin/load-balancer/discovery/message/tests.rs
@@ -0,0 +1,59 @@
+//! Unit tests of the message decoder.
+
+use super::*;
+
+/// The versions of the lists in this text, cut into chunks of this size.
+fn versions(text: &str, chunk_size: usize) -> Result<Vec<u64>, MessageError> {
+    let (mut decoder, mut versions) = (MessageDecoder::default(), Vec::new());
+    for chunk in text.as_bytes().chunks(chunk_size) {
+        decoder.decode(chunk, |list| versions.push(list.version))?;
+    }
+    Ok(versions)
+}
+
+#[test]
+fn messages_may_come_in_chunks_and_over_several_lines_with_empty_lines_between_them() {
+    let text = "\n{\"index\":7,\"snapshot\":true,\"endpoints\":[]}\r\n\n\r\n\
+        {\n  \"index\": 8,\n  \"endpoints\": [\n    ],\n\n  \"news\": \"}]\\\\\\\"{\"\n}\n\
+        {\"index\":9,\"endpoints\":[]}{\"index\":10,\"endpoints\":[]}\n{\"ind";
+    for chunk_size in 1..text.len() {
+        assert_eq!(
+            versions(text, chunk_size).ok().as_deref(),
+            Some(&[7, 8, 9, 10][..]),
+            "{chunk_size}"
+        );
+    }
+}
+
+#[test]
+fn a_message_that_is_no_endpoint_list_is_malformed() {
+    for text in [
+        "nonsense\n",
+        "{}\n",
+        "]\n",
+        "7\n",
+        "\"index\"",
+        "{\"index\":7,\"endp\n{\"index\":8",
+    ] {
+        assert!(
+            versions(text, 3).is_err_and(|error| error.to_string().starts_with("malformed")),
+            "{text}"
+        );
+    }
+}
+
+/// Half a message is no sign of life: its rest may never come.
+#[test]
+fn only_a_complete_message_or_line_shows_that_a_watch_is_alive() {
+    let mut decoder = MessageDecoder::default();
+    let mut is_alive = |text: &str| decoder.decode(text.as_bytes(), |_| ());
+    let cases = [
+        ("\n", true),
+        ("{\"index\":7,", false),
+        ("\n\n", false),
+        ("\"endpoints\":[]}", true),
+    ];
+    for (text, alive) in cases {
+        assert_eq!(is_alive(text).ok(), Some(alive), "{text}");
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer/discovery/silence_timer/tests.rs
@@ -0,0 +1,26 @@
+//! Unit tests of the silence timer.
+
+use super::*;
+use std::cell::Cell;
+use std::pin::pin;
+
+/// A chunk that comes in the very turn in which the timer runs out must not hide the silence after it.
+#[tokio::test(start_paused = true)]
+async fn silence_is_reported_though_a_chunk_came_when_the_timer_ran_out() {
+    let reports = Cell::new(0);
+    let report = || reports.set(reports.get() + 1);
+    let second = Duration::from_secs(1);
+    let mut timer = SilenceTimer::new(2 * second);
+    timer.wait(&mut pin!(sleep(second)), report).await;
+    tokio::time::advance(2 * second).await;
+    timer.wait(&mut std::future::ready(()), report).await;
+    assert_eq!(reports.get(), 0);
+    // Nothing more comes for a while.
+    timer.wait(&mut pin!(sleep(second)), report).await;
+    assert_eq!(reports.get(), 1);
+    timer.wait(&mut pin!(sleep(second)), report).await;
+    assert_eq!(reports.get(), 1, "once is enough");
+    timer.restart(2 * second);
+    timer.wait(&mut pin!(sleep(3 * second)), report).await;
+    assert_eq!(reports.get(), 2);
+}
--- /dev/null
+++ b/src/bin/load-balancer/discovery/watch.rs
@@ -0,0 +1,199 @@
+//! A watch on the endpoint list: one long HTTP response that carries the list and then its changes.
+
+use crate::discovery::endpoint::EndpointList;
+use crate::discovery::message::{MessageDecoder, MessageError};
+use crate::discovery::silence_timer::SilenceTimer;
+use crate::socket::{DescriptorBudget, Purpose, Socket};
+use bytes::Bytes;
+use http_body_util::{BodyExt, Empty};
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper::{Request, StatusCode};
+use load_balancer::DiscoveryMode;
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::error::Error as _;
+use std::future::{poll_fn, Future};
+use std::io;
+use std::net::SocketAddr;
+use std::pin::pin;
+use std::rc::Rc;
+use std::task::Poll;
+use std::time::Duration;
+use thiserror::Error;
+
+/// Where lists are polled, discovery may queue calls: beside one with no response after this time another
+/// one is made. A change has to be known 6 s after discovery has it, whatever became of the call before:
+/// this, a call that is queued for 2 s and refused then, and the backoff after that have to fit in there,
+/// and so have two calls that are never answered.
+const POLL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2600);
+/// Where lists are pushed, a local agent answers at once. The same holds for a discovery address of which
+/// nothing is known yet, in either mode: its list is needed soon.
+const PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Discovery sends a line every 2 s, an empty one if nothing changed. What a broken watch misses has to be
+/// known 6 s after its last line, which has to leave time for the next watch, and for one more.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+
+type EmptyBody = Empty<Bytes>;
+
+/// Identifies a watch; no two watches of a process have the same id.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct WatchId(pub u64);
+
+/// A watch that is to be opened.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct WatchRequest {
+    /// Its id.
+    pub id: WatchId,
+    /// Where discovery is.
+    pub address: SocketAddr,
+    /// The known version of the list; `None` if no version of the discovery at this address is known.
+    pub since: Option<u64>,
+    /// How lists come from this discovery.
+    pub mode: DiscoveryMode,
+}
+
+/// Why a watch failed.
+#[derive(Debug, Error)]
+pub enum WatchError {
+    /// All descriptors that are reserved for discovery are in use.
+    #[error("no file descriptor is free")]
+    NoDescriptor,
+    /// No connection was made.
+    #[error("connect: {0}")]
+    Connect(#[source] io::Error),
+    /// The connection failed, or what came on it is not HTTP.
+    #[error("{}", root_cause(.0))]
+    Http(#[from] hyper::Error),
+    /// The request can't be built.
+    #[error("invalid request: {0}")]
+    InvalidRequest(#[from] hyper::http::Error),
+    /// Discovery refused the request.
+    #[error("response status {0}")]
+    Status(StatusCode),
+    /// Discovery ended the response.
+    #[error("the response ended")]
+    Ended,
+    /// The response carries something else than endpoint lists.
+    #[error(transparent)]
+    Message(#[from] MessageError),
+}
+
+/// The text of the error that caused this one: that of `hyper` itself names only the step that failed.
+fn root_cause(error: &hyper::Error) -> String {
+    match error.source() {
+        Some(cause) => cause.to_string(),
+        None => error.to_string(),
+    }
+}
+
+/// Receives the reports of watches. They come one at a time, in the order in which things happened.
+pub trait WatchObserver {
+    /// An endpoint list, or a change of it, has come.
+    fn list_received(&self, watch: WatchId, list: EndpointList);
+    /// Something complete has come, if only an empty line.
+    fn watch_alive(&self, watch: WatchId);
+    /// Nothing complete has come for too long; the watch goes on.
+    fn watch_silent(&self, watch: WatchId);
+    /// The watch has ended.
+    fn watch_failed(&self, watch: WatchId, error: &WatchError);
+}
+
+impl WatchRequest {
+    fn response_timeout(&self) -> Duration {
+        if self.mode == DiscoveryMode::Poll && self.since.is_some() {
+            POLL_RESPONSE_TIMEOUT
+        } else {
+            PUSH_RESPONSE_TIMEOUT
+        }
+    }
+
+    fn http_request(&self) -> Result<Request<EmptyBody>, hyper::http::Error> {
+        let since = self.since.unwrap_or(0);
+        Request::get(format!("/v1/servers?follow=1&since={since}"))
+            .header("Host", self.address.to_string())
+            .body(Empty::new())
+    }
+}
+
+/// Follows the endpoint list until the watch fails, also after it has fallen silent.
+pub async fn run(
+    observer: Rc<impl WatchObserver>,
+    budget: Rc<DescriptorBudget>,
+    request: WatchRequest,
+) {
+    let Err(error) = follow(&*observer, &budget, &request).await;
+    observer.watch_failed(request.id, &error);
+}
+
+async fn follow(
+    observer: &impl WatchObserver,
+    budget: &Rc<DescriptorBudget>,
+    watch: &WatchRequest,
+) -> Result<Infallible, WatchError> {
+    let permit = budget
+        .acquire(Purpose::Discovery)
+        .ok_or(WatchError::NoDescriptor)?;
+    let socket = Socket::connect(watch.address, permit, CONNECT_TIMEOUT)
+        .await
+        .map_err(WatchError::Connect)?;
+    let (sender, connection) = http1::handshake::<_, EmptyBody>(socket).await?;
+    let chunks_read = Cell::new(0);
+    let read = read_messages(sender, observer, watch, &chunks_read);
+    read_all(connection, read, &chunks_read).await
+}
+
+/// Sends the request and reports what the response carries.
+async fn read_messages(
+    mut sender: SendRequest<EmptyBody>,
+    observer: &impl WatchObserver,
+    watch: &WatchRequest,
+    chunks_read: &Cell<u64>,
+) -> Result<Infallible, WatchError> {
+    let mut silence = SilenceTimer::new(watch.response_timeout());
+    let report_silence = || observer.watch_silent(watch.id);
+    let mut response = pin!(sender.send_request(watch.http_request()?));
+    let response = silence.wait(&mut response, report_silence).await?;
+    if response.status() != StatusCode::OK {
+        return Err(WatchError::Status(response.status()));
+    }
+    let mut body = response.into_body();
+    let mut decoder = MessageDecoder::default();
+    loop {
+        let frame = silence.wait(&mut body.frame(), report_silence).await;
+        let frame = frame.ok_or(WatchError::Ended)??;
+        chunks_read.set(chunks_read.get() + 1);
+        // A frame without data carries trailers.
+        let Ok(chunk) = frame.into_data() else {
+            continue;
+        };
+        if decoder.decode(&chunk, |list| observer.list_received(watch.id, list))? {
+            observer.watch_alive(watch.id);
+            silence.restart(SILENCE_TIMEOUT);
+        }
+    }
+}
+
+/// Polls the connection and the reader of its response until neither makes progress, so that one turn of
+/// the event loop handles all that has come. Otherwise a request of the same turn could be forwarded to an
+/// upstream whose drain has come but is not handled yet.
+async fn read_all(
+    connection: impl Future<Output = hyper::Result<()>>,
+    read: impl Future<Output = Result<Infallible, WatchError>>,
+    chunks_read: &Cell<u64>,
+) -> Result<Infallible, WatchError> {
+    let (mut connection, mut read) = (pin!(connection), pin!(read));
+    let mut is_closed = false;
+    poll_fn(|context| loop {
+        let before = chunks_read.get();
+        // What came before the connection ended is still to be read.
+        is_closed = is_closed || connection.as_mut().poll(context).is_ready();
+        if let Poll::Ready(result) = read.as_mut().poll(context) {
+            return Poll::Ready(result);
+        }
+        if chunks_read.get() == before {
+            return Poll::Pending;
+        }
+    })
+    .await
+}
--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -5,7 +5,10 @@
 
 use crate::body::MemoryBudget;
 use crate::config::NameTables;
-use crate::discovery::{self, Endpoint, EndpointList};
+use crate::discovery::{
+    run_watch, Endpoint, EndpointList, EndpointStatus, WatchError, WatchId, WatchObserver,
+    WatchRequest,
+};
 use crate::log;
 use crate::metrics::Metrics;
 use crate::socket::DescriptorBudget;
@@ -203,7 +206,7 @@
 
 /// A watch on discovery that is being followed.
 struct Watching {
-    number: u64,
+    number: WatchId,
     address: SocketAddr,
     /// The version that it has told of last.
     index: u64,
@@ -282,7 +285,7 @@
             snapshot: true,
             ..config.known_endpoints
         };
-        dispatcher.borrow_mut().index = known.index;
+        dispatcher.borrow_mut().index = known.version;
         dispatcher.borrow_mut().apply(ListScope::Cached, known);
         if discovery.1 == DiscoveryMode::Push {
             dispatcher.borrow_mut().subscribe();
@@ -402,7 +405,7 @@
     }
 
     /// Discovery has sent a list, or what changed.
-    pub fn endpoint_list_received(&mut self, watch: u64, list: EndpointList) {
+    fn endpoint_list_received(&mut self, watch: WatchId, list: EndpointList) {
         let waited = self
             .watches
             .iter()
@@ -428,13 +431,13 @@
             log::line(format!("the list comes from {}", self.source));
         }
         // Guards against old news: within a watch the versions only rise.
-        if !list.snapshot && list.index < watching.index {
+        if !list.snapshot && list.version < watching.index {
             return;
         }
-        watching.index = list.index;
+        watching.index = list.version;
         watching.broken &= !list.snapshot;
         if !watching.broken {
-            self.index = list.index;
+            self.index = list.version;
         }
         self.apply(
             if list.snapshot {
@@ -447,7 +450,7 @@
     }
 
     /// The watch has told something. Guards against news of an old watch after those of a newer one.
-    pub fn watch_alive(&mut self, watch: u64) {
+    fn watch_alive(&mut self, watch: WatchId) {
         if let Some(at) = self
             .watches
             .iter()
@@ -460,7 +463,7 @@
 
     /// The watch has told nothing whole for too long. Guards against news that are told between its end and the next
     /// one's beginning: it stays until another has spoken.
-    pub fn watch_silent(&mut self, watch: u64) {
+    fn watch_silent(&mut self, watch: WatchId) {
         let Some(at) = self
             .watches
             .iter()
@@ -481,7 +484,7 @@
     }
 
     /// The watch has ended.
-    pub fn watch_failed(&mut self, watch: u64, why: &str) {
+    fn watch_failed(&mut self, watch: WatchId, error: &WatchError) {
         let Some(at) = self
             .watches
             .iter()
@@ -496,7 +499,7 @@
             self.failed_watches + 1
         };
         if self.failed_watches < MANY_FAILURES || self.failed_watches % MANY_FAILURES == 0 {
-            log::line(format!("discovery failed: {why}"));
+            log::line(format!("discovery watch failed: {error}"));
         }
         let failed = self.watches.remove(at);
         let is_replaced = self.watches.len() > at;
@@ -567,13 +570,12 @@
 
     fn entry(&mut self, endpoint: Endpoint) -> UpstreamEntry {
         let id = UpstreamId::of(&endpoint.name);
-        let state = match endpoint.status.as_str() {
-            "in_service" => UpstreamState::Active,
-            "terminated" => UpstreamState::Removed,
-            // Also a status that is not known yet: nothing new goes there.
-            _ => UpstreamState::Draining,
+        let state = match endpoint.status {
+            EndpointStatus::InService => UpstreamState::Active,
+            EndpointStatus::Draining => UpstreamState::Draining,
+            EndpointStatus::Terminated => UpstreamState::Removed,
         };
-        let since = endpoint.since_ms / 1000.0;
+        let since = endpoint.started_at_ms / 1000.0;
         if self.targets.get(&id).is_some_and(|old| old.since != since) {
             self.pool.remove(id);
         }
@@ -594,8 +596,8 @@
         UpstreamEntry {
             id,
             zone: number(&self.names.zones, &endpoint.zone),
-            machine_kind: number(&self.names.kinds, &endpoint.kind),
-            cell: endpoint.group,
+            machine_kind: number(&self.names.kinds, &endpoint.machine_kind),
+            cell: endpoint.cell,
             state,
             started_at: since,
         }
@@ -879,23 +881,20 @@
     }
 
     fn open_watch(&mut self) {
-        let (address, asked) = (self.discovery.0, self.discovery.1 == DiscoveryMode::Poll);
+        let (address, mode) = self.discovery;
         let Some(dispatcher) = self.me.upgrade() else {
             return;
         };
         self.last_watch += 1;
-        let (number, since) = (
-            self.last_watch,
-            (self.source == address).then_some(self.index),
-        );
-        let watch = discovery::Watch {
-            number,
+        let number = WatchId(self.last_watch);
+        let since = (self.source == address).then_some(self.index);
+        let request = WatchRequest {
+            id: number,
             address,
             since,
-            asked,
+            mode,
         };
-        let task =
-            spawn_local(discovery::watch(dispatcher, self.budget.clone(), watch)).abort_handle();
+        let task = spawn_local(run_watch(dispatcher, self.budget.clone(), request)).abort_handle();
         let index = since.unwrap_or(0);
         let opened = Instant::now();
         self.watches.push(Watching {
@@ -975,6 +974,24 @@
     }
 }
 
+impl WatchObserver for RefCell<Dispatcher> {
+    fn list_received(&self, watch: WatchId, list: EndpointList) {
+        self.borrow_mut().endpoint_list_received(watch, list);
+    }
+
+    fn watch_alive(&self, watch: WatchId) {
+        self.borrow_mut().watch_alive(watch);
+    }
+
+    fn watch_silent(&self, watch: WatchId) {
+        self.borrow_mut().watch_silent(watch);
+    }
+
+    fn watch_failed(&self, watch: WatchId, error: &WatchError) {
+        self.borrow_mut().watch_failed(watch, error);
+    }
+}
+
 async fn run_timers(dispatcher: Rc<RefCell<Dispatcher>>) {
     let rewind = dispatcher.borrow().rewind.clone();
     loop {
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -15,15 +15,14 @@
 use tokio::time::{sleep, timeout};
 
 fn endpoint(name: &str, address: SocketAddr) -> Endpoint {
-    let (zone, kind, status) = ("z".into(), "std".into(), "in_service".into());
     Endpoint {
         name: name.into(),
         address,
-        zone,
-        kind,
-        group: 0,
-        status,
-        since_ms: 0.0,
+        zone: "z".into(),
+        machine_kind: "std".into(),
+        cell: 0,
+        status: EndpointStatus::InService,
+        started_at_ms: 0.0,
     }
 }
 
@@ -38,7 +37,7 @@
         max_descriptors: 1024,
         memory_bytes: 32 << 20,
         known_endpoints: EndpointList {
-            index: 1,
+            version: 1,
             snapshot: true,
             endpoints,
         },
--- a/src/bin/load-balancer/dispatch/tests/notification.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification.rs
@@ -200,7 +200,7 @@
         max_descriptors: 1024,
         memory_bytes: 32 << 20,
         known_endpoints: EndpointList {
-            index: 5,
+            version: 5,
             snapshot: true,
             endpoints: Vec::new(),
         },
