--- a/src/bin/load-balancer/discovery/mod.rs
+++ b/src/bin/load-balancer/discovery/mod.rs
@@ -4,6 +4,8 @@
 mod message;
 mod silence_timer;
 mod watch;
+pub mod watch_set;
 
 pub use endpoint::{Endpoint, EndpointList, EndpointStatus};
 pub use watch::{run as run_watch, WatchError, WatchId, WatchObserver, WatchRequest};
+pub use watch_set::{DiscoveryEndpoint, Reconnect, WatchSet};
--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -6,8 +6,8 @@
 use crate::body::MemoryBudget;
 use crate::config::NameTables;
 use crate::discovery::{
-    run_watch, Endpoint, EndpointList, EndpointStatus, WatchError, WatchId, WatchObserver,
-    WatchRequest,
+    run_watch, DiscoveryEndpoint, Endpoint, EndpointList, EndpointStatus, Reconnect, WatchError,
+    WatchId, WatchObserver, WatchRequest, WatchSet,
 };
 use crate::log;
 use crate::metrics::Metrics;
@@ -17,8 +17,6 @@
     Action, AttemptOutcome, AttemptResult, Balancer, Class, DiscoveryMode, Event, LearnedState,
     ListScope, Maintenance, Request, RequestId, UpstreamEntry, UpstreamId, UpstreamState,
 };
-use rand::{Rng, SeedableRng};
-use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
@@ -33,23 +31,6 @@
 const MARGIN: Duration = Duration::from_millis(12);
 /// An answer that the module still owes then is given for it, so that no client is left without one.
 const DEADLINE_BACKSTOP: Duration = Duration::from_millis(5);
-/// Where lists are pushed, what the agent has counts as told with no watch open too. A broken watch is opened again after
-/// this time, so that the grace of a drain covers it,
-const REWATCH: Duration = Duration::from_millis(20);
-/// and after this one if so many calls in a row have failed.
-const REWATCH_LATER: Duration = Duration::from_millis(250);
-const MANY_FAILURES: u32 = 10;
-/// A watch that has lived for less counts as one of these, though it has told something: it may have told a whole list.
-const SHORT_WATCH: Duration = Duration::from_secs(1);
-/// Where they are asked for, another call is made beside a silent watch after this time at the most. Guards against
-/// watches that fall silent together and come back in step.
-const ASIDE: Duration = Duration::from_millis(150);
-/// Watches that are followed at a time, of which all but the newest are silent. No more than discovery has descriptors.
-const MOST_WATCHES: usize = 4;
-/// A new discovery that can't be watched is tried again after this time at the most. Guards against all
-/// balancers, told at once to move there, that come back in step.
-const MOVE_AGAIN: Duration = Duration::from_millis(400);
-
 /// The final answer to a request.
 pub enum FinalResponse {
     Served(Answer),
@@ -173,7 +154,6 @@
     me: Weak<RefCell<Dispatcher>>,
     balancer: Balancer,
     clock: Clock,
-    discovery: (SocketAddr, DiscoveryMode),
     names: NameTables,
     classes: Vec<Class>,
     most_open: usize,
@@ -191,37 +171,8 @@
     targets: HashMap<UpstreamId, Target>,
     /// The names of those that the operators have left out.
     out: BTreeMap<UpstreamId, String>,
-    /// The version of the list up to which nothing has been missed, and whose versions these are.
-    index: u64,
-    source: SocketAddr,
     listed: bool,
-    /// The watches that are followed, the newest at the end. The list comes from the first of them; the others are to
-    /// take its place once they have spoken.
-    watches: Vec<Watching>,
-    last_watch: u64,
-    /// Watches in a row that have failed soon.
-    failed_watches: u32,
-    jitter: Pcg64Mcg,
-}
-
-/// A watch on discovery that is being followed.
-struct Watching {
-    number: WatchId,
-    address: SocketAddr,
-    /// The version that it has told of last.
-    index: u64,
-    /// It has been silent for so long that something may be missing in what it tells.
-    broken: bool,
-    /// Something whole has come on it.
-    spoke: bool,
-    opened: Instant,
-    task: AbortHandle,
-}
-
-impl Drop for Watching {
-    fn drop(&mut self) {
-        self.task.abort();
-    }
+    watches: WatchSet,
 }
 
 impl Dispatcher {
@@ -243,7 +194,11 @@
             idle,
         );
         let most_open = limits.max_open_requests.min(config.max_descriptors);
-        let discovery = (config.discovery, config.settings.discovery_mode);
+        let discovery = DiscoveryEndpoint {
+            address: config.discovery,
+            mode: config.settings.discovery_mode,
+        };
+        let watches = WatchSet::new(discovery, config.known_endpoints.version, config.seed);
         let classes = config.settings.classes.clone();
         let longest = classes
             .iter()
@@ -255,7 +210,6 @@
                 me: me.clone(),
                 balancer,
                 clock,
-                discovery,
                 names: config.names,
                 classes,
                 most_open,
@@ -272,22 +226,16 @@
                 last_id: 0,
                 targets: HashMap::new(),
                 out: BTreeMap::new(),
-                index: 0,
-                source: discovery.0,
                 listed: false,
-                watches: Vec::new(),
-                last_watch: 0,
-                failed_watches: 0,
-                jitter: Pcg64Mcg::seed_from_u64(config.seed),
+                watches,
             })
         });
         let known = EndpointList {
             snapshot: true,
             ..config.known_endpoints
         };
-        dispatcher.borrow_mut().index = known.version;
         dispatcher.borrow_mut().apply(ListScope::Cached, known);
-        if discovery.1 == DiscoveryMode::Push {
+        if discovery.mode == DiscoveryMode::Push {
             dispatcher.borrow_mut().subscribe();
         }
         spawn_local(run_timers(dispatcher.clone()));
@@ -404,139 +352,36 @@
         }
     }
 
-    /// Discovery has sent a list, or what changed.
-    fn endpoint_list_received(&mut self, watch: WatchId, list: EndpointList) {
-        let waited = self
-            .watches
-            .iter()
-            .any(|watching| watching.number == watch && !watching.spoke);
-        self.watch_alive(watch);
-        let Some(watching) = self
-            .watches
-            .first_mut()
-            .filter(|first| first.number == watch)
-        else {
-            return;
-        };
-        // What a call waited for in turn tells all since the version asked for. Guards against discovery answering
-        // those that were made beside it as well.
-        if waited && watching.address == self.discovery.0 {
-            watching.broken = false;
-            self.watches.truncate(1);
-        }
-        let watching = &mut self.watches[0];
-        if watching.address != self.source {
-            // A new discovery counts its versions by itself.
-            (self.source, self.index) = (watching.address, 0);
-            log::line(format!("the list comes from {}", self.source));
-        }
-        // Guards against old news: within a watch the versions only rise.
-        if !list.snapshot && list.version < watching.index {
-            return;
-        }
-        watching.index = list.version;
-        watching.broken &= !list.snapshot;
-        if !watching.broken {
-            self.index = list.version;
-        }
-        self.apply(
-            if list.snapshot {
-                ListScope::Full
-            } else {
-                ListScope::Delta
-            },
-            list,
-        );
+    /// Where discovery is from now on. The list and the watch on the old address hold until the new one
+    /// has spoken.
+    pub fn set_discovery_address(&mut self, address: SocketAddr) {
+        let request = self.watches.set_address(address);
+        self.open_watch(request);
     }
 
-    /// The watch has told something. Guards against news of an old watch after those of a newer one.
-    fn watch_alive(&mut self, watch: WatchId) {
-        if let Some(at) = self
-            .watches
-            .iter()
-            .position(|watching| watching.number == watch)
-        {
-            self.watches[at].spoke = true;
-            self.watches.drain(..at);
-        }
+    /// Opens a watch, unless the newest is as good as that.
+    fn subscribe(&mut self) {
+        let request = self.watches.ensure_watch();
+        self.open_watch(request);
     }
 
-    /// The watch has told nothing whole for too long. Guards against news that are told between its end and the next
-    /// one's beginning: it stays until another has spoken.
-    fn watch_silent(&mut self, watch: WatchId) {
-        let Some(at) = self
-            .watches
-            .iter()
-            .position(|watching| watching.number == watch)
-        else {
-            return;
-        };
-        log::line("discovery is silent".into());
-        self.watches[at].broken = true;
-        match self.discovery.1 {
-            // Those whose watches fall silent together come back one by one.
-            DiscoveryMode::Poll => {
-                let wait = ASIDE.mul_f64(self.jitter.random_range(0.0..1.0));
-                self.schedule(Instant::now() + wait, Due::ReopenWatch);
-            }
-            DiscoveryMode::Push => self.subscribe(),
+    fn open_watch(&mut self, request: Option<WatchRequest>) {
+        if let (Some(request), Some(dispatcher)) = (request, self.me.upgrade()) {
+            let watch = run_watch(dispatcher, self.budget.clone(), request);
+            let task = spawn_local(watch).abort_handle();
+            self.watches.set_task(request.id, task);
         }
     }
 
-    /// The watch has ended.
-    fn watch_failed(&mut self, watch: WatchId, error: &WatchError) {
-        let Some(at) = self
-            .watches
-            .iter()
-            .position(|watching| watching.number == watch)
-        else {
-            return;
-        };
-        let lived = self.watches[at].opened.elapsed() >= SHORT_WATCH;
-        self.failed_watches = if lived && self.watches[at].spoke {
-            1
-        } else {
-            self.failed_watches + 1
-        };
-        if self.failed_watches < MANY_FAILURES || self.failed_watches % MANY_FAILURES == 0 {
-            log::line(format!("discovery watch failed: {error}"));
-        }
-        let failed = self.watches.remove(at);
-        let is_replaced = self.watches.len() > at;
-        // Guards against asking late, and the old address, when the old discovery ends its watches: the new
-        // one is on its way.
-        if is_replaced || failed.address != self.discovery.0 {
-            return;
-        }
-        if self.source != self.discovery.0 {
-            let wait = MOVE_AGAIN.mul_f64(self.jitter.random_range(0.25..1.0));
-            return self.schedule(Instant::now() + wait, Due::ReopenWatch);
-        }
-        match self.discovery.1 {
-            DiscoveryMode::Poll => self.tell(Event::EndpointList {
+    fn reconnect(&mut self, reconnect: Reconnect) {
+        match reconnect {
+            Reconnect::Superseded => {}
+            Reconnect::Now => self.subscribe(),
+            Reconnect::After(delay) => self.schedule(Instant::now() + delay, Due::ReopenWatch),
+            Reconnect::ByPollSchedule => self.tell(Event::EndpointList {
                 scope: ListScope::Failed,
                 endpoints: Vec::new(),
             }),
-            DiscoveryMode::Push => {
-                let wait = if self.failed_watches < MANY_FAILURES {
-                    REWATCH
-                } else {
-                    REWATCH_LATER
-                };
-                self.schedule(Instant::now() + wait, Due::ReopenWatch);
-            }
-        }
-    }
-
-    /// Discovery is to be found elsewhere from now on. The list and the watch on the old address hold until
-    /// the new one has spoken.
-    pub fn set_discovery_address(&mut self, address: SocketAddr) {
-        if address != self.discovery.0 {
-            self.discovery.0 = address;
-            // What was asked at a place between the two has told nothing, and is not waited for.
-            self.watches
-                .retain(|watching| [self.source, address].contains(&watching.address));
-            self.open_watch();
         }
     }
 
@@ -872,47 +717,6 @@
         }
     }
 
-    /// Opens a watch, unless the newest is as good as that.
-    fn subscribe(&mut self) {
-        let newest = self.watches.last();
-        if newest.is_none_or(|watching| watching.address != self.discovery.0 || watching.broken) {
-            self.open_watch();
-        }
-    }
-
-    fn open_watch(&mut self) {
-        let (address, mode) = self.discovery;
-        let Some(dispatcher) = self.me.upgrade() else {
-            return;
-        };
-        self.last_watch += 1;
-        let number = WatchId(self.last_watch);
-        let since = (self.source == address).then_some(self.index);
-        let request = WatchRequest {
-            id: number,
-            address,
-            since,
-            mode,
-        };
-        let task = spawn_local(run_watch(dispatcher, self.budget.clone(), request)).abort_handle();
-        let index = since.unwrap_or(0);
-        let opened = Instant::now();
-        self.watches.push(Watching {
-            number,
-            address,
-            index,
-            broken: false,
-            spoke: false,
-            opened,
-            task,
-        });
-        if self.watches.len() > MOST_WATCHES {
-            // The list comes from the first, and the second is the next to have its turn. Guards against calls that
-            // all end before discovery comes to them, and against the end of a watch that hears at the old address.
-            self.watches.remove(2);
-        }
-    }
-
     fn schedule(&mut self, at: Instant, due: Due) {
         if self
             .timers
@@ -976,19 +780,31 @@
 
 impl WatchObserver for RefCell<Dispatcher> {
     fn list_received(&self, watch: WatchId, list: EndpointList) {
-        self.borrow_mut().endpoint_list_received(watch, list);
+        let mut dispatcher = self.borrow_mut();
+        if dispatcher.watches.accept_list(watch, &list) {
+            let scope = if list.snapshot {
+                ListScope::Full
+            } else {
+                ListScope::Delta
+            };
+            dispatcher.apply(scope, list);
+        }
     }
 
     fn watch_alive(&self, watch: WatchId) {
-        self.borrow_mut().watch_alive(watch);
+        self.borrow_mut().watches.alive(watch);
     }
 
     fn watch_silent(&self, watch: WatchId) {
-        self.borrow_mut().watch_silent(watch);
+        let mut dispatcher = self.borrow_mut();
+        let reconnect = dispatcher.watches.silent(watch);
+        dispatcher.reconnect(reconnect);
     }
 
     fn watch_failed(&self, watch: WatchId, error: &WatchError) {
-        self.borrow_mut().watch_failed(watch, error);
+        let mut dispatcher = self.borrow_mut();
+        let reconnect = dispatcher.watches.failed(watch, error);
+        dispatcher.reconnect(reconnect);
     }
 }
 
--- a/src/bin/load-balancer/dispatch/tests/notification.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification.rs
@@ -4,6 +4,7 @@
 
 use super::super::*;
 use crate::config::Config;
+use crate::discovery::watch_set::{ListVersion, MAX_WATCHES};
 use load_balancer::Settings;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::future::Future;
@@ -213,8 +214,11 @@
 /// The time from now until the news of this discovery are told.
 async fn told(dispatcher: &RefCell<Dispatcher>, discovery: &Stand) -> Duration {
     let begin = Instant::now();
-    let has =
-        |dispatcher: &Dispatcher| (dispatcher.source, dispatcher.index) == (discovery.address, 6);
+    let known = ListVersion {
+        source: discovery.address,
+        version: 6,
+    };
+    let has = |dispatcher: &Dispatcher| dispatcher.watches.known() == known;
     until(|| has(&dispatcher.borrow())).await;
     begin.elapsed()
 }
@@ -453,7 +457,7 @@
             assert_eq!(
                 (
                     dispatcher.borrow().watches.len(),
-                    dispatcher.borrow().watches[0].broken
+                    dispatcher.borrow().watches.is_broken()
                 ),
                 (1, false)
             );
@@ -497,7 +501,7 @@
             let dispatcher = start(discovery.address, DiscoveryMode::Poll, seed);
             while discovery.calls() < 20 {
                 pass(1).await;
-                assert!(dispatcher.borrow().watches.len() <= MOST_WATCHES);
+                assert!(dispatcher.borrow().watches.len() <= MAX_WATCHES);
             }
             let came = discovery.came.borrow();
             assert!(
