--- /dev/null
+++ b/src/bin/load-balancer/dispatch/clock/tests.rs
@@ -0,0 +1,17 @@
+//! Unit tests of the clock.
+
+use super::*;
+
+#[test]
+fn the_clock_is_unix_time_and_never_steps_back() {
+    let clock = MonotonicUnixClock::new();
+    let unix = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .expect("after 1970")
+        .as_secs_f64();
+    let (first, second) = (
+        clock.seconds_at(Instant::now()),
+        clock.seconds_at(Instant::now()),
+    );
+    assert!(second >= first && (first - unix).abs() < 60.0);
+}
--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -3,12 +3,19 @@
 //! Each request that is taken gets one final answer, and the module hears of one outcome for each attempt
 //! that it sends. No decision is made here.
 
+mod clock;
+mod recent_request_ids;
+mod timers;
+
 use crate::body::MemoryBudget;
 use crate::config::NameTables;
 use crate::discovery::{
     run_watch, DiscoveryEndpoint, Endpoint, EndpointList, EndpointStatus, Reconnect, WatchError,
     WatchId, WatchObserver, WatchRequest, WatchSet,
 };
+use crate::dispatch::clock::MonotonicUnixClock;
+use crate::dispatch::recent_request_ids::RecentRequestIds;
+use crate::dispatch::timers::{Timer, TimerQueue};
 use crate::log;
 use crate::metrics::Metrics;
 use crate::socket::DescriptorBudget;
@@ -18,12 +25,11 @@
     ListScope, Maintenance, Request, RequestId, UpstreamEntry, UpstreamId, UpstreamState,
 };
 use std::cell::{Cell, RefCell};
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
-use std::time::{Duration, SystemTime};
-use tokio::sync::{oneshot, Notify};
+use std::time::Duration;
+use tokio::sync::oneshot;
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep_until, Instant};
 
@@ -38,29 +44,6 @@
     Failed,
 }
 
-/// Seconds since the Unix epoch that never step: the system's clock is read once.
-#[derive(Clone, Copy)]
-struct Clock {
-    start: Instant,
-    unix: f64,
-}
-
-impl Clock {
-    fn new() -> Self {
-        let unix = SystemTime::now()
-            .duration_since(SystemTime::UNIX_EPOCH)
-            .unwrap_or_default();
-        Clock {
-            start: Instant::now(),
-            unix: unix.as_secs_f64(),
-        }
-    }
-
-    fn at(&self, moment: Instant) -> f64 {
-        self.unix + (moment - self.start).as_secs_f64()
-    }
-}
-
 /// Why a request is not taken.
 #[derive(Debug, PartialEq)]
 pub enum RejectionReason {
@@ -70,41 +53,6 @@
     DuplicateId,
 }
 
-/// The names of requests that came lately. Guards against a request under the name of one that is open, or was
-/// a moment ago: each name stays for the longest deadline at the least, and twice that at the most.
-struct Recent {
-    keep: Duration,
-    since: Instant,
-    new: HashSet<String>,
-    old: HashSet<String>,
-}
-
-impl Recent {
-    fn new(keep: Duration) -> Self {
-        Recent {
-            keep,
-            since: Instant::now(),
-            new: HashSet::new(),
-            old: HashSet::new(),
-        }
-    }
-
-    /// Notes a name; false if it is known.
-    fn add(&mut self, name: String) -> bool {
-        let age = self.since.elapsed();
-        if age >= self.keep {
-            let last = std::mem::take(&mut self.new);
-            self.old = if age < 2 * self.keep {
-                last
-            } else {
-                HashSet::new()
-            };
-            self.since = Instant::now();
-        }
-        !self.old.contains(&name) && self.new.insert(name)
-    }
-}
-
 /// A request that has come in.
 pub struct AcceptedRequest {
     /// What its client calls it, and nobody calls another.
@@ -141,19 +89,11 @@
     state: UpstreamState,
 }
 
-/// What is due at a moment.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Timer(u64),
-    DeadlineBackstop(RequestId),
-    ReopenWatch,
-}
-
 /// Owns the decision module and all that it speaks of.
 pub struct Dispatcher {
     me: Weak<RefCell<Dispatcher>>,
     balancer: Balancer,
-    clock: Clock,
+    clock: MonotonicUnixClock,
     names: NameTables,
     classes: Vec<Class>,
     most_open: usize,
@@ -163,10 +103,9 @@
     memory: Rc<MemoryBudget>,
     events: VecDeque<Event>,
     actions: Vec<Action>,
-    timers: BinaryHeap<Reverse<(Instant, Due)>>,
-    rewind: Rc<Notify>,
+    timers: TimerQueue,
     open: HashMap<RequestId, Open>,
-    recent: Recent,
+    recent: RecentRequestIds,
     last_id: u64,
     targets: HashMap<UpstreamId, Target>,
     /// The names of those that the operators have left out.
@@ -181,7 +120,7 @@
         config: crate::config::Config,
         budget: Rc<DescriptorBudget>,
     ) -> Result<Rc<RefCell<Dispatcher>>, load_balancer::SettingsError> {
-        let clock = Clock::new();
+        let clock = MonotonicUnixClock::new();
         let limits = &config.settings.limits;
         let metrics = Metrics::new(&config.names.classes);
         let memory = MemoryBudget::new(config.memory_bytes);
@@ -204,7 +143,7 @@
             .iter()
             .fold(0.0, |longest: f64, class| longest.max(class.deadline));
         let longest = Duration::try_from_secs_f64(longest).unwrap_or(Duration::MAX / 4);
-        let balancer = Balancer::new(config.settings, config.seed, clock.at(Instant::now()))?;
+        let balancer = Balancer::new(config.settings, config.seed, clock.seconds_now())?;
         let dispatcher = Rc::new_cyclic(|me: &Weak<RefCell<Dispatcher>>| {
             RefCell::new(Dispatcher {
                 me: me.clone(),
@@ -219,10 +158,9 @@
                 memory,
                 events: VecDeque::new(),
                 actions: Vec::new(),
-                timers: BinaryHeap::new(),
-                rewind: Rc::default(),
+                timers: TimerQueue::default(),
                 open: HashMap::new(),
-                recent: Recent::new(longest),
+                recent: RecentRequestIds::new(longest),
                 last_id: 0,
                 targets: HashMap::new(),
                 out: BTreeMap::new(),
@@ -281,7 +219,7 @@
     /// Gives the module what the one before has learned and written down this long ago.
     pub fn restore(&mut self, age: Duration, knowledge: LearnedState) {
         self.balancer
-            .recall(self.clock.at(Instant::now()), age.as_secs_f64(), knowledge);
+            .recall(self.clock.seconds_now(), age.as_secs_f64(), knowledge);
     }
 
     /// The request classes.
@@ -297,7 +235,7 @@
         if self.open.len() >= self.most_open {
             return Err(RejectionReason::TooManyOpen);
         }
-        if !self.recent.add(taken.name) {
+        if !self.recent.insert(taken.name) {
             return Err(RejectionReason::DuplicateId);
         }
         self.last_id += 1;
@@ -321,7 +259,8 @@
                 attempts: Vec::new(),
             },
         );
-        self.schedule(deadline - DEADLINE_BACKSTOP, Due::DeadlineBackstop(id));
+        self.timers
+            .set(deadline - DEADLINE_BACKSTOP, Timer::DeadlineBackstop(id));
         self.tell(Event::Request(Request {
             id,
             class: taken.class,
@@ -377,7 +316,7 @@
         match reconnect {
             Reconnect::Superseded => {}
             Reconnect::Now => self.subscribe(),
-            Reconnect::After(delay) => self.schedule(Instant::now() + delay, Due::ReopenWatch),
+            Reconnect::After(delay) => self.timers.set(Instant::now() + delay, Timer::ReopenWatch),
             Reconnect::ByPollSchedule => self.tell(Event::EndpointList {
                 scope: ListScope::Failed,
                 endpoints: Vec::new(),
@@ -538,7 +477,7 @@
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.balancer
-                .handle(self.clock.at(Instant::now()), event, &mut actions);
+                .handle(self.clock.seconds_now(), event, &mut actions);
             actions.drain(..).for_each(|action| self.perform(action));
             self.actions = actions;
         }
@@ -563,7 +502,8 @@
             Action::CloseIdleConnections { upstream } => self.pool.close_idle(upstream),
             Action::SetTimer { after, token } => {
                 let after = Duration::try_from_secs_f64(after).unwrap_or_default();
-                self.schedule(Instant::now() + after, Due::Timer(token));
+                self.timers
+                    .set(Instant::now() + after, Timer::Decision(token));
             }
             Action::WatchEndpoints => self.subscribe(),
             Action::Log { upstream, text } => {
@@ -717,64 +657,50 @@
         }
     }
 
-    fn schedule(&mut self, at: Instant, due: Due) {
-        if self
-            .timers
-            .peek()
-            .is_none_or(|Reverse((first, _))| at < *first)
-        {
-            self.rewind.notify_one();
-        }
-        self.timers.push(Reverse((at, due)));
-    }
-
     /// The process is to end: what is open has its answer by then.
     pub fn set_drain_deadline(&mut self, settled: Instant) {
         let open: Vec<_> = self.open.keys().copied().collect();
-        open.into_iter()
-            .for_each(|id| self.schedule(settled - DEADLINE_BACKSTOP, Due::DeadlineBackstop(id)));
+        for id in open {
+            self.timers
+                .set(settled - DEADLINE_BACKSTOP, Timer::DeadlineBackstop(id));
+        }
     }
 
-    /// When a request that is open has to have its answer.
-    fn last_call(&self, id: RequestId) -> Option<Instant> {
-        self.open
-            .get(&id)
-            .map(|open| open.forward.deadline() - DEADLINE_BACKSTOP)
+    /// Fires the timers that are due; when the next one fires.
+    fn run_due_timers(&mut self) -> Option<Instant> {
+        while let Some(timer) = self.timers.pop_due() {
+            match timer {
+                Timer::Decision(token) => self.tell(Event::TimerFired(token)),
+                Timer::ReopenWatch => self.subscribe(),
+                Timer::DeadlineBackstop(id) => self.answer_overdue(id),
+            }
+        }
+        self.timers.next_at()
     }
 
-    /// Does what is due by now; tells when the next is.
-    fn run_due(&mut self) -> Option<Instant> {
-        while let Some(Reverse((at, due))) = self.timers.peek().copied() {
-            if at > Instant::now() {
-                return Some(at);
-            }
-            self.timers.pop();
-            match due {
-                Due::Timer(token) => self.tell(Event::TimerFired(token)),
-                Due::ReopenWatch => self.subscribe(),
-                Due::DeadlineBackstop(id) if self.last_call(id) > Some(Instant::now()) => {
-                    // Its client has sent more of it meanwhile.
-                    self.last_call(id)
-                        .into_iter()
-                        .for_each(|at| self.schedule(at, due));
-                }
-                Due::DeadlineBackstop(id) => {
-                    let open = self.open.get(&id).filter(|open| open.reply.is_some());
-                    if let Some(unsent) = open.map(|open| open.forward.upload.is_streamed()) {
-                        log::line(format!("request {} had no decision in time", id.0));
-                        // No upstream begins before the last byte.
-                        let answer = if unsent {
-                            FinalResponse::Rejected { retry_after: None }
-                        } else {
-                            FinalResponse::Failed
-                        };
-                        self.answer(id, answer);
-                        self.tell(Event::ClientDisconnected(id));
-                    }
-                }
-            }
+    /// Answers a request that the decision module has not answered in time.
+    fn answer_overdue(&mut self, id: RequestId) {
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
+        let backstop_at = open.forward.deadline() - DEADLINE_BACKSTOP;
+        if backstop_at > Instant::now() {
+            // The client has sent more of its body, so the deadline has moved.
+            return self.timers.set(backstop_at, Timer::DeadlineBackstop(id));
         }
-        None
+        if open.reply.is_none() {
+            return;
+        }
+        let never_ran = open.forward.upload.is_streamed();
+        log::line(format!("request {} had no decision in time", id.0));
+        // No upstream begins before the last byte.
+        let answer = if never_ran {
+            FinalResponse::Rejected { retry_after: None }
+        } else {
+            FinalResponse::Failed
+        };
+        self.answer(id, answer);
+        self.tell(Event::ClientDisconnected(id));
     }
 }
 
@@ -809,15 +735,15 @@
 }
 
 async fn run_timers(dispatcher: Rc<RefCell<Dispatcher>>) {
-    let rewind = dispatcher.borrow().rewind.clone();
+    let earlier_timer = dispatcher.borrow().timers.earlier_timer();
     loop {
-        let next = dispatcher.borrow_mut().run_due();
-        match next {
+        let next_at = dispatcher.borrow_mut().run_due_timers();
+        match next_at {
             Some(at) => tokio::select! {
                 () = sleep_until(at) => {}
-                () = rewind.notified() => {}
+                () = earlier_timer.notified() => {}
             },
-            None => rewind.notified().await,
+            None => earlier_timer.notified().await,
         }
     }
 }
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -167,7 +167,7 @@
         dispatcher
             .borrow_mut()
             .timers
-            .retain(|Reverse((_, due))| matches!(due, Due::DeadlineBackstop(_)));
+            .retain(|timer| matches!(timer, Timer::DeadlineBackstop(_)));
         dispatcher.borrow_mut().open.values_mut().for_each(|open| {
             open.attempts
                 .iter()
@@ -216,14 +216,3 @@
         assert_eq!(dispatcher.borrow().targets[&one.id].address, at(2));
     });
 }
-
-#[test]
-fn the_clock_is_unix_time_and_never_steps_back() {
-    let clock = Clock::new();
-    let unix = SystemTime::now()
-        .duration_since(SystemTime::UNIX_EPOCH)
-        .expect("after 1970")
-        .as_secs_f64();
-    let (first, second) = (clock.at(Instant::now()), clock.at(Instant::now()));
-    assert!(second >= first && (first - unix).abs() < 60.0);
-}
--- /dev/null
+++ b/src/bin/load-balancer/dispatch/timers/tests.rs
@@ -0,0 +1,35 @@
+//! Unit tests of the timer queue, and what other unit tests may do to it.
+
+use super::*;
+use std::time::Duration;
+use tokio::time::advance;
+
+impl TimerQueue {
+    /// Drops the timers for which this is not so.
+    pub fn retain(&mut self, keep: impl Fn(Timer) -> bool) {
+        self.heap.retain(|Reverse((_, timer))| keep(*timer));
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn timers_fire_in_the_order_of_their_moments_and_then_of_their_kinds() {
+    let mut timers = TimerQueue::default();
+    let (now, second) = (Instant::now(), Duration::from_secs(1));
+    let backstop = Timer::DeadlineBackstop(RequestId(1));
+    let in_order = [
+        (now + second, Timer::Decision(2)),
+        (now + second, backstop),
+        (now + second, Timer::ReopenWatch),
+        (now + 2 * second, Timer::Decision(1)),
+    ];
+    for (at, timer) in in_order.iter().rev() {
+        timers.set(*at, *timer);
+    }
+    assert_eq!(timers.next_at(), Some(now + second));
+    assert_eq!(timers.pop_due(), None);
+    advance(2 * second).await;
+    for (_, timer) in in_order {
+        assert_eq!(timers.pop_due(), Some(timer));
+    }
+    assert_eq!((timers.pop_due(), timers.next_at()), (None, None));
+}
