--- /dev/null
+++ b/src/bin/load-balancer/dispatch/endpoints.rs
@@ -0,0 +1,138 @@
+//! The way of a change of the endpoint list, and of maintenance by operators, through the dispatcher.
+
+use crate::discovery::{
+    run_watch, EndpointList, Reconnect, WatchError, WatchId, WatchObserver, WatchRequest,
+};
+use crate::dispatch::timers::Timer;
+use crate::dispatch::Dispatcher;
+use crate::log;
+use load_balancer::{Event, ListScope, Maintenance, UpstreamId};
+use std::cell::RefCell;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+impl WatchObserver for RefCell<Dispatcher> {
+    fn list_received(&self, watch: WatchId, list: EndpointList) {
+        let mut dispatcher = self.borrow_mut();
+        if dispatcher.watches.accept_list(watch, &list) {
+            let scope = if list.snapshot {
+                ListScope::Full
+            } else {
+                ListScope::Delta
+            };
+            dispatcher.apply_list(scope, list);
+        }
+    }
+
+    fn watch_alive(&self, watch: WatchId) {
+        self.borrow_mut().watches.alive(watch);
+    }
+
+    fn watch_silent(&self, watch: WatchId) {
+        let mut dispatcher = self.borrow_mut();
+        let reconnect = dispatcher.watches.silent(watch);
+        dispatcher.reconnect(reconnect);
+    }
+
+    fn watch_failed(&self, watch: WatchId, error: &WatchError) {
+        let mut dispatcher = self.borrow_mut();
+        let reconnect = dispatcher.watches.failed(watch, error);
+        dispatcher.reconnect(reconnect);
+    }
+}
+
+impl Dispatcher {
+    /// Moves to another address of discovery. The list and the watch on the old address stay in force
+    /// until the watch on the new one is alive.
+    pub fn set_discovery_address(&mut self, address: SocketAddr) {
+        let request = self.watches.set_address(address);
+        self.open_watch(request);
+    }
+
+    /// Opens a watch, unless the newest one serves.
+    pub(super) fn ensure_watch(&mut self) {
+        let request = self.watches.ensure_watch();
+        self.open_watch(request);
+    }
+
+    fn open_watch(&mut self, request: Option<WatchRequest>) {
+        if let (Some(request), Some(dispatcher)) = (request, self.this.upgrade()) {
+            let watch = run_watch(dispatcher, self.budget.clone(), request);
+            let task = spawn_local(watch).abort_handle();
+            self.watches.set_task(request.id, task);
+        }
+    }
+
+    fn reconnect(&mut self, reconnect: Reconnect) {
+        match reconnect {
+            Reconnect::Superseded => {}
+            Reconnect::Now => self.ensure_watch(),
+            Reconnect::After(delay) => self.timers.set(Instant::now() + delay, Timer::ReopenWatch),
+            Reconnect::ByPollSchedule => self.handle(Event::EndpointList {
+                scope: ListScope::Failed,
+                endpoints: Vec::new(),
+            }),
+        }
+    }
+
+    /// Applies an endpoint list to the directory first, then to the decision module.
+    pub(super) fn apply_list(&mut self, scope: ListScope, list: EndpointList) {
+        let endpoints = self.upstreams.apply(list, &self.names);
+        self.handle(Event::EndpointList { scope, endpoints });
+        self.reject_misdirected_attempts();
+        self.upstreams.purge_removed();
+    }
+
+    /// Takes an upstream out of service or puts it back, for operators; false if no upstream of this name
+    /// is known.
+    pub fn set_maintenance(&mut self, name: &str, out: bool) -> bool {
+        let change = if out {
+            Maintenance::Begin
+        } else {
+            Maintenance::End
+        };
+        let is_known = self.upstreams.is_known(UpstreamId::of(name));
+        if is_known {
+            self.apply_maintenance(name, change);
+        }
+        is_known
+    }
+
+    /// The names of the upstreams that operators have taken out of service.
+    pub fn upstreams_in_maintenance(&self) -> impl Iterator<Item = &str> {
+        self.upstreams.names_in_maintenance()
+    }
+
+    /// Restores the state of maintenance: these upstreams are out of service, and no others, whether they
+    /// are known or not.
+    pub fn restore_maintenance(&mut self, names: &BTreeSet<String>) {
+        let in_maintenance = self.upstreams.names_in_maintenance();
+        let ended: Vec<_> = in_maintenance
+            .filter(|name| !names.contains(*name))
+            .map(str::to_string)
+            .collect();
+        for name in ended {
+            self.apply_maintenance(&name, Maintenance::End);
+        }
+        for name in names {
+            if !self.upstreams.is_in_maintenance(UpstreamId::of(name)) {
+                self.apply_maintenance(name, Maintenance::Begin);
+            }
+        }
+    }
+
+    fn apply_maintenance(&mut self, name: &str, change: Maintenance) {
+        log::line(match change {
+            Maintenance::Begin => format!("maintenance began: {name}"),
+            Maintenance::End => format!("maintenance ended: {name}"),
+        });
+        self.upstreams.set_maintenance(name, change);
+        self.handle(Event::Maintenance {
+            upstream: UpstreamId::of(name),
+            change,
+        });
+        self.reject_misdirected_attempts();
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer/dispatch/request_table/tests.rs
@@ -0,0 +1,142 @@
+//! Unit tests of the request table, and what other unit tests may do to it.
+
+use super::*;
+use crate::body::Upload;
+use hyper::{HeaderMap, Method, Uri};
+use std::future::pending;
+use tokio::task::{spawn_local, LocalSet};
+
+impl RequestTable {
+    /// How many requests are open.
+    pub fn len(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// Sets how many requests may be open.
+    pub fn set_max_open(&mut self, max_open: usize) {
+        self.max_open = max_open;
+    }
+
+    /// Aborts the tasks of all attempts, which never report their end then.
+    pub fn abort_tasks(&mut self) {
+        for request in self.requests.values() {
+            for attempt in &request.attempts {
+                attempt.task.iter().for_each(AbortHandle::abort);
+            }
+        }
+    }
+}
+
+const UPSTREAM: UpstreamId = UpstreamId(1);
+
+fn address(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+fn forwarded_request() -> Rc<ForwardedRequest> {
+    Rc::new(ForwardedRequest {
+        method: Method::GET,
+        uri: Uri::from_static("/call"),
+        headers: HeaderMap::new(),
+        upload: Rc::new(Upload::empty()),
+        client: Default::default(),
+        wait: Duration::from_secs(1),
+        settled: Rc::default(),
+    })
+}
+
+/// A table with one request, and where its final response comes.
+fn table_with_a_request() -> (RequestTable, RequestId, oneshot::Receiver<FinalResponse>) {
+    let mut table = RequestTable::new(1, Duration::from_secs(1));
+    let id = table.allocate_id("a".into()).expect("accepted");
+    let response = table.insert(id, forwarded_request());
+    (table, id, response)
+}
+
+/// Adds an attempt that runs until it is aborted.
+fn add_running_attempt(table: &mut RequestTable, id: RequestId) -> (AttemptId, ConnectionIdle) {
+    let idle = ConnectionIdle::default();
+    let request = table.get_mut(id).expect("open");
+    let number = request.add_attempt(UPSTREAM, Some(address(1)), Instant::now(), idle.clone());
+    request.set_task(number, spawn_local(pending::<()>()).abort_handle());
+    let attempt = AttemptId {
+        request: id,
+        number,
+    };
+    (attempt, idle)
+}
+
+fn run(test: impl FnOnce()) {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .expect("a runtime");
+    LocalSet::new().block_on(&runtime, async { test() });
+}
+
+#[test]
+fn a_request_is_rejected_if_too_many_are_open_or_its_id_is_not_new() {
+    let (mut table, id, _response) = table_with_a_request();
+    assert_eq!(
+        table.allocate_id("b".into()),
+        Err(RejectionReason::TooManyOpen)
+    );
+    assert!(table.conclude(id, &mut VecDeque::new()).is_some());
+    table.remove_if_settled(id);
+    assert_eq!(
+        table.allocate_id("a".into()),
+        Err(RejectionReason::DuplicateId)
+    );
+    assert_eq!(table.allocate_id("b".into()), Ok(RequestId(id.0 + 1)));
+}
+
+#[test]
+fn a_request_stays_until_it_is_concluded_and_its_attempts_have_ended() {
+    run(|| {
+        let (mut table, id, _response) = table_with_a_request();
+        let (first, _) = add_running_attempt(&mut table, id);
+        let (second, idle) = add_running_attempt(&mut table, id);
+        idle.set(Some(Duration::ZERO));
+        let result = table.end_attempt(first, AttemptOutcome::Reset);
+        assert!(result.is_some_and(|result| !result.request_concluded));
+        assert_eq!(table.end_attempt(first, AttemptOutcome::Reset), None);
+        assert!(table.conclude(id, &mut VecDeque::new()).is_some());
+        assert!(table.conclude(id, &mut VecDeque::new()).is_none());
+        table.remove_if_settled(id);
+        assert!(table.is_running(second) && table.len() == 1);
+        let result = table.end_attempt(second, AttemptOutcome::Success);
+        assert!(result.is_some_and(|result| result.request_concluded));
+        assert_eq!(table.len(), 0);
+    });
+}
+
+#[test]
+fn a_concluded_request_ends_the_attempts_that_have_not_written_anything() {
+    run(|| {
+        let (mut table, id, _response) = table_with_a_request();
+        let (unstarted, _) = add_running_attempt(&mut table, id);
+        let (started, idle) = add_running_attempt(&mut table, id);
+        idle.set(Some(Duration::ZERO));
+        let mut events = VecDeque::new();
+        assert!(table.conclude(id, &mut events).is_some());
+        let ended: Vec<_> = events.into_iter().collect();
+        assert!(matches!(&ended[..], [Event::AttemptEnded(result)]
+            if result.attempt == unstarted.number && result.outcome == AttemptOutcome::NotSent));
+        assert!(!table.is_running(unstarted) && table.is_running(started));
+    });
+}
+
+#[test]
+fn an_attempt_is_misdirected_if_it_is_unstarted_and_its_upstream_is_not_where_it_was() {
+    run(|| {
+        let (mut table, id, _response) = table_with_a_request();
+        let (unstarted, _) = add_running_attempt(&mut table, id);
+        let (_, idle) = add_running_attempt(&mut table, id);
+        idle.set(Some(Duration::ZERO));
+        let at = |address| move |_| address;
+        let same = table.unstarted_and_misdirected(at(Some(address(1))));
+        let moved = table.unstarted_and_misdirected(at(Some(address(2))));
+        let gone = table.unstarted_and_misdirected(at(None));
+        assert_eq!((same, moved), (vec![], vec![unstarted]));
+        assert_eq!(gone, [unstarted]);
+    });
+}
--- /dev/null
+++ b/src/bin/load-balancer/dispatch/requests.rs
@@ -0,0 +1,215 @@
+//! The way of a request through the dispatcher, from its acceptance to its final response.
+
+use crate::dispatch::request_table::AttemptId;
+use crate::dispatch::timers::Timer;
+use crate::dispatch::{
+    duration_from_secs, AcceptedRequest, Dispatcher, FinalResponse, RejectionReason,
+};
+use crate::log;
+use crate::upstream::{Attempt, AttemptEnd};
+use load_balancer::{AttemptOutcome, AttemptResult, Event, Request, RequestId, UpstreamId};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+/// Subtracted from a deadline for the decision module and for attempts, so that the response reaches the
+/// client in time.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(12);
+/// A request that has no response this much before its deadline is answered without the decision module.
+const DEADLINE_BACKSTOP: Duration = Duration::from_millis(5);
+
+impl Dispatcher {
+    /// Accepts a request; its final response comes on the channel.
+    ///
+    /// # Errors
+    ///
+    /// If too many requests are open, or if the request is a duplicate.
+    pub fn accept(
+        &mut self,
+        request: AcceptedRequest,
+    ) -> Result<(RequestId, oneshot::Receiver<FinalResponse>), RejectionReason> {
+        let id = self.requests.allocate_id(request.name)?;
+        let forward = Rc::new(request.forward);
+        let (deadline, streamed) = (forward.deadline(), forward.upload.is_streamed());
+        if let Some(dispatcher) = self.this.upgrade().filter(|_| streamed) {
+            let completed = forward.upload.completed();
+            spawn_local(async move {
+                if completed.await.is_ok() {
+                    dispatcher.borrow_mut().upload_completed(id);
+                }
+            });
+        }
+        let response = self.requests.insert(id, forward);
+        self.timers
+            .set(deadline - DEADLINE_BACKSTOP, Timer::DeadlineBackstop(id));
+        self.handle(Event::Request(Request {
+            id,
+            class: request.class,
+            tenant: request.tenant,
+            remaining: (deadline - DEADLINE_MARGIN - Instant::now()).as_secs_f64(),
+            cost_hint: request.cost_hint,
+            streamed,
+        }));
+        Ok((id, response))
+    }
+
+    fn upload_completed(&mut self, id: RequestId) {
+        if self.requests.upload_completed(id) {
+            self.handle(Event::UploadCompleted(id));
+        }
+    }
+
+    /// The client has closed its connection, or has its response already.
+    pub fn client_disconnected(&mut self, id: RequestId) {
+        if self.requests.conclude(id, &mut self.events).is_some() {
+            self.handle(Event::ClientDisconnected(id));
+            self.requests.remove_if_settled(id);
+        }
+    }
+
+    /// Starts an attempt. Its result follows at once if it can't be sent.
+    pub(super) fn start_attempt(
+        &mut self,
+        id: RequestId,
+        upstream: UpstreamId,
+        write_within: Option<f64>,
+    ) {
+        let sent_at = Instant::now();
+        let address = self.upstreams.available_address(upstream);
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let begun = Rc::new(Cell::new(None));
+        let number = request.add_attempt(upstream, address, sent_at, begun.clone());
+        let address = address.filter(|_| request.can_be_sent());
+        let (Some(address), Some(dispatcher)) = (address, self.this.upgrade()) else {
+            self.events.push_back(not_sent(id, number));
+            return;
+        };
+        let attempt = Attempt {
+            pool: self.pool.clone(),
+            upstream,
+            address,
+            request: request.forward().clone(),
+            write_deadline: write_within
+                .and_then(|seconds| sent_at.checked_add(duration_from_secs(seconds))),
+            margin: DEADLINE_MARGIN,
+            begun,
+        };
+        let attempt_id = AttemptId {
+            request: id,
+            number,
+        };
+        let run = async move {
+            let end = attempt.run().await;
+            dispatcher.borrow_mut().attempt_ended(attempt_id, end);
+        };
+        request.set_task(number, spawn_local(run).abort_handle());
+    }
+
+    /// An attempt has ended by itself, or in place of one that must not start any more.
+    pub(super) fn attempt_ended(&mut self, attempt: AttemptId, end: AttemptEnd) {
+        if !self.requests.is_running(attempt) {
+            return;
+        }
+        let id = attempt.request;
+        let (outcome, answer) = match end {
+            Ok(answer) => (AttemptOutcome::Success, Some(answer)),
+            Err(outcome) => (outcome, None),
+        };
+        let is_abandoned = outcome == AttemptOutcome::NotSent
+            && self.is_client_disconnected(id)
+            && self.requests.conclude(id, &mut self.events).is_some();
+        if let Some(answer) = answer {
+            self.respond(id, FinalResponse::Served(answer));
+        }
+        if let Some(result) = self.requests.end_attempt(attempt, outcome) {
+            self.handle(Event::AttemptEnded(result));
+        }
+        if is_abandoned {
+            self.handle(Event::ClientDisconnected(id));
+            self.requests.remove_if_settled(id);
+        }
+    }
+
+    fn is_client_disconnected(&self, id: RequestId) -> bool {
+        let request = self.requests.get(id);
+        request.is_some_and(|request| request.forward().client.is_disconnected())
+    }
+
+    /// Cancels an attempt, unless it has ended.
+    pub(super) fn cancel_attempt(&mut self, attempt: AttemptId) {
+        let result = self
+            .requests
+            .end_attempt(attempt, AttemptOutcome::Cancelled);
+        self.events.extend(result.map(Event::AttemptEnded));
+    }
+
+    /// Ends the attempts that have not written anything and whose upstream is no longer available at the
+    /// address that they were sent to, as if the upstream had rejected them. They were decided before it
+    /// was known that the upstream drains, and would start after that.
+    pub(super) fn reject_misdirected_attempts(&mut self) {
+        let address_of = |upstream| self.upstreams.available_address(upstream);
+        for attempt in self.requests.unstarted_and_misdirected(address_of) {
+            self.attempt_ended(attempt, Err(AttemptOutcome::Rejected));
+        }
+    }
+
+    /// Sends the final response, unless the request has one or its client has disconnected.
+    pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) {
+        let Some(sender) = self.requests.conclude(id, &mut self.events) else {
+            return;
+        };
+        // Fails if the client has just disconnected, and needs no response then.
+        let _ = sender.send(response);
+        self.requests.remove_if_settled(id);
+    }
+
+    /// The process is going to exit: each open request has its response by `deadline`.
+    pub fn set_drain_deadline(&mut self, deadline: Instant) {
+        for id in self.requests.ids() {
+            self.timers
+                .set(deadline - DEADLINE_BACKSTOP, Timer::DeadlineBackstop(id));
+        }
+    }
+
+    /// Answers a request that the decision module has not answered in time.
+    pub(super) fn answer_overdue(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let backstop_at = request.forward().deadline() - DEADLINE_BACKSTOP;
+        if backstop_at > Instant::now() {
+            // The client has sent more of its body, so the deadline has moved.
+            self.timers.set(backstop_at, Timer::DeadlineBackstop(id));
+            return;
+        }
+        if !request.is_pending() {
+            return;
+        }
+        // An upstream starts work with the last byte, which has not come.
+        let response = if request.forward().upload.is_streamed() {
+            FinalResponse::Rejected { retry_after: None }
+        } else {
+            FinalResponse::Failed
+        };
+        log::line(format!("no decision before the deadline: request {}", id.0));
+        self.respond(id, response);
+        self.handle(Event::ClientDisconnected(id));
+    }
+}
+
+/// The event of an attempt that was not sent.
+fn not_sent(id: RequestId, number: u32) -> Event {
+    Event::AttemptEnded(AttemptResult {
+        id,
+        attempt: number,
+        outcome: AttemptOutcome::NotSent,
+        elapsed: 0.0,
+        connection_idle: None,
+        request_concluded: false,
+    })
+}
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -4,11 +4,13 @@
 
 use super::*;
 use crate::body::Upload;
-use crate::config::Config;
-use crate::upstream::ResponseContent;
+use crate::discovery::{Endpoint, EndpointStatus};
+use crate::upstream::{ForwardedRequest, ResponseContent};
 use hyper::{HeaderMap, Method, Uri};
 use load_balancer::Settings;
+use std::cell::Cell;
 use std::future::Future;
+use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
@@ -139,8 +141,9 @@
             dispatcher.borrow_mut().client_disconnected(id);
         }
         assert!(bodies > 0);
-        let free =
-            || dispatcher.borrow().open.is_empty() && dispatcher.borrow().balancer.load().1 == 0;
+        let free = || {
+            dispatcher.borrow().requests.len() == 0 && dispatcher.borrow().balancer.load().1 == 0
+        };
         let all_free = async {
             while !free() {
                 sleep(Duration::from_millis(5)).await;
@@ -168,11 +171,7 @@
             .borrow_mut()
             .timers
             .retain(|timer| matches!(timer, Timer::DeadlineBackstop(_)));
-        dispatcher.borrow_mut().open.values_mut().for_each(|open| {
-            open.attempts
-                .iter()
-                .for_each(|out| out.task.iter().for_each(AbortHandle::abort));
-        });
+        dispatcher.borrow_mut().requests.abort_tasks();
         let answer = timeout(Duration::from_secs(20), answer)
             .await
             .expect("in time")
@@ -180,7 +179,7 @@
         assert!(matches!(answer, FinalResponse::Failed));
         assert_eq!(
             dispatcher.borrow().balancer.load().0,
-            dispatcher.borrow().open.len()
+            dispatcher.borrow().requests.len()
         );
     });
 }
@@ -189,7 +188,7 @@
 fn too_many_open_requests_are_not_taken() {
     run(async {
         let dispatcher = start(vec![endpoint("silent", peer(None).await)]);
-        dispatcher.borrow_mut().most_open = 2;
+        dispatcher.borrow_mut().requests.set_max_open(2);
         let take = || {
             dispatcher
                 .borrow_mut()
@@ -206,13 +205,17 @@
     run(async {
         let dispatcher = start(Vec::new());
         let at = |host| SocketAddr::from(([127, 0, 0, host], 9000));
-        let one = dispatcher.borrow_mut().entry(endpoint("s", at(1)));
-        let two = dispatcher.borrow_mut().entry(endpoint("s", at(2)));
+        let update = |endpoint| {
+            let dispatcher = &mut *dispatcher.borrow_mut();
+            dispatcher.upstreams.update(endpoint, &dispatcher.names)
+        };
+        let one = update(endpoint("s", at(1)));
+        let two = update(endpoint("s", at(2)));
         assert_eq!((one.id, one.started_at), (two.id, 0.0));
-        assert_ne!(
-            one.id,
-            dispatcher.borrow_mut().entry(endpoint("t", at(1))).id
+        assert_ne!(one.id, update(endpoint("t", at(1))).id);
+        assert_eq!(
+            dispatcher.borrow().upstreams.available_address(one.id),
+            Some(at(2))
         );
-        assert_eq!(dispatcher.borrow().targets[&one.id].address, at(2));
     });
 }
--- a/src/bin/load-balancer/dispatch/tests/notification.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification.rs
@@ -3,11 +3,11 @@
 //! Real sockets, and a clock that is moved by hand: the times are those of the program, not of the machine.
 
 use super::super::*;
-use crate::config::Config;
 use crate::discovery::watch_set::{ListVersion, MAX_WATCHES};
 use load_balancer::Settings;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::future::Future;
+use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{yield_now, LocalSet};
