--- a/src/bin/load-balancer/dispatch/endpoints.rs
+++ b/src/bin/load-balancer/dispatch/endpoints.rs
@@ -87,12 +87,7 @@
 
     /// Takes an upstream out of service or puts it back, for operators; false if no upstream of this name
     /// is known.
-    pub fn set_maintenance(&mut self, name: &str, out: bool) -> bool {
-        let change = if out {
-            Maintenance::Begin
-        } else {
-            Maintenance::End
-        };
+    pub fn set_maintenance(&mut self, name: &str, change: Maintenance) -> bool {
         let is_known = self.upstreams.is_known(UpstreamId::of(name));
         if is_known {
             self.apply_maintenance(name, change);
--- a/src/bin/load-balancer/dispatch/request.rs
+++ b/src/bin/load-balancer/dispatch/request.rs
@@ -6,7 +6,7 @@
 /// A request that has come in.
 pub struct AcceptedRequest {
     /// The id that its client gave it, which no other request has.
-    pub name: String,
+    pub client_request_id: String,
     /// Index into the request classes.
     pub class: usize,
     /// Index into the tenants; their number for one that the settings don't name.
--- a/src/bin/load-balancer/dispatch/requests.rs
+++ b/src/bin/load-balancer/dispatch/requests.rs
@@ -31,7 +31,7 @@
         &mut self,
         request: AcceptedRequest,
     ) -> Result<(RequestId, oneshot::Receiver<FinalResponse>), RejectionReason> {
-        let id = self.requests.allocate_id(request.name)?;
+        let id = self.requests.allocate_id(request.client_request_id)?;
         let forward = Rc::new(request.forward);
         let (deadline, streamed) = (forward.deadline(), forward.upload.is_streamed());
         if let Some(dispatcher) = self.this.upgrade().filter(|_| streamed) {
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -66,9 +66,9 @@
         settled,
     };
     thread_local!(static LAST: Cell<u64> = const { Cell::new(0) });
-    let name = LAST.with(|last| last.replace(last.get() + 1).to_string());
+    let client_request_id = LAST.with(|last| last.replace(last.get() + 1).to_string());
     AcceptedRequest {
-        name,
+        client_request_id,
         class: 0,
         tenant: 0,
         cost_hint: None,
--- a/src/bin/load-balancer/handover/mod.rs
+++ b/src/bin/load-balancer/handover/mod.rs
@@ -12,6 +12,7 @@
 use crate::server::Server;
 use crate::socket::system_errors::is_transient;
 use crate::socket::DescriptorBudget;
+use load_balancer::Maintenance;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -124,7 +125,12 @@
             Some(Err(error)) if error.is_transient() => return Err(io::Error::other(error)),
             _ => {}
         }
-        let known = self.dispatcher.borrow_mut().set_maintenance(name, out);
+        let change = if out {
+            Maintenance::Begin
+        } else {
+            Maintenance::End
+        };
+        let known = self.dispatcher.borrow_mut().set_maintenance(name, change);
         if known {
             self.keep()?;
         }
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -868,7 +868,7 @@
             settled,
         };
         Ok(AcceptedRequest {
-            name,
+            client_request_id: name,
             class,
             tenant,
             cost_hint,
