--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the driver: what is settled, and what is then forgotten.
+//! Unit tests of the dispatcher: each request has one final response, and its state is freed.
 
 mod notification;
 
@@ -52,7 +52,7 @@
     Dispatcher::start(config, DescriptorBudget::new(1024, false)).expect("good settings")
 }
 
-fn request(wait: Duration) -> AcceptedRequest {
+fn request_with_deadline(wait: Duration) -> AcceptedRequest {
     let (method, uri, headers) = (Method::GET, Uri::from_static("/call"), HeaderMap::new());
     let upload = Rc::new(Upload::empty());
     let (client, settled) = Default::default();
@@ -65,8 +65,8 @@
         wait,
         settled,
     };
-    thread_local!(static LAST: Cell<u64> = const { Cell::new(0) });
-    let client_request_id = LAST.with(|last| last.replace(last.get() + 1).to_string());
+    thread_local!(static LAST_ID: Cell<u64> = const { Cell::new(0) });
+    let client_request_id = LAST_ID.with(|last| last.replace(last.get() + 1).to_string());
     AcceptedRequest {
         client_request_id,
         class: 0,
@@ -76,8 +76,8 @@
     }
 }
 
-/// An upstream that answers with this text, or reads on for ever.
-async fn peer(answer: Option<&'static str>) -> SocketAddr {
+/// An upstream that answers each request with this text, or never.
+async fn spawn_upstream(answer: Option<&'static str>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     spawn_local(async move {
@@ -103,70 +103,70 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Guards against answers given twice or never, outcomes that the module never hears of, and state that
-/// stays: whatever the upstreams do and whichever clients leave, all is free in the end.
+/// Whatever the upstreams do and whichever clients disconnect, each request has one final
+/// response, the decision module has a result for each attempt, and no state is left in the end.
 #[test]
-fn every_request_is_settled_once_and_then_forgotten() {
+fn every_request_has_one_final_response_and_is_removed_then() {
     run(async {
-        let served = peer(Some("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")).await;
+        let served = spawn_upstream(Some("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")).await;
         let endpoints = vec![
             endpoint("served", served),
             endpoint(
                 "failing",
-                peer(Some("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")).await,
+                spawn_upstream(Some("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")).await,
             ),
-            endpoint("silent", peer(None).await),
-            endpoint("garbled", peer(Some("what?\r\n\r\n")).await),
+            endpoint("silent", spawn_upstream(None).await),
+            endpoint("garbled", spawn_upstream(Some("what?\r\n\r\n")).await),
         ];
         let dispatcher = start(endpoints);
-        let mut waiting = Vec::new();
+        let mut pending = Vec::new();
         for number in 0..60 {
             let (id, answer) = dispatcher
                 .borrow_mut()
-                .accept(request(Duration::from_secs(1)))
-                .expect("room");
+                .accept(request_with_deadline(Duration::from_secs(1)))
+                .expect("accepted");
             match number % 5 {
                 0 => dispatcher.borrow_mut().client_disconnected(id),
-                _ => waiting.push((id, answer)),
+                _ => pending.push((id, answer)),
             }
             sleep(Duration::from_millis(2)).await;
         }
         let mut bodies = 0;
-        for (id, answer) in waiting {
+        for (id, answer) in pending {
             if let FinalResponse::Served(answer) = answer.await.expect("a final answer") {
                 assert!(matches!(answer.body, ResponseContent::Complete(body) if body == "hi"));
                 bodies += 1;
             }
-            // The client has its answer: that it goes now changes nothing.
+            // The client has its response, so its disconnection changes nothing.
             dispatcher.borrow_mut().client_disconnected(id);
         }
         assert!(bodies > 0);
-        let free = || {
+        let is_empty = || {
             dispatcher.borrow().requests.len() == 0 && dispatcher.borrow().balancer.load().1 == 0
         };
-        let all_free = async {
-            while !free() {
+        let all_removed = async {
+            while !is_empty() {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(Duration::from_secs(20), all_free)
+        timeout(Duration::from_secs(20), all_removed)
             .await
-            .expect("all is free in the end");
+            .expect("no state is left in the end");
         assert_eq!(dispatcher.borrow().balancer.load().0, 0);
         assert!(dispatcher.borrow().events.is_empty());
     });
 }
 
 #[test]
-fn an_answer_that_the_module_owes_is_given_before_the_client_s_time_is_up() {
+fn a_request_without_a_decision_is_answered_before_its_deadline() {
     run(async {
-        let dispatcher = start(vec![endpoint("silent", peer(None).await)]);
+        let dispatcher = start(vec![endpoint("silent", spawn_upstream(None).await)]);
         let deadline = Duration::from_millis(400);
         let (_, answer) = dispatcher
             .borrow_mut()
-            .accept(request(deadline))
-            .expect("room");
-        // The timers that the module asked for are lost.
+            .accept(request_with_deadline(deadline))
+            .expect("accepted");
+        // The decision module's timers never fire.
         dispatcher
             .borrow_mut()
             .timers
@@ -185,23 +185,23 @@
 }
 
 #[test]
-fn too_many_open_requests_are_not_taken() {
+fn too_many_open_requests_are_rejected() {
     run(async {
-        let dispatcher = start(vec![endpoint("silent", peer(None).await)]);
+        let dispatcher = start(vec![endpoint("silent", spawn_upstream(None).await)]);
         dispatcher.borrow_mut().requests.set_max_open(2);
-        let take = || {
+        let accept = || {
             dispatcher
                 .borrow_mut()
-                .accept(request(Duration::from_secs(5)))
+                .accept(request_with_deadline(Duration::from_secs(5)))
         };
-        let kept = (take(), take());
-        assert!(kept.0.is_ok() && kept.1.is_ok());
-        assert_eq!(take().err(), Some(RejectionReason::TooManyOpen));
+        let accepted = (accept(), accept());
+        assert!(accepted.0.is_ok() && accepted.1.is_ok());
+        assert_eq!(accept().err(), Some(RejectionReason::TooManyOpen));
     });
 }
 
 #[test]
-fn an_upstream_is_known_by_its_name_wherever_it_is() {
+fn an_upstream_is_identified_by_its_name_whatever_its_address() {
     run(async {
         let dispatcher = start(Vec::new());
         let at = |host| SocketAddr::from(([127, 0, 0, host], 9000));
--- a/src/bin/load-balancer/dispatch/tests/notification.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification.rs
@@ -1,6 +1,8 @@
-//! How long it takes until what discovery has is told, whatever became of the calls before.
+//! How long it takes until a change of the endpoint list is known, whatever became of the calls
+//! before.
 //!
-//! Real sockets, and a clock that is moved by hand: the times are those of the program, not of the machine.
+//! Real sockets and a clock that the tests advance: the times are those of the program, not of the
+//! machine.
 
 use super::super::*;
 use crate::discovery::watch_set::{ListVersion, MAX_WATCHES};
@@ -13,92 +15,93 @@
 use tokio::task::{yield_now, LocalSet};
 use tokio::time::{advance, sleep};
 
-/// What discovery has counts as told by then; something is left to a busy process.
-const TOLD: Duration = Duration::from_millis(5600);
-/// By so much the clock is moved at a time,
-const STEP: Duration = Duration::from_millis(20);
-/// and so often all tasks and sockets have their turn meanwhile.
-const TURNS: usize = 10;
-/// A call that waits in turn is refused after this time.
-const TURN: Duration = Duration::from_secs(2);
+/// A change has to be known by then; the rest of the 6 s is for a busy process.
+const NOTIFICATION_DEADLINE: Duration = Duration::from_millis(5600);
+/// The clock is advanced by this much at a time.
+const CLOCK_STEP: Duration = Duration::from_millis(20);
+/// How often all tasks and sockets are polled in between.
+const YIELDS_PER_STEP: usize = 10;
+/// A queued call is refused after this time.
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const REFUSAL: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-const NEWS: &str = "{\"index\":6,\"endpoints\":[]}\n";
+const CHANGE: &str = "{\"index\":6,\"endpoints\":[]}\n";
 
 /// What becomes of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Call {
-    Swallowed,
+enum CallOutcome {
+    Unanswered,
     Refused,
-    /// Refused after it has waited in turn.
-    GivenUp,
+    /// Refused after it was queued.
+    QueuedThenRefused,
     /// Reset before the first byte.
     Reset,
     ResetInList,
-    /// Tells what is known already, and is reset.
+    /// Answered with a version that is known already, and then reset.
     ResetAfterList,
-    /// Lives for a moment, and misses all that comes.
+    /// Alive for a moment, and silent from then on.
     Silent,
-    /// Told after this time, in seconds.
-    Told(u64),
-    /// The same on a watch that lives meanwhile.
-    Lives(u64),
+    /// Answered with the change after this time, in seconds.
+    AnsweredAfter(u64),
+    /// Alive, and answered with the change after this time, in seconds.
+    ChangesAfter(u64),
 }
-use Call::*;
+use CallOutcome::*;
 
-/// Discovery: what becomes of the calls that come, in their order, and when they came.
-struct Stand {
+/// A discovery service with a script: the outcomes of the calls in their order. Records when they
+/// came.
+struct FakeDiscovery {
     address: SocketAddr,
     socket: Socket,
-    script: RefCell<VecDeque<Call>>,
-    came: RefCell<Vec<Instant>>,
-    /// Those that nobody takes keep others out.
-    waiting: RefCell<Vec<std::net::TcpStream>>,
+    script: RefCell<VecDeque<CallOutcome>>,
+    called_at: RefCell<Vec<Instant>>,
+    /// Connections that are never accepted fill the listener's backlog.
+    backlog: RefCell<Vec<std::net::TcpStream>>,
 }
 
-impl Stand {
-    /// One at which connections are refused; `Told` at once behind the script.
-    fn down(script: &[Call]) -> Rc<Self> {
+impl FakeDiscovery {
+    /// One that refuses connections until `listen`. Calls beyond the script are answered at once.
+    fn not_listening(script: &[CallOutcome]) -> Rc<Self> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
         let script = RefCell::new(script.iter().copied().collect());
-        Rc::new(Stand {
+        Rc::new(FakeDiscovery {
             address,
             socket,
             script,
-            came: RefCell::default(),
-            waiting: RefCell::default(),
+            called_at: RefCell::default(),
+            backlog: RefCell::default(),
         })
     }
 
-    fn up(script: &[Call]) -> Rc<Self> {
-        let stand = Self::down(script);
-        stand.open();
-        stand
+    fn listening(script: &[CallOutcome]) -> Rc<Self> {
+        let discovery = Self::not_listening(script);
+        discovery.listen();
+        discovery
     }
 
-    /// From now on connections never come up.
-    fn shut(&self) {
+    /// From now on no connection is established.
+    fn fill_backlog(&self) {
         self.socket.listen(0).unwrap();
         let wait = Duration::from_millis(100);
         let waiting =
             std::iter::from_fn(|| std::net::TcpStream::connect_timeout(&self.address, wait).ok());
-        self.waiting.borrow_mut().extend(waiting);
+        self.backlog.borrow_mut().extend(waiting);
     }
 
-    fn open(self: &Rc<Self>) {
-        self.waiting.borrow_mut().clear();
+    fn listen(self: &Rc<Self>) {
+        self.backlog.borrow_mut().clear();
         self.socket.listen(128).unwrap();
         let listener: std::net::TcpListener = self.socket.try_clone().unwrap().into();
         listener.set_nonblocking(true).unwrap();
-        let (listener, stand) = (TcpListener::from_std(listener).unwrap(), self.clone());
+        let (listener, discovery) = (TcpListener::from_std(listener).unwrap(), self.clone());
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(stand.clone().answer(stream));
+                spawn_local(discovery.clone().answer(stream));
             }
         });
     }
@@ -108,35 +111,43 @@
         if !stream.read(&mut bytes).await.is_ok_and(|count| count > 0) {
             return;
         }
-        self.came.borrow_mut().push(Instant::now());
-        let call = self.script.borrow_mut().pop_front().unwrap_or(Told(0));
-        let chunk = |text: &str| format!("{HEAD}{:x}\r\n{text}\r\n", text.len());
+        self.called_at.borrow_mut().push(Instant::now());
+        let call = self
+            .script
+            .borrow_mut()
+            .pop_front()
+            .unwrap_or(AnsweredAfter(0));
+        let chunk = |text: &str| format!("{RESPONSE_HEAD}{:x}\r\n{text}\r\n", text.len());
         match call {
-            GivenUp => sleep(TURN).await,
-            Told(after) => sleep(Duration::from_secs(after)).await,
+            QueuedThenRefused => sleep(QUEUE_TIMEOUT).await,
+            AnsweredAfter(after) => sleep(Duration::from_secs(after)).await,
             _ => {}
         }
         let text = match call {
-            Swallowed | Reset => String::new(),
-            Refused | GivenUp => REFUSAL.into(),
-            ResetInList => chunk(&NEWS[..9]),
+            Unanswered | Reset => String::new(),
+            Refused | QueuedThenRefused => REFUSAL.into(),
+            ResetInList => chunk(&CHANGE[..9]),
             ResetAfterList => chunk("{\"index\":5,\"endpoints\":[]}\n"),
-            Silent | Lives(_) => chunk("\n"),
-            Told(_) => chunk(NEWS),
+            Silent | ChangesAfter(_) => chunk("\n"),
+            AnsweredAfter(_) => chunk(CHANGE),
         };
-        // The balancer may have closed it meanwhile.
+        // Fails if the balancer has closed the connection meanwhile.
         let _ = stream.write_all(text.as_bytes()).await;
         if matches!(call, Reset | ResetInList | ResetAfterList) {
-            turns().await;
+            yield_to_tasks().await;
             return SockRef::from(&stream)
                 .set_linger(Some(Duration::ZERO))
                 .unwrap();
         }
         for seconds in (0..)
             .step_by(2)
-            .take_while(|_| matches!(call, Told(_) | Lives(_)))
+            .take_while(|_| matches!(call, AnsweredAfter(_) | ChangesAfter(_)))
         {
-            let line = if call == Lives(seconds) { NEWS } else { "\n" };
+            let line = if call == ChangesAfter(seconds) {
+                CHANGE
+            } else {
+                "\n"
+            };
             let line = format!("{:x}\r\n{line}\r\n", line.len());
             if stream.write_all(line.as_bytes()).await.is_err() {
                 return;
@@ -146,32 +157,32 @@
         let _ = stream.read(&mut bytes).await;
     }
 
-    fn calls(&self) -> usize {
-        self.came.borrow().len()
+    fn call_count(&self) -> usize {
+        self.called_at.borrow().len()
     }
 }
 
-async fn turns() {
-    for _ in 0..TURNS {
+async fn yield_to_tasks() {
+    for _ in 0..YIELDS_PER_STEP {
         yield_now().await;
     }
 }
 
-/// Moves the clock until this is so, for an hour at the most.
-async fn until(mut done: impl FnMut() -> bool) {
+/// Advances the clock until this holds, for an hour at the most.
+async fn advance_until(mut done: impl FnMut() -> bool) {
     for _ in 0..180_000 {
-        turns().await;
+        yield_to_tasks().await;
         if done() {
             return;
         }
-        advance(STEP).await;
+        advance(CLOCK_STEP).await;
     }
     panic!("it never comes");
 }
 
-async fn pass(seconds: u64) {
+async fn advance_seconds(seconds: u64) {
     let end = Instant::now() + Duration::from_secs(seconds);
-    until(|| Instant::now() >= end).await;
+    advance_until(|| Instant::now() >= end).await;
 }
 
 /// A balancer that knows an old list of this discovery.
@@ -179,7 +190,7 @@
     start_in_fleet(discovery, mode, seed, 1)
 }
 
-/// The same, one of so many.
+/// The same in a fleet of this size.
 fn start_in_fleet(
     discovery: SocketAddr,
     mode: DiscoveryMode,
@@ -211,15 +222,15 @@
     Dispatcher::start(config, DescriptorBudget::new(1024, false)).expect("good settings")
 }
 
-/// The time from now until the news of this discovery are told.
-async fn told(dispatcher: &RefCell<Dispatcher>, discovery: &Stand) -> Duration {
+/// The time from now until the change of this discovery is known.
+async fn time_until_known(dispatcher: &RefCell<Dispatcher>, discovery: &FakeDiscovery) -> Duration {
     let begin = Instant::now();
     let known = ListVersion {
         source: discovery.address,
         version: 6,
     };
     let has = |dispatcher: &Dispatcher| dispatcher.watches.known() == known;
-    until(|| has(&dispatcher.borrow())).await;
+    advance_until(|| has(&dispatcher.borrow())).await;
     begin.elapsed()
 }
 
@@ -233,42 +244,45 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-const MODES: [DiscoveryMode; 2] = [DiscoveryMode::Push, DiscoveryMode::Poll];
-const ALL: [Call; 7] = [
-    Swallowed,
+const ALL_MODES: [DiscoveryMode; 2] = [DiscoveryMode::Push, DiscoveryMode::Poll];
+const ALL_FAILURES: [CallOutcome; 7] = [
+    Unanswered,
     Refused,
-    GivenUp,
+    QueuedThenRefused,
     Reset,
     ResetInList,
     ResetAfterList,
     Silent,
 ];
 
-/// What may follow on a call that came to nothing.
-fn sequels() -> Vec<Vec<Call>> {
-    let mut all = vec![vec![], vec![GivenUp], vec![Swallowed]];
+/// What may become of the calls after one that failed.
+fn later_calls() -> Vec<Vec<CallOutcome>> {
+    let mut all = vec![vec![], vec![QueuedThenRefused], vec![Unanswered]];
     all.extend([Refused, Reset, ResetInList].map(|call| vec![call; 3]));
     all
 }
 
-/// Guards against news that count as told before the balancer has made its next call, or while that waits: whatever
-/// happened to one call in the moment in which discovery came to have them, and then to the next.
+/// A change that discovery has when a call fails has to be known in time: the next call comes soon
+/// enough, whatever becomes of it.
 #[test]
-fn what_discovery_has_is_told_in_time_whatever_became_of_the_calls_before() {
+fn changes_are_known_in_time_whatever_became_of_earlier_calls() {
     run(async {
         let mut late = Vec::new();
-        for (first, sequel) in ALL
+        for (first, later) in ALL_FAILURES
             .iter()
-            .flat_map(|first| sequels().into_iter().map(move |s| (*first, s)))
+            .flat_map(|first| later_calls().into_iter().map(move |s| (*first, s)))
         {
-            let script = [vec![first], sequel].concat();
-            for mode in MODES {
+            let script = [vec![first], later].concat();
+            for mode in ALL_MODES {
                 for seed in 0..4 {
-                    let discovery = Stand::up(&script);
+                    let discovery = FakeDiscovery::listening(&script);
                     let dispatcher = start(discovery.address, mode, seed);
-                    until(|| discovery.calls() > 0).await;
-                    let time = told(&dispatcher, &discovery).await;
-                    late.extend((time > TOLD).then(|| format!("{mode:?} {script:?} {time:?}")));
+                    advance_until(|| discovery.call_count() > 0).await;
+                    let time = time_until_known(&dispatcher, &discovery).await;
+                    late.extend(
+                        (time > NOTIFICATION_DEADLINE)
+                            .then(|| format!("{mode:?} {script:?} {time:?}")),
+                    );
                 }
             }
         }
@@ -276,61 +290,68 @@
     });
 }
 
-/// Where lists are pushed, the agent's news count as told though no watch is open: one that breaks is opened again so
-/// soon that the grace of a drain, 0.45 s on sockets, covers it and a hold-up of 0.15 s.
+/// Where lists are pushed, what the agent has counts as known while no watch is open. A failed
+/// watch is reopened so soon that the grace period of a drain, 0.45 s on sockets, covers the gap
+/// and a stall of 0.15 s.
 #[test]
-fn a_pushed_watch_that_breaks_is_opened_again_at_once() {
+fn a_pushed_watch_that_fails_is_reopened_at_once() {
     let soon = Duration::from_millis(300);
     run(async {
         for first in [Refused, Reset, ResetInList, ResetAfterList] {
             for count in [1, 2, 60] {
-                let discovery = Stand::up(&vec![first; count]);
+                let discovery = FakeDiscovery::listening(&vec![first; count]);
                 let dispatcher = start(discovery.address, DiscoveryMode::Push, 1);
-                until(|| discovery.calls() == count).await;
-                let time = told(&dispatcher, &discovery).await;
+                advance_until(|| discovery.call_count() == count).await;
+                let time = time_until_known(&dispatcher, &discovery).await;
                 assert!(time <= soon, "{first:?} {count} {time:?}");
             }
         }
-        let discovery = Stand::down(&[]);
+        let discovery = FakeDiscovery::not_listening(&[]);
         let dispatcher = start(discovery.address, DiscoveryMode::Push, 1);
-        pass(8).await;
-        discovery.open();
-        let time = told(&dispatcher, &discovery).await;
+        advance_seconds(8).await;
+        discovery.listen();
+        let time = time_until_known(&dispatcher, &discovery).await;
         assert!(time <= soon, "{time:?}");
     });
 }
 
-/// Guards against the same at a place to which discovery has moved, also if the old one was silent just then.
+/// The same on an address to which discovery has moved, also if the old one was silent just then.
 #[test]
-fn what_discovery_has_is_told_in_time_where_it_has_moved() {
+fn changes_are_known_in_time_after_discovery_has_moved() {
     run(async {
         let mut late = Vec::new();
-        for (first, sequel) in ALL
+        for (first, later) in ALL_FAILURES
             .iter()
-            .flat_map(|first| sequels().into_iter().map(move |s| (*first, s)))
+            .flat_map(|first| later_calls().into_iter().map(move |s| (*first, s)))
         {
-            let script = [vec![first], sequel].concat();
-            for (mode, old) in MODES
+            let script = [vec![first], later].concat();
+            for (mode, old) in ALL_MODES
                 .iter()
-                .flat_map(|mode| [Silent, Swallowed, Told(0)].map(|old| (*mode, old)))
+                .flat_map(|mode| [Silent, Unanswered, AnsweredAfter(0)].map(|old| (*mode, old)))
             {
-                let (old, new) = (Stand::up(&[old]), Stand::up(&script));
+                let (old, new) = (
+                    FakeDiscovery::listening(&[old]),
+                    FakeDiscovery::listening(&script),
+                );
                 let dispatcher = start(old.address, mode, script.len() as u64);
-                until(|| old.calls() > 0).await;
+                advance_until(|| old.call_count() > 0).await;
                 dispatcher.borrow_mut().set_discovery_address(new.address);
-                let time = told(&dispatcher, &new).await;
-                late.extend((time > TOLD).then(|| format!("{mode:?} {script:?} {time:?}")));
+                let time = time_until_known(&dispatcher, &new).await;
+                late.extend(
+                    (time > NOTIFICATION_DEADLINE).then(|| format!("{mode:?} {script:?} {time:?}")),
+                );
             }
         }
         assert!(late.is_empty(), "{late:#?}");
     });
 }
 
-/// Guards against waits that have grown while discovery was away, wherever it is expected.
+/// The backoff that has grown while discovery was down has to be short enough, wherever it comes
+/// up.
 #[test]
-fn discovery_that_comes_back_is_heard_in_time() {
+fn changes_are_known_in_time_after_discovery_was_down() {
     run(async {
-        for mode in MODES {
+        for mode in ALL_MODES {
             for (seed, moves) in [
                 (1, 0),
                 (2, 0),
@@ -343,16 +364,17 @@
             ] {
                 for shut in [false, true] {
                     let (old, other, new) = (
-                        Stand::up(&[Silent]),
-                        Stand::up(&[Swallowed]),
-                        Stand::down(&[]),
+                        FakeDiscovery::listening(&[Silent]),
+                        FakeDiscovery::listening(&[Unanswered]),
+                        FakeDiscovery::not_listening(&[]),
                     );
                     if shut {
-                        new.shut();
+                        new.fill_backlog();
                     }
                     let at = |moves| if moves == 0 { new.address } else { old.address };
                     let dispatcher = start(at(moves), mode, seed);
-                    // Moved to where it is not up yet, over another place, or away from there and back.
+                    // Moved to where it is not up yet, directly or over another address, or away
+                    // and back.
                     let ways = [
                         vec![],
                         vec![&new],
@@ -361,22 +383,26 @@
                     ];
                     for place in &ways[moves] {
                         dispatcher.borrow_mut().set_discovery_address(place.address);
-                        pass(1).await;
+                        advance_seconds(1).await;
                     }
-                    pass(8).await;
-                    new.open();
-                    let time = told(&dispatcher, &new).await;
-                    assert!(time <= TOLD, "{mode:?} {moves} {shut} {time:?}");
+                    advance_seconds(8).await;
+                    new.listen();
+                    let time = time_until_known(&dispatcher, &new).await;
+                    assert!(
+                        time <= NOTIFICATION_DEADLINE,
+                        "{mode:?} {moves} {shut} {time:?}"
+                    );
                 }
             }
         }
     });
 }
 
-/// Guards against waits that grow beyond the time after which news count as told, as those after calls that had to wait
-/// in turn do in a large fleet, where no call has come to discovery at all: none of them has cost it anything.
+/// The backoff after calls that were queued grows with the fleet, beyond the time by which a
+/// change has to be known. It must not grow where no call has reached discovery: none of them has
+/// cost it anything.
 #[test]
-fn discovery_that_was_away_for_long_is_heard_in_time_in_a_fleet_of_any_size() {
+fn changes_are_known_in_time_after_a_long_outage_in_a_fleet_of_any_size() {
     run(async {
         let mut late = Vec::new();
         for (peer_count, shut) in [30, 300, 8700]
@@ -384,25 +410,28 @@
             .flat_map(|n| [(*n, false), (*n, true)])
         {
             for (seed, away) in (0..8).flat_map(|seed| [(seed, 20), (seed, 60)]) {
-                let discovery = Stand::down(&[]);
+                let discovery = FakeDiscovery::not_listening(&[]);
                 if shut {
-                    discovery.shut();
+                    discovery.fill_backlog();
                 }
                 let dispatcher =
                     start_in_fleet(discovery.address, DiscoveryMode::Poll, seed, peer_count);
-                pass(away).await;
-                discovery.open();
-                let time = told(&dispatcher, &discovery).await;
-                late.extend((time > TOLD).then(|| format!("{peer_count} {shut} {away} {time:?}")));
+                advance_seconds(away).await;
+                discovery.listen();
+                let time = time_until_known(&dispatcher, &discovery).await;
+                late.extend(
+                    (time > NOTIFICATION_DEADLINE)
+                        .then(|| format!("{peer_count} {shut} {away} {time:?}")),
+                );
             }
         }
         assert!(late.is_empty(), "{late:#?}");
     });
 }
 
-/// Guards against the same where discovery, or what stands before it, said no at once to many calls in a row.
+/// The same where discovery, or a proxy before it, refused many calls in a row at once.
 #[test]
-fn discovery_that_refused_many_calls_at_once_is_heard_in_time_in_a_fleet_of_any_size() {
+fn changes_are_known_in_time_after_many_refusals_in_a_fleet_of_any_size() {
     run(async {
         let mut late = Vec::new();
         for (peer_count, call) in [30, 300, 8700]
@@ -410,13 +439,14 @@
             .flat_map(|n| [(*n, Refused), (*n, Reset)])
         {
             for (seed, count) in (0..8).flat_map(|seed| [(seed, 5), (seed, 9)]) {
-                let discovery = Stand::up(&vec![call; count]);
+                let discovery = FakeDiscovery::listening(&vec![call; count]);
                 let dispatcher =
                     start_in_fleet(discovery.address, DiscoveryMode::Poll, seed, peer_count);
-                until(|| discovery.calls() == count).await;
-                let time = told(&dispatcher, &discovery).await;
+                advance_until(|| discovery.call_count() == count).await;
+                let time = time_until_known(&dispatcher, &discovery).await;
                 late.extend(
-                    (time > TOLD).then(|| format!("{peer_count} {call:?} {count} {time:?}")),
+                    (time > NOTIFICATION_DEADLINE)
+                        .then(|| format!("{peer_count} {call:?} {count} {time:?}")),
                 );
             }
         }
@@ -424,17 +454,20 @@
     });
 }
 
-/// Guards against calls that are given up and made again for ever where discovery lets them wait for long, and
-/// against asking for the same once more when one of them has had its turn.
+/// A call that discovery queues for long must not be given up for newer calls for ever, and the
+/// calls that were made beside it must not be made again once it is answered.
 #[test]
-fn a_call_that_waits_for_long_has_its_turn() {
+fn a_call_that_is_queued_for_long_is_answered() {
     run(async {
-        for (mode, moved) in MODES
+        for (mode, moved) in ALL_MODES
             .iter()
             .flat_map(|mode| [(*mode, false), (*mode, true)])
         {
-            let (old, other) = (Stand::up(&[Silent]), Stand::up(&[Swallowed; 60]));
-            let discovery = Stand::up(&[Told(30); 60]);
+            let (old, other) = (
+                FakeDiscovery::listening(&[Silent]),
+                FakeDiscovery::listening(&[Unanswered; 60]),
+            );
+            let discovery = FakeDiscovery::listening(&[AnsweredAfter(30); 60]);
             let dispatcher = start(
                 if moved {
                     old.address
@@ -445,14 +478,14 @@
                 1,
             );
             if moved {
-                until(|| old.calls() > 0).await;
+                advance_until(|| old.call_count() > 0).await;
                 dispatcher.borrow_mut().set_discovery_address(other.address);
                 dispatcher
                     .borrow_mut()
                     .set_discovery_address(discovery.address);
             }
-            until(|| discovery.calls() > 0).await;
-            let time = told(&dispatcher, &discovery).await;
+            advance_until(|| discovery.call_count() > 0).await;
+            let time = time_until_known(&dispatcher, &discovery).await;
             assert!(time < Duration::from_secs(31), "{mode:?} {moved} {time:?}");
             assert_eq!(
                 (
@@ -461,82 +494,86 @@
                 ),
                 (1, false)
             );
-            let made = discovery.calls();
-            pass(60).await;
-            assert_eq!(discovery.calls(), made, "{mode:?}");
+            let made = discovery.call_count();
+            advance_seconds(60).await;
+            assert_eq!(discovery.call_count(), made, "{mode:?}");
         }
     });
 }
 
-/// Guards against giving up a call that discovery lets wait in turn, and against making it a second time.
+/// A queued call is neither given up nor made a second time.
 #[test]
-fn a_call_that_has_to_wait_for_its_turn_is_not_made_twice() {
+fn a_queued_call_is_not_made_twice() {
     run(async {
         for seed in 0..6 {
-            let discovery = Stand::up(&[Swallowed]);
+            let discovery = FakeDiscovery::listening(&[Unanswered]);
             let dispatcher = start(discovery.address, DiscoveryMode::Poll, seed);
-            until(|| discovery.calls() > 0).await;
+            advance_until(|| discovery.call_count() > 0).await;
             // Longer than where lists are pushed, and longer than such a call may take.
-            let waited = discovery.came.borrow()[0] + Duration::from_millis(2500);
-            until(|| Instant::now() >= waited).await;
+            let waited = discovery.called_at.borrow()[0] + Duration::from_millis(2500);
+            advance_until(|| Instant::now() >= waited).await;
             assert_eq!(
-                (discovery.calls(), dispatcher.borrow().watches.len()),
+                (discovery.call_count(), dispatcher.borrow().watches.len()),
                 (1, 1)
             );
-            let discovery = Stand::up(&[GivenUp]);
+            let discovery = FakeDiscovery::listening(&[QueuedThenRefused]);
             let dispatcher = start(discovery.address, DiscoveryMode::Poll, seed);
-            until(|| discovery.calls() > 1).await;
+            advance_until(|| discovery.call_count() > 1).await;
             assert_eq!(dispatcher.borrow().watches.len(), 1);
         }
     });
 }
 
-/// Guards against a stampede of calls on a discovery that is slow: none is made before the last has had time, and
+/// A slow discovery must not be flooded: no call is made before the last one has had time, and
 /// never many at once.
 #[test]
-fn calls_that_wait_are_not_made_more_often_than_they_have_to_be() {
+fn queued_calls_are_made_no_more_often_than_needed() {
     run(async {
         for seed in 0..6 {
-            let discovery = Stand::up(&[Swallowed; 60]);
+            let discovery = FakeDiscovery::listening(&[Unanswered; 60]);
             let dispatcher = start(discovery.address, DiscoveryMode::Poll, seed);
-            while discovery.calls() < 20 {
-                pass(1).await;
+            while discovery.call_count() < 20 {
+                advance_seconds(1).await;
                 assert!(dispatcher.borrow().watches.len() <= MAX_WATCHES);
             }
-            let came = discovery.came.borrow();
+            let called_at = discovery.called_at.borrow();
             assert!(
-                came.windows(2)
+                called_at
+                    .windows(2)
                     .all(|two| two[1] - two[0] > Duration::from_millis(2500)),
-                "{came:?}"
+                "{called_at:?}"
             );
         }
     });
 }
 
-/// Guards against the end of the watch at the old address while the new one is silent: there is no other.
+/// While the new address is silent, the watch on the old one is the only source of changes.
 #[test]
-fn the_old_watch_is_heard_for_as_long_as_the_new_place_is_silent() {
+fn the_old_watch_stays_in_force_while_the_new_address_is_silent() {
     run(async {
-        for mode in MODES {
-            let (old, new) = (Stand::up(&[Lives(12)]), Stand::up(&[Swallowed; 60]));
+        for mode in ALL_MODES {
+            let (old, new) = (
+                FakeDiscovery::listening(&[ChangesAfter(12)]),
+                FakeDiscovery::listening(&[Unanswered; 60]),
+            );
             let dispatcher = start(old.address, mode, 1);
-            until(|| old.calls() > 0).await;
+            advance_until(|| old.call_count() > 0).await;
             dispatcher.borrow_mut().set_discovery_address(new.address);
             assert!(
-                told(&dispatcher, &old).await < Duration::from_secs(13),
+                time_until_known(&dispatcher, &old).await < Duration::from_secs(13),
                 "{mode:?}"
             );
-            assert!(new.calls() > 3);
+            assert!(new.call_count() > 3);
         }
     });
 }
 
-/// Guards against a balancer that hears of nothing while others hold all descriptors.
+/// Discovery has descriptors of its own, whatever clients and upstreams hold.
 #[test]
-fn a_watch_is_opened_though_no_descriptor_is_free() {
+fn a_watch_is_opened_though_no_descriptor_is_free_for_others() {
     run(async {
-        for mode in MODES {
-            let discovery = Stand::up(&[Reset, Swallowed, Swallowed]);
+        for mode in ALL_MODES {
+            let discovery = FakeDiscovery::listening(&[Reset, Unanswered, Unanswered]);
             let dispatcher = start(discovery.address, mode, 1);
             let budget = dispatcher.borrow().budget.clone();
             let taken: Vec<_> =
@@ -544,8 +581,8 @@
             // Another process takes a half of them.
             budget.set_limit(512);
             assert!(taken.len() > 512);
-            until(|| discovery.calls() > 0).await;
-            let time = told(&dispatcher, &discovery).await;
+            advance_until(|| discovery.call_count() > 0).await;
+            let time = time_until_known(&dispatcher, &discovery).await;
             assert!(time <= Duration::from_secs(6), "{mode:?} {time:?}");
         }
     });
