--- a/src/bin/load-balancer/discovery/message.rs
+++ b/src/bin/load-balancer/discovery/message.rs
@@ -21,8 +21,8 @@
     TooLong,
 }
 
-/// An endpoint list on a watch. Unlike in the configuration file, the version and the endpoints have
-/// to be there: an object of another kind would otherwise pass for an empty list.
+/// An endpoint list on a watch. Unlike in the configuration file, the version and the endpoints
+/// have to be there: an object of another kind would otherwise pass for an empty list.
 #[derive(Deserialize)]
 struct WatchMessage {
     #[serde(rename = "index")]
@@ -32,8 +32,8 @@
     endpoints: Vec<Endpoint>,
 }
 
-/// Splits the body of a watch into messages. A message may be on one line or indented over several,
-/// and may arrive in any number of chunks.
+/// Splits the body of a watch into messages. A message may be on one line or indented over
+/// several, and may arrive in any number of chunks.
 #[derive(Default)]
 pub struct MessageDecoder {
     /// The bytes of the message so far.
@@ -45,8 +45,8 @@
 }
 
 impl MessageDecoder {
-    /// Decodes the next bytes and calls `on_list` for each message that they complete. True if they
-    /// complete a message or an empty line: only that shows that the watch is alive.
+    /// Decodes the next bytes and calls `on_list` for each message that they complete. True if
+    /// they complete a message or an empty line: only that shows that the watch is alive.
     ///
     /// # Errors
     ///
@@ -79,8 +79,8 @@
         if self.in_string {
             self.in_string = byte != b'"' || self.is_escaped;
             self.is_escaped = byte == b'\\' && !self.is_escaped;
-            // The rest of a truncated message never comes; without this check the next message would be
-            // read as part of its string.
+            // The rest of a truncated message never comes; without this check the next message
+            // would be read as part of its string.
             if byte == b'\n' {
                 return Err(MessageError::UnterminatedString);
             }
--- a/src/bin/load-balancer/discovery/silence_timer.rs
+++ b/src/bin/load-balancer/discovery/silence_timer.rs
@@ -32,8 +32,9 @@
         future: &mut (impl Future<Output = T> + Unpin),
         on_silence: impl FnOnce(),
     ) -> T {
-        // What has come goes before a timer that ran out in the same turn. The branch of the timer depends on
-        // what was reported, not on `Sleep::is_elapsed`: silence that goes on is still to be reported then.
+        // What has come goes before a timer that ran out in the same turn. The branch of the timer
+        // depends on what was reported, not on `Sleep::is_elapsed`: silence that goes on is still
+        // to be reported then.
         tokio::select! {
             biased;
             output = &mut *future => return output,
--- a/src/bin/load-balancer/discovery/silence_timer/tests.rs
+++ b/src/bin/load-balancer/discovery/silence_timer/tests.rs
@@ -4,7 +4,8 @@
 use std::cell::Cell;
 use std::pin::pin;
 
-/// A chunk that comes in the very turn in which the timer runs out must not hide the silence after it.
+/// A chunk that comes in the very turn in which the timer runs out must not hide the silence after
+/// it.
 #[tokio::test(start_paused = true)]
 async fn silence_is_reported_though_a_chunk_came_when_the_timer_ran_out() {
     let reports = Cell::new(0);
--- a/src/bin/load-balancer/discovery/watch.rs
+++ b/src/bin/load-balancer/discovery/watch.rs
@@ -1,4 +1,5 @@
-//! A watch on the endpoint list: one long HTTP response that carries the list and then its changes.
+//! A watch on the endpoint list: one long HTTP response that carries the list and then its
+//! changes.
 
 use crate::discovery::endpoint::EndpointList;
 use crate::discovery::message::{MessageDecoder, MessageError};
@@ -21,16 +22,17 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Where lists are polled, discovery may queue calls: beside one with no response after this time another
-/// one is made. A change has to be known 6 s after discovery has it, whatever became of the call before:
-/// this, a call that is queued for 2 s and refused then, and the backoff after that have to fit in there,
-/// and so have two calls that are never answered.
+/// Where lists are polled, discovery may queue calls: beside one with no response after this time
+/// another one is made. A change has to be known 6 s after discovery has it, whatever became of
+/// the call before: this, a call that is queued for 2 s and refused then, and the backoff after
+/// that have to fit in there, and so have two calls that are never answered.
 const POLL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2600);
-/// Where lists are pushed, a local agent answers at once. The same holds for a discovery address of which
-/// nothing is known yet, in either mode: its list is needed soon.
+/// Where lists are pushed, a local agent answers at once. The same holds for a discovery address
+/// of which nothing is known yet, in either mode: its list is needed soon.
 const PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Discovery sends a line every 2 s, an empty one if nothing changed. What a broken watch misses has to be
-/// known 6 s after its last line, which has to leave time for the next watch, and for one more.
+/// Discovery sends a line every 2 s, an empty one if nothing changed. What a broken watch misses
+/// has to be known 6 s after its last line, which has to leave time for the next watch, and for
+/// one more.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -47,7 +49,8 @@
     pub id: WatchId,
     /// Where discovery is.
     pub address: SocketAddr,
-    /// The known version of the list; `None` if no version of the discovery at this address is known.
+    /// The known version of the list; `None` if no version of the discovery at this address is
+    /// known.
     pub since: Option<u64>,
     /// How lists come from this discovery.
     pub mode: DiscoveryMode,
@@ -79,7 +82,8 @@
     Message(#[from] MessageError),
 }
 
-/// The text of the error that caused this one: that of `hyper` itself names only the step that failed.
+/// The text of the error that caused this one: that of `hyper` itself names only the step that
+/// failed.
 fn root_cause(error: &hyper::Error) -> String {
     match error.source() {
         Some(cause) => cause.to_string(),
@@ -87,7 +91,8 @@
     }
 }
 
-/// Receives the reports of watches. They come one at a time, in the order in which things happened.
+/// Receives the reports of watches. They come one at a time, in the order in which things
+/// happened.
 pub trait WatchObserver {
     /// An endpoint list, or a change of it, has come.
     fn list_received(&self, watch: WatchId, list: EndpointList);
@@ -174,9 +179,9 @@
     }
 }
 
-/// Polls the connection and the reader of its response until neither makes progress, so that one turn of
-/// the event loop handles all that has come. Otherwise a request of the same turn could be forwarded to an
-/// upstream whose drain has come but is not handled yet.
+/// Polls the connection and the reader of its response until neither makes progress, so that one
+/// turn of the event loop handles all that has come. Otherwise a request of the same turn could be
+/// forwarded to an upstream whose drain has come but is not handled yet.
 async fn read_all(
     connection: impl Future<Output = hyper::Result<()>>,
     read: impl Future<Output = Result<Infallible, WatchError>>,
--- a/src/bin/load-balancer/discovery/watch_set.rs
+++ b/src/bin/load-balancer/discovery/watch_set.rs
@@ -1,8 +1,8 @@
 //! The watches that are open at a time, and which of them counts.
 //!
-//! A silent watch stays open until a newer one has come alive, so several can be open at once. The oldest
-//! is authoritative: endpoint lists are accepted from it alone. As soon as a newer watch shows that it is
-//! alive, all older ones are closed.
+//! A silent watch stays open until a newer one has come alive, so several can be open at once. The
+//! oldest is authoritative: endpoint lists are accepted from it alone. As soon as a newer watch
+//! shows that it is alive, all older ones are closed.
 
 use crate::discovery::endpoint::EndpointList;
 use crate::discovery::watch::{WatchError, WatchId, WatchRequest};
@@ -15,23 +15,25 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Where lists are pushed, a failed watch is reopened after this time. What the agent has counts as known
-/// even while no watch is open, so the grace period of a drain has to cover the gap.
+/// Where lists are pushed, a failed watch is reopened after this time. What the agent has counts
+/// as known even while no watch is open, so the grace period of a drain has to cover the gap.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 /// The same after `MANY_FAILURES` in a row.
 const SLOW_RECONNECT_DELAY: Duration = Duration::from_millis(250);
 const MANY_FAILURES: u32 = 10;
-/// A watch that ends sooner counts as one more failure in a row, even if a complete list came on it.
+/// A watch that ends sooner counts as one more failure in a row, even if a complete list came on
+/// it.
 const MIN_HEALTHY_WATCH: Duration = Duration::from_secs(1);
-/// Where lists are polled, another watch is opened beside a silent one after a random delay of at most this
-/// time, so that balancers whose watches fall silent together don't poll in step.
+/// Where lists are polled, another watch is opened beside a silent one after a random delay of at
+/// most this time, so that balancers whose watches fall silent together don't poll in step.
 const MAX_POLL_JITTER: Duration = Duration::from_millis(150);
-/// A watch on a new discovery address that failed is reopened after a random delay of at most this time.
-/// All balancers are moved at once, and would otherwise reconnect in step.
+/// A watch on a new discovery address that failed is reopened after a random delay of at most this
+/// time. All balancers are moved at once, and would otherwise reconnect in step.
 const MAX_MOVE_DELAY: Duration = Duration::from_millis(400);
 /// As a share of `MAX_MOVE_DELAY`.
 const MIN_MOVE_DELAY_SHARE: f64 = 0.25;
-/// Watches that are open at a time. The descriptors that are reserved for discovery cover one more.
+/// Watches that are open at a time. The descriptors that are reserved for discovery cover one
+/// more.
 pub const MAX_WATCHES: usize = 4;
 
 /// Where discovery is, and how lists come from it.
@@ -43,8 +45,8 @@
     pub mode: DiscoveryMode,
 }
 
-/// The version of the endpoint list up to which no change was missed. Each discovery address counts its
-/// versions by itself.
+/// The version of the endpoint list up to which no change was missed. Each discovery address
+/// counts its versions by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListVersion {
     /// The address of the discovery that counts.
@@ -113,8 +115,8 @@
 }
 
 impl WatchSet {
-    /// A set with no open watch. `known_version` is the version of the list that is known from this
-    /// discovery, 0 if none is; `seed` is that of the random delays.
+    /// A set with no open watch. `known_version` is the version of the list that is known from
+    /// this discovery, 0 if none is; `seed` is that of the random delays.
     pub fn new(discovery: DiscoveryEndpoint, known_version: u64, seed: u64) -> Self {
         WatchSet {
             discovery,
@@ -129,8 +131,8 @@
         }
     }
 
-    /// The watch that is to be opened, unless the newest one is on the right address and not broken. Its
-    /// task is passed to `set_task`.
+    /// The watch that is to be opened, unless the newest one is on the right address and not
+    /// broken. Its task is passed to `set_task`.
     #[must_use]
     pub fn ensure_watch(&mut self) -> Option<WatchRequest> {
         let is_good =
@@ -141,8 +143,8 @@
         Some(self.add_watch())
     }
 
-    /// Moves to another discovery address; the watch that is to be opened there, if it is another. The list
-    /// and the watch on the old address stay in force until the new watch is alive.
+    /// Moves to another discovery address; the watch that is to be opened there, if it is another.
+    /// The list and the watch on the old address stay in force until the new watch is alive.
     #[must_use]
     pub fn set_address(&mut self, address: SocketAddr) -> Option<WatchRequest> {
         if address == self.discovery.address {
@@ -171,8 +173,8 @@
             task: None,
         });
         if self.watches.len() > MAX_WATCHES {
-            // The first is authoritative, possibly on the old address, and the second is the next to be
-            // answered where discovery queues calls; closing either would lose its place.
+            // The first is authoritative, possibly on the old address, and the second is the next
+            // to be answered where discovery queues calls; closing either would lose its place.
             self.watches.remove(2);
         }
         WatchRequest {
@@ -195,8 +197,8 @@
         self.watches.iter().position(|open| open.id == watch)
     }
 
-    /// Something complete has come on this watch: the older ones are closed, so that none of their lists is
-    /// accepted after those of a newer watch.
+    /// Something complete has come on this watch: the older ones are closed, so that none of their
+    /// lists is accepted after those of a newer watch.
     pub fn alive(&mut self, watch: WatchId) {
         if let Some(position) = self.position(watch) {
             self.watches[position].is_alive = true;
@@ -214,8 +216,9 @@
         let Some(open) = self.watches.first_mut().filter(|first| first.id == watch) else {
             return false;
         };
-        // The first response to a call holds all changes since the version that was asked for, however long
-        // the call was queued. The calls that were made beside it are no longer needed.
+        // The first response to a call holds all changes since the version that was asked for,
+        // however long the call was queued. The calls that were made beside it are no longer
+        // needed.
         if is_first && open.address == self.discovery.address {
             open.is_broken = false;
             self.watches.truncate(1);
@@ -240,8 +243,8 @@
         true
     }
 
-    /// This watch has been silent for too long. It stays open until a newer one is alive, as changes may
-    /// still come on it.
+    /// This watch has been silent for too long. It stays open until a newer one is alive, as
+    /// changes may still come on it.
     #[must_use]
     pub fn silent(&mut self, watch: WatchId) -> Reconnect {
         let Some(position) = self.position(watch) else {
@@ -291,8 +294,8 @@
 
     /// When the watch on `address` that failed is reopened.
     fn reconnect_after_failure(&mut self, address: SocketAddr, is_newest: bool) -> Reconnect {
-        // Where discovery has moved, the watches on the old address are expected to end, and the one on the
-        // new address is open or about to be opened.
+        // Where discovery has moved, the watches on the old address are expected to end, and the
+        // one on the new address is open or about to be opened.
         if !is_newest || address != self.discovery.address {
             return Reconnect::Superseded;
         }
--- a/src/bin/load-balancer/discovery/watch_set/tests.rs
+++ b/src/bin/load-balancer/discovery/watch_set/tests.rs
@@ -73,7 +73,8 @@
     assert_eq!(watches.silent(old), Reconnect::Superseded);
 }
 
-/// The first response holds all changes since the version that was asked for, however late it comes.
+/// The first response holds all changes since the version that was asked for, however late it
+/// comes.
 #[test]
 fn the_first_list_of_a_silent_watch_closes_those_that_were_opened_beside_it() {
     let mut watches = watch_set(DiscoveryMode::Poll);
--- a/src/bin/load-balancer/dispatch/clock.rs
+++ b/src/bin/load-balancer/dispatch/clock.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, SystemTime};
 use tokio::time::Instant;
 
-/// Seconds since the Unix epoch that never step: the system's wall clock is read once, and the monotonic
-/// clock from then on.
+/// Seconds since the Unix epoch that never step: the system's wall clock is read once, and the
+/// monotonic clock from then on.
 #[derive(Clone, Copy)]
 pub struct MonotonicUnixClock {
     started_at: Instant,
--- a/src/bin/load-balancer/dispatch/endpoints.rs
+++ b/src/bin/load-balancer/dispatch/endpoints.rs
@@ -1,4 +1,5 @@
-//! The way of a change of the endpoint list, and of maintenance by operators, through the dispatcher.
+//! The way of a change of the endpoint list, and of maintenance by operators, through the
+//! dispatcher.
 
 use crate::discovery::{
     run_watch, EndpointList, Reconnect, WatchError, WatchId, WatchObserver, WatchRequest,
@@ -44,8 +45,8 @@
 }
 
 impl Dispatcher {
-    /// Moves to another address of discovery. The list and the watch on the old address stay in force
-    /// until the watch on the new one is alive.
+    /// Moves to another address of discovery. The list and the watch on the old address stay in
+    /// force until the watch on the new one is alive.
     pub fn set_discovery_address(&mut self, address: SocketAddr) {
         let request = self.watches.set_address(address);
         self.open_watch(request);
@@ -85,8 +86,8 @@
         self.upstreams.purge_removed();
     }
 
-    /// Takes an upstream out of service or puts it back, for operators; false if no upstream of this name
-    /// is known.
+    /// Takes an upstream out of service or puts it back, for operators; false if no upstream of
+    /// this name is known.
     pub fn set_maintenance(&mut self, name: &str, change: Maintenance) -> bool {
         let is_known = self.upstreams.is_known(UpstreamId::of(name));
         if is_known {
@@ -100,8 +101,8 @@
         self.upstreams.names_in_maintenance()
     }
 
-    /// Restores the state of maintenance: these upstreams are out of service, and no others, whether they
-    /// are known or not.
+    /// Restores the state of maintenance: these upstreams are out of service, and no others,
+    /// whether they are known or not.
     pub fn restore_maintenance(&mut self, names: &BTreeSet<String>) {
         let in_maintenance = self.upstreams.names_in_maintenance();
         let ended: Vec<_> = in_maintenance
--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -1,7 +1,8 @@
-//! Runs the decision module: feeds it events, carries out its actions, and keeps its clock and its timers.
+//! Runs the decision module: feeds it events, carries out its actions, and keeps its clock and its
+//! timers.
 //!
-//! Each accepted request gets one final response, and the module gets one result for each attempt that it
-//! starts. No decision is made here.
+//! Each accepted request gets one final response, and the module gets one result for each attempt
+//! that it starts. No decision is made here.
 
 mod clock;
 mod endpoints;
@@ -37,8 +38,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, Instant};
 
-/// Owns the decision module and the state of all that the module speaks of: requests and their attempts,
-/// upstreams, timers and the watches on discovery.
+/// Owns the decision module and the state of all that the module speaks of: requests and their
+/// attempts, upstreams, timers and the watches on discovery.
 pub struct Dispatcher {
     /// For the tasks that report back.
     this: Weak<RefCell<Dispatcher>>,
@@ -61,8 +62,8 @@
 }
 
 impl Dispatcher {
-    /// Starts a dispatcher whose decision module knows the endpoint list of the configuration. Where lists
-    /// are pushed, a watch on discovery is opened at once.
+    /// Starts a dispatcher whose decision module knows the endpoint list of the configuration.
+    /// Where lists are pushed, a watch on discovery is opened at once.
     ///
     /// # Errors
     ///
@@ -174,7 +175,8 @@
         self.balancer.knowledge()
     }
 
-    /// Restores what the decision module of an earlier process had learned, written down `age` ago.
+    /// Restores what the decision module of an earlier process had learned, written down `age`
+    /// ago.
     pub fn restore(&mut self, age: Duration, learned: LearnedState) {
         self.balancer
             .recall(self.clock.seconds_now(), age.as_secs_f64(), learned);
@@ -262,7 +264,8 @@
     Duration::try_from_secs_f64(longest).unwrap_or(Duration::MAX / 4)
 }
 
-/// The seconds of an action as a `Duration`; zero for a value that none can hold, such as a negative one.
+/// The seconds of an action as a `Duration`; zero for a value that none can hold, such as a
+/// negative one.
 fn duration_from_secs(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::ZERO)
 }
--- a/src/bin/load-balancer/dispatch/recent_request_ids.rs
+++ b/src/bin/load-balancer/dispatch/recent_request_ids.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The ids of recent requests. An id is kept for `retention` at the least and twice that at the most: ids
-/// are dropped a generation at a time.
+/// The ids of recent requests. An id is kept for `retention` at the least and twice that at the
+/// most: ids are dropped a generation at a time.
 pub struct RecentRequestIds {
     retention: Duration,
     generation_began_at: Instant,
@@ -15,8 +15,8 @@
 }
 
 impl RecentRequestIds {
-    /// No ids yet. With a `retention` of the longest deadline, a request is known for as long as an attempt
-    /// of it may run.
+    /// No ids yet. With a `retention` of the longest deadline, a request is known for as long as
+    /// an attempt of it may run.
     pub fn new(retention: Duration) -> Self {
         RecentRequestIds {
             retention,
--- a/src/bin/load-balancer/dispatch/request_table.rs
+++ b/src/bin/load-balancer/dispatch/request_table.rs
@@ -13,7 +13,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// The requests that are open. A request stays until it has its final response and its attempts have ended.
+/// The requests that are open. A request stays until it has its final response and its attempts
+/// have ended.
 pub struct RequestTable {
     max_open: usize,
     requests: HashMap<RequestId, OpenRequest>,
@@ -40,7 +41,8 @@
     task: Option<AbortHandle>,
 }
 
-/// For how long the connection of an attempt had been idle; set when the first byte is about to be written.
+/// For how long the connection of an attempt had been idle; set when the first byte is about to be
+/// written.
 pub type ConnectionIdle = Rc<Cell<Option<Duration>>>;
 
 /// Identifies an attempt.
@@ -92,7 +94,8 @@
         self.response.is_some()
     }
 
-    /// True if an attempt may be sent. A body that was streamed to one upstream can't be sent to another.
+    /// True if an attempt may be sent. A body that was streamed to one upstream can't be sent to
+    /// another.
     pub fn can_be_sent(&self) -> bool {
         self.is_pending() && self.forward.upload.is_replayable()
     }
@@ -133,8 +136,8 @@
 }
 
 impl RequestTable {
-    /// An empty table. At most `max_open` requests may be open; their ids are known for `id_retention` at
-    /// the least.
+    /// An empty table. At most `max_open` requests may be open; their ids are known for
+    /// `id_retention` at the least.
     pub fn new(max_open: usize, id_retention: Duration) -> Self {
         RequestTable {
             max_open,
@@ -197,8 +200,8 @@
         request.is_some_and(|request| request.is_running(attempt.number))
     }
 
-    /// The body of a request is complete: the time of its attempt begins now, as an upstream starts work
-    /// with the last byte. False if no attempt is running.
+    /// The body of a request is complete: the time of its attempt begins now, as an upstream
+    /// starts work with the last byte. False if no attempt is running.
     #[must_use]
     pub fn upload_completed(&mut self, id: RequestId) -> bool {
         let request = self.requests.get_mut(&id);
@@ -224,9 +227,9 @@
         Some(result)
     }
 
-    /// The request needs no final response after the one that goes to the returned channel, if it needs
-    /// one now. Attempts that have not written anything end, also those that may not be cancelled later:
-    /// nobody waits for them. Their results are appended to `events`.
+    /// Concludes a request: returns where its final response goes, or `None` if it was concluded
+    /// before. Its attempts that have not written anything end, even where running attempts may not
+    /// be cancelled, as nobody waits for them any more; their results are appended to `events`.
     pub fn conclude(
         &mut self,
         id: RequestId,
@@ -258,8 +261,8 @@
         }
     }
 
-    /// The attempts, in order, that run and have not written anything, and whose upstream is no longer
-    /// available at the address that they were sent to.
+    /// The attempts, in order, that run and have not written anything, and whose upstream is no
+    /// longer available at the address that they were sent to.
     pub fn unstarted_and_misdirected(
         &self,
         address_of: impl Fn(UpstreamId) -> Option<SocketAddr>,
--- a/src/bin/load-balancer/dispatch/requests.rs
+++ b/src/bin/load-balancer/dispatch/requests.rs
@@ -15,10 +15,11 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Subtracted from a deadline for the decision module and for attempts, so that the response reaches the
-/// client in time.
+/// Subtracted from a deadline for the decision module and for attempts, so that the response
+/// reaches the client in time.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(12);
-/// A request that has no response this much before its deadline is answered without the decision module.
+/// A request that has no response this much before its deadline is answered without the decision
+/// module.
 const DEADLINE_BACKSTOP: Duration = Duration::from_millis(5);
 
 impl Dispatcher {
@@ -148,9 +149,9 @@
         self.events.extend(result.map(Event::AttemptEnded));
     }
 
-    /// Ends the attempts that have not written anything and whose upstream is no longer available at the
-    /// address that they were sent to, as if the upstream had rejected them. They were decided before it
-    /// was known that the upstream drains, and would start after that.
+    /// Ends the attempts that have not written anything and whose upstream is no longer available
+    /// at the address that they were sent to, as if the upstream had rejected them. They were
+    /// decided before it was known that the upstream drains, and would start after that.
     pub(super) fn reject_misdirected_attempts(&mut self) {
         let address_of = |upstream| self.upstreams.available_address(upstream);
         for attempt in self.requests.unstarted_and_misdirected(address_of) {
