--- a/src/bin/load-balancer/discovery/mod.rs
+++ b/src/bin/load-balancer/discovery/mod.rs
@@ -8,4 +8,4 @@
 
 pub use endpoint::{Endpoint, EndpointList, EndpointStatus};
 pub use watch::{run as run_watch, WatchError, WatchId, WatchObserver, WatchRequest};
-pub use watch_set::{DiscoveryEndpoint, Reconnect, WatchSet};
+pub use watch_set::{DiscoveryService, Reconnect, WatchSet};
--- a/src/bin/load-balancer/discovery/watch_set.rs
+++ b/src/bin/load-balancer/discovery/watch_set.rs
@@ -18,9 +18,10 @@
 /// Where lists are pushed, a failed watch is reopened after this time. What the agent has counts
 /// as known even while no watch is open, so the grace period of a drain has to cover the gap.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
-/// The same after `MANY_FAILURES` in a row.
+/// The same after `FAILURES_UNTIL_SLOW_RECONNECT` in a row.
 const SLOW_RECONNECT_DELAY: Duration = Duration::from_millis(250);
-const MANY_FAILURES: u32 = 10;
+/// From then on only every so many failures are logged, too.
+const FAILURES_UNTIL_SLOW_RECONNECT: u32 = 10;
 /// A watch that ends sooner counts as one more failure in a row, even if a complete list came on
 /// it.
 const MIN_HEALTHY_WATCH: Duration = Duration::from_secs(1);
@@ -38,7 +39,7 @@
 
 /// Where discovery is, and how lists come from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DiscoveryEndpoint {
+pub struct DiscoveryService {
     /// Its address.
     pub address: SocketAddr,
     /// How lists come from it.
@@ -82,7 +83,7 @@
 
 /// The open watches.
 pub struct WatchSet {
-    discovery: DiscoveryEndpoint,
+    discovery: DiscoveryService,
     known: ListVersion,
     /// The oldest first.
     watches: Vec<OpenWatch>,
@@ -117,7 +118,7 @@
 impl WatchSet {
     /// A set with no open watch. `known_version` is the version of the list that is known from
     /// this discovery, 0 if none is; `seed` is that of the random delays.
-    pub fn new(discovery: DiscoveryEndpoint, known_version: u64, seed: u64) -> Self {
+    pub fn new(discovery: DiscoveryService, known_version: u64, seed: u64) -> Self {
         WatchSet {
             discovery,
             known: ListVersion {
@@ -282,7 +283,8 @@
         let is_newest = self.watches.len() == position;
         let reconnect = self.reconnect_after_failure(failed.address, is_newest);
         let failures = self.consecutive_failures;
-        if failures < MANY_FAILURES || failures % MANY_FAILURES == 0 {
+        if failures < FAILURES_UNTIL_SLOW_RECONNECT || failures % FAILURES_UNTIL_SLOW_RECONNECT == 0
+        {
             log::line(format!(
                 "discovery watch failed: {}: {error}; {} ({failures} in a row)",
                 failed.address,
@@ -305,7 +307,7 @@
         }
         match self.discovery.mode {
             DiscoveryMode::Poll => Reconnect::ByPollSchedule,
-            DiscoveryMode::Push if self.consecutive_failures < MANY_FAILURES => {
+            DiscoveryMode::Push if self.consecutive_failures < FAILURES_UNTIL_SLOW_RECONNECT => {
                 Reconnect::After(RECONNECT_DELAY)
             }
             DiscoveryMode::Push => Reconnect::After(SLOW_RECONNECT_DELAY),
--- a/src/bin/load-balancer/discovery/watch_set/tests.rs
+++ b/src/bin/load-balancer/discovery/watch_set/tests.rs
@@ -28,7 +28,7 @@
 }
 
 fn watch_set(mode: DiscoveryMode) -> WatchSet {
-    let discovery = DiscoveryEndpoint {
+    let discovery = DiscoveryService {
         address: address(1),
         mode,
     };
--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::body::MemoryBudget;
 use crate::config::{Config, NameTables};
-use crate::discovery::{DiscoveryEndpoint, EndpointList, WatchSet};
+use crate::discovery::{DiscoveryService, EndpointList, WatchSet};
 use crate::dispatch::clock::MonotonicUnixClock;
 use crate::dispatch::request_table::{AttemptId, RequestTable};
 use crate::dispatch::timers::{Timer, TimerQueue};
@@ -107,7 +107,7 @@
         let max_open = limits.max_open_requests.min(config.max_descriptors);
         let classes = config.settings.classes.clone();
         let requests = RequestTable::new(max_open, longest_deadline(&classes));
-        let discovery = DiscoveryEndpoint {
+        let discovery = DiscoveryService {
             address: config.discovery,
             mode: config.settings.discovery_mode,
         };
--- a/src/bin/load-balancer/dispatch/request_table.rs
+++ b/src/bin/load-balancer/dispatch/request_table.rs
@@ -228,8 +228,9 @@
     }
 
     /// Concludes a request: returns where its final response goes, or `None` if it was concluded
-    /// before. Its attempts that have not written anything end, even where running attempts may not
-    /// be cancelled, as nobody waits for them any more; their results are appended to `events`.
+    /// before. Its attempts that have not written anything end, even where running attempts may
+    /// not be cancelled, as nobody waits for them any more; their results are appended to
+    /// `events`.
     pub fn conclude(
         &mut self,
         id: RequestId,
