--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -1,29 +1,30 @@
-//! Unit tests of the driver: what is settled, and what is then forgotten.
+//! Unit tests of the dispatcher: each request has one final response, and its state is freed.
 
 mod notification;
 
 use super::*;
 use crate::body::Upload;
-use crate::config::Config;
-use crate::upstream::ResponseContent;
+use crate::discovery::{Endpoint, EndpointStatus};
+use crate::upstream::{ForwardedRequest, ResponseContent};
 use hyper::{HeaderMap, Method, Uri};
 use load_balancer::Settings;
+use std::cell::Cell;
 use std::future::Future;
+use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout};
 
 fn endpoint(name: &str, address: SocketAddr) -> Endpoint {
-    let (zone, kind, status) = ("z".into(), "std".into(), "in_service".into());
     Endpoint {
         name: name.into(),
         address,
-        zone,
-        kind,
-        group: 0,
-        status,
-        since_ms: 0.0,
+        zone: "z".into(),
+        machine_kind: "std".into(),
+        cell: 0,
+        status: EndpointStatus::InService,
+        started_at_ms: 0.0,
     }
 }
 
@@ -38,7 +39,7 @@
         max_descriptors: 1024,
         memory_bytes: 32 << 20,
         known_endpoints: EndpointList {
-            index: 1,
+            version: 1,
             snapshot: true,
             endpoints,
         },
@@ -51,7 +52,7 @@
     Dispatcher::start(config, DescriptorBudget::new(1024, false)).expect("good settings")
 }
 
-fn request(wait: Duration) -> AcceptedRequest {
+fn request_with_deadline(wait: Duration) -> AcceptedRequest {
     let (method, uri, headers) = (Method::GET, Uri::from_static("/call"), HeaderMap::new());
     let upload = Rc::new(Upload::empty());
     let (client, settled) = Default::default();
@@ -64,10 +65,10 @@
         wait,
         settled,
     };
-    thread_local!(static LAST: Cell<u64> = const { Cell::new(0) });
-    let name = LAST.with(|last| last.replace(last.get() + 1).to_string());
+    thread_local!(static LAST_ID: Cell<u64> = const { Cell::new(0) });
+    let client_request_id = LAST_ID.with(|last| last.replace(last.get() + 1).to_string());
     AcceptedRequest {
-        name,
+        client_request_id,
         class: 0,
         tenant: 0,
         cost_hint: None,
@@ -75,8 +76,8 @@
     }
 }
 
-/// An upstream that answers with this text, or reads on for ever.
-async fn peer(answer: Option<&'static str>) -> SocketAddr {
+/// An upstream that answers each request with this text, or never.
+async fn spawn_upstream(answer: Option<&'static str>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     spawn_local(async move {
@@ -102,80 +103,76 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Guards against answers given twice or never, outcomes that the module never hears of, and state that
-/// stays: whatever the upstreams do and whichever clients leave, all is free in the end.
+/// Whatever the upstreams do and whichever clients disconnect, each request has one final
+/// response, the decision module has a result for each attempt, and no state is left in the end.
 #[test]
-fn every_request_is_settled_once_and_then_forgotten() {
+fn every_request_has_one_final_response_and_is_removed_then() {
     run(async {
-        let served = peer(Some("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")).await;
+        let served = spawn_upstream(Some("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")).await;
         let endpoints = vec![
             endpoint("served", served),
             endpoint(
                 "failing",
-                peer(Some("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")).await,
+                spawn_upstream(Some("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")).await,
             ),
-            endpoint("silent", peer(None).await),
-            endpoint("garbled", peer(Some("what?\r\n\r\n")).await),
+            endpoint("silent", spawn_upstream(None).await),
+            endpoint("garbled", spawn_upstream(Some("what?\r\n\r\n")).await),
         ];
         let dispatcher = start(endpoints);
-        let mut waiting = Vec::new();
+        let mut pending = Vec::new();
         for number in 0..60 {
             let (id, answer) = dispatcher
                 .borrow_mut()
-                .accept(request(Duration::from_secs(1)))
-                .expect("room");
+                .accept(request_with_deadline(Duration::from_secs(1)))
+                .expect("accepted");
             match number % 5 {
                 0 => dispatcher.borrow_mut().client_disconnected(id),
-                _ => waiting.push((id, answer)),
+                _ => pending.push((id, answer)),
             }
             sleep(Duration::from_millis(2)).await;
         }
         let mut bodies = 0;
-        for (id, answer) in waiting {
+        for (id, answer) in pending {
             if let FinalResponse::Served(answer) = answer.await.expect("a final answer") {
                 assert!(matches!(answer.body, ResponseContent::Complete(body) if body == "hi"));
                 bodies += 1;
             }
-            // The client has its answer: that it goes now changes nothing.
+            // The client has its response, so its disconnection changes nothing.
             dispatcher.borrow_mut().client_disconnected(id);
         }
         assert!(bodies > 0);
-        let free = || {
-            dispatcher.borrow().open.is_empty()
+        let is_empty = || {
+            dispatcher.borrow().requests.len() == 0
                 && dispatcher.borrow().balancer.load().attempts_in_flight == 0
         };
-        let all_free = async {
-            while !free() {
+        let all_removed = async {
+            while !is_empty() {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(Duration::from_secs(20), all_free)
+        timeout(Duration::from_secs(20), all_removed)
             .await
-            .expect("all is free in the end");
+            .expect("no state is left in the end");
         assert_eq!(dispatcher.borrow().balancer.load().open_requests, 0);
         assert!(dispatcher.borrow().events.is_empty());
     });
 }
 
 #[test]
-fn an_answer_that_the_module_owes_is_given_before_the_client_s_time_is_up() {
+fn a_request_without_a_decision_is_answered_before_its_deadline() {
     run(async {
-        let dispatcher = start(vec![endpoint("silent", peer(None).await)]);
+        let dispatcher = start(vec![endpoint("silent", spawn_upstream(None).await)]);
         let deadline = Duration::from_millis(400);
         let (_, answer) = dispatcher
             .borrow_mut()
-            .accept(request(deadline))
-            .expect("room");
-        // The timers that the module asked for are lost.
+            .accept(request_with_deadline(deadline))
+            .expect("accepted");
+        // The decision module's timers never fire.
         dispatcher
             .borrow_mut()
             .timers
-            .retain(|Reverse((_, due))| matches!(due, Due::DeadlineBackstop(_)));
-        dispatcher.borrow_mut().open.values_mut().for_each(|open| {
-            open.attempts
-                .iter()
-                .for_each(|out| out.task.iter().for_each(AbortHandle::abort));
-        });
+            .retain(|timer| matches!(timer, Timer::DeadlineBackstop(_)));
+        dispatcher.borrow_mut().requests.abort_tasks();
         let answer = timeout(Duration::from_secs(20), answer)
             .await
             .expect("in time")
@@ -183,50 +180,43 @@
         assert!(matches!(answer, FinalResponse::Failed));
         assert_eq!(
             dispatcher.borrow().balancer.load().open_requests,
-            dispatcher.borrow().open.len()
+            dispatcher.borrow().requests.len()
         );
     });
 }
 
 #[test]
-fn too_many_open_requests_are_not_taken() {
+fn too_many_open_requests_are_rejected() {
     run(async {
-        let dispatcher = start(vec![endpoint("silent", peer(None).await)]);
-        dispatcher.borrow_mut().most_open = 2;
-        let take = || {
+        let dispatcher = start(vec![endpoint("silent", spawn_upstream(None).await)]);
+        dispatcher.borrow_mut().requests.set_max_open(2);
+        let accept = || {
             dispatcher
                 .borrow_mut()
-                .accept(request(Duration::from_secs(5)))
+                .accept(request_with_deadline(Duration::from_secs(5)))
         };
-        let kept = (take(), take());
-        assert!(kept.0.is_ok() && kept.1.is_ok());
-        assert_eq!(take().err(), Some(RejectionReason::TooManyOpen));
+        let accepted = (accept(), accept());
+        assert!(accepted.0.is_ok() && accepted.1.is_ok());
+        assert_eq!(accept().err(), Some(RejectionReason::TooManyOpen));
     });
 }
 
 #[test]
-fn an_upstream_is_known_by_its_name_wherever_it_is() {
+fn an_upstream_is_identified_by_its_name_whatever_its_address() {
     run(async {
         let dispatcher = start(Vec::new());
         let at = |host| SocketAddr::from(([127, 0, 0, host], 9000));
-        let one = dispatcher.borrow_mut().entry(endpoint("s", at(1)));
-        let two = dispatcher.borrow_mut().entry(endpoint("s", at(2)));
+        let update = |endpoint| {
+            let dispatcher = &mut *dispatcher.borrow_mut();
+            dispatcher.upstreams.update(endpoint, &dispatcher.names)
+        };
+        let one = update(endpoint("s", at(1)));
+        let two = update(endpoint("s", at(2)));
         assert_eq!((one.id, one.started_at), (two.id, 0.0));
-        assert_ne!(
-            one.id,
-            dispatcher.borrow_mut().entry(endpoint("t", at(1))).id
+        assert_ne!(one.id, update(endpoint("t", at(1))).id);
+        assert_eq!(
+            dispatcher.borrow().upstreams.available_address(one.id),
+            Some(at(2))
         );
-        assert_eq!(dispatcher.borrow().targets[&one.id].address, at(2));
     });
 }
-
-#[test]
-fn the_clock_is_unix_time_and_never_steps_back() {
-    let clock = Clock::new();
-    let unix = SystemTime::now()
-        .duration_since(SystemTime::UNIX_EPOCH)
-        .expect("after 1970")
-        .as_secs_f64();
-    let (first, second) = (clock.at(Instant::now()), clock.at(Instant::now()));
-    assert!(second >= first && (first - unix).abs() < 60.0);
-}
