--- a/tests/decision/fleet_slow_start/mod.rs
+++ b/tests/decision/fleet_slow_start/mod.rs
@@ -6,6 +6,7 @@
 //! counts where over two thirds of them came from balancers that had been notified of the start.
 
 mod faults;
+mod server;
 mod simulation;
 
 use faults::Fault;
--- /dev/null
+++ b/tests/decision/fleet_slow_start/server.rs
@@ -0,0 +1,58 @@
+//! An upstream of the simulation, and the budget of its slow start. All times are seconds.
+
+use load_balancer::Rules;
+use std::collections::VecDeque;
+
+/// Length of the windows that have a budget.
+const WINDOW: f64 = 3.0;
+/// Requests of mean work per second that a warm upstream can take: few, so that one request of
+/// each balancer matters.
+pub const CAPACITY: f64 = 4.0;
+
+/// Arrival of an attempt at an upstream.
+pub struct Arrival {
+    pub moment: f64,
+    /// The balancer had been notified of the upstream's start.
+    pub was_notified: bool,
+}
+
+/// An upstream.
+#[derive(Default)]
+pub struct Server {
+    pub started_at: f64,
+    pub down_until: f64,
+    pub busy_cores: usize,
+    /// Request and attempt.
+    pub queue: VecDeque<(u64, u32)>,
+    pub arrivals: Vec<Arrival>,
+}
+
+impl Server {
+    /// Arrivals over the budget in the worst window of slow start.
+    pub fn worst_window(&self, rules: &Rules) -> f64 {
+        let slow_start = self.started_at..self.started_at + rules.slow_start_window;
+        let arrivals = self.arrivals.iter();
+        let arrivals: Vec<_> = arrivals
+            .filter(|arrival| slow_start.contains(&arrival.moment))
+            .collect();
+        let mut worst: f64 = 0.0;
+        for (first, begin) in arrivals.iter().enumerate() {
+            let share = rules.slow_start_share(self.started_at, begin.moment);
+            let allowed = rules.overload_multiple * CAPACITY * share * WINDOW;
+            let budget = allowed + 2.0 * allowed.sqrt() + 2.0;
+            let (mut count, mut notified) = (0.0, 0.0);
+            let end = begin.moment + WINDOW;
+            for arrival in arrivals[first..]
+                .iter()
+                .take_while(|arrival| arrival.moment < end)
+            {
+                count += 1.0;
+                notified += f64::from(u8::from(arrival.was_notified));
+                if notified > count * 2.0 / 3.0 {
+                    worst = worst.max(count / budget);
+                }
+            }
+        }
+        worst
+    }
+}
--- a/tests/decision/fleet_slow_start/simulation.rs
+++ b/tests/decision/fleet_slow_start/simulation.rs
@@ -1,6 +1,7 @@
 //! A discrete-event simulation of balancers and upstreams. All times are seconds.
 
 use super::faults::{Fault, START};
+use super::server::{Arrival, Server, CAPACITY};
 use crate::harness::{entry, request};
 use load_balancer::{
     Action, AttemptOutcome, AttemptResult, Balancer, Event, ListScope, Maintenance, RequestId,
@@ -9,9 +10,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap, VecDeque};
+use std::collections::{BTreeMap, BinaryHeap};
 
-const WINDOW: f64 = 3.0;
 /// For how long the load is higher by half, from `START` on.
 const BURST: f64 = 6.0;
 /// For how long requests are counted, from `START` on.
@@ -22,9 +22,6 @@
 const CORES: usize = 3;
 /// Requests that may wait at an upstream.
 const QUEUE_CAPACITY: usize = 12;
-/// Requests of mean work per second that a warm upstream can take: few, so that one request of
-/// each balancer matters.
-const CAPACITY: f64 = 4.0;
 /// How often a client repeats a rejected request.
 const MAX_CLIENT_RETRIES: u32 = 2;
 
@@ -39,24 +36,6 @@
     pub seed: u64,
 }
 
-/// Arrival of an attempt at an upstream.
-struct Arrival {
-    moment: f64,
-    /// The balancer had been notified of the upstream's start.
-    was_notified: bool,
-}
-
-/// An upstream.
-#[derive(Default)]
-pub struct Server {
-    started_at: f64,
-    pub down_until: f64,
-    busy_cores: usize,
-    /// Request and attempt.
-    queue: VecDeque<(u64, u32)>,
-    arrivals: Vec<Arrival>,
-}
-
 struct Attempt {
     upstream: u64,
     sent_at: f64,
@@ -501,36 +480,9 @@
 
     /// Arrivals over the budget in the worst window of all upstreams in slow start.
     pub fn worst_window(&self) -> f64 {
+        let rules = &self.settings.rules;
         let servers = self.servers.values();
         let started = servers.filter(|server| server.started_at > 0.0);
-        started.fold(0.0, |worst, server| worst.max(self.worst_window_of(server)))
-    }
-
-    fn worst_window_of(&self, server: &Server) -> f64 {
-        let rules = &self.settings.rules;
-        let slow_start = server.started_at..server.started_at + rules.slow_start_window;
-        let arrivals = server.arrivals.iter();
-        let arrivals: Vec<_> = arrivals
-            .filter(|arrival| slow_start.contains(&arrival.moment))
-            .collect();
-        let mut worst: f64 = 0.0;
-        for (first, begin) in arrivals.iter().enumerate() {
-            let share = rules.slow_start_share(server.started_at, begin.moment);
-            let allowed = rules.overload_multiple * CAPACITY * share * WINDOW;
-            let budget = allowed + 2.0 * allowed.sqrt() + 2.0;
-            let (mut count, mut notified) = (0.0, 0.0);
-            let end = begin.moment + WINDOW;
-            for arrival in arrivals[first..]
-                .iter()
-                .take_while(|arrival| arrival.moment < end)
-            {
-                count += 1.0;
-                notified += f64::from(u8::from(arrival.was_notified));
-                if notified > count * 2.0 / 3.0 {
-                    worst = worst.max(count / budget);
-                }
-            }
-        }
-        worst
+        started.fold(0.0, |worst, server| worst.max(server.worst_window(rules)))
     }
 }
