--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -3,6 +3,7 @@
 mod peers;
 use load_balancer::LearnedState;
 use peers::*;
+use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -253,6 +254,68 @@
     );
 }
 
+/// A state file that version 47c951f wrote: `u0` and `u1` were listed and had served requests, and operators had taken
+/// `u0` out of service.
+const STATE_OF_47C951F: &str = include_str!("data/state-47c951f.json");
+
+/// The paths of all fields of a JSON value. List elements and entries keyed by a number count as one, `*`.
+fn field_paths(value: &serde_json::Value) -> BTreeSet<String> {
+    fn collect(path: &str, value: &serde_json::Value, paths: &mut BTreeSet<String>) {
+        paths.insert(path.to_string());
+        if let Some(fields) = value.as_object() {
+            for (name, value) in fields {
+                let is_number = name.parse::<u64>().is_ok();
+                let name = if is_number { "*" } else { name };
+                collect(&format!("{path}.{name}"), value, paths);
+            }
+        }
+        for element in value.as_array().into_iter().flatten() {
+            collect(&format!("{path}.*"), element, paths);
+        }
+    }
+    let mut paths = BTreeSet::new();
+    collect("", value, &mut paths);
+    paths
+}
+
+/// The maintenance and the learned state that the version in service has written hold in this one.
+#[test]
+fn a_state_file_of_the_version_in_service_is_read() {
+    let recorded: serde_json::Value = serde_json::from_str(STATE_OF_47C951F).unwrap();
+    let recorded_address = recorded["balancer"].as_str().unwrap();
+    let rig = Rig::new();
+    let address = rig.start("127.0.0.1:0").address;
+    let state = STATE_OF_47C951F.replace(recorded_address, &address.to_string());
+    std::fs::write(rig.state(address), state).unwrap();
+    let program = rig.start(&address.to_string());
+    assert_eq!(program.figure("upstreams_excluded"), 1);
+    assert_eq!(program.call("POST /upstreams/u0/ready").0, 200);
+    assert_eq!(program.figure("upstreams_excluded"), 0);
+
+    let learned: LearnedState = serde_json::from_value(recorded["knowledge"].clone()).unwrap();
+    assert_eq!(
+        serde_json::to_value(learned).unwrap(),
+        recorded["knowledge"]
+    );
+}
+
+/// The version in service finds every field in a state file of this one, and no others.
+#[test]
+fn a_state_file_has_the_fields_of_the_version_in_service() {
+    let rig = Rig::new();
+    let program = rig.start("127.0.0.1:0");
+    let mut client = program.client();
+    for _ in 0..3 {
+        assert_eq!(client.ask("/pay", ID, "coins").status(), 200);
+        assert_eq!(client.ask("/read", ID, "").status(), 200);
+    }
+    assert_eq!(program.call("POST /upstreams/u0/maint").0, 200);
+    let written = std::fs::read(rig.state(program.address)).unwrap();
+    let written = serde_json::from_slice(&written).unwrap();
+    let recorded = serde_json::from_str(STATE_OF_47C951F).unwrap();
+    assert_eq!(field_paths(&written), field_paths(&recorded));
+}
+
 #[test]
 fn a_torn_or_foreign_state_is_passed_over() {
     let rig = Rig::new();
