--- a/src/bin/load-balancer/admin/mod.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -1,7 +1,7 @@
 //! The admin endpoint: health, figures, and what operators say about upstreams and clients. One call a connection.
 
 use crate::dispatch::Dispatcher;
-use crate::handover::Handover;
+use crate::handover::{Handover, MaintenanceError};
 use crate::log;
 use crate::server::listener::{Listener, PendingConnection};
 use crate::server::Server;
@@ -13,6 +13,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
+use load_balancer::Maintenance;
 use percent_encoding::percent_decode_str;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -188,9 +189,16 @@
                     return text(StatusCode::BAD_REQUEST, "the id can't be read");
                 };
                 // Guards against a yes that an upgrade would undo.
-                match self.handover.maintain(&name, out) {
-                    Ok(true) => text(StatusCode::OK, "done"),
-                    Ok(false) => text(StatusCode::NOT_FOUND, "no such upstream"),
+                let change = if out {
+                    Maintenance::Begin
+                } else {
+                    Maintenance::End
+                };
+                match self.handover.set_maintenance(&name, change) {
+                    Ok(()) => text(StatusCode::OK, "done"),
+                    Err(MaintenanceError::UnknownUpstream) => {
+                        text(StatusCode::NOT_FOUND, "no such upstream")
+                    }
                     Err(_) => text(
                         StatusCode::INTERNAL_SERVER_ERROR,
                         "done, but an upgrade now would undo it",
--- /dev/null
+++ b/src/bin/load-balancer/handover/folder.rs
@@ -0,0 +1,89 @@
+//! The folder in which the processes of one balancer find each other.
+
+use crate::socket::system_errors::is_transient;
+use std::cell::Cell;
+use std::io;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+use tokio::net::{UnixListener, UnixStream};
+use tokio::time::{sleep, Instant};
+
+/// Names of files begin with this: versions up to 47c951f look for it.
+const FILE_PREFIX: &str = "magpiechute";
+
+/// Transient errors of the folder are retried at this interval,
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// and for this long in all.
+pub const RETRY_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// The folder `$TMPDIR`, and the address of the balancer, which is part of the files' names.
+pub struct HandoverFolder {
+    /// `None` without `$TMPDIR`: then no state is stored, and no other process is found.
+    path: Option<PathBuf>,
+    address: Cell<SocketAddr>,
+}
+
+impl HandoverFolder {
+    /// The folder of the balancer that listens on this address.
+    pub fn new(path: Option<PathBuf>, address: SocketAddr) -> Self {
+        HandoverFolder {
+            path,
+            address: Cell::new(address),
+        }
+    }
+
+    /// The address on which the balancer listens for clients.
+    pub fn address(&self) -> SocketAddr {
+        self.address.get()
+    }
+
+    /// Sets that address, once the kernel has chosen the port.
+    pub fn set_address(&self, address: SocketAddr) {
+        self.address.set(address);
+    }
+
+    /// The path of the state file.
+    pub fn state_file(&self) -> Option<PathBuf> {
+        self.file("state")
+    }
+
+    /// The path of the socket on which a process awaits its successor.
+    pub fn socket(&self) -> Option<PathBuf> {
+        self.file("sock")
+    }
+
+    fn file(&self, extension: &str) -> Option<PathBuf> {
+        let folder = self.path.as_ref()?;
+        Some(folder.join(format!("{FILE_PREFIX}-{}.{extension}", self.address())))
+    }
+}
+
+/// Connects to the predecessor at this socket, if there is one; transient errors are retried.
+pub async fn connect_to_predecessor(socket: &Path) -> Option<UnixStream> {
+    let give_up_at = Instant::now() + RETRY_TIMEOUT;
+    loop {
+        match UnixStream::connect(socket).await {
+            Ok(stream) => return Some(stream),
+            Err(error) if is_transient(&error) && Instant::now() < give_up_at => {
+                sleep(RETRY_INTERVAL).await;
+            }
+            Err(_) => return None,
+        }
+    }
+}
+
+/// Listens for a successor at this socket. It takes the place of the predecessor's socket in one step, so that a
+/// process that starts meanwhile finds one of the two.
+///
+/// # Errors
+///
+/// Those of the file system, and of socket(2) and bind(2).
+pub fn listen_for_successor(socket: &Path) -> io::Result<UnixListener> {
+    let temporary = socket.with_extension(std::process::id().to_string());
+    // A file of this name was left by a dead process with the same id.
+    let _ = std::fs::remove_file(&temporary);
+    let listener = UnixListener::bind(&temporary)?;
+    std::fs::rename(&temporary, socket)?;
+    Ok(listener)
+}
--- a/src/bin/load-balancer/handover/mod.rs
+++ b/src/bin/load-balancer/handover/mod.rs
@@ -1,384 +1,340 @@
-//! A new process beside the old one: what the one leaves to the other, and how both keep to one balancer's limits.
+//! Upgrade without lost clients: a successor process starts beside its predecessor and takes over from it.
 //!
-//! Both meet at a Unix socket in `$TMPDIR`, and what has to outlast a process is in a file beside it.
+//! The two processes meet at a Unix socket in `$TMPDIR` and share the limits of one balancer. Maintenance and learned
+//! state outlast a process in a file beside the socket.
 
+mod folder;
+mod message;
+mod peer_connection;
 mod retry_stream;
 mod state_file;
+mod state_store;
 
 use crate::dispatch::Dispatcher;
-use crate::handover::retry_stream::RetryOnInterrupt;
-use crate::handover::state_file::{State, StateError};
+use crate::handover::folder::{connect_to_predecessor, listen_for_successor, HandoverFolder};
+use crate::handover::message::PeerMessage;
+use crate::handover::peer_connection::{IncomingMessages, PeerConnection};
+use crate::handover::state_file::StateError;
+use crate::handover::state_store::{StateStore, WRITE_RETRY_INTERVAL};
 use crate::log;
 use crate::server::Server;
-use crate::socket::system_errors::is_transient;
 use crate::socket::DescriptorBudget;
-use serde::{Deserialize, Serialize};
-use std::cell::{Cell, RefCell};
-use std::io;
+use load_balancer::Maintenance;
+use std::cell::RefCell;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
-use tokio::net::unix::OwnedReadHalf;
+use thiserror::Error;
 use tokio::net::{UnixListener, UnixStream};
-use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, timeout};
 
-/// The old process has made room by then, or is taken to hold its half.
-const ROOM: Duration = Duration::from_millis(500);
-/// Connections to the old process that may end before it has said anything: it may be short of something for a moment.
-const MEETINGS: usize = 3;
-/// After a failed accept the next try comes this much later.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(100);
-/// A state that the folder has not taken is written again this much later,
-const STATE_AGAIN: Duration = Duration::from_millis(100);
-/// and a socket, which some folders never take, this much later.
-const SOCKET_AGAIN: Duration = Duration::from_millis(500);
+/// A predecessor reports its descriptors within this time, or is taken to use half of them.
+const DESCRIPTOR_REPORT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Connections to the predecessor that may end before it has reported: it may lack a resource for a moment.
+const MAX_CONNECTION_ATTEMPTS: usize = 3;
+/// Pause after a failed accept.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which the socket for a successor is tried again. Longer than that of the state file, as some file systems
+/// never take a socket.
+const SOCKET_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A state that can't be read, or an old process that can't be reached, for a moment is tried again this often,
-const MEET_AGAIN: Duration = Duration::from_millis(20);
-/// and for so long.
-const MEET_PATIENCE: Duration = Duration::from_secs(1);
+/// Why a change of maintenance was not carried out in full.
+#[derive(Debug, Error)]
+pub enum MaintenanceError {
+    /// No upstream of this name is known; nothing has changed.
+    #[error("unknown upstream")]
+    UnknownUpstream,
+    /// The state file can't be read at the moment, so it may hold changes that would be overwritten; nothing has
+    /// changed.
+    #[error("state file not read: {0}")]
+    StateUnreadable(#[source] StateError),
+    /// The change is in force, but a successor would not know of it until a retry has written the file.
+    #[error("state file not written: {0}")]
+    StateUnwritable(#[source] StateError),
+}
 
-/// Files in `$TMPDIR` begin with this name: versions up to 47c951f look for it.
-const FILE_PREFIX: &str = "magpiechute";
+/// The other process of an upgrade.
+enum Peer {
+    /// There is none.
+    Absent,
+    /// It has connected.
+    Connected(PeerConnection),
+    /// It is the successor, and accepts clients' connections.
+    Accepting(PeerConnection),
+}
 
-/// What one process tells the other, a line each.
-#[derive(Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-enum Line {
-    /// There is a new process: room, please.
-    Hello,
-    /// The old process holds so many descriptors at the most.
-    Holds(usize),
-    /// The new process takes clients' connections.
-    Ready,
-    /// The state has changed.
-    State,
+impl Peer {
+    fn connection(&self) -> Option<&PeerConnection> {
+        match self {
+            Peer::Absent => None,
+            Peer::Connected(connection) | Peer::Accepting(connection) => Some(connection),
+        }
+    }
 }
 
-/// The process's part in an upgrade.
+/// This process's side of an upgrade.
 pub struct Handover {
-    /// `None` where there is no `$TMPDIR`: then nothing is kept, and nobody met.
-    folder: Option<PathBuf>,
-    address: Cell<SocketAddr>,
-    dispatcher: Rc<RefCell<Dispatcher>>,
+    folder: Rc<HandoverFolder>,
+    store: StateStore,
     server: Rc<Server>,
     budget: Rc<DescriptorBudget>,
-    /// The most descriptors of both processes together.
-    sockets: usize,
-    /// Where the other process hears of changes, if there is one.
-    other: RefCell<Option<UnboundedSender<Line>>>,
-    /// A new process takes the clients' connections.
-    is_replaced: Cell<bool>,
-    /// The folder has not taken what is to outlast this process.
-    unsaved: Cell<bool>,
+    /// The most descriptors that both processes may hold together.
+    max_descriptors: usize,
+    peer: RefCell<Peer>,
 }
 
 impl Handover {
+    /// The handover of the balancer that listens on `address`, by way of files in `folder`.
     pub fn new(
         folder: Option<PathBuf>,
         address: SocketAddr,
         dispatcher: Rc<RefCell<Dispatcher>>,
         server: Rc<Server>,
         budget: Rc<DescriptorBudget>,
-        sockets: usize,
+        max_descriptors: usize,
     ) -> Rc<Self> {
-        let (other, is_replaced, unsaved) = Default::default();
-        let address = Cell::new(address);
+        let folder = Rc::new(HandoverFolder::new(folder, address));
         Rc::new(Handover {
+            store: StateStore::new(folder.clone(), dispatcher),
             folder,
-            address,
-            dispatcher,
             server,
             budget,
-            sockets,
-            other,
-            is_replaced,
-            unsaved,
+            max_descriptors,
+            peer: RefCell::new(Peer::Absent),
         })
     }
 
-    /// True once a new process takes the clients' connections.
+    /// True once a successor accepts clients' connections.
     pub fn is_replaced(&self) -> bool {
-        self.is_replaced.get()
+        matches!(*self.peer.borrow(), Peer::Accepting(_))
     }
 
-    fn path(&self, kind: &str) -> Option<PathBuf> {
-        Some(
-            self.folder
-                .as_ref()?
-                .join(format!("{FILE_PREFIX}-{}.{kind}", self.address.get())),
-        )
+    /// True while another process runs beside this one.
+    pub fn has_peer(&self) -> bool {
+        !matches!(*self.peer.borrow(), Peer::Absent)
     }
 
-    /// Does what the operators say of an upstream, writes it down and tells the other process; false if none of this
-    /// name is known.
-    pub fn maintain(self: &Rc<Self>, name: &str, out: bool) -> io::Result<bool> {
-        // The other process, or the one before, may have been told something that this one has not heard of yet. Guards
-        // against writing over what can't be read just now.
-        match self.adopt() {
-            Some(Err(error)) if error.is_transient() => return Err(io::Error::other(error)),
+    /// Takes an upstream out of service or puts it back, stores that, and notifies the peer.
+    ///
+    /// # Errors
+    ///
+    /// See [`MaintenanceError`].
+    pub fn set_maintenance(
+        self: &Rc<Self>,
+        upstream: &str,
+        change: Maintenance,
+    ) -> Result<(), MaintenanceError> {
+        // The file may hold a change that the peer or the predecessor made and that has not arrived here yet.
+        match self.store.read_maintenance() {
+            Some(Err(error)) if error.is_transient() => {
+                return Err(MaintenanceError::StateUnreadable(error));
+            }
             _ => {}
         }
-        let known = self.dispatcher.borrow_mut().set_maintenance(name, out);
-        if known {
-            self.keep()?;
+        if !self.store.set_maintenance(upstream, change) {
+            return Err(MaintenanceError::UnknownUpstream);
         }
-        Ok(known)
+        self.publish_state()
+            .map_err(MaintenanceError::StateUnwritable)
     }
 
-    /// Writes down what has to outlast this process, and tells the other one. What the folder does not take now is
-    /// written once it does.
-    fn keep(self: &Rc<Self>) -> io::Result<()> {
-        let saved = self.save();
-        match &saved {
-            Ok(()) => self.tell(Line::State),
+    /// Writes the state file and notifies the peer. A failed write is retried until it succeeds.
+    fn publish_state(self: &Rc<Self>) -> Result<(), StateError> {
+        let written = self.store.write();
+        match &written {
+            Ok(()) => self.send(PeerMessage::StateChanged),
             Err(error) => {
-                log::line(format!("the state can't be kept yet: {error}"));
-                if !self.unsaved.replace(true) {
-                    spawn_local(self.clone().keep_later());
-                }
-            }
-        }
-        saved
-    }
-
-    async fn keep_later(self: Rc<Self>) {
-        while self.unsaved.get() {
-            sleep(STATE_AGAIN).await;
-            self.unsaved.set(self.save().is_err());
-        }
-        self.tell(Line::State);
-    }
-
-    fn save(&self) -> io::Result<()> {
-        let Some(path) = self.path("state") else {
-            return Ok(());
-        };
-        let out = self
-            .dispatcher
-            .borrow()
-            .upstreams_in_maintenance()
-            .map(str::to_string)
-            .collect();
-        let knowledge = self.dispatcher.borrow().learned_state();
-        State {
-            balancer: self.address.get().to_string(),
-            out,
-            knowledge,
-            age: None,
-        }
-        .write(&path)
-    }
-
-    /// Does what the operators have said to the other process, or to the one before, as far as that is written down and
-    /// nothing newer is still to be written here.
-    fn adopt(&self) -> Option<Result<State, StateError>> {
-        let path = self.path("state").filter(|_| !self.unsaved.get())?;
-        let state = State::read(&path, self.address.get());
-        if let Ok(state) = &state {
-            self.dispatcher.borrow_mut().restore_maintenance(&state.out);
-        }
-        Some(state)
-    }
-
-    /// The same, again for a while where the file can't be read just now.
-    async fn adopt_in_time(&self) -> Option<Result<State, StateError>> {
-        let until = Instant::now() + MEET_PATIENCE;
-        loop {
-            match self.adopt()? {
-                Err(error) if error.is_transient() && Instant::now() < until => {
-                    sleep(MEET_AGAIN).await
+                let interval = WRITE_RETRY_INTERVAL.as_secs_f64();
+                log::line(format!(
+                    "state file not written: {error}; retrying every {interval} s"
+                ));
+                if self.store.begin_retries() {
+                    spawn_local(self.clone().publish_state_later());
                 }
-                adopted => return Some(adopted),
             }
         }
+        written
     }
 
-    /// The same where something has to be there.
-    async fn restore(&self) -> Option<State> {
-        let adopted = self.adopt_in_time().await?;
-        adopted
-            .map_err(|why| log::line(format!("nothing is known of a process before: {why}")))
-            .ok()
-    }
-
-    /// The old process, if there is one; a call that fails for a moment is made again for a while.
-    async fn find_other(path: &Path) -> Option<UnixStream> {
-        let until = Instant::now() + MEET_PATIENCE;
-        loop {
-            match UnixStream::connect(path).await {
-                Ok(stream) => return Some(stream),
-                Err(error) if is_transient(&error) && Instant::now() < until => {
-                    sleep(MEET_AGAIN).await
-                }
-                Err(_) => return None,
-            }
-        }
+    async fn publish_state_later(self: Rc<Self>) {
+        self.store.retry_write().await;
+        self.send(PeerMessage::StateChanged);
     }
 
-    /// Takes over what a process before has left. If it still runs, this one has the descriptors that it can spare,
-    /// and is to listen only once it is ready.
+    /// Takes over from the predecessor: its state, and the descriptors that it can spare if it still runs. The caller
+    /// then listens for clients once it can serve them.
     pub async fn take_over(self: &Rc<Self>) {
-        let Some(path) = self.path("sock") else {
+        let Some(socket) = self.folder.socket() else {
             return;
         };
-        for _ in 0..MEETINGS {
-            let Some(old) = Self::find_other(&path).await else {
+        for _ in 0..MAX_CONNECTION_ATTEMPTS {
+            let Some(stream) = connect_to_predecessor(&socket).await else {
                 break;
             };
-            if self.meet(old).await {
+            if self.introduce(stream).await {
                 break;
             }
         }
-        // Only now: what it knew when it heard of this process stands in the file, and what changes after that is told.
-        if let Some(State {
-            knowledge,
-            age: Some(age),
-            ..
-        }) = self.restore().await
-        {
-            self.dispatcher.borrow_mut().restore(age, knowledge);
-        }
+        // After the introduction: the predecessor writes the file on `Hello`, and reports later changes.
+        self.store.restore().await;
     }
 
-    /// Tells the old process of this one; false if the connection ended before that said what it holds.
-    async fn meet(self: &Rc<Self>, old: UnixStream) -> bool {
-        log::line("another process runs beside this one".into());
-        // Until it has said what it holds.
-        self.budget.set_limit(self.sockets / 2);
-        let heard = Rc::new(Notify::new());
-        self.talk(old, heard.clone());
-        self.tell(Line::Hello);
-        if timeout(ROOM, heard.notified()).await.is_ok() {
+    /// Introduces this process to its predecessor and waits for its report. False if the connection ended before that.
+    async fn introduce(self: &Rc<Self>, stream: UnixStream) -> bool {
+        let half = self.max_descriptors / 2;
+        let address = self.folder.address();
+        log::line(format!(
+            "peer process found: balancer at {address} (descriptor limit {half})"
+        ));
+        // Until the predecessor has reported.
+        self.budget.set_limit(half);
+        let descriptors_reported = Rc::new(Notify::new());
+        self.attach(stream, descriptors_reported.clone());
+        self.send(PeerMessage::Hello);
+        if timeout(DESCRIPTOR_REPORT_TIMEOUT, descriptors_reported.notified())
+            .await
+            .is_ok()
+        {
             return true;
         }
-        log::line("the other process does not say what it holds".into());
+        log::line(format!(
+            "peer process did not report its descriptors: balancer at {address} (descriptor limit {half})"
+        ));
         self.has_peer()
     }
 
-    /// True while another process runs beside this one.
-    pub fn has_peer(&self) -> bool {
-        self.other.borrow().is_some()
-    }
-
-    /// This process takes clients' connections at this address: tells the old one, and waits for a newer one.
-    pub fn settle(self: &Rc<Self>, address: SocketAddr) {
-        self.address.set(address);
-        self.tell(Line::Ready);
-        let Some(path) = self.path("sock") else {
+    /// To be called once this process listens for clients on `address`: notifies the predecessor and awaits a successor.
+    pub fn listening(self: &Rc<Self>, address: SocketAddr) {
+        self.folder.set_address(address);
+        self.send(PeerMessage::Ready);
+        let Some(socket) = self.folder.socket() else {
             return;
         };
-        // Whoever sees that this process listens may start the next one.
-        match self.listen(&path) {
+        // Here and not in the task: a successor may be started as soon as this process is seen to listen.
+        match listen_for_successor(&socket) {
             Ok(listener) => drop(spawn_local(self.clone().accept(listener))),
             Err(error) => {
+                let path = socket.display();
+                let interval = SOCKET_RETRY_INTERVAL.as_secs_f64();
                 log::line(format!(
-                    "no upgrade can follow yet: {}: {error}",
-                    path.display()
+                    "handover socket not created: {path}: {error}; retrying every {interval} s"
                 ));
-                spawn_local(self.clone().await_next(path));
+                spawn_local(self.clone().accept_later(socket));
             }
         }
     }
 
-    /// Waits for the next process at this socket, once that can be made.
-    async fn await_next(self: Rc<Self>, path: PathBuf) {
+    /// Awaits a successor once the socket can be created.
+    async fn accept_later(self: Rc<Self>, socket: PathBuf) {
         loop {
-            sleep(SOCKET_AGAIN).await;
-            if let Ok(listener) = self.listen(&path) {
+            sleep(SOCKET_RETRY_INTERVAL).await;
+            if let Ok(listener) = listen_for_successor(&socket) {
                 return self.accept(listener).await;
             }
         }
     }
 
-    /// Guards against a moment in which a new process finds nobody: the old socket is replaced in one step.
-    fn listen(&self, path: &Path) -> io::Result<UnixListener> {
-        let aside = path.with_extension(format!("{}", std::process::id()));
-        // One of that name is of a process that is gone.
-        let _ = std::fs::remove_file(&aside);
-        let listener = UnixListener::bind(&aside)?;
-        std::fs::rename(&aside, path)?;
-        Ok(listener)
-    }
-
     async fn accept(self: Rc<Self>, listener: UnixListener) {
         loop {
             match listener.accept().await {
-                // One upgrade at a time: whoever comes beside it is on its own.
-                Ok((stream, _)) if self.other.borrow().is_none() => {
-                    self.talk(stream, Rc::default())
-                }
+                // One upgrade at a time: a further process is disconnected and goes without a handover.
+                Ok((stream, _)) if !self.has_peer() => self.attach(stream, Rc::default()),
                 Ok(_) => {}
-                Err(_) => sleep(ACCEPT_AGAIN).await,
+                Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
             }
         }
     }
 
-    /// Hears the other process to its end; `heard` is told once it has said what it holds.
-    fn talk(self: &Rc<Self>, stream: UnixStream, heard: Rc<Notify>) {
-        let (input, output) = stream.into_split();
-        let mut output = RetryOnInterrupt(output);
-        let (sender, mut lines) = unbounded_channel::<Line>();
-        *self.other.borrow_mut() = Some(sender);
-        spawn_local(async move {
-            while let Some(line) = lines.recv().await {
-                let Ok(mut text) = serde_json::to_vec(&line) else {
-                    continue;
-                };
-                text.push(b'\n');
-                // One that can't be told is gone, and so is the reading end.
-                let _ = output.write_all(&text).await;
-            }
-        });
+    /// Serves the connection to the peer until that disconnects. `descriptors_reported` is notified of its report.
+    fn attach(self: &Rc<Self>, stream: UnixStream, descriptors_reported: Rc<Notify>) {
+        let (connection, messages) = PeerConnection::open(stream);
+        *self.peer.borrow_mut() = Peer::Connected(connection);
         let handover = self.clone();
         spawn_local(async move {
-            handover.hear(input, &heard).await;
-            log::line("the other process has gone".into());
-            *handover.other.borrow_mut() = None;
-            handover.budget.set_limit(handover.sockets);
-            if handover.is_replaced.replace(false) {
-                // It was the new one: the next will look for this one.
-                handover.settle(handover.address.get());
-            }
+            handover
+                .handle_messages(messages, &descriptors_reported)
+                .await;
+            handover.detach();
         });
     }
 
-    async fn hear(self: &Rc<Self>, input: OwnedReadHalf, heard: &Notify) {
-        let mut lines = BufReader::new(RetryOnInterrupt(input)).lines();
-        while let Ok(Some(line)) = lines.next_line().await {
-            match serde_json::from_str(&line) {
-                Ok(Line::Hello) => {
-                    // A file that can't be read for so long is written anew.
-                    let _ = self.adopt_in_time().await;
-                    // One that can't be written now is told of later.
-                    let _ = self.keep();
-                    let share = self.sockets / 2;
-                    self.budget.set_limit(share);
-                    self.server.evict_down_to(share).await;
-                    self.tell(Line::Holds(self.budget.in_use().max(share)));
-                }
-                Ok(Line::Holds(count)) => {
-                    self.budget.set_limit(self.sockets.saturating_sub(count));
-                    heard.notify_one();
-                }
-                Ok(Line::Ready) => self.is_replaced.set(true),
-                Ok(Line::State) => drop(self.restore().await),
+    /// The peer has disconnected: this process is the only one.
+    fn detach(self: &Rc<Self>) {
+        let address = self.folder.address();
+        let limit = self.max_descriptors;
+        log::line(format!(
+            "peer process disconnected: balancer at {address} (descriptor limit {limit})"
+        ));
+        let peer = self.peer.replace(Peer::Absent);
+        self.budget.set_limit(limit);
+        if matches!(peer, Peer::Accepting(_)) {
+            // The successor has taken over the socket, so it has to be created again.
+            self.listening(address);
+        }
+    }
+
+    async fn handle_messages(
+        self: &Rc<Self>,
+        mut messages: IncomingMessages,
+        descriptors_reported: &Notify,
+    ) {
+        loop {
+            match messages.next().await {
+                Ok(Some(message)) => self.handle(message, descriptors_reported).await,
+                Ok(None) => return,
                 Err(error) => {
-                    return log::line(format!("the other process can't be understood: {error}"))
+                    return log::line(format!(
+                        "peer message malformed: {error}; closing the connection"
+                    ));
                 }
             }
         }
     }
 
-    fn tell(&self, line: Line) {
-        if let Some(other) = self.other.borrow().as_ref() {
-            // The other process has gone: nobody needs to know.
-            let _ = other.send(line);
+    async fn handle(self: &Rc<Self>, message: PeerMessage, descriptors_reported: &Notify) {
+        match message {
+            PeerMessage::Hello => self.yield_descriptors().await,
+            PeerMessage::DescriptorsInUse(count) => {
+                let rest = self.max_descriptors.saturating_sub(count);
+                self.budget.set_limit(rest);
+                descriptors_reported.notify_one();
+            }
+            PeerMessage::Ready => self.peer_accepts(),
+            PeerMessage::StateChanged => {
+                self.store.restore_maintenance().await;
+            }
+        }
+    }
+
+    /// A successor has started: writes the state for it and yields half of the descriptors.
+    async fn yield_descriptors(self: &Rc<Self>) {
+        // An unreadable file is overwritten.
+        let _ = self.store.read_maintenance_with_retries().await;
+        // A failed write is retried; the successor is notified then.
+        let _ = self.publish_state();
+        let half = self.max_descriptors / 2;
+        self.budget.set_limit(half);
+        self.server.evict_down_to(half).await;
+        let in_use = self.budget.in_use().max(half);
+        self.send(PeerMessage::DescriptorsInUse(in_use));
+    }
+
+    fn peer_accepts(&self) {
+        let mut peer = self.peer.borrow_mut();
+        if let Peer::Connected(connection) = std::mem::replace(&mut *peer, Peer::Absent) {
+            *peer = Peer::Accepting(connection);
+        }
+    }
+
+    fn send(&self, message: PeerMessage) {
+        if let Some(connection) = self.peer.borrow().connection() {
+            connection.send(message);
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/bin/load-balancer/handover/retry_stream.rs
+++ b/src/bin/load-balancer/handover/retry_stream.rs
@@ -1,4 +1,4 @@
-//! A stream on which an interrupted call, or one that is short of memory for a moment, is no end.
+//! A stream whose reads and writes outlast interrupts and resource exhaustion.
 
 use crate::socket::system_errors::is_resource_exhaustion;
 use std::io;
@@ -6,11 +6,12 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Reads and writes on a stream, again where a call was interrupted; after a shortage in a later turn of the event loop.
+/// Wraps a stream: an interrupted call is made again at once, one that failed for want of a resource in a later turn of
+/// the event loop.
 pub struct RetryOnInterrupt<T>(pub T);
 
-/// What becomes of a call: `None` if it is to be made again at once.
-fn settled<T>(result: Poll<io::Result<T>>, context: &Context) -> Option<Poll<io::Result<T>>> {
+/// The final result of a call, or `None` if it has to be made again at once.
+fn final_result<T>(result: Poll<io::Result<T>>, context: &Context) -> Option<Poll<io::Result<T>>> {
     match result {
         Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::Interrupted => None,
         Poll::Ready(Err(error)) if is_resource_exhaustion(&error) => {
@@ -25,11 +26,11 @@
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context,
-        bytes: &mut ReadBuf,
+        buffer: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
         loop {
-            let result = Pin::new(&mut self.0).poll_read(context, bytes);
-            if let Some(result) = settled(result, context) {
+            let result = Pin::new(&mut self.0).poll_read(context, buffer);
+            if let Some(result) = final_result(result, context) {
                 return result;
             }
         }
@@ -44,7 +45,7 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             let result = Pin::new(&mut self.0).poll_write(context, bytes);
-            if let Some(result) = settled(result, context) {
+            if let Some(result) = final_result(result, context) {
                 return result;
             }
         }
--- a/src/bin/load-balancer/handover/state_file.rs
+++ b/src/bin/load-balancer/handover/state_file.rs
@@ -1,4 +1,6 @@
-//! The file in which a process leaves to the next what has to outlast it.
+//! The file in which a process leaves its successor what has to outlast it.
+//!
+//! Versions up to 47c951f read and write the same fields, so their names on disk may not change.
 
 use crate::socket::system_errors::is_transient;
 use load_balancer::LearnedState;
@@ -10,72 +12,115 @@
 use std::time::{Duration, SystemTime};
 use thiserror::Error;
 
-/// What outlasts a process.
+/// The contents of the file.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct State {
-    /// Whose it is: the address where clients connect.
+pub struct StoredState {
+    /// The address on which the balancer that wrote it listens for clients.
     pub balancer: String,
-    /// Upstreams that the operators have left out.
-    pub out: BTreeSet<String>,
-    /// What the module has learned.
-    #[serde(default)]
-    pub knowledge: LearnedState,
-    /// How long ago it was written, where it was read. The file's own time tells: the wall clocks that two processes
+    /// The upstreams that operators have taken out of service.
+    #[serde(rename = "out")]
+    pub upstreams_in_maintenance: BTreeSet<String>,
+    /// What the decision module has learned.
+    #[serde(default, rename = "knowledge")]
+    pub learned_state: LearnedState,
+    /// For a state that was read: the age of the file by its own time stamp, as the wall clocks that two processes
     /// read at their starts may differ.
     #[serde(skip)]
     pub age: Option<Duration>,
 }
 
-/// Why there is no state to be had.
+/// Why a state file could not be read or written.
 #[derive(Debug, Error)]
 pub enum StateError {
-    /// The file can't be read.
-    #[error("{path}: {error}", path = .0.display(), error = .1)]
-    Unreadable(PathBuf, #[source] io::Error),
-    /// It holds no state, or half of one.
-    #[error("{path}: {error}", path = .0.display(), error = .1)]
-    Malformed(PathBuf, #[source] serde_json::Error),
-    /// It was left by a balancer at another address.
-    #[error("{path} is of the balancer at {balancer}", path = .0.display(), balancer = .1)]
-    Foreign(PathBuf, String),
+    /// The file is missing or can't be read.
+    #[error("{path}: {source}", path = .path.display())]
+    Unreadable {
+        /// Its path.
+        path: PathBuf,
+        /// The error of the file system.
+        source: io::Error,
+    },
+    /// The file is incomplete or no state.
+    #[error("{path}: {source}", path = .path.display())]
+    Malformed {
+        /// Its path.
+        path: PathBuf,
+        /// The error of the parser.
+        source: serde_json::Error,
+    },
+    /// The file was written by a balancer at another address.
+    #[error("{path} belongs to the balancer at {balancer}", path = .path.display())]
+    WrongBalancer {
+        /// Its path.
+        path: PathBuf,
+        /// The address of the balancer that wrote it.
+        balancer: String,
+    },
+    /// The file can't be written.
+    #[error("{path}: {source}", path = .path.display())]
+    Unwritable {
+        /// Its path.
+        path: PathBuf,
+        /// The error of the file system.
+        source: io::Error,
+    },
 }
 
 impl StateError {
-    /// True if the file may be read a moment later.
+    /// True for an error of reading that may be over a moment later.
     pub fn is_transient(&self) -> bool {
-        matches!(self, StateError::Unreadable(_, error) if is_transient(error))
+        matches!(self, StateError::Unreadable { source, .. } if is_transient(source))
     }
 }
 
-impl State {
-    /// Writes it aside and puts it in its place in one step.
+impl StoredState {
+    /// Replaces the file in one step, so that a reader or a kill in between finds a complete one.
     ///
     /// # Errors
     ///
-    /// Those of the file system.
-    pub fn write(&self, path: &Path) -> io::Result<()> {
-        let aside = path.with_extension("new");
-        std::fs::write(&aside, serde_json::to_vec(self)?)?;
-        std::fs::rename(aside, path)
+    /// `Unwritable`.
+    pub fn write(&self, path: &Path) -> Result<(), StateError> {
+        self.replace_file(path)
+            .map_err(|source| StateError::Unwritable {
+                path: path.into(),
+                source,
+            })
     }
 
-    /// Reads what the balancer at this address has left there.
+    fn replace_file(&self, path: &Path) -> io::Result<()> {
+        let temporary = path.with_extension("new");
+        std::fs::write(&temporary, serde_json::to_vec(self)?)?;
+        std::fs::rename(temporary, path)
+    }
+
+    /// Reads the state of the balancer at this address.
     ///
     /// # Errors
     ///
-    /// If there is no such file, it can't be read, or holds something else.
+    /// `Unreadable`, `Malformed` or `WrongBalancer`.
     pub fn read(path: &Path, address: SocketAddr) -> Result<Self, StateError> {
-        let text =
-            std::fs::read(path).map_err(|error| StateError::Unreadable(path.into(), error))?;
-        let mut state: State = serde_json::from_slice(&text)
-            .map_err(|error| StateError::Malformed(path.into(), error))?;
-        let written = std::fs::metadata(path).and_then(|about| about.modified());
-        state.age = written
-            .ok()
-            .and_then(|written| SystemTime::now().duration_since(written).ok());
-        match state.balancer == address.to_string() {
-            true => Ok(state),
-            false => Err(StateError::Foreign(path.into(), state.balancer)),
+        let text = std::fs::read(path).map_err(|source| StateError::Unreadable {
+            path: path.into(),
+            source,
+        })?;
+        let mut state: StoredState =
+            serde_json::from_slice(&text).map_err(|source| StateError::Malformed {
+                path: path.into(),
+                source,
+            })?;
+        state.age = age_of(path);
+        if state.balancer != address.to_string() {
+            return Err(StateError::WrongBalancer {
+                path: path.into(),
+                balancer: state.balancer,
+            });
         }
+        Ok(state)
     }
 }
+
+/// How long ago a file was written; `None` if unknown, or if the wall clock says that it was written in the future.
+fn age_of(path: &Path) -> Option<Duration> {
+    let written_at = std::fs::metadata(path).and_then(|file| file.modified());
+    SystemTime::now().duration_since(written_at.ok()?).ok()
+}
--- /dev/null
+++ b/src/bin/load-balancer/handover/state_store.rs
@@ -0,0 +1,129 @@
+//! Exchanges state between the dispatcher and the state file.
+
+use crate::dispatch::Dispatcher;
+use crate::handover::folder::{HandoverFolder, RETRY_INTERVAL, RETRY_TIMEOUT};
+use crate::handover::state_file::{StateError, StoredState};
+use crate::log;
+use load_balancer::Maintenance;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{sleep, Instant};
+
+/// A failed write is retried at this interval.
+pub const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Owns the state file of this process's balancer.
+pub struct StateStore {
+    folder: Rc<HandoverFolder>,
+    dispatcher: Rc<RefCell<Dispatcher>>,
+    /// A write has failed and is being retried: the file is older than the dispatcher's state.
+    has_pending_write: Cell<bool>,
+}
+
+impl StateStore {
+    /// The state file in this folder, for the state of this dispatcher.
+    pub fn new(folder: Rc<HandoverFolder>, dispatcher: Rc<RefCell<Dispatcher>>) -> Self {
+        StateStore {
+            folder,
+            dispatcher,
+            has_pending_write: Cell::new(false),
+        }
+    }
+
+    /// Writes the present state; nothing to do without a folder.
+    ///
+    /// # Errors
+    ///
+    /// `StateError::Unwritable`.
+    pub fn write(&self) -> Result<(), StateError> {
+        let Some(path) = self.folder.state_file() else {
+            return Ok(());
+        };
+        let state = {
+            let dispatcher = self.dispatcher.borrow();
+            StoredState {
+                balancer: self.folder.address().to_string(),
+                upstreams_in_maintenance: dispatcher
+                    .upstreams_in_maintenance()
+                    .map(str::to_string)
+                    .collect(),
+                learned_state: dispatcher.learned_state(),
+                age: None,
+            }
+        };
+        state.write(&path)
+    }
+
+    /// Notes that a write has failed. True if no retries are under way: then [`Self::retry_write`] has to follow.
+    pub fn begin_retries(&self) -> bool {
+        !self.has_pending_write.replace(true)
+    }
+
+    /// Writes the present state at intervals until that succeeds.
+    pub async fn retry_write(&self) {
+        while self.has_pending_write.get() {
+            sleep(WRITE_RETRY_INTERVAL).await;
+            self.has_pending_write.set(self.write().is_err());
+        }
+    }
+
+    /// Takes an upstream out of service or puts it back; false if no upstream of this name is known.
+    pub fn set_maintenance(&self, upstream: &str, change: Maintenance) -> bool {
+        self.dispatcher
+            .borrow_mut()
+            .set_maintenance(upstream, change == Maintenance::Begin)
+    }
+
+    /// Reads the file and applies its maintenance. `None` without a folder, and while a write is pending: the file is
+    /// older than what this process knows then.
+    pub fn read_maintenance(&self) -> Option<Result<StoredState, StateError>> {
+        let path = self.folder.state_file()?;
+        if self.has_pending_write.get() {
+            return None;
+        }
+        let state = StoredState::read(&path, self.folder.address());
+        if let Ok(state) = &state {
+            self.dispatcher
+                .borrow_mut()
+                .restore_maintenance(&state.upstreams_in_maintenance);
+        }
+        Some(state)
+    }
+
+    /// The same; transient errors are retried for a while.
+    pub async fn read_maintenance_with_retries(&self) -> Option<Result<StoredState, StateError>> {
+        let give_up_at = Instant::now() + RETRY_TIMEOUT;
+        loop {
+            match self.read_maintenance()? {
+                Err(error) if error.is_transient() && Instant::now() < give_up_at => {
+                    sleep(RETRY_INTERVAL).await;
+                }
+                result => return Some(result),
+            }
+        }
+    }
+
+    /// The same; a failure is logged.
+    pub async fn restore_maintenance(&self) -> Option<StoredState> {
+        match self.read_maintenance_with_retries().await? {
+            Ok(state) => Some(state),
+            Err(error) => {
+                log::line(format!("no state restored: {error}"));
+                None
+            }
+        }
+    }
+
+    /// Restores maintenance and, if the age of the file is known, the learned state.
+    pub async fn restore(&self) {
+        let Some(state) = self.restore_maintenance().await else {
+            return;
+        };
+        if let Some(age) = state.age {
+            self.dispatcher
+                .borrow_mut()
+                .restore(age, state.learned_state);
+        }
+    }
+}
--- a/src/bin/load-balancer/main.rs
+++ b/src/bin/load-balancer/main.rs
@@ -145,7 +145,7 @@
         Listener::bind(address, true).map_err(|error| format!("listen on {address}: {error}"))?;
     let address = retry_transient_errors(|| listener.local_addr())?;
     server.open();
-    handover.settle(address);
+    handover.listening(address);
     log::line(format!("{name} listens on {address}"));
     let ended = async {
         tokio::select! {
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -169,7 +169,7 @@
     );
     let mut log = BufReader::new(new.stderr.take().unwrap()).lines();
     assert!(
-        log.any(|line| line.unwrap().contains("another process runs")),
+        log.any(|line| line.unwrap().contains("peer process found")),
         "they have met"
     );
     old.kill();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -557,7 +557,7 @@
     let mut new = spawn_in(&rig.folder, &empty, &old.address.to_string());
     let mut log = BufReader::new(new.stderr.take().unwrap()).lines();
     assert!(
-        log.any(|line| line.unwrap().contains("another process runs")),
+        log.any(|line| line.unwrap().contains("peer process found")),
         "they have met"
     );
     assert!(Command::new("kill")
