--- a/src/bin/load-balancer/handover/folder.rs
+++ b/src/bin/load-balancer/handover/folder.rs
@@ -73,8 +73,8 @@
     }
 }
 
-/// Listens for a successor at this socket. It takes the place of the predecessor's socket in one step, so that a
-/// process that starts meanwhile finds one of the two.
+/// Listens for a successor at this socket. It takes the place of the predecessor's socket in one
+/// step, so that a process that starts meanwhile finds one of the two.
 ///
 /// # Errors
 ///
--- a/src/bin/load-balancer/handover/mod.rs
+++ b/src/bin/load-balancer/handover/mod.rs
@@ -1,7 +1,8 @@
-//! Upgrade without lost clients: a successor process starts beside its predecessor and takes over from it.
+//! Upgrade without lost clients: a successor process starts beside its predecessor and takes over
+//! from it.
 //!
-//! The two processes meet at a Unix socket in `$TMPDIR` and share the limits of one balancer. Maintenance and learned
-//! state outlast a process in a file beside the socket.
+//! The two processes meet at a Unix socket in `$TMPDIR` and share the limits of one balancer.
+//! Maintenance and learned state outlast a process in a file beside the socket.
 
 mod folder;
 mod message;
@@ -33,12 +34,13 @@
 
 /// A predecessor reports its descriptors within this time, or is taken to use half of them.
 const DESCRIPTOR_REPORT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Connections to the predecessor that may end before it has reported: it may lack a resource for a moment.
+/// Connections to the predecessor that may end before it has reported: it may lack a resource for
+/// a moment.
 const MAX_CONNECTION_ATTEMPTS: usize = 3;
 /// Pause after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval at which the socket for a successor is tried again. Longer than that of the state file, as some file systems
-/// never take a socket.
+/// Interval at which the socket for a successor is tried again. Longer than that of the state
+/// file, as some file systems never take a socket.
 const SOCKET_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why a change of maintenance was not carried out in full.
@@ -47,11 +49,12 @@
     /// No upstream of this name is known; nothing has changed.
     #[error("unknown upstream")]
     UnknownUpstream,
-    /// The state file can't be read at the moment, so it may hold changes that would be overwritten; nothing has
-    /// changed.
+    /// The state file can't be read at the moment, so it may hold changes that would be
+    /// overwritten; nothing has changed.
     #[error("state file not read: {0}")]
     StateUnreadable(#[source] StateError),
-    /// The change is in force, but a successor would not know of it until a retry has written the file.
+    /// The change is in force, but a successor would not know of it until a retry has written the
+    /// file.
     #[error("state file not written: {0}")]
     StateUnwritable(#[source] StateError),
 }
@@ -127,7 +130,8 @@
         upstream: &str,
         change: Maintenance,
     ) -> Result<(), MaintenanceError> {
-        // The file may hold a change that the peer or the predecessor made and that has not arrived here yet.
+        // The file may hold a change that the peer or the predecessor made and that has not
+        // arrived here yet.
         match self.store.read_maintenance() {
             Some(Err(error)) if error.is_transient() => {
                 return Err(MaintenanceError::StateUnreadable(error));
@@ -164,8 +168,8 @@
         self.send(PeerMessage::StateChanged);
     }
 
-    /// Takes over from the predecessor: its state, and the descriptors that it can spare if it still runs. The caller
-    /// then listens for clients once it can serve them.
+    /// Takes over from the predecessor: its state, and the descriptors that it can spare if it
+    /// still runs. The caller then listens for clients once it can serve them.
     pub async fn take_over(self: &Rc<Self>) {
         let Some(socket) = self.folder.socket() else {
             return;
@@ -178,11 +182,13 @@
                 break;
             }
         }
-        // After the introduction: the predecessor writes the file on `Hello`, and reports later changes.
+        // After the introduction: the predecessor writes the file on `Hello`, and reports later
+        // changes.
         self.store.restore().await;
     }
 
-    /// Introduces this process to its predecessor and waits for its report. False if the connection ended before that.
+    /// Introduces this process to its predecessor and waits for its report. False if the
+    /// connection ended before that.
     async fn introduce(self: &Rc<Self>, stream: UnixStream) -> bool {
         let half = self.max_descriptors / 2;
         let address = self.folder.address();
@@ -206,14 +212,16 @@
         self.has_peer()
     }
 
-    /// To be called once this process listens for clients on `address`: notifies the predecessor and awaits a successor.
+    /// To be called once this process listens for clients on `address`: notifies the predecessor
+    /// and awaits a successor.
     pub fn listening(self: &Rc<Self>, address: SocketAddr) {
         self.folder.set_address(address);
         self.send(PeerMessage::Ready);
         let Some(socket) = self.folder.socket() else {
             return;
         };
-        // Here and not in the task: a successor may be started as soon as this process is seen to listen.
+        // Here and not in the task: a successor may be started as soon as this process is seen to
+        // listen.
         match listen_for_successor(&socket) {
             Ok(listener) => drop(spawn_local(self.clone().accept(listener))),
             Err(error) => {
@@ -240,7 +248,8 @@
     async fn accept(self: Rc<Self>, listener: UnixListener) {
         loop {
             match listener.accept().await {
-                // One upgrade at a time: a further process is disconnected and goes without a handover.
+                // One upgrade at a time: a further process is disconnected and goes without a
+                // handover.
                 Ok((stream, _)) if !self.has_peer() => self.attach(stream, Rc::default()),
                 Ok(_) => {}
                 Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
@@ -248,7 +257,8 @@
         }
     }
 
-    /// Serves the connection to the peer until that disconnects. `descriptors_reported` is notified of its report.
+    /// Serves the connection to the peer until that disconnects. `descriptors_reported` is
+    /// notified of its report.
     fn attach(self: &Rc<Self>, stream: UnixStream, descriptors_reported: Rc<Notify>) {
         let (connection, messages) = PeerConnection::open(stream);
         *self.peer.borrow_mut() = Peer::Connected(connection);
--- a/src/bin/load-balancer/handover/retry_stream.rs
+++ b/src/bin/load-balancer/handover/retry_stream.rs
@@ -6,8 +6,8 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Wraps a stream: an interrupted call is made again at once, one that failed for want of a resource in a later turn of
-/// the event loop.
+/// Wraps a stream: an interrupted call is made again at once, one that failed for want of a
+/// resource in a later turn of the event loop.
 pub struct RetryOnInterrupt<T>(pub T);
 
 /// The final result of a call, or `None` if it has to be made again at once.
--- a/src/bin/load-balancer/handover/state_file.rs
+++ b/src/bin/load-balancer/handover/state_file.rs
@@ -23,8 +23,8 @@
     /// What the decision module has learned.
     #[serde(default, rename = "knowledge")]
     pub learned_state: LearnedState,
-    /// For a state that was read: the age of the file by its own time stamp, as the wall clocks that two processes
-    /// read at their starts may differ.
+    /// For a state that was read: the age of the file by its own time stamp, as the wall clocks
+    /// that two processes read at their starts may differ.
     #[serde(skip)]
     pub age: Option<Duration>,
 }
@@ -119,7 +119,8 @@
     }
 }
 
-/// How long ago a file was written; `None` if unknown, or if the wall clock says that it was written in the future.
+/// How long ago a file was written; `None` if unknown, or if the wall clock says that it was
+/// written in the future.
 fn age_of(path: &Path) -> Option<Duration> {
     let written_at = std::fs::metadata(path).and_then(|file| file.modified());
     SystemTime::now().duration_since(written_at.ok()?).ok()
--- a/src/bin/load-balancer/handover/state_store.rs
+++ b/src/bin/load-balancer/handover/state_store.rs
@@ -55,7 +55,8 @@
         state.write(&path)
     }
 
-    /// Notes that a write has failed. True if no retries are under way: then [`Self::retry_write`] has to follow.
+    /// Notes that a write has failed. True if no retries are under way: then
+    /// [`Self::retry_write`] has to follow.
     pub fn begin_retries(&self) -> bool {
         !self.has_pending_write.replace(true)
     }
@@ -68,15 +69,16 @@
         }
     }
 
-    /// Takes an upstream out of service or puts it back; false if no upstream of this name is known.
+    /// Takes an upstream out of service or puts it back; false if no upstream of this name is
+    /// known.
     pub fn set_maintenance(&self, upstream: &str, change: Maintenance) -> bool {
         self.dispatcher
             .borrow_mut()
             .set_maintenance(upstream, change == Maintenance::Begin)
     }
 
-    /// Reads the file and applies its maintenance. `None` without a folder, and while a write is pending: the file is
-    /// older than what this process knows then.
+    /// Reads the file and applies its maintenance. `None` without a folder, and while a write is
+    /// pending: the file is older than what this process knows then.
     pub fn read_maintenance(&self) -> Option<Result<StoredState, StateError>> {
         let path = self.folder.state_file()?;
         if self.has_pending_write.get() {
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -62,8 +62,8 @@
     assert_eq!(program.client().ask("/healthz", "", "").status(), 200);
 }
 
-/// Guards against figures that count twice, or not at all: each ending stands under one count, and an attempt counts
-/// once it is written.
+/// Guards against figures that count twice, or not at all: each ending stands under one count,
+/// and an attempt counts once it is written.
 #[test]
 fn figures_tell_how_requests_ended() {
     let upstream = Upstream::start(Reply::Ok);
@@ -100,7 +100,8 @@
     }
 }
 
-/// Guards against clients that stay with a drained balancer, and against losing what they have asked.
+/// Guards against clients that stay with a drained balancer, and against losing what they have
+/// asked.
 #[test]
 fn a_drained_balancer_sends_its_clients_away_and_takes_them_back() {
     let upstream = Upstream::start(Reply::Ok);
@@ -140,8 +141,8 @@
     assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
 }
 
-/// Guards against calls to an upstream that is being worked on: the operators' word holds against the list, until the
-/// one call that takes it back.
+/// Guards against calls to an upstream that is being worked on: the operators' word holds against
+/// the list, until the one call that takes it back.
 #[test]
 fn an_upstream_is_left_out_until_it_is_put_back() {
     let (one, two) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
@@ -204,7 +205,8 @@
     assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
 }
 
-/// Guards against clients that are turned away for the sake of connections that only asked for health.
+/// Guards against clients that are turned away for the sake of connections that only asked for
+/// health.
 #[test]
 fn connections_that_only_asked_for_health_make_room_for_requests() {
     let upstream = Upstream::start(Reply::Ok);
@@ -252,7 +254,8 @@
     assert_eq!(program.figure("refused.read"), refused);
 }
 
-/// Guards against closing on a client in the middle of a request, be it when the process ends or clients are sent away.
+/// Guards against closing on a client in the middle of a request, be it when the process ends or
+/// clients are sent away.
 #[test]
 fn a_request_that_has_half_come_is_served_before_its_connection_ends() {
     for drain in [false, true] {
@@ -281,8 +284,8 @@
     }
 }
 
-/// Guards against a request that is still open when the process is killed: a body that comes too slowly for that is
-/// turned away in time.
+/// Guards against a request that is still open when the process is killed: a body that comes too
+/// slowly for that is turned away in time.
 #[test]
 fn a_body_that_still_comes_is_turned_away_before_sigkill() {
     let upstream = Upstream::start(Reply::Ok);
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -1,5 +1,6 @@
-//! When a process that has just started is ready: `GET /healthz` says so. No test bounds the time, but for the patience of
-//! all; that discovery has not spoken shows that nobody waits for it.
+//! When a process that has just started is ready: `GET /healthz` says so. No test bounds the
+//! time, but for the patience of all; that discovery has not spoken shows that nobody waits for
+//! it.
 
 mod peers;
 use peers::*;
@@ -21,7 +22,8 @@
     program.client().ask("/healthz", "", "").status()
 }
 
-/// Guards against a process that waits for discovery though it has a list, be that old, and serves nobody meanwhile.
+/// Guards against a process that waits for discovery though it has a list, be that old, and
+/// serves nobody meanwhile.
 #[test]
 fn a_known_list_makes_ready_while_discovery_has_not_spoken() {
     let (served, dead, silent) = (
@@ -66,8 +68,8 @@
     });
 }
 
-/// Guards against a front that sends clients where nobody can be served, and against requests that are lost there: those
-/// that come wait for the list.
+/// Guards against a front that sends clients where nobody can be served, and against requests
+/// that are lost there: those that come wait for the list.
 #[test]
 fn with_nothing_known_it_is_ready_once_discovery_has_spoken() {
     let upstream = Upstream::start(Reply::Ok);
@@ -108,7 +110,8 @@
     assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
 }
 
-/// Guards against a process that waits for another beside it which says nothing, or whose word can't be used.
+/// Guards against a process that waits for another beside it which says nothing, or whose word
+/// can't be used.
 #[test]
 fn neither_a_silent_process_nor_a_broken_state_keeps_it_from_being_ready() {
     let (upstream, silent) = (Upstream::start(Reply::Ok), DiscoveryPeer::start());
@@ -145,8 +148,8 @@
     assert_eq!(start(&folder, &address).call("GET /healthcheck").0, 200);
 }
 
-/// Guards against nobody who listens: the process beside it, whose clients it would not take before it can serve them, is
-/// gone.
+/// Guards against nobody who listens: the process beside it, whose clients it would not take
+/// before it can serve them, is gone.
 #[test]
 fn it_takes_clients_when_the_process_beside_it_has_gone_before_discovery_has_spoken() {
     let (upstream, silent, down) = (
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -73,8 +73,8 @@
     }
 }
 
-/// Guards against connections that are lost from one version to the next: clients that open one for each request
-/// never find a closed listener.
+/// Guards against connections that are lost from one version to the next: clients that open one
+/// for each request never find a closed listener.
 #[test]
 fn clients_that_come_during_an_upgrade_are_all_served() {
     let rig = Rig::new();
@@ -121,7 +121,8 @@
     }
 }
 
-/// Guards against an old version that takes new connections to its end, though a new one is there for them.
+/// Guards against an old version that takes new connections to its end, though a new one is there
+/// for them.
 #[test]
 fn a_replaced_process_stops_listening_and_finishes_what_it_has() {
     let rig = Rig::new();
@@ -143,7 +144,8 @@
     }
 }
 
-/// Guards against an operator's word that an upgrade forgets, or that only one of two processes hears.
+/// Guards against an operator's word that an upgrade forgets, or that only one of two processes
+/// hears.
 #[test]
 fn what_operators_left_out_stays_out_over_an_upgrade() {
     let rig = Rig::new();
@@ -215,8 +217,8 @@
     drop((idle, more));
 }
 
-/// Guards against names that only one version knows: the two read each other's state, the old one also what operators
-/// say to the new one.
+/// Guards against names that only one version knows: the two read each other's state, the old one
+/// also what operators say to the new one.
 #[test]
 fn a_version_with_older_names_and_this_one_read_each_other_s_state() {
     let learned = r#"{"width":1.0,"pace":1.5,"answers":3.0,"health":[{"heard":9.0,"faults":0.1,"answers":3.0,
@@ -254,11 +256,12 @@
     );
 }
 
-/// A state file that version 47c951f wrote: `u0` and `u1` were listed and had served requests, and operators had taken
-/// `u0` out of service.
+/// A state file that version 47c951f wrote: `u0` and `u1` were listed and had served requests,
+/// and operators had taken `u0` out of service.
 const STATE_OF_47C951F: &str = include_str!("data/state-47c951f.json");
 
-/// The paths of all fields of a JSON value. List elements and entries keyed by a number count as one, `*`.
+/// The paths of all fields of a JSON value. List elements and entries keyed by a number count as
+/// one, `*`.
 fn field_paths(value: &serde_json::Value) -> BTreeSet<String> {
     fn collect(path: &str, value: &serde_json::Value, paths: &mut BTreeSet<String>) {
         paths.insert(path.to_string());
@@ -356,7 +359,8 @@
     );
 }
 
-/// What operators say to a new process before it has heard the old one goes beside what they have said to that one.
+/// What operators say to a new process before it has heard the old one goes beside what they have
+/// said to that one.
 #[test]
 fn what_operators_say_to_a_new_process_at_once_undoes_nothing() {
     let rig = Rig::new();
@@ -403,7 +407,8 @@
     new.wait().unwrap();
 }
 
-/// A folder that takes no writes for a while keeps nothing from outlasting the process once it does.
+/// A folder that takes no writes for a while keeps nothing from outlasting the process once it
+/// does.
 #[test]
 fn what_can_not_be_kept_at_once_is_kept_later() {
     // ENOSPC, EIO; 8 is more than are made before the answer.
@@ -418,7 +423,8 @@
     }
 }
 
-/// Nor is an upgrade impossible because the socket at which the next process is awaited could not be made at once.
+/// Nor is an upgrade impossible because the socket at which the next process is awaited could not
+/// be made at once.
 #[test]
 fn the_next_process_is_awaited_though_the_folder_was_full_for_a_while() {
     let rig = Rig::new();
@@ -436,8 +442,9 @@
     assert!(old.descriptors() + new.descriptors() <= 256);
 }
 
-/// Guards against a new process that takes itself for the only one, and does not hear what operators have said, because a
-/// call that it makes for that fails for a moment: EIO, EAGAIN, ENOMEM, ENFILE.
+/// Guards against a new process that takes itself for the only one, and does not hear what
+/// operators have said, because a call that it makes for that fails for a moment: EIO, EAGAIN,
+/// ENOMEM, ENFILE.
 #[test]
 fn a_new_process_knows_of_the_old_one_though_its_calls_fail_for_a_moment() {
     for faults in [
@@ -458,7 +465,8 @@
     }
 }
 
-/// Guards against two processes of an upgrade that lose each other over a call that is interrupted or short of memory.
+/// Guards against two processes of an upgrade that lose each other over a call that is
+/// interrupted or short of memory.
 #[test]
 fn what_operators_say_goes_on_between_processes_though_their_calls_are_interrupted() {
     for (call, error) in ["recv", "send"]
@@ -484,8 +492,9 @@
     }
 }
 
-/// Guards against a new process that looks for the old one between the moment in which that says that it listens and the
-/// making of the socket at which they meet: the third bind takes half a second.
+/// Guards against a new process that looks for the old one between the moment in which that says
+/// that it listens and the making of the socket at which they meet: the third bind takes half a
+/// second.
 #[test]
 fn a_process_that_says_it_listens_awaits_the_next_one() {
     let rig = Rig::new();
@@ -499,8 +508,8 @@
     until("it is heard of", || new.figure("upstreams_excluded") == 1);
 }
 
-/// Guards against two processes that take themselves for alone because the connection on which they meet ends at once: the
-/// old one can't watch it (ENOMEM).
+/// Guards against two processes that take themselves for alone because the connection on which
+/// they meet ends at once: the old one can't watch it (ENOMEM).
 #[test]
 fn a_new_process_meets_the_old_one_though_their_first_connection_ends_at_once() {
     let rig = Rig::new();
@@ -517,11 +526,13 @@
     until("it is heard of", || new.figure("upstreams_excluded") == 1);
 }
 
-/// Guards against a state that is lost because SIGKILL came between its writing and its taking the old one's place.
+/// Guards against a state that is lost because SIGKILL came between its writing and its taking
+/// the old one's place.
 #[test]
 fn a_kill_before_a_state_takes_its_place_leaves_the_one_before() {
     let rig = Rig::new();
-    // The first rename is that of the socket, the second keeps the first state; the third lasts for a minute.
+    // The first rename is that of the socket, the second keeps the first state; the third lasts
+    // for a minute.
     let variables = [
         ("LD_PRELOAD", failing_calls()),
         ("FAULTS", "rename:-60000:3:1:1"),
