--- a/src/bin/load-balancer/metrics/mod.rs
+++ b/src/bin/load-balancer/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! The figures that operators read. Each request that ends is counted here, once.
+//! The figures of the admin endpoint. Each request that ends is counted here, once.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
@@ -7,34 +7,55 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
+    /// With the response of an upstream.
     Served,
+    /// Rejected; a retry does no harm.
     Rejected,
+    /// Failed; it may have run.
     Failed,
 }
 
-/// The requests of one class that have ended, by their endings.
-#[derive(Clone, Copy, Debug, Default)]
-struct AttemptEnd {
+/// The ended requests of one class, by their outcomes.
+#[derive(Debug)]
+struct ClassMetrics {
+    /// The name of the class.
+    class: String,
     served: u64,
-    refused: u64,
+    rejected: u64,
     failed: u64,
 }
 
-/// Counts from the start of the process.
+impl ClassMetrics {
+    fn new(class: &str) -> Self {
+        ClassMetrics {
+            class: class.to_string(),
+            served: 0,
+            rejected: 0,
+            failed: 0,
+        }
+    }
+
+    fn count(&mut self, outcome: RequestOutcome) {
+        match outcome {
+            RequestOutcome::Served => self.served += 1,
+            RequestOutcome::Rejected => self.rejected += 1,
+            RequestOutcome::Failed => self.failed += 1,
+        }
+    }
+}
+
+/// Counters since the start of the process.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Names of the classes, and what has ended of each.
-    classes: RefCell<Vec<(String, AttemptEnd)>>,
+    classes: RefCell<Vec<ClassMetrics>>,
     attempts: Cell<u64>,
     in_flight: Cell<u64>,
 }
 
 impl Metrics {
+    /// Counters at zero for the request classes of these names.
     pub fn new(classes: &[String]) -> Rc<Self> {
-        let classes = classes
-            .iter()
-            .map(|name| (name.clone(), AttemptEnd::default()))
-            .collect();
+        let classes = classes.iter().map(|name| ClassMetrics::new(name)).collect();
         Rc::new(Metrics {
             classes: RefCell::new(classes),
             attempts: Cell::new(0),
@@ -42,32 +63,35 @@
         })
     }
 
-    /// A request of this class has been taken.
+    /// Counts an accepted request of the class of this index as in flight until the returned guard
+    /// ends or is dropped.
     pub fn begin_request(self: &Rc<Self>, class: usize) -> InFlightRequest {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlightRequest {
             metrics: self.clone(),
             class,
-            open: Cell::new(true),
+            is_open: Cell::new(true),
         }
     }
 
-    /// The last byte of an attempt has been written.
+    /// Counts an attempt, to be called once its last byte has been written.
     pub fn count_attempt(&self) {
         self.attempts.set(self.attempts.get() + 1);
     }
 
-    /// All figures, a line each, in the form that statsd reads.
+    /// All figures, one a line, in the format of statsd; `known` and `excluded` are the upstreams
+    /// listed, and those of them that are listed as in service but get no requests.
     pub fn render(&self, known: usize, excluded: usize) -> String {
         let mut text = String::new();
         let mut figure = |name: &str, value: u64, kind: char| {
             // Writing to a string does not fail.
             let _ = writeln!(text, "balancer.{name}:{value}|{kind}");
         };
-        for (class, ended) in self.classes.borrow().iter() {
-            figure(&format!("served.{class}"), ended.served, 'c');
-            figure(&format!("refused.{class}"), ended.refused, 'c');
-            figure(&format!("failed.{class}"), ended.failed, 'c');
+        for metrics in self.classes.borrow().iter() {
+            let class = &metrics.class;
+            figure(&format!("served.{class}"), metrics.served, 'c');
+            figure(&format!("refused.{class}"), metrics.rejected, 'c');
+            figure(&format!("failed.{class}"), metrics.failed, 'c');
         }
         figure("attempts", self.attempts.get(), 'c');
         figure("in_flight", self.in_flight.get(), 'g');
@@ -77,37 +101,39 @@
     }
 }
 
-/// A request that has been taken and has not ended. If it is dropped before it ended, its client has left, and it
-/// is counted under no ending.
+/// A request in flight. Dropped without an outcome, it counts under none: its client has
+/// disconnected.
 #[derive(Debug)]
 pub struct InFlightRequest {
     metrics: Rc<Metrics>,
     class: usize,
-    open: Cell<bool>,
+    is_open: Cell<bool>,
 }
 
 impl InFlightRequest {
-    /// It has ended; only the first ending counts.
-    pub fn end(&self, ending: RequestOutcome) {
-        if !self.open.replace(false) {
+    /// Counts how the request ended; only the first outcome counts.
+    pub fn end(&self, outcome: RequestOutcome) {
+        if !self.close() {
             return;
         }
-        self.metrics.in_flight.set(self.metrics.in_flight.get() - 1);
-        if let Some((_, ended)) = self.metrics.classes.borrow_mut().get_mut(self.class) {
-            match ending {
-                RequestOutcome::Served => ended.served += 1,
-                RequestOutcome::Rejected => ended.refused += 1,
-                RequestOutcome::Failed => ended.failed += 1,
-            }
+        if let Some(class) = self.metrics.classes.borrow_mut().get_mut(self.class) {
+            class.count(outcome);
         }
     }
+
+    /// Takes the request out of those in flight; false if that was done before.
+    fn close(&self) -> bool {
+        let was_open = self.is_open.replace(false);
+        if was_open {
+            self.metrics.in_flight.set(self.metrics.in_flight.get() - 1);
+        }
+        was_open
+    }
 }
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        if self.open.get() {
-            self.metrics.in_flight.set(self.metrics.in_flight.get() - 1);
-        }
+        self.close();
     }
 }
 
