--- a/src/bin/load-balancer/admin/mod.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -1,19 +1,22 @@
-//! The admin endpoint: health, figures, and what operators say about upstreams and clients. One call a connection.
+//! The admin endpoint: health, figures, maintenance of upstreams and draining of clients. A
+//! connection carries one request.
 
+mod request;
+mod response;
+
+use crate::admin::request::{AdminRequest, ClientDrain};
+use crate::admin::response::{text_response, AdminError, AdminResponse};
 use crate::dispatch::Dispatcher;
-use crate::handover::{Handover, MaintenanceError};
+use crate::handover::Handover;
 use crate::log;
 use crate::server::listener::{Listener, PendingConnection};
 use crate::server::Server;
-use crate::socket::{DescriptorBudget, Purpose, Socket};
-use bytes::Bytes;
-use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use crate::socket::{DescriptorBudget, DescriptorPermit, Purpose, Socket};
+use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use hyper::{Method, Request, Response, StatusCode};
-use load_balancer::Maintenance;
+use hyper::{Request, StatusCode};
 use percent_encoding::percent_decode_str;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,79 +27,56 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
-/// A call is read and its answer taken within this time, or its connection is closed.
-const WHOLE_CALL: Duration = Duration::from_secs(2);
-const LARGEST_HEAD: usize = 8 << 10;
-const MOST_HEADERS: usize = 64;
-/// No call needs a body; one of this size is read and passed over.
+/// A connection is closed after this time, whether or not its response has been taken.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_HEAD_BYTES: usize = 8 << 10;
+const MAX_HEADERS: usize = 64;
+/// No request needs a body; one of up to this size is read and ignored.
 const MAX_BODY_BYTES: usize = 4 << 10;
-/// After a failed accept the next try comes this much later.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(10);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Serves the operators.
+/// Serves admin requests.
 pub struct Admin {
     dispatcher: Rc<RefCell<Dispatcher>>,
     server: Rc<Server>,
     handover: Rc<Handover>,
     budget: Rc<DescriptorBudget>,
-    /// Whoever has not asked yet, the one that has waited longest first.
-    waiting: RefCell<BTreeMap<u64, Rc<Notify>>>,
-    accepted: Cell<u64>,
-}
-
-/// What a call asks for.
-#[derive(Debug, PartialEq)]
-enum Call<'a> {
-    Ready,
-    Metrics,
-    /// Leave this upstream out, or use it again.
-    Maintain(&'a str, bool),
-    /// Send clients away, or end that.
-    SendAway(bool),
-}
-
-impl<'a> Call<'a> {
-    /// What stands at this path, and the method that it is asked for with.
-    fn at(path: &'a str) -> Option<(Method, Self)> {
-        let parts: Vec<_> = path.strip_prefix('/')?.split('/').collect();
-        Some(match parts[..] {
-            ["healthcheck"] => (Method::GET, Call::Ready),
-            ["stats"] => (Method::GET, Call::Metrics),
-            ["healthcheck", "fail"] => (Method::POST, Call::SendAway(true)),
-            ["healthcheck", "ok"] => (Method::POST, Call::SendAway(false)),
-            ["upstreams", id, "maint"] => (Method::POST, Call::Maintain(id, true)),
-            ["upstreams", id, "ready"] => (Method::POST, Call::Maintain(id, false)),
-            _ => return None,
-        })
-    }
+    /// Connections whose request has not been answered, by their numbers: the oldest comes first.
+    /// Notified, they close.
+    unanswered: RefCell<BTreeMap<u64, Rc<Notify>>>,
+    next_connection: Cell<u64>,
 }
 
 impl Admin {
+    /// An admin endpoint for these parts of the process.
     pub fn new(
         dispatcher: Rc<RefCell<Dispatcher>>,
         server: Rc<Server>,
         handover: Rc<Handover>,
         budget: Rc<DescriptorBudget>,
     ) -> Rc<Self> {
-        let (waiting, accepted) = Default::default();
         Rc::new(Admin {
             dispatcher,
             server,
             handover,
             budget,
-            waiting,
-            accepted,
+            unanswered: RefCell::default(),
+            next_connection: Cell::new(0),
         })
     }
 
-    /// Takes connections until dropped.
+    /// Accepts connections until dropped.
     pub async fn accept(self: Rc<Self>, listener: Listener) {
         loop {
             match listener.accept().await {
                 Ok(accepted) => self.admit(accepted).await,
                 Err(error) => {
-                    log::line(format!("console: accept: {error}"));
-                    sleep(ACCEPT_AGAIN).await;
+                    let interval = ACCEPT_RETRY_INTERVAL.as_secs_f64();
+                    log::line(format!(
+                        "admin accept failed: {error}; retrying in {interval} s"
+                    ));
+                    sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
         }
@@ -106,119 +86,108 @@
         let stream = match accepted.register().await {
             Ok(stream) => stream,
             Err(error) => {
-                return log::line(format!("console: a connection can't be served: {error}"))
+                return log::line(format!(
+                    "admin connection not registered: {error}; closing it"
+                ));
             }
         };
-        let mut permit = self.budget.acquire(Purpose::Admin);
-        if permit.is_none() {
-            // Guards against callers that say nothing and keep out the one that asks.
-            let oldest = self.waiting.borrow().values().next().cloned();
-            oldest.into_iter().for_each(|oldest| oldest.notify_one());
-            // Lets its task close the connection.
-            yield_now().await;
-            yield_now().await;
-            permit = self.budget.acquire(Purpose::Admin);
+        if let Some(permit) = self.acquire_permit().await {
+            spawn_local(self.clone().serve(Socket::new(stream, permit)));
+        }
+    }
+
+    /// A permit for one connection. Without a free one the oldest unanswered connection is closed, so
+    /// that silent callers can't lock out the others.
+    async fn acquire_permit(&self) -> Option<DescriptorPermit> {
+        if let Some(permit) = self.budget.acquire(Purpose::Admin) {
+            return Some(permit);
+        }
+        if let Some(oldest) = self.unanswered.borrow().values().next() {
+            oldest.notify_one();
         }
-        let Some(permit) = permit else { return };
-        spawn_local(self.clone().serve(Socket::new(stream, permit)));
+        // Lets the task of that connection close it.
+        yield_now().await;
+        yield_now().await;
+        self.budget.acquire(Purpose::Admin)
     }
 
     async fn serve(self: Rc<Self>, socket: Socket) {
-        let number = self.accepted.get();
-        self.accepted.set(number + 1);
+        let number = self.next_connection.get();
+        self.next_connection.set(number + 1);
         let evicted = Rc::new(Notify::new());
-        self.waiting.borrow_mut().insert(number, evicted.clone());
+        self.unanswered.borrow_mut().insert(number, evicted.clone());
         let service = service_fn(|request| async {
-            let answer = self.answer(request).await;
-            self.waiting.borrow_mut().remove(&number);
-            Ok::<_, Infallible>(answer)
+            let response = self.respond(request).await;
+            self.unanswered.borrow_mut().remove(&number);
+            Ok::<_, Infallible>(response)
         });
         let mut http = http1::Builder::new();
         http.keep_alive(false)
-            .max_buf_size(LARGEST_HEAD)
-            .max_headers(MOST_HEADERS);
+            .max_buf_size(MAX_HEAD_BYTES)
+            .max_headers(MAX_HEADERS);
         tokio::select! {
-            // A caller that breaks off or sends nonsense has been told so by hyper.
-            _ = timeout(WHOLE_CALL, http.serve_connection(socket, service)) => {}
+            // hyper itself answers malformed requests.
+            _ = timeout(CONNECTION_TIMEOUT, http.serve_connection(socket, service)) => {}
             () = evicted.notified() => {}
         }
-        self.waiting.borrow_mut().remove(&number);
+        self.unanswered.borrow_mut().remove(&number);
+    }
+
+    async fn respond(&self, request: Request<Incoming>) -> AdminResponse {
+        match self.handle(request).await {
+            Ok(text) => text_response(StatusCode::OK, &text),
+            Err(error) => error.response(),
+        }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Answer {
+    async fn handle(&self, request: Request<Incoming>) -> Result<String, AdminError> {
         let (head, body) = request.into_parts();
-        let Some((method, call)) = Call::at(head.uri.path()) else {
-            return text(StatusCode::NOT_FOUND, "no such call");
-        };
+        let (method, request) =
+            AdminRequest::at_path(head.uri.path()).ok_or(AdminError::UnknownPath)?;
         if head.method != method {
-            let mut answer = text(
-                StatusCode::METHOD_NOT_ALLOWED,
-                &format!("this is asked for with {method}"),
-            );
-            if let Ok(method) = HeaderValue::from_str(method.as_str()) {
-                answer.headers_mut().insert(ALLOW, method);
-            }
-            return answer;
-        }
-        let too_large = || text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
-        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
-            return too_large();
-        }
-        match Limited::new(body, MAX_BODY_BYTES).collect().await {
-            Ok(_) => self.carry_out(call),
-            Err(error) if error.is::<LengthLimitError>() => too_large(),
-            Err(_) => text(StatusCode::BAD_REQUEST, "the body is broken"),
+            return Err(AdminError::WrongMethod(method));
         }
+        discard_body(body).await?;
+        self.carry_out(request)
     }
 
-    fn carry_out(&self, call: Call) -> Answer {
-        match call {
-            Call::Ready if self.server.is_ready() => text(StatusCode::OK, "ready"),
-            Call::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-            Call::Metrics => text(StatusCode::OK, &self.dispatcher.borrow().render_metrics()),
-            Call::SendAway(away) => {
-                log::line(format!(
-                    "console: clients are {}",
-                    if away { "sent away" } else { "welcome again" }
-                ));
-                self.server.drain_clients(away);
-                text(StatusCode::OK, "done")
-            }
-            Call::Maintain(id, out) => {
-                let Ok(name) = percent_decode_str(id).decode_utf8() else {
-                    return text(StatusCode::BAD_REQUEST, "the id can't be read");
-                };
-                // Guards against a yes that an upgrade would undo.
-                let change = if out {
-                    Maintenance::Begin
-                } else {
-                    Maintenance::End
-                };
-                match self.handover.set_maintenance(&name, change) {
-                    Ok(()) => text(StatusCode::OK, "done"),
-                    Err(MaintenanceError::UnknownUpstream) => {
-                        text(StatusCode::NOT_FOUND, "no such upstream")
-                    }
-                    Err(_) => text(
-                        StatusCode::INTERNAL_SERVER_ERROR,
-                        "done, but an upgrade now would undo it",
-                    ),
+    fn carry_out(&self, request: AdminRequest) -> Result<String, AdminError> {
+        match request {
+            AdminRequest::Health => {
+                if !self.server.is_ready() {
+                    return Err(AdminError::NotReady);
                 }
+                Ok("ready".into())
+            }
+            AdminRequest::Metrics => Ok(self.dispatcher.borrow().render_metrics()),
+            AdminRequest::DrainClients(drain) => {
+                let is_begin = drain == ClientDrain::Begin;
+                let change = if is_begin { "started" } else { "ended" };
+                log::line(format!("client drain {change}: by admin request"));
+                self.server.drain_clients(is_begin);
+                Ok("done".into())
+            }
+            AdminRequest::SetMaintenance { upstream, change } => {
+                let name = percent_decode_str(upstream)
+                    .decode_utf8()
+                    .map_err(|_| AdminError::MalformedUpstreamName)?;
+                // Confirmed only once stored: a successor has to know of it.
+                self.handover.set_maintenance(&name, change)?;
+                Ok("done".into())
             }
         }
     }
 }
 
-type Answer = Response<Full<Bytes>>;
-
-fn text(status: StatusCode, text: &str) -> Answer {
-    let mut response = Response::new(Full::new(Bytes::from(format!("{}\n", text.trim_end()))));
-    *response.status_mut() = status;
-    response.headers_mut().insert(
-        CONTENT_TYPE,
-        HeaderValue::from_static("text/plain; charset=utf-8"),
-    );
-    response
+async fn discard_body(body: Incoming) -> Result<(), AdminError> {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+        return Err(AdminError::BodyTooLarge);
+    }
+    match Limited::new(body, MAX_BODY_BYTES).collect().await {
+        Ok(_) => Ok(()),
+        Err(error) if error.is::<LengthLimitError>() => Err(AdminError::BodyTooLarge),
+        Err(_) => Err(AdminError::MalformedBody),
+    }
 }
 
 #[cfg(test)]
--- a/src/bin/load-balancer/admin/tests.rs
+++ b/src/bin/load-balancer/admin/tests.rs
@@ -1,17 +1,44 @@
 //! Unit tests of the admin endpoint's paths.
 
 use super::*;
+use hyper::Method;
+use load_balancer::Maintenance;
 
 #[test]
-fn calls_are_known_by_their_paths() {
-    assert_eq!(
-        Call::at("/upstreams/s-1/maint"),
-        Some((Method::POST, Call::Maintain("s-1", true)))
-    );
-    assert_eq!(
-        Call::at("/healthcheck/ok"),
-        Some((Method::POST, Call::SendAway(false)))
-    );
+fn requests_are_recognized_by_their_paths() {
+    let upstream = "s-1";
+    for (path, method, request) in [
+        ("/healthcheck", Method::GET, AdminRequest::Health),
+        ("/stats", Method::GET, AdminRequest::Metrics),
+        (
+            "/healthcheck/fail",
+            Method::POST,
+            AdminRequest::DrainClients(ClientDrain::Begin),
+        ),
+        (
+            "/healthcheck/ok",
+            Method::POST,
+            AdminRequest::DrainClients(ClientDrain::End),
+        ),
+        (
+            "/upstreams/s-1/maint",
+            Method::POST,
+            AdminRequest::SetMaintenance {
+                upstream,
+                change: Maintenance::Begin,
+            },
+        ),
+        (
+            "/upstreams/s-1/ready",
+            Method::POST,
+            AdminRequest::SetMaintenance {
+                upstream,
+                change: Maintenance::End,
+            },
+        ),
+    ] {
+        assert_eq!(AdminRequest::at_path(path), Some((method, request)));
+    }
     for path in [
         "/",
         "stats",
@@ -20,6 +47,6 @@
         "/upstreams//x",
         "/upstreams/a/b/maint",
     ] {
-        assert_eq!(Call::at(path), None, "{path}");
+        assert_eq!(AdminRequest::at_path(path), None, "{path}");
     }
 }
