--- a/src/bin/load-balancer/admin/mod.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    /// A permit for one connection. Without a free one the oldest unanswered connection is closed, so
-    /// that silent callers can't lock out the others.
+    /// A permit for one connection. Without a free one the oldest unanswered connection is
+    /// closed, so that silent callers can't lock out the others.
     async fn acquire_permit(&self) -> Option<DescriptorPermit> {
         if let Some(permit) = self.budget.acquire(Purpose::Admin) {
             return Some(permit);
--- a/src/bin/load-balancer/admin/request.rs
+++ b/src/bin/load-balancer/admin/request.rs
@@ -31,7 +31,8 @@
 }
 
 impl<'a> AdminRequest<'a> {
-    /// The request at this path, and the method that belongs to it; `None` if there is no such path.
+    /// The request at this path, and the method that belongs to it; `None` if there is no such
+    /// path.
     pub fn at_path(path: &'a str) -> Option<(Method, Self)> {
         let segments: Vec<_> = path.strip_prefix('/')?.split('/').collect();
         Some(match segments[..] {
--- a/src/bin/load-balancer/log.rs
+++ b/src/bin/load-balancer/log.rs
@@ -1,37 +1,43 @@
-//! Lines for the operators, on standard error.
+//! The log: lines on standard error.
 
 use std::io::{self, Write};
-use std::sync::mpsc::{sync_channel, SyncSender};
+use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::sync::OnceLock;
 use std::thread;
 
-/// Lines that may wait for a slow reader; more are dropped.
-const WAITING: usize = 256;
-static LINES: OnceLock<SyncSender<String>> = OnceLock::new();
+/// Lines that may wait for a slow reader; further ones are dropped.
+const QUEUE_LINES: usize = 256;
+static QUEUE: OnceLock<SyncSender<String>> = OnceLock::new();
 
 /// Starts the thread that writes the lines, unless it runs.
 ///
 /// # Errors
 ///
-/// Those of the system, where it lets the process have no thread.
+/// Those of starting a thread.
 pub fn start() -> io::Result<()> {
-    if LINES.get().is_some() {
+    if QUEUE.get().is_some() {
         return Ok(());
     }
-    let (sender, receiver) = sync_channel::<String>(WAITING);
-    // Guards against an end because nobody reads the log any more: `eprintln` would panic.
-    let write = |text| drop(writeln!(io::stderr(), "{text}"));
-    thread::Builder::new().spawn(move || receiver.into_iter().for_each(write))?;
-    // Another thread may have been quicker; its lines and these are written all the same.
-    let _ = LINES.set(sender);
+    let (sender, receiver) = sync_channel::<String>(QUEUE_LINES);
+    thread::Builder::new().spawn(move || write_lines(receiver))?;
+    // Fails if another thread has set one meanwhile; lines go there then.
+    let _ = QUEUE.set(sender);
     Ok(())
 }
 
-/// Writes one line, never waiting for whoever reads it: a thread of its own does.
+fn write_lines(queue: Receiver<String>) {
+    for text in queue {
+        // `eprintln` would panic once standard error is closed.
+        let _ = writeln!(io::stderr(), "{text}");
+    }
+}
+
+/// Writes one line, without waiting for its reader: a thread of its own writes it.
 pub fn line(text: String) {
-    // With no thread for it the line is lost. A full channel means a reader that doesn't keep up: so it is then too.
+    // Without a thread for the log the line is lost.
     let _ = start();
-    if let Some(lines) = LINES.get() {
-        let _ = lines.try_send(text);
+    if let Some(queue) = QUEUE.get() {
+        // Dropped if the queue is full.
+        let _ = queue.try_send(text);
     }
 }
--- a/src/bin/load-balancer/signals.rs
+++ b/src/bin/load-balancer/signals.rs
@@ -1,13 +1,13 @@
-//! Signals that the process is sent.
+//! Signals sent to the process.
 //!
-//! The runtime's own reading of signals ends the process when the call that it makes for that is interrupted. Here a
-//! signal sets a flag, and a byte through a pair of sockets wakes whoever waits; where that byte is lost or can't be read,
-//! the flag is seen a little later.
+//! The runtime's own signal driver ends the process when its read is interrupted. Here a signal
+//! sets a flag, and a byte through a socket pair wakes the waiting task; if that byte is lost or
+//! can't be read, the flag is polled.
 
 use crate::socket::system_errors::retry_transient_errors;
 use signal_hook::{flag, low_level};
 use std::io;
-use std::os::unix::net::UnixStream as Pipe;
+use std::os::unix::net::UnixStream as StdUnixStream;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,44 +16,56 @@
 
 pub use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-/// A flag that nobody was woken for is seen after this time at the latest.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval at which the flag is polled, in case the wake-up was lost.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The end at which the process is woken, and the one for the handlers.
-fn wake_pair() -> io::Result<(UnixStream, Pipe)> {
-    let (ours, handlers) = Pipe::pair()?;
-    ours.set_nonblocking(true)?;
-    Ok((UnixStream::from_std(ours)?, handlers))
+/// A pipe from the signal handler to the waiting task.
+struct WakePipe {
+    reader: UnixStream,
+    /// The end that the handler writes to.
+    writer: StdUnixStream,
+}
+
+impl WakePipe {
+    fn open() -> io::Result<Self> {
+        let (reader, writer) = StdUnixStream::pair()?;
+        reader.set_nonblocking(true)?;
+        let reader = UnixStream::from_std(reader)?;
+        Ok(WakePipe { reader, writer })
+    }
 }
 
 /// One kind of signal.
 pub struct Signal {
-    came: Arc<AtomicBool>,
-    wakes: UnixStream,
+    is_pending: Arc<AtomicBool>,
+    wake_reader: UnixStream,
 }
 
 impl Signal {
-    /// Takes signals of this kind from now on.
+    /// Handles signals of this kind from now on.
     ///
     /// # Errors
     ///
-    /// Those of the system, where it lets the process have no sockets or no such handler.
+    /// Those of socketpair(2) and sigaction(2).
     pub fn listen(kind: i32) -> io::Result<Self> {
-        let came = Arc::default();
-        let (wakes, handlers) = retry_transient_errors(wake_pair)?;
-        // In this order: whoever is woken finds the flag set.
-        flag::register(kind, Arc::clone(&came))?;
-        low_level::pipe::register(kind, handlers)?;
-        Ok(Signal { came, wakes })
+        let is_pending = Arc::default();
+        let pipe = retry_transient_errors(WakePipe::open)?;
+        // In this order, so that the flag is set before the task is woken.
+        flag::register(kind, Arc::clone(&is_pending))?;
+        low_level::pipe::register(kind, pipe.writer)?;
+        Ok(Signal {
+            is_pending,
+            wake_reader: pipe.reader,
+        })
     }
 
-    /// Waits for the next signal; several that came since the last one are one.
+    /// Waits for the next signal; several that have arrived since the last one count as one.
     pub async fn received(&self) {
-        while !self.came.swap(false, Ordering::SeqCst) {
+        while !self.is_pending.swap(false, Ordering::SeqCst) {
             tokio::select! {
-                // What can't be read now is read with the next one.
-                _ = self.wakes.readable() => drop(self.wakes.try_read(&mut [0; 64])),
-                () = sleep(LOOK) => {}
+                // Bytes that can't be read now are read with those of the next signal.
+                _ = self.wake_reader.readable() => drop(self.wake_reader.try_read(&mut [0; 64])),
+                () = sleep(POLL_INTERVAL) => {}
             }
         }
     }
