--- a/src/bin/load-balancer/process.rs
+++ b/src/bin/load-balancer/process.rs
@@ -132,7 +132,7 @@
         );
         if let Some(listener) = admin {
             let address = retry_transient_errors(|| listener.local_addr())?;
-            log::line(format!("{name} takes operators' calls at {address}"));
+            log::line(format!("listening for admin requests: {name} at {address}"));
             let admin = Admin::new(dispatcher.clone(), server.clone(), handover.clone(), budget);
             spawn_local(admin.accept(listener));
         }
@@ -167,7 +167,7 @@
         self.server.open();
         self.handover.listening(address);
         let name = &self.name;
-        log::line(format!("{name} listens on {address}"));
+        log::line(format!("listening for clients: {name} at {address}"));
         self.server.accept(&listener, end.received()).await;
         let successor = if self.handover.is_replaced() {
             Successor::Accepting
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -611,13 +611,13 @@
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let (mut line, mut console) = (String::new(), None);
         let last = |line: &str| line.trim_end().rsplit(' ').next().unwrap().parse().unwrap();
-        while !line.contains("listens on ") {
+        while !line.contains("listening for clients: ") {
             line.clear();
             assert!(
                 log.read_line(&mut line).unwrap() > 0,
                 "the program ended before it listened"
             );
-            if line.contains("operators' calls at ") {
+            if line.contains("listening for admin requests: ") {
                 console = Some(last(&line));
             }
         }
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -178,8 +178,11 @@
     old.kill();
     let (sender, listens) = channel();
     thread::spawn(move || {
-        log.find(|line| line.as_ref().is_ok_and(|line| line.contains("listens on")))
-            .map(|_| sender.send(log))
+        log.find(|line| {
+            line.as_ref()
+                .is_ok_and(|line| line.contains("listening for clients"))
+        })
+        .map(|_| sender.send(log))
     });
     let log = listens.recv_timeout(PATIENCE);
     let mut client = Client::connect(old.address);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -380,7 +380,7 @@
         .lines()
         .map(Result::unwrap);
     let console = log
-        .find(|line| line.contains("operators' calls at "))
+        .find(|line| line.contains("listening for admin requests: "))
         .unwrap();
     let console: SocketAddr = console.rsplit(' ').next().unwrap().parse().unwrap();
     let mut operator = Client::connect(console).unwrap();
@@ -390,7 +390,7 @@
         200
     );
     old.go_on();
-    assert!(log.any(|line| line.contains("listens on ")));
+    assert!(log.any(|line| line.contains("listening for clients: ")));
     until("the old one leaves out both", || {
         old.figure("upstreams_excluded") == 2
     });
