--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -3,7 +3,7 @@
 use crate::discovery::EndpointList;
 use crate::log;
 use crate::socket::system_errors::retry_transient_errors;
-use load_balancer::simulator::{self, BadSetting};
+use load_balancer::settings_format::{settings_from_json, InvalidSetting};
 use load_balancer::{Settings, SettingsError};
 use serde::Deserialize;
 use serde_json::Value;
@@ -31,7 +31,7 @@
     #[error("settings: must be an object")]
     NoSettings,
     #[error("{0}")]
-    Setting(#[from] BadSetting),
+    Setting(#[from] InvalidSetting),
     #[error("{0}")]
     Settings(#[from] SettingsError),
 }
@@ -159,13 +159,7 @@
         if !file.settings.is_object() {
             return Err(ConfigError::NoSettings);
         }
-        let mut pairs = Vec::new();
-        flatten(String::new(), &file.settings, &mut pairs);
-        let mut settings = simulator::settings(
-            pairs
-                .iter()
-                .map(|(path, value)| (path.as_str(), value.as_str())),
-        )?;
+        let mut settings = settings_from_json(&file.settings)?;
         settings.rules.notification_deadline = NOTIFICATION_DEADLINE;
         settings.validate()?;
         let list = |key: &str| {
@@ -212,40 +206,5 @@
     line.split_whitespace().next()?.parse().ok()
 }
 
-/// The simulator's form of the settings: lists of objects by number, with their count; plain lists
-/// joined by commas.
-fn flatten(path: String, value: &Value, pairs: &mut Vec<(String, String)>) {
-    let under = |name: &str| {
-        if path.is_empty() {
-            name.to_string()
-        } else {
-            format!("{path}.{name}")
-        }
-    };
-    match value {
-        Value::Object(fields) => fields
-            .iter()
-            .for_each(|(name, v)| flatten(under(name), v, pairs)),
-        Value::Array(items) if items.iter().any(Value::is_object) => {
-            pairs.push((under("count"), items.len().to_string()));
-            items
-                .iter()
-                .enumerate()
-                .for_each(|(i, v)| flatten(under(&i.to_string()), v, pairs));
-        }
-        Value::Array(items) => {
-            pairs.push((path, items.iter().map(plain).collect::<Vec<_>>().join(",")))
-        }
-        Value::Null => {}
-        value => pairs.push((path, plain(value))),
-    }
-}
-
-fn plain(value: &Value) -> String {
-    value
-        .as_str()
-        .map_or_else(|| value.to_string(), str::to_string)
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -51,6 +51,7 @@
 //! ```
 
 mod decision;
+pub mod settings_format;
 pub mod simulator;
 
 pub use decision::*;
--- /dev/null
+++ b/src/settings_format/deserializer.rs
@@ -0,0 +1,141 @@
+//! Builds serde types from a settings tree.
+
+use crate::settings_format::tree::{SettingsTree, COUNT};
+use crate::settings_format::InvalidSetting;
+use serde::de::{self, DeserializeSeed, IntoDeserializer, MapAccess, SeqAccess, Visitor};
+use serde::forward_to_deserialize_any;
+use std::fmt::Display;
+
+/// What stands for an element that has no settings.
+static EMPTY: SettingsTree = SettingsTree::empty();
+
+impl de::Error for InvalidSetting {
+    fn custom<T: Display>(problem: T) -> Self {
+        InvalidSetting {
+            path: String::new(),
+            problem: problem.to_string(),
+        }
+    }
+}
+
+impl InvalidSetting {
+    /// The same error, seen from one level up: its path begins with `name`.
+    pub(super) fn below(mut self, name: &str) -> Self {
+        self.path = if self.path.is_empty() {
+            name.to_string()
+        } else {
+            format!("{name}.{}", self.path)
+        };
+        self
+    }
+}
+
+impl<'de> de::Deserializer<'de> for &'de SettingsTree {
+    type Error = InvalidSetting;
+
+    /// A single value: its text, or none.
+    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, InvalidSetting> {
+        match self.text() {
+            Some(text) => visitor.visit_borrowed_str(text),
+            None => visitor.visit_none(),
+        }
+    }
+
+    fn deserialize_struct<V: Visitor<'de>>(
+        self,
+        _name: &'static str,
+        fields: &'static [&'static str],
+        visitor: V,
+    ) -> Result<V::Value, InvalidSetting> {
+        visitor.visit_map(Fields {
+            tree: self,
+            names: fields.iter(),
+            current: None,
+        })
+    }
+
+    fn deserialize_seq<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, InvalidSetting> {
+        let count = match self.child(COUNT).and_then(SettingsTree::text) {
+            None => 0,
+            Some(text) => parse_count(text).map_err(|error| error.below(COUNT))?,
+        };
+        visitor.visit_seq(Elements {
+            tree: self,
+            next: 0,
+            count,
+        })
+    }
+
+    forward_to_deserialize_any! {
+        bool i8 i16 i32 i64 i128 u8 u16 u32 u64 u128 f32 f64 char str string bytes byte_buf option
+        unit unit_struct newtype_struct tuple tuple_struct map enum identifier ignored_any
+    }
+}
+
+fn parse_count(text: &str) -> Result<usize, InvalidSetting> {
+    let bad_number = |_| de::Error::custom(format_args!("bad number '{text}'"));
+    text.parse().map_err(bad_number)
+}
+
+/// The fields of a struct that are there, in the order of their declaration: that order decides which
+/// of several errors is reported.
+struct Fields<'de> {
+    tree: &'de SettingsTree,
+    names: std::slice::Iter<'static, &'static str>,
+    current: Option<(&'static str, &'de SettingsTree)>,
+}
+
+impl<'de> MapAccess<'de> for Fields<'de> {
+    type Error = InvalidSetting;
+
+    fn next_key_seed<K: DeserializeSeed<'de>>(
+        &mut self,
+        seed: K,
+    ) -> Result<Option<K::Value>, InvalidSetting> {
+        let tree = self.tree;
+        self.current = self
+            .names
+            .find_map(|name| tree.child(name).map(|value| (*name, value)));
+        match self.current {
+            Some((name, _)) => seed.deserialize(name.into_deserializer()).map(Some),
+            None => Ok(None),
+        }
+    }
+
+    fn next_value_seed<V: DeserializeSeed<'de>>(
+        &mut self,
+        seed: V,
+    ) -> Result<V::Value, InvalidSetting> {
+        let (name, value) = self
+            .current
+            .take()
+            .ok_or_else(|| de::Error::custom("a value was read before its name"))?;
+        seed.deserialize(value).map_err(|error| error.below(name))
+    }
+}
+
+/// The elements of a list of objects.
+struct Elements<'de> {
+    tree: &'de SettingsTree,
+    next: usize,
+    count: usize,
+}
+
+impl<'de> SeqAccess<'de> for Elements<'de> {
+    type Error = InvalidSetting;
+
+    fn next_element_seed<T: DeserializeSeed<'de>>(
+        &mut self,
+        seed: T,
+    ) -> Result<Option<T::Value>, InvalidSetting> {
+        if self.next == self.count {
+            return Ok(None);
+        }
+        let name = self.next.to_string();
+        self.next += 1;
+        let element = self.tree.child(&name).unwrap_or(&EMPTY);
+        seed.deserialize(element)
+            .map(Some)
+            .map_err(|error| error.below(&name))
+    }
+}
--- /dev/null
+++ b/src/settings_format/tree.rs
@@ -0,0 +1,87 @@
+//! The common form of a settings file and of the simulator's pairs.
+
+use serde_json::Value;
+use std::collections::BTreeMap;
+
+/// The name under which a list of objects holds the number of its elements.
+pub const COUNT: &str = "count";
+
+/// A setting's text, and the settings below it. Lists of objects have numbered children and `COUNT`;
+/// other lists are a text, joined by commas.
+#[derive(Debug, Default)]
+pub struct SettingsTree {
+    text: Option<String>,
+    children: BTreeMap<String, SettingsTree>,
+}
+
+impl SettingsTree {
+    /// A tree without any setting.
+    pub const fn empty() -> Self {
+        SettingsTree {
+            text: None,
+            children: BTreeMap::new(),
+        }
+    }
+
+    /// The tree of pairs of a path and a value.
+    pub fn from_pairs<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
+        let mut tree = SettingsTree::default();
+        for (path, value) in pairs {
+            tree.descend(path).text = Some(value.to_string());
+        }
+        tree
+    }
+
+    /// The tree of a JSON value.
+    pub fn from_json(value: &Value) -> Self {
+        let mut tree = SettingsTree::default();
+        tree.insert_json(value);
+        tree
+    }
+
+    fn insert_json(&mut self, value: &Value) {
+        match value {
+            Value::Null => {}
+            Value::Object(fields) => {
+                for (name, value) in fields {
+                    self.descend(name).insert_json(value);
+                }
+            }
+            Value::Array(elements) if elements.iter().any(Value::is_object) => {
+                self.descend(COUNT).text = Some(elements.len().to_string());
+                for (index, element) in elements.iter().enumerate() {
+                    self.descend(&index.to_string()).insert_json(element);
+                }
+            }
+            Value::Array(elements) => {
+                let texts: Vec<_> = elements.iter().map(plain_text).collect();
+                self.text = Some(texts.join(","));
+            }
+            value => self.text = Some(plain_text(value)),
+        }
+    }
+
+    /// The setting at this path of names with dots between them, created if there is none.
+    fn descend(&mut self, path: &str) -> &mut Self {
+        path.split('.').fold(self, |tree, name| {
+            tree.children.entry(name.to_string()).or_default()
+        })
+    }
+
+    /// The value of this setting itself.
+    pub fn text(&self) -> Option<&str> {
+        self.text.as_deref()
+    }
+
+    /// The setting of this name below this one.
+    pub fn child(&self, name: &str) -> Option<&Self> {
+        self.children.get(name)
+    }
+}
+
+fn plain_text(value: &Value) -> String {
+    match value {
+        Value::String(text) => text.clone(),
+        value => value.to_string(),
+    }
+}
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,6 +1,7 @@
 //! The simulator's wire: parsing, formatting and hosting. No decision is made here.
 
 use crate::decision::*;
+use crate::settings_format::settings_from_pairs;
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -165,129 +166,6 @@
     })
 }
 
-/// A setting that could not be read: where it stands, and what is wrong with it.
-#[derive(Clone, Debug, PartialEq, Error)]
-#[error("setting {path}: {problem}")]
-pub struct BadSetting {
-    /// Its path, as in `limits.cancel`.
-    pub path: String,
-    /// What is wrong.
-    pub problem: String,
-}
-
-/// Reads settings from path=value pairs (`classes.0.aim`, with `classes.count`; plain lists comma-joined).
-/// Paths that are absent keep a plain default, and unknown ones are skipped.
-pub fn settings<'a>(
-    pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
-) -> Result<Settings, BadSetting> {
-    let map: HashMap<&str, &str> = pairs.into_iter().collect();
-    let bad = |path: &str, problem: String| BadSetting {
-        path: path.to_string(),
-        problem,
-    };
-    let num = |key: &str, default: f64| match map.get(key) {
-        None => Ok(default),
-        Some(v) => v
-            .parse::<f64>()
-            .map_err(|_| bad(key, format!("bad number '{v}'"))),
-    };
-    let int = |key: &str, default: usize| match map.get(key) {
-        None => Ok(default),
-        Some(v) => v
-            .parse::<usize>()
-            .map_err(|_| bad(key, format!("bad number '{v}'"))),
-    };
-    let flag = |key: &str, default: bool| match map.get(key).copied() {
-        None => Ok(default),
-        Some("true" | "1") => Ok(true),
-        Some("false" | "0") => Ok(false),
-        Some(v) => Err(bad(key, format!("bad bool '{v}'"))),
-    };
-    let word = |key: &str| map.get(key).copied().unwrap_or("");
-    let list = |key: &str| match map.get(key) {
-        None | Some(&"") => 0,
-        Some(v) => v.split(',').count(),
-    };
-    let mut classes = Vec::new();
-    for i in 0..int("classes.count", 0)? {
-        let key = |name: &str| format!("classes.{i}.{name}");
-        let scope = match word(&key("dedupScope")) {
-            "zone" => DeduplicationScope::Zone,
-            "cell" => DeduplicationScope::Cell,
-            _ => DeduplicationScope::All,
-        };
-        let deadline = num(&key("hardLimit"), 1.0)?;
-        classes.push(Class {
-            name: word(&key("name")).to_string(),
-            latency_objective: num(&key("aim"), deadline)?,
-            deadline,
-            idempotency: match word(&key("effect")) {
-                "read_like" => Idempotency::Idempotent,
-                "idempotency_key" => Idempotency::IdempotencyKey { scope },
-                "non_idempotent" | "" => Idempotency::NonIdempotent,
-                other => return Err(bad(&key("effect"), format!("unknown effect '{other}'"))),
-            },
-            idempotency_window: num(&key("dedupWindow"), 0.0)?,
-            priority_weight: num(&key("worth"), 1.0)?,
-            late_response_weight: num(&key("lateShare"), 0.0)?,
-        });
-    }
-    let mut tenants = Vec::new();
-    for i in 0..int("tenants.count", 0)? {
-        let key = |name: &str| format!("tenants.{i}.{name}");
-        tenants.push(Tenant {
-            name: word(&key("name")).to_string(),
-            quota_per_second: num(&key("quotaRps"), 0.0)?,
-        });
-    }
-    let defaults = Settings::simple();
-    let (l, r) = (defaults.limits, defaults.rules);
-    Ok(Settings {
-        classes,
-        tenants,
-        peer_index: int("me", 0)?,
-        peer_count: int("peersTotal", 1)?,
-        tier: int("tier", 0)?,
-        tier_count: list("stages").max(1),
-        zone: int("zone", 0)?,
-        zone_count: list("localities").max(1),
-        discovery_mode: if word("discovery") == "ask" {
-            DiscoveryMode::Poll
-        } else {
-            DiscoveryMode::Push
-        },
-        event_interval: num("resolution", defaults.event_interval)?,
-        over_quota_weight: num("overShareWorth", 1.0)?,
-        weight_by_work: word("valueBy") == "work",
-        limits: Limits {
-            max_attempts: int("limits.attemptsCap", l.max_attempts as usize)?.min(u32::MAX as usize)
-                as u32,
-            cancellation_allowed: flag("limits.cancel", false)?,
-            hedging_allowed: flag("limits.mayDuplicate", false)?,
-            connection_idle_timeout: num("limits.connIdle", l.connection_idle_timeout)?,
-            streams_per_connection: int("limits.streamsPerConn", l.streams_per_connection as usize)?
-                as u64,
-            connect_timeout: num("limits.connectTimeout", l.connect_timeout)?,
-            max_open_requests: int("limits.openCap", l.max_open_requests)?,
-            max_retry_after: match flag("limits.retryAfter", false)? {
-                true => Some(num("limits.maxRetryAfter", 0.0)?),
-                false => None,
-            },
-        },
-        rules: Rules {
-            poll_interval: num("rules.askWithin", r.poll_interval)?,
-            // On this wire the interval above says all.
-            notification_deadline: r.notification_deadline,
-            initial_capacity_share: num("rules.startCapacity", r.initial_capacity_share)?,
-            slow_start_window: num("rules.cold", r.slow_start_window)?,
-            overload_multiple: num("rules.fallMultiple", r.overload_multiple)?,
-        },
-        prices: Prices {
-            cross_zone: num("costs.crossZone", 0.0)?,
-        },
-    })
-}
-
 /// An event for a running instance, or `None` for a message that is not one.
 fn event(line: &Line) -> Result<Option<Event>, WireError> {
     Ok(Some(match line.name {
@@ -408,7 +286,8 @@
             "BORN" => {
                 let seed = line.need("salt")?;
                 let pairs = line.fields.iter().copied();
-                let settings = settings(pairs).map_err(|bad| line.error(&bad.path, bad.problem))?;
+                let settings = settings_from_pairs(pairs)
+                    .map_err(|invalid| line.error(&invalid.path, invalid.problem))?;
                 let born = Balancer::new(settings, seed, now);
                 let balancer = born.map_err(|error| line.error("profileData", error))?;
                 self.instances.insert(instance, balancer);
