--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -1,204 +1,212 @@
-//! What the balancer is told at its start: `PROXY_CONFIG`, and the variables that repeat parts of it.
+//! The configuration: the file that `$PROXY_CONFIG` names, and the variables that override parts of
+//! it.
 
+mod error;
+mod file;
+
+pub use crate::config::error::ConfigError;
+
+use crate::config::file::ConfigFile;
 use crate::discovery::EndpointList;
 use crate::log;
 use crate::socket::system_errors::retry_transient_errors;
-use load_balancer::settings_format::{settings_from_json, InvalidSetting};
-use load_balancer::{Settings, SettingsError};
-use serde::Deserialize;
-use serde_json::Value;
+use load_balancer::settings_format::settings_from_json;
+use load_balancer::Settings;
 use std::env::{self, VarError};
 use std::net::SocketAddr;
-use thiserror::Error;
-
-/// Why the balancer can't start; one line that names the field.
-#[derive(Debug, Error)]
-pub enum ConfigError {
-    #[error("{0}: {1}")]
-    Variable(&'static str, VarError),
-    #[error("PROXY_CONFIG: {0}: {1}")]
-    Unreadable(String, std::io::Error),
-    #[error("PROXY_CONFIG: {0}: {1}")]
-    Malformed(String, serde_json::Error),
-    #[error("{0}: '{1}' is not an address")]
-    Address(&'static str, String),
-    #[error("seed: '{0}' is not a hexadecimal number")]
-    Seed(String),
-    #[error("limits.sockets: {0} are too few, {1} is the least")]
-    Sockets(usize, usize),
-    #[error("limits.memory_mb: {0} is out of range")]
-    MemoryBudget(f64),
-    #[error("settings: must be an object")]
-    NoSettings,
-    #[error("{0}")]
-    Setting(#[from] InvalidSetting),
-    #[error("{0}")]
-    Settings(#[from] SettingsError),
-}
 
-/// On sockets whatever discovery has to tell counts as told after so many seconds.
-const NOTIFICATION_DEADLINE: f64 = 6.0;
-/// Fewer descriptors than this leave no room to serve.
-const LEAST_SOCKETS: usize = 64;
-
-#[derive(Deserialize)]
-struct File {
-    #[serde(default)]
-    name: String,
-    listen: Option<String>,
-    discovery: Option<String>,
-    console: Option<String>,
-    #[serde(default)]
-    seed: String,
-    #[serde(default)]
-    limits: FileLimits,
-    #[serde(default)]
-    known: EndpointList,
-    settings: Value,
-}
+/// On sockets every change of the endpoint list counts as notified this long after discovery had
+/// it, in seconds.
+const NOTIFICATION_DEADLINE_SECONDS: f64 = 6.0;
+/// The fewest descriptors with which a process can serve.
+const MIN_DESCRIPTORS: usize = 64;
 
-#[derive(Deserialize)]
-#[serde(default)]
-struct FileLimits {
-    sockets: usize,
-    memory_mb: f64,
-}
-
-impl Default for FileLimits {
-    fn default() -> Self {
-        FileLimits {
-            sockets: 1024,
-            memory_mb: 32.0,
-        }
-    }
-}
-
-/// Names that stand for numbers in the module.
+/// Names of what the decision module numbers; the index is the number.
 #[derive(Debug, Default)]
 pub struct NameTables {
+    /// Zones.
     pub zones: Vec<String>,
+    /// Machine kinds.
     pub kinds: Vec<String>,
+    /// Request classes.
     pub classes: Vec<String>,
+    /// Tenants.
     pub tenants: Vec<String>,
 }
 
-/// All that the balancer is told.
+/// The configuration of a process.
 pub struct Config {
+    /// The name of the balancer.
     pub name: String,
+    /// The address for clients.
     pub listen: SocketAddr,
+    /// The address of discovery.
     pub discovery: SocketAddr,
     /// The address of the admin endpoint, if there is one.
     pub admin: Option<SocketAddr>,
+    /// The seed of random choices.
     pub seed: u64,
-    /// File descriptors that the process may hold: as many as it is told, or fewer where the system says so.
+    /// File descriptors that the process may hold: as configured, or fewer if the system allows
+    /// fewer.
     pub max_descriptors: usize,
-    /// Bytes of memory that the process may take.
+    /// Bytes of memory that the process may use.
     pub memory_bytes: usize,
+    /// The endpoint list to start with.
     pub known_endpoints: EndpointList,
+    /// The settings of the decision module.
     pub settings: Settings,
+    /// The names of what they number.
     pub names: NameTables,
 }
 
+/// Why the configuration is read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Occasion {
+    Start,
+    Reload,
+}
+
 impl Config {
-    /// Reads the environment and the file that it names.
+    /// Reads the configuration at the start of the process. Sleeps while the file can't be read for a
+    /// moment.
+    ///
+    /// # Errors
+    ///
+    /// See [`ConfigError`].
     pub fn load() -> Result<Self, ConfigError> {
-        Self::read(false)
+        Self::read(Occasion::Start)
     }
 
-    /// Reads all of it again. The variables are those of the start, so what the file says of discovery now
-    /// is newer and goes before them.
+    /// Reads the whole configuration again. The variables are those of the start, so the file's
+    /// address of discovery is newer and goes before its variable.
+    ///
+    /// # Errors
+    ///
+    /// See [`ConfigError`]. The caller retries an unreadable file.
     pub fn reload() -> Result<Self, ConfigError> {
-        Self::read(true)
+        Self::read(Occasion::Reload)
     }
 
-    fn read(again: bool) -> Result<Self, ConfigError> {
-        let path =
-            env::var("PROXY_CONFIG").map_err(|e| ConfigError::Variable("PROXY_CONFIG", e))?;
-        // While it serves, the process doesn't sleep: whoever asks it to read this again tries later.
+    fn read(occasion: Occasion) -> Result<Self, ConfigError> {
+        let name = "PROXY_CONFIG";
+        let path = env::var(name).map_err(|source| ConfigError::Variable { name, source })?;
         let read = || std::fs::read(&path);
-        let text = if again {
-            read()
-        } else {
-            retry_transient_errors(read)
+        let text = match occasion {
+            Occasion::Start => retry_transient_errors(read),
+            // Clients are being served: no sleeping retries.
+            Occasion::Reload => read(),
         };
-        let text = text.map_err(|e| ConfigError::Unreadable(path.clone(), e))?;
-        let file = serde_json::from_slice(&text).map_err(|e| ConfigError::Malformed(path, e))?;
-        Self::from_file(file, again, |name| env::var(name).ok())
+        let text = text.map_err(|source| ConfigError::Unreadable {
+            path: path.clone(),
+            source,
+        })?;
+        let file = serde_json::from_slice(&text)
+            .map_err(|source| ConfigError::Malformed { path, source })?;
+        Self::from_file(file, occasion, |name| env::var(name).ok())
     }
 
     fn from_file(
-        file: File,
-        again: bool,
-        var: impl Fn(&str) -> Option<String>,
+        file: ConfigFile,
+        occasion: Occasion,
+        variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
-        let optional = |name: &'static str, in_file: Option<String>, file_first: bool| {
-            let text = if file_first {
-                in_file.or_else(|| var(name))
-            } else {
-                var(name).or(in_file)
-            };
-            let parse = |text: String| text.parse().map_err(|_| ConfigError::Address(name, text));
-            text.map(parse).transpose()
-        };
-        let address = |name: &'static str, in_file: Option<String>, file_first: bool| {
-            optional(name, in_file, file_first)?
-                .ok_or(ConfigError::Variable(name, VarError::NotPresent))
-        };
-        let seed = match file.seed.as_str() {
-            "" => 0,
-            text => {
-                u64::from_str_radix(text, 16).map_err(|_| ConfigError::Seed(text.to_string()))?
-            }
-        };
-        if file.limits.sockets < LEAST_SOCKETS {
-            return Err(ConfigError::Sockets(file.limits.sockets, LEAST_SOCKETS));
+        let seed = parse_seed(&file.seed)?;
+        let max_descriptors = file.limits.max_descriptors;
+        if max_descriptors < MIN_DESCRIPTORS {
+            return Err(ConfigError::TooFewDescriptors {
+                given: max_descriptors,
+                least: MIN_DESCRIPTORS,
+            });
         }
-        if file.limits.memory_mb <= 0.0 {
-            return Err(ConfigError::MemoryBudget(file.limits.memory_mb));
+        if file.limits.memory_mib <= 0.0 {
+            return Err(ConfigError::MemoryLimit(file.limits.memory_mib));
         }
-        if !file.settings.is_object() {
-            return Err(ConfigError::NoSettings);
-        }
-        let mut settings = settings_from_json(&file.settings)?;
-        settings.rules.notification_deadline = NOTIFICATION_DEADLINE;
-        settings.validate()?;
-        let list = |key: &str| {
-            let items = file.settings[key].as_array().into_iter().flatten();
-            items
-                .filter_map(|v| v.as_str().map(str::to_string))
-                .collect()
-        };
-        let names = NameTables {
-            zones: list("localities"),
-            kinds: list("kinds"),
-            classes: settings.classes.iter().map(|c| c.name.clone()).collect(),
-            tenants: settings.tenants.iter().map(|t| t.name.clone()).collect(),
+        let settings = parse_settings(&file)?;
+        let names = name_tables(&file, &settings);
+        let max_descriptors = cap_descriptors(max_descriptors);
+        // Only the address of discovery can change while the process runs.
+        let discovery = match occasion {
+            Occasion::Start => variable("PROXY_DISCOVERY").or(file.discovery),
+            Occasion::Reload => file.discovery.or_else(|| variable("PROXY_DISCOVERY")),
         };
-        let sockets = file.limits.sockets;
-        let most = allowed().map_or(sockets, |most| most.max(LEAST_SOCKETS));
-        if most < sockets {
-            log::line(format!(
-                "the system lets this process hold {most} descriptors, not {sockets}"
-            ));
-        }
+        let listen = variable("PROXY_LISTEN").or(file.listen);
+        let admin = variable("PROXY_CONSOLE").or(file.admin);
         Ok(Config {
-            name: var("PROXY_NAME").unwrap_or(file.name),
-            listen: address("PROXY_LISTEN", file.listen, false)?,
-            discovery: address("PROXY_DISCOVERY", file.discovery, again)?,
-            admin: optional("PROXY_CONSOLE", file.console, false)?,
+            name: variable("PROXY_NAME").unwrap_or(file.name),
+            listen: required_address("PROXY_LISTEN", listen)?,
+            discovery: required_address("PROXY_DISCOVERY", discovery)?,
+            admin: optional_address("PROXY_CONSOLE", admin)?,
             seed,
-            max_descriptors: sockets.min(most),
-            memory_bytes: (file.limits.memory_mb * f64::from(1 << 20)) as usize,
-            known_endpoints: file.known,
+            max_descriptors,
+            memory_bytes: (file.limits.memory_mib * f64::from(1 << 20)) as usize,
+            known_endpoints: file.known_endpoints,
             settings,
             names,
         })
     }
 }
 
-/// The descriptors that the system lets this process hold, where it says so. Guards against clients that take what is kept
-/// for others, as more were promised than there are.
-fn allowed() -> Option<usize> {
+fn parse_seed(text: &str) -> Result<u64, ConfigError> {
+    if text.is_empty() {
+        return Ok(0);
+    }
+    u64::from_str_radix(text, 16).map_err(|_| ConfigError::Seed(text.to_string()))
+}
+
+fn parse_settings(file: &ConfigFile) -> Result<Settings, ConfigError> {
+    if !file.settings.is_object() {
+        return Err(ConfigError::SettingsNotAnObject);
+    }
+    let mut settings = settings_from_json(&file.settings)?;
+    settings.rules.notification_deadline = NOTIFICATION_DEADLINE_SECONDS;
+    settings.validate()?;
+    Ok(settings)
+}
+
+fn name_tables(file: &ConfigFile, settings: &Settings) -> NameTables {
+    let classes = settings.classes.iter().map(|class| class.name.clone());
+    let tenants = settings.tenants.iter().map(|tenant| tenant.name.clone());
+    NameTables {
+        zones: file.settings_names("localities"),
+        kinds: file.settings_names("kinds"),
+        classes: classes.collect(),
+        tenants: tenants.collect(),
+    }
+}
+
+/// The address that this variable, or the file in its place, gives; `text` is empty if neither does.
+fn optional_address(
+    name: &'static str,
+    text: Option<String>,
+) -> Result<Option<SocketAddr>, ConfigError> {
+    let parse = |text: String| {
+        text.parse()
+            .map_err(|_| ConfigError::Address { name, text })
+    };
+    text.map(parse).transpose()
+}
+
+fn required_address(name: &'static str, text: Option<String>) -> Result<SocketAddr, ConfigError> {
+    optional_address(name, text)?.ok_or(ConfigError::Variable {
+        name,
+        source: VarError::NotPresent,
+    })
+}
+
+/// As many descriptors as are configured, or fewer if the system allows fewer: more than that would
+/// let clients take descriptors that are reserved for other uses.
+fn cap_descriptors(configured: usize) -> usize {
+    let allowed = descriptor_limit().map_or(configured, |limit| limit.max(MIN_DESCRIPTORS));
+    if allowed < configured {
+        log::line(format!(
+            "descriptor limit lowered: RLIMIT_NOFILE allows {allowed} (limits.sockets: {configured})"
+        ));
+    }
+    configured.min(allowed)
+}
+
+/// The soft limit of the system on this process's descriptors, if it can be read.
+fn descriptor_limit() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = limits
         .lines()
--- a/src/bin/load-balancer/config/tests.rs
+++ b/src/bin/load-balancer/config/tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the configuration.
 
 use super::*;
-use serde_json::json;
+use serde_json::{json, Value};
 
 fn load(change: impl Fn(&mut Value)) -> Result<Config, ConfigError> {
     let mut file = json!({
@@ -16,13 +16,13 @@
     change(&mut file);
     Config::from_file(
         serde_json::from_value(file).expect("well-formed"),
-        false,
+        Occasion::Start,
         |_| None,
     )
 }
 
 #[test]
-fn settings_come_through_the_wire_s_parser() {
+fn settings_are_read_from_the_file() {
     let config = load(|_| ()).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!((config.seed, config.names.zones.len()), (255, 2));
     assert_eq!(config.settings.classes[0].deadline, 2.0);
@@ -32,22 +32,22 @@
 
 #[test]
 fn a_variable_goes_before_the_file_until_that_is_read_again() {
-    let discovery = |again, in_file| {
+    let discovery = |occasion, in_file| {
         let file = json!({"listen": "127.0.0.1:9", "discovery": in_file,
             "settings": {"classes": [{"name": "call", "hardLimit": 2.0, "effect": "read_like"}]}});
         let file = serde_json::from_value(file).expect("well-formed");
-        let var = |name: &str| (name == "PROXY_DISCOVERY").then(|| "127.0.0.1:7".to_string());
-        let config = Config::from_file(file, again, var).unwrap_or_else(|e| panic!("{e}"));
+        let variable = |name: &str| (name == "PROXY_DISCOVERY").then(|| "127.0.0.1:7".to_string());
+        let config = Config::from_file(file, occasion, variable).unwrap_or_else(|e| panic!("{e}"));
         config.discovery.port()
     };
     assert_eq!(
         (
-            discovery(false, json!("127.0.0.1:8")),
-            discovery(true, json!("127.0.0.1:8"))
+            discovery(Occasion::Start, json!("127.0.0.1:8")),
+            discovery(Occasion::Reload, json!("127.0.0.1:8"))
         ),
         (7, 8)
     );
-    assert_eq!(discovery(true, Value::Null), 7);
+    assert_eq!(discovery(Occasion::Reload, Value::Null), 7);
 }
 
 #[test]
--- a/src/bin/load-balancer/reload.rs
+++ b/src/bin/load-balancer/reload.rs
@@ -45,7 +45,7 @@
     let give_up_at = Instant::now() + READ_RETRY_TIMEOUT;
     loop {
         match Config::reload() {
-            Err(ConfigError::Unreadable(..)) if Instant::now() < give_up_at => {
+            Err(ConfigError::Unreadable { .. }) if Instant::now() < give_up_at => {
                 sleep(READ_RETRY_INTERVAL).await;
             }
             result => return result,
