--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration: the file that `$PROXY_CONFIG` names, and the variables that override parts of
-//! it.
+//! The configuration: the file that `$PROXY_CONFIG` names, and the variables that override parts
+//! of it.
 
 mod error;
 mod file;
@@ -67,8 +67,8 @@
 }
 
 impl Config {
-    /// Reads the configuration at the start of the process. Sleeps while the file can't be read for a
-    /// moment.
+    /// Reads the configuration at the start of the process. Sleeps while the file can't be read
+    /// for a moment.
     ///
     /// # Errors
     ///
@@ -174,7 +174,8 @@
     }
 }
 
-/// The address that this variable, or the file in its place, gives; `text` is empty if neither does.
+/// The address that this variable, or the file in its place, gives; `text` is empty if neither
+/// does.
 fn optional_address(
     name: &'static str,
     text: Option<String>,
@@ -193,8 +194,8 @@
     })
 }
 
-/// As many descriptors as are configured, or fewer if the system allows fewer: more than that would
-/// let clients take descriptors that are reserved for other uses.
+/// As many descriptors as are configured, or fewer if the system allows fewer: more than that
+/// would let clients take descriptors that are reserved for other uses.
 fn cap_descriptors(configured: usize) -> usize {
     let allowed = descriptor_limit().map_or(configured, |limit| limit.max(MIN_DESCRIPTORS));
     if allowed < configured {
--- a/src/settings_format/conversion.rs
+++ b/src/settings_format/conversion.rs
@@ -106,8 +106,8 @@
     fn into_rules(self, defaults: &Rules) -> Rules {
         Rules {
             poll_interval: self.poll_interval.unwrap_or(defaults.poll_interval),
-            // No setting: on the simulator's wire the poll interval says all, and the configuration
-            // of a process sets its own.
+            // No setting: on the simulator's wire the poll interval says all, and the
+            // configuration of a process sets its own.
             notification_deadline: defaults.notification_deadline,
             initial_capacity_share: self
                 .initial_capacity_share
--- a/src/settings_format/deserializer.rs
+++ b/src/settings_format/deserializer.rs
@@ -77,8 +77,8 @@
     text.parse().map_err(bad_number)
 }
 
-/// The fields of a struct that are there, in the order of their declaration: that order decides which
-/// of several errors is reported.
+/// The fields of a struct that are there, in the order of their declaration: that order decides
+/// which of several errors is reported.
 struct Fields<'de> {
     tree: &'de SettingsTree,
     names: std::slice::Iter<'static, &'static str>,
--- a/src/settings_format/mod.rs
+++ b/src/settings_format/mod.rs
@@ -1,12 +1,13 @@
-//! The settings as deployments and the simulator write them, and their conversion to [`Settings`].
+//! The settings as deployments and the simulator write them, and their conversion to
+//! [`Settings`].
 //!
-//! A settings file is a JSON object; the simulator sends the same settings as path=value pairs, such
-//! as `classes.0.name=pay`. Both are read into a tree of texts, from which the serde types in
-//! `document` are built: their `rename` attributes are the only place where the names of the format
-//! stand beside our own.
+//! A settings file is a JSON object; the simulator sends the same settings as path=value pairs,
+//! such as `classes.0.name=pay`. Both are read into a tree of texts, from which the serde types
+//! in `document` are built: their `rename` attributes are the only place where the names of the
+//! format stand beside our own.
 //!
-//! Reading is lenient: absent settings keep a default, unknown ones are skipped, numbers and booleans
-//! may stand as text, and `null` counts as absent.
+//! Reading is lenient: absent settings keep a default, unknown ones are skipped, numbers and
+//! booleans may stand as text, and `null` counts as absent.
 
 mod conversion;
 mod deserializer;
@@ -39,8 +40,8 @@
     settings_from_tree(&SettingsTree::from_json(settings))
 }
 
-/// Reads settings that are given as pairs of a path and a value. Elements of a list of objects have
-/// numbered paths, and the list has a `count`; plain lists are joined by commas.
+/// Reads settings that are given as pairs of a path and a value. Elements of a list of objects
+/// have numbered paths, and the list has a `count`; plain lists are joined by commas.
 ///
 /// # Errors
 ///
--- a/src/settings_format/tree.rs
+++ b/src/settings_format/tree.rs
@@ -6,8 +6,8 @@
 /// The name under which a list of objects holds the number of its elements.
 pub const COUNT: &str = "count";
 
-/// A setting's text, and the settings below it. Lists of objects have numbered children and `COUNT`;
-/// other lists are a text, joined by commas.
+/// A setting's text, and the settings below it. Lists of objects have numbered children and
+/// `COUNT`; other lists are a text, joined by commas.
 #[derive(Debug, Default)]
 pub struct SettingsTree {
     text: Option<String>,
--- /dev/null
+++ b/src/simulator/adapter.rs
@@ -0,0 +1,182 @@
+//! Runs balancers on the simulator's wire.
+
+use crate::decision::{Action, Balancer, Event, ListScope, UpstreamEntry};
+use crate::settings_format::settings_from_pairs;
+use crate::simulator::line::{Line, LineReader, WireError};
+use crate::simulator::message::{
+    on_one_line, parse_event, parse_list_scope, parse_upstream, write_action, UpstreamNames,
+};
+use std::any::Any;
+use std::collections::BTreeMap;
+use std::io::{BufRead, Write};
+use std::panic::{catch_unwind, AssertUnwindSafe};
+
+const WRITE_TO_MEMORY: &str = "writing to memory does not fail";
+
+/// Serves batches until the input ends between two of them.
+///
+/// # Errors
+///
+/// The first line that is malformed, or a failure of the input or the output.
+pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
+    let mut reader = LineReader::new(input);
+    let mut adapter = Adapter::default();
+    while let Some(line) = reader.next()? {
+        if line.name() != "SYNC" {
+            return Err(line.error(line.name(), "stands where a SYNC was due"));
+        }
+        let now = line.required_seconds("time")?;
+        let sequence: u64 = line.required_number("seq")?;
+        adapter.run_batch(&mut reader, now)?;
+        writeln!(adapter.reply, "END\tseq={sequence}").expect(WRITE_TO_MEMORY);
+        output
+            .write_all(&adapter.reply)
+            .and_then(|()| output.flush())
+            .map_err(|source| WireError::Io {
+                line: reader.line_number(),
+                source,
+            })?;
+    }
+    Ok(())
+}
+
+/// The balancers of this process, and what they share.
+#[derive(Default)]
+struct Adapter {
+    names: UpstreamNames,
+    /// Endpoint lists by the numbers under which messages refer to them.
+    endpoint_lists: BTreeMap<u64, Vec<UpstreamEntry>>,
+    balancers: BTreeMap<u64, Balancer>,
+    /// Reused for the actions of each event.
+    actions: Vec<Action>,
+    /// The reply to the present batch.
+    reply: Vec<u8>,
+    /// The balancer that the lines at the end of the reply come from.
+    replying: Option<u64>,
+}
+
+impl Adapter {
+    /// Handles the lines up to the end of a batch.
+    fn run_batch<R: BufRead>(
+        &mut self,
+        reader: &mut LineReader<R>,
+        now: f64,
+    ) -> Result<(), WireError> {
+        self.reply.clear();
+        self.replying = None;
+        let mut selected = None;
+        loop {
+            let line = reader.next_in_batch()?;
+            match line.name() {
+                "END" => return Ok(()),
+                "SWITCH_TO" => selected = Some(line.required_number("i")?),
+                "SHEET" => {
+                    let number = line.required_number("setId")?;
+                    let count = line.required_number("rowsIn")?;
+                    self.read_endpoint_list(reader, number, count)?;
+                }
+                _ => self.handle_message(&line, now, selected)?,
+            }
+        }
+    }
+
+    fn read_endpoint_list<R: BufRead>(
+        &mut self,
+        reader: &mut LineReader<R>,
+        number: u64,
+        count: usize,
+    ) -> Result<(), WireError> {
+        let mut endpoints = Vec::new();
+        for _ in 0..count {
+            let line = reader.next_in_batch()?;
+            endpoints.push(parse_upstream(&line, &mut self.names)?);
+        }
+        self.endpoint_lists.insert(number, endpoints);
+        Ok(())
+    }
+
+    /// Handles a message to the selected balancer.
+    fn handle_message(
+        &mut self,
+        line: &Line,
+        now: f64,
+        selected: Option<u64>,
+    ) -> Result<(), WireError> {
+        let number =
+            selected.ok_or_else(|| line.error("i", "no SWITCH_TO came before this event"))?;
+        match line.name() {
+            "BORN" => {
+                let balancer = create_balancer(line, now)?;
+                self.balancers.insert(number, balancer);
+            }
+            "STOP" => {
+                self.balancers.remove(&number);
+            }
+            // Results of polls and messages of peers: the decisions ask for neither.
+            "CHECKED" | "FROM_PEER" => {}
+            "FLEET" => {
+                let event = self.endpoint_list_event(line)?;
+                self.handle_event(number, now, event);
+            }
+            _ => self.handle_event(number, now, parse_event(line)?),
+        }
+        Ok(())
+    }
+
+    fn endpoint_list_event(&self, line: &Line) -> Result<Event, WireError> {
+        let scope = parse_list_scope(line)?;
+        let endpoints = if scope == ListScope::Failed {
+            Vec::new()
+        } else {
+            let number = line.required_number("setId")?;
+            let endpoints = self.endpoint_lists.get(&number);
+            let unknown = || line.error("setId", format_args!("no SHEET {number} came before"));
+            endpoints.ok_or_else(unknown)?.clone()
+        };
+        Ok(Event::EndpointList { scope, endpoints })
+    }
+
+    /// Has a balancer handle an event and writes its actions. One that panics is removed and
+    /// reported with `CRASH`.
+    fn handle_event(&mut self, number: u64, now: f64, event: Event) {
+        let Some(balancer) = self.balancers.get_mut(&number) else {
+            return;
+        };
+        self.actions.clear();
+        let actions = &mut self.actions;
+        let result = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions)));
+        if result.is_ok() && self.actions.is_empty() {
+            return;
+        }
+        if self.replying != Some(number) {
+            writeln!(self.reply, "FROM\ti={number}").expect(WRITE_TO_MEMORY);
+            self.replying = Some(number);
+        }
+        for action in &self.actions {
+            write_action(action, &self.names, &mut self.reply).expect(WRITE_TO_MEMORY);
+        }
+        if let Err(payload) = result {
+            self.balancers.remove(&number);
+            let message = on_one_line(panic_message(payload.as_ref()));
+            writeln!(
+                self.reply,
+                "CRASH\ttext=the decision module panicked: {message}"
+            )
+            .expect(WRITE_TO_MEMORY);
+        }
+    }
+}
+
+fn create_balancer(line: &Line, now: f64) -> Result<Balancer, WireError> {
+    let seed = line.required_number("salt")?;
+    let settings = settings_from_pairs(line.fields())
+        .map_err(|invalid| line.error(&invalid.path, invalid.problem))?;
+    Balancer::new(settings, seed, now).map_err(|error| line.error("profileData", error))
+}
+
+fn panic_message(payload: &(dyn Any + Send)) -> &str {
+    let message = payload.downcast_ref::<String>().map(String::as_str);
+    message
+        .or(payload.downcast_ref::<&str>().copied())
+        .unwrap_or("no cause given")
+}
