--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: a golden exchange, and malformed input.
+//! The adapter as a process: a recorded exchange, and malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -26,23 +26,23 @@
 ";
 
 #[test]
-fn the_exchange_is_the_golden_one() {
+fn an_exchange_has_the_recorded_replies() {
     let input = format!(
         "{BORN}SYNC\ttime=5.5\tseq=2\nSWITCH_TO\ti=3\nARRIVAL\trid=77\tremaining=1.5\tcls=0\tcolour=red\nEND\n\
          SYNC\ttime=5.6\tseq=3\nSWITCH_TO\ti=3\nCOMPLETED\trid=77\toutcome=F\tupstream=10.0.0.1:80\tcostTime=0.1\ttry=0\nEND\n\
          SYNC\ttime=5.7\tseq=4\nSWITCH_TO\ti=3\nSTOP\nEND\n"
     );
     let output = run(&input);
-    let golden = "END\tseq=1\n\
+    let recorded = "END\tseq=1\n\
                   FROM\ti=3\nSUBMIT_TO\trid=77\tupstream=10.0.0.1:80\nWAKE_ME\tafter=1.000001\tname=77\nEND\tseq=2\n\
                   FROM\ti=3\nREJECT\trid=77\nEND\tseq=3\n\
                   END\tseq=4\n";
-    assert_eq!(String::from_utf8(output.stdout).unwrap(), golden);
+    assert_eq!(String::from_utf8(output.stdout).unwrap(), recorded);
     assert!(output.status.success() && output.stderr.is_empty());
 }
 
 #[test]
-fn malformed_input_stops_with_one_plain_line() {
+fn malformed_input_ends_the_adapter_with_a_one_line_error() {
     let cases = [
         ("NOISE\n".to_string(), "line 1", "NOISE"),
         ("SYNC\ttime=x\tseq=1\nEND\n".into(), "line 1", "time"),
@@ -101,12 +101,12 @@
     ];
     for (input, line, field) in cases {
         let output = run(&input);
-        let word = String::from_utf8(output.stderr).unwrap();
+        let error = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success(), "{input}");
-        assert_eq!(word.lines().count(), 1, "{word}");
+        assert_eq!(error.lines().count(), 1, "{error}");
         assert!(
-            word.contains(&format!("{line}: field {field}:")),
-            "{word} for {input}"
+            error.contains(&format!("{line}: field {field}:")),
+            "{error} for {input}"
         );
         let replies = String::from_utf8(output.stdout).unwrap();
         let expected = if input.starts_with(BORN) {
@@ -114,19 +114,19 @@
         } else {
             ""
         };
-        assert_eq!(replies, expected, "no half reply");
+        assert_eq!(replies, expected, "no partial reply");
     }
 }
 
 #[test]
-fn an_empty_input_ends_well() {
+fn an_empty_input_is_a_success() {
     let output = run("");
     assert!(output.status.success() && output.stdout.is_empty() && output.stderr.is_empty());
 }
 
 #[test]
-fn idle_connections_are_let_go_on_the_wire() {
-    // Three calls on connections idle for a second; the first two are reset, so the third opens a new one.
+fn idle_connections_are_closed_on_the_wire() {
+    // Requests on connections idle for a second; two of them are reset.
     let mut input = BORN.to_string();
     for (n, time) in [(1, 6.0), (2, 7.0), (3, 8.0), (4, 9.0), (5, 10.0)] {
         let outcome = if n == 2 || n == 4 { "R" } else { "S\tended=1" };
@@ -141,7 +141,7 @@
             took = if outcome == "R" { 0.001 } else { 0.1 },
         );
     }
-    // One more answered call leaves an idle connection, and a second later it is no longer trusted.
+    // One more served request leaves an idle connection, and a second later it is no longer used.
     let last = "SYNC\ttime=11\tseq=20\nSWITCH_TO\ti=3\nARRIVAL\trid=9\tremaining=1.5\tcls=0\nEND\n";
     let output = String::from_utf8(run(&(input + last)).stdout).unwrap();
     assert!(
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn answers_to_what_is_never_asked_are_passed_over() {
+fn results_of_polls_and_messages_of_peers_are_ignored() {
     let input = format!(
         "{BORN}SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\nCHECKED\tupstream=10.0.0.1:80\toutcome=S\tcostTime=0.001\n\
          FROM_PEER\tneighbour=2\tcontents=aGkgNw==\nEND\n"
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -1,6 +1,6 @@
-//! When a process that has just started is ready: `GET /healthz` says so. No test bounds the
-//! time, but for the patience of all; that discovery has not spoken shows that nobody waits for
-//! it.
+//! When a process that has just started is ready, by `GET /healthz`. No test bounds the time but
+//! for the timeout of all; in most, discovery sends nothing, which shows that the process does
+//! not wait for it.
 
 mod peers;
 use peers::*;
@@ -10,7 +10,7 @@
 use std::sync::mpsc::channel;
 use std::thread;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 const MODES: [&str; 2] = ["ask", "push"];
 
 fn settings(known: &[String], discovery: SocketAddr, mode: &str) -> String {
@@ -22,10 +22,9 @@
     program.client().ask("/healthz", "", "").status()
 }
 
-/// Guards against a process that waits for discovery though it has a list, be that old, and
-/// serves nobody meanwhile.
+/// The process does not wait for discovery, however old the list.
 #[test]
-fn a_known_list_makes_ready_while_discovery_has_not_spoken() {
+fn a_known_endpoint_list_makes_ready_without_discovery() {
     let (served, dead, silent) = (
         Upstream::start(Reply::Ok),
         Refusing::new(),
@@ -49,36 +48,39 @@
             let good = [endpoint("u0", served.address, "in_service")];
             let program = Program::start(&settings(&good, discovery, mode), "127.0.0.1:0");
             assert_eq!(health(&program), 200);
-            assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
+            assert_eq!(
+                program.client().ask("/pay", REQUEST_ID, "coins").status(),
+                200
+            );
         }
     }
 }
 
-/// Guards against twenty processes that keep each other from being ready.
 #[test]
-fn twenty_processes_that_start_at_once_are_ready_while_discovery_has_not_spoken() {
+fn twenty_processes_that_start_at_once_are_ready_without_discovery() {
     let (upstream, discovery) = (Upstream::start(Reply::Ok), DiscoveryPeer::start());
     let known = [endpoint("u0", upstream.address, "in_service")];
     let config = settings(&known, discovery.address, "push");
     thread::scope(|scope| {
         let start = || health(&Program::start(&config, "127.0.0.1:0"));
         let all: Vec<_> = (0..20).map(|_| scope.spawn(start)).collect();
-        all.into_iter()
-            .for_each(|one| assert_eq!(one.join().unwrap(), 200));
+        for one in all {
+            assert_eq!(one.join().unwrap(), 200);
+        }
     });
 }
 
-/// Guards against a front that sends clients where nobody can be served, and against requests
-/// that are lost there: those that come wait for the list.
+/// Clients are not sent to a process that can't serve them; requests that arrive all the same
+/// wait.
 #[test]
-fn with_nothing_known_it_is_ready_once_discovery_has_spoken() {
+fn without_known_endpoints_it_is_ready_once_discovery_has_sent_some() {
     let upstream = Upstream::start(Reply::Ok);
     for mode in MODES {
         let down = Refusing::new();
         let program = Program::start(&settings(&[], down.address, mode), "127.0.0.1:0");
         assert_eq!(health(&program), 503);
         let mut early = program.client();
-        early.send("/read", ID, "").unwrap();
+        early.send("/read", REQUEST_ID, "").unwrap();
         let mut watch = down.discovery().next();
         assert_eq!(health(&program), 503);
         watch.line(&list(
@@ -94,9 +96,9 @@
     }
 }
 
-/// Guards against giving up each watch before a slow discovery gets to it: the first one is kept.
+/// A slow discovery may answer it last.
 #[test]
-fn a_discovery_that_is_slower_than_watches_are_opened_is_heard() {
+fn the_first_watch_is_kept_while_further_ones_are_opened() {
     let (upstream, discovery) = (Upstream::start(Reply::Ok), DiscoveryPeer::start());
     let program = Program::start(&settings(&[], discovery.address, "push"), "127.0.0.1:0");
     let mut watches: Vec<_> = (0..6).map(|_| discovery.next()).collect();
@@ -107,13 +109,14 @@
         &[endpoint("u0", upstream.address, "in_service")],
     ));
     until("the list has come", || health(&program) == 200);
-    assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
+    assert_eq!(
+        program.client().ask("/pay", REQUEST_ID, "coins").status(),
+        200
+    );
 }
 
-/// Guards against a process that waits for another beside it which says nothing, or whose word
-/// can't be used.
 #[test]
-fn neither_a_silent_process_nor_a_broken_state_keeps_it_from_being_ready() {
+fn a_silent_predecessor_or_a_malformed_state_file_does_not_delay_readiness() {
     let (upstream, silent) = (Upstream::start(Reply::Ok), DiscoveryPeer::start());
     let known = [endpoint("u0", upstream.address, "in_service")];
     let config = settings(&known, silent.address, "push");
@@ -125,12 +128,12 @@
         Program::start_with(&variables, &config, listen)
     };
     let folder = folder();
-    let old = start(&folder, "127.0.0.1:0");
-    let address = old.address.to_string();
-    old.hold();
-    let new = start(&folder, &address);
-    assert_eq!(new.call("GET /healthcheck").0, 200);
-    drop((old, new));
+    let predecessor = start(&folder, "127.0.0.1:0");
+    let address = predecessor.address.to_string();
+    predecessor.hold();
+    let successor = start(&folder, &address);
+    assert_eq!(successor.call("GET /healthcheck").0, 200);
+    drop((predecessor, successor));
     let state = folder.join(format!("magpiechute-{address}.state"));
     for text in ["", "{", "[]", "null", "{\"balancer\":7}"] {
         std::fs::write(&state, text).unwrap();
@@ -144,14 +147,13 @@
     std::fs::create_dir(&state).unwrap();
     assert_eq!(start(&folder, &address).call("GET /healthcheck").0, 200);
     std::fs::remove_dir_all(&folder).unwrap();
-    // Now there is no such folder.
+    // Now the folder is missing.
     assert_eq!(start(&folder, &address).call("GET /healthcheck").0, 200);
 }
 
-/// Guards against nobody who listens: the process beside it, whose clients it would not take
-/// before it can serve them, is gone.
+/// Otherwise nobody would listen.
 #[test]
-fn it_takes_clients_when_the_process_beside_it_has_gone_before_discovery_has_spoken() {
+fn a_successor_accepts_clients_before_it_is_ready_once_its_predecessor_is_gone() {
     let (upstream, silent, down) = (
         Upstream::start(Reply::Ok),
         DiscoveryPeer::start(),
@@ -160,22 +162,22 @@
     let known = [endpoint("u0", upstream.address, "in_service")];
     let folder = folder();
     let variables = [("TMPDIR", folder.to_str().unwrap())];
-    let mut old = Program::start_with(
+    let mut predecessor = Program::start_with(
         &variables,
         &settings(&known, silent.address, "push"),
         "127.0.0.1:0",
     );
-    let mut new = spawn_in(
+    let mut successor = spawn_in(
         &folder,
         &settings(&[], down.address, "push"),
-        &old.address.to_string(),
+        &predecessor.address.to_string(),
     );
-    let mut log = BufReader::new(new.stderr.take().unwrap()).lines();
+    let mut log = BufReader::new(successor.stderr.take().unwrap()).lines();
     assert!(
         log.any(|line| line.unwrap().contains("peer process found")),
         "they have met"
     );
-    old.kill();
+    predecessor.kill();
     let (sender, listens) = channel();
     thread::spawn(move || {
         log.find(|line| {
@@ -185,9 +187,9 @@
         .map(|_| sender.send(log))
     });
     let log = listens.recv_timeout(PATIENCE);
-    let mut client = Client::connect(old.address);
+    let mut client = Client::connect(predecessor.address);
     if let Ok(client) = &mut client {
-        client.send("/read", ID, "").unwrap();
+        client.send("/read", REQUEST_ID, "").unwrap();
         let new = [endpoint("u0", upstream.address, "in_service")];
         down.discovery().next().line(&list(6, true, &new));
         assert_eq!(
@@ -195,8 +197,8 @@
             Some(200)
         );
     }
-    new.kill().unwrap();
-    new.wait().unwrap();
+    successor.kill().unwrap();
+    successor.wait().unwrap();
     assert!(log.is_ok() && client.is_ok(), "somebody listens");
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A new version of the real program beside the old one.
+//! Upgrades: a successor of the real program beside its predecessor.
 
 mod peers;
 use load_balancer::LearnedState;
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::Duration;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 fn start(folder: &Path, config: &str, listen: &str) -> Program {
     start_with(&[], folder, config, listen)
@@ -61,7 +61,7 @@
         )
     }
 
-    fn state(&self, address: SocketAddr) -> PathBuf {
+    fn state_file(&self, address: SocketAddr) -> PathBuf {
         self.folder.join(format!("magpiechute-{address}.state"))
     }
 }
@@ -73,13 +73,12 @@
     }
 }
 
-/// Guards against connections that are lost from one version to the next: clients that open one
-/// for each request never find a closed listener.
+/// Clients that open a connection for each request never find a closed listener.
 #[test]
-fn clients_that_come_during_an_upgrade_are_all_served() {
+fn all_clients_are_served_during_an_upgrade() {
     let rig = Rig::new();
-    let mut old = rig.start("127.0.0.1:0");
-    let address = old.address;
+    let mut predecessor = rig.start("127.0.0.1:0");
+    let address = predecessor.address;
     let (stop, served) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicU64::new(0)),
@@ -90,7 +89,7 @@
             thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
                     let mut client = Client::connect(address).expect("somebody listens");
-                    assert_eq!(client.ask("/pay", ID, "coins").status(), 200);
+                    assert_eq!(client.ask("/pay", REQUEST_ID, "coins").status(), 200);
                     served.fetch_add(1, Ordering::SeqCst);
                 }
             })
@@ -100,62 +99,66 @@
         let goal = served.load(Ordering::SeqCst) + count;
         while served.load(Ordering::SeqCst) < goal {
             assert!(
-                !clients.iter().any(|client| client.is_finished()),
-                "a client was turned away"
+                !clients.iter().any(thread::JoinHandle::is_finished),
+                "a client was rejected"
             );
             thread::sleep(Duration::from_millis(1));
         }
     };
     more(20);
-    let new = rig.start(&address.to_string());
-    assert_eq!(new.address, address);
-    assert_eq!(new.call("GET /healthcheck").0, 200);
+    let successor = rig.start(&address.to_string());
+    assert_eq!(successor.address, address);
+    assert_eq!(successor.call("GET /healthcheck").0, 200);
     more(20);
-    old.terminate();
+    predecessor.terminate();
     more(20);
-    assert!(old.wait().success());
+    assert!(predecessor.wait().success());
     more(20);
     stop.store(true, Ordering::SeqCst);
     for client in clients {
-        client.join().expect("no client was turned away");
+        client.join().expect("no client was rejected");
     }
 }
 
-/// Guards against an old version that takes new connections to its end, though a new one is there
-/// for them.
+/// New connections go to the successor from then on.
 #[test]
-fn a_replaced_process_stops_listening_and_finishes_what_it_has() {
+fn a_replaced_process_stops_listening_and_finishes_its_requests() {
     let rig = Rig::new();
-    let mut old = rig.start("127.0.0.1:0");
+    let mut predecessor = rig.start("127.0.0.1:0");
     rig.upstream.set(Reply::Silent);
-    let mut waiting = old.client();
+    let mut waiting = predecessor.client();
     waiting
-        .send("/pay", &format!("{ID}Request-Timeout: 2.0\r\n"), "coins")
+        .send(
+            "/pay",
+            &format!("{REQUEST_ID}Request-Timeout: 2.0\r\n"),
+            "coins",
+        )
         .unwrap();
     rig.upstream.next();
-    let new = rig.start(&old.address.to_string());
+    let successor = rig.start(&predecessor.address.to_string());
     rig.upstream.set(Reply::Ok);
-    old.terminate();
-    // Its answer comes, and the process ends after that.
+    predecessor.terminate();
+    // The response is sent before the process ends.
     assert_eq!(waiting.receive().unwrap().unwrap().status(), 502);
-    assert!(old.wait().success());
+    assert!(predecessor.wait().success());
     for _ in 0..10 {
-        assert_eq!(new.client().ask("/pay", ID, "coins").status(), 200);
+        assert_eq!(
+            successor.client().ask("/pay", REQUEST_ID, "coins").status(),
+            200
+        );
     }
 }
 
-/// Guards against an operator's word that an upgrade forgets, or that only one of two processes
-/// hears.
 #[test]
-fn what_operators_left_out_stays_out_over_an_upgrade() {
+fn maintenance_outlasts_an_upgrade_and_both_processes_learn_of_changes() {
     let rig = Rig::new();
-    let old = rig.start("127.0.0.1:0");
-    assert_eq!(old.call("POST /upstreams/u0/maint").0, 200);
-    let new = rig.start(&old.address.to_string());
-    assert_eq!(new.figure("upstreams_excluded"), 1);
-    assert_eq!(new.call("POST /upstreams/u0/ready").0, 200);
+    let predecessor = rig.start("127.0.0.1:0");
+    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
+    let successor = rig.start(&predecessor.address.to_string());
+    assert_eq!(successor.figure("upstreams_excluded"), 1);
+    assert_eq!(successor.call("POST /upstreams/u0/ready").0, 200);
     let both = |count| {
-        while [&old, &new]
+        while [&predecessor, &successor]
             .iter()
             .any(|program| program.figure("upstreams_excluded") != count)
         {
@@ -163,64 +166,68 @@
         }
     };
     both(0);
-    assert_eq!(old.call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
     both(1);
-    drop(old);
-    // Nor does the process after the next forget it.
-    let newest = rig.start(&new.address.to_string());
+    drop(predecessor);
+    // The successor of the successor restores it too.
+    let newest = rig.start(&successor.address.to_string());
     assert_eq!(newest.figure("upstreams_excluded"), 1);
 }
 
-/// Guards against clients that a new process takes before it knows any upstream.
 #[test]
-fn a_new_process_takes_clients_only_once_it_knows_an_upstream() {
+fn a_successor_accepts_clients_only_once_it_knows_an_upstream() {
     let rig = Rig::new();
-    let old = rig.start("127.0.0.1:0");
-    let address = old.address.to_string();
+    let predecessor = rig.start("127.0.0.1:0");
+    let address = predecessor.address.to_string();
     let mut watch = rig.discovery.next();
     watch.line("");
-    let (folder, ignorant) = (
+    let (folder, empty) = (
         &rig.folder,
         config(&list(0, true, &[]), rig.discovery.address, 256),
     );
     thread::scope(|scope| {
-        let new = scope.spawn(move || start(folder, &ignorant, &address));
+        let successor = scope.spawn(move || start(folder, &empty, &address));
         let mut watch = rig.discovery.next();
         for _ in 0..20 {
-            assert_eq!(old.client().ask("/pay", ID, "coins").status(), 200);
+            assert_eq!(
+                predecessor
+                    .client()
+                    .ask("/pay", REQUEST_ID, "coins")
+                    .status(),
+                200
+            );
         }
-        assert!(!new.is_finished(), "it listens without an upstream");
+        assert!(!successor.is_finished(), "it listens without an upstream");
         watch.line(&list(
             6,
             true,
             &[endpoint("u0", rig.upstream.address, "in_service")],
         ));
-        let new = new.join().unwrap();
-        assert_eq!(new.call("GET /healthcheck").0, 200);
+        let successor = successor.join().unwrap();
+        assert_eq!(successor.call("GET /healthcheck").0, 200);
     });
 }
 
-/// Guards against two processes that together hold more than one may.
 #[test]
-fn both_processes_share_one_balancer_s_descriptors() {
+fn both_processes_together_keep_to_the_descriptor_limit_of_one() {
     let rig = Rig::new();
-    let old = rig.start("127.0.0.1:0");
-    let idle: Vec<_> = (0..120).map(|_| old.client()).collect();
-    assert_eq!(old.call("GET /healthcheck").0, 200);
-    let new = rig.start(&old.address.to_string());
-    let more: Vec<_> = (0..250).map(|_| new.client()).collect();
-    for program in [&old, &new] {
+    let predecessor = rig.start("127.0.0.1:0");
+    let idle: Vec<_> = (0..120).map(|_| predecessor.client()).collect();
+    assert_eq!(predecessor.call("GET /healthcheck").0, 200);
+    let successor = rig.start(&predecessor.address.to_string());
+    let more: Vec<_> = (0..250).map(|_| successor.client()).collect();
+    for program in [&predecessor, &successor] {
         assert_eq!(program.call("GET /healthcheck").0, 200);
     }
-    let held = old.descriptors() + new.descriptors();
+    let held = predecessor.descriptors() + successor.descriptors();
     assert!(held <= 256, "{held}");
     drop((idle, more));
 }
 
-/// Guards against names that only one version knows: the two read each other's state, the old one
-/// also what operators say to the new one.
+/// Stored fields were renamed in between; the older version also reads the maintenance set by
+/// this one.
 #[test]
-fn a_version_with_older_names_and_this_one_read_each_other_s_state() {
+fn versions_with_older_field_names_and_this_one_read_each_other_s_state() {
     let learned = r#"{"width":1.0,"pace":1.5,"answers":3.0,"health":[{"heard":9.0,"faults":0.1,"answers":3.0,
         "strikes":2,"rest_until":12.5}],"losses":0.0,"full_until":0.0,"suspect":0.0,"credit":0.25}"#;
     let old = format!(
@@ -232,7 +239,7 @@
     assert_eq!(
         serde_json::to_value(read(&old)).unwrap(),
         json(&old),
-        "the old version finds all that it wrote"
+        "the older version finds all that it wrote"
     );
     let names = [
         ("strikes", "failures"),
@@ -249,7 +256,7 @@
     let rig = Rig::new();
     let address = rig.start("127.0.0.1:0").address;
     let state = format!(r#"{{"balancer":"{address}","out":["u0"],"knowledge":{old}}}"#);
-    std::fs::write(rig.state(address), state).unwrap();
+    std::fs::write(rig.state_file(address), state).unwrap();
     assert_eq!(
         rig.start(&address.to_string()).figure("upstreams_excluded"),
         1
@@ -289,7 +296,7 @@
     let rig = Rig::new();
     let address = rig.start("127.0.0.1:0").address;
     let state = STATE_OF_47C951F.replace(recorded_address, &address.to_string());
-    std::fs::write(rig.state(address), state).unwrap();
+    std::fs::write(rig.state_file(address), state).unwrap();
     let program = rig.start(&address.to_string());
     assert_eq!(program.figure("upstreams_excluded"), 1);
     assert_eq!(program.call("POST /upstreams/u0/ready").0, 200);
@@ -309,24 +316,24 @@
     let program = rig.start("127.0.0.1:0");
     let mut client = program.client();
     for _ in 0..3 {
-        assert_eq!(client.ask("/pay", ID, "coins").status(), 200);
-        assert_eq!(client.ask("/read", ID, "").status(), 200);
+        assert_eq!(client.ask("/pay", REQUEST_ID, "coins").status(), 200);
+        assert_eq!(client.ask("/read", REQUEST_ID, "").status(), 200);
     }
     assert_eq!(program.call("POST /upstreams/u0/maint").0, 200);
-    let written = std::fs::read(rig.state(program.address)).unwrap();
+    let written = std::fs::read(rig.state_file(program.address)).unwrap();
     let written = serde_json::from_slice(&written).unwrap();
     let recorded = serde_json::from_str(STATE_OF_47C951F).unwrap();
     assert_eq!(field_paths(&written), field_paths(&recorded));
 }
 
 #[test]
-fn a_torn_or_foreign_state_is_passed_over() {
+fn an_incomplete_or_foreign_state_file_is_ignored() {
     let rig = Rig::new();
-    let old = rig.start("127.0.0.1:0");
-    let address = old.address;
-    assert_eq!(old.call("POST /upstreams/u0/maint").0, 200);
-    drop(old);
-    let text = std::fs::read(rig.state(address)).unwrap();
+    let predecessor = rig.start("127.0.0.1:0");
+    let address = predecessor.address;
+    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
+    drop(predecessor);
+    let text = std::fs::read(rig.state_file(address)).unwrap();
     let foreign = String::from_utf8(text.clone())
         .unwrap()
         .replace(&address.to_string(), "127.0.0.9:1");
@@ -336,117 +343,133 @@
         (foreign.as_bytes(), 0),
         (&b"\xff\x00"[..], 0),
     ] {
-        std::fs::write(rig.state(address), state).unwrap();
+        std::fs::write(rig.state_file(address), state).unwrap();
         let program = rig.start(&address.to_string());
         assert_eq!(program.figure("upstreams_excluded"), excluded);
         assert_eq!(program.call("GET /healthcheck").0, 200);
     }
 }
 
-/// Guards against a yes that an upgrade would undo.
+/// An upgrade would undo it.
 #[test]
-fn a_state_that_cannot_be_kept_is_owed_a_no() {
+fn a_change_that_cannot_be_stored_is_answered_with_an_error() {
     let rig = Rig::new();
     let program = rig.start("127.0.0.1:0");
-    std::fs::create_dir(Path::new(&rig.state(program.address)).with_extension("new")).unwrap();
+    std::fs::create_dir(Path::new(&rig.state_file(program.address)).with_extension("new")).unwrap();
     assert_eq!(program.call("POST /upstreams/u0/maint").0, 500);
     assert_eq!(
         program
             .client()
-            .ask("/pay", &format!("{ID}Request-Timeout: 1.0\r\n"), "coins")
+            .ask(
+                "/pay",
+                &format!("{REQUEST_ID}Request-Timeout: 1.0\r\n"),
+                "coins"
+            )
             .status(),
         503
     );
 }
 
-/// What operators say to a new process before it has heard the old one goes beside what they have
-/// said to that one.
+/// The predecessor's changes are in the file before the successor has heard from it.
 #[test]
-fn what_operators_say_to_a_new_process_at_once_undoes_nothing() {
+fn maintenance_set_on_a_successor_at_once_keeps_that_of_the_predecessor() {
     let rig = Rig::new();
     let other = Upstream::start(Reply::Ok);
     let known = [("u0", rig.upstream.address), ("u1", other.address)];
     let known = known.map(|(name, address)| endpoint(name, address, "in_service"));
     let config = config(&list(5, true, &known), rig.discovery.address, 256);
-    let old = start(&rig.folder, &config, "127.0.0.1:0");
-    assert_eq!(old.call("POST /upstreams/u0/maint").0, 200);
-    old.hold();
+    let predecessor = start(&rig.folder, &config, "127.0.0.1:0");
+    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
+    predecessor.hold();
     let variables = [
         ("TMPDIR", rig.folder.to_str().unwrap()),
         ("PROXY_CONSOLE", "127.0.0.1:0"),
     ];
-    let mut new = spawn_by_variables(&variables, &config, &old.address.to_string());
-    let mut log = BufReader::new(new.stderr.take().unwrap())
+    let mut successor = spawn_by_variables(&variables, &config, &predecessor.address.to_string());
+    let mut log = BufReader::new(successor.stderr.take().unwrap())
         .lines()
         .map(Result::unwrap);
-    let console = log
+    let admin = log
         .find(|line| line.contains("listening for admin requests: "))
         .unwrap();
-    let console: SocketAddr = console.rsplit(' ').next().unwrap().parse().unwrap();
-    let mut operator = Client::connect(console).unwrap();
-    operator.write("POST /upstreams/u1/maint HTTP/1.1\r\nHost: console\r\n\r\n");
+    let admin: SocketAddr = admin.rsplit(' ').next().unwrap().parse().unwrap();
+    let mut admin_client = Client::connect(admin).unwrap();
+    admin_client.write("POST /upstreams/u1/maint HTTP/1.1\r\nHost: console\r\n\r\n");
     assert_eq!(
-        operator.receive().unwrap().expect("an answer").status(),
+        admin_client.receive().unwrap().expect("an answer").status(),
         200
     );
-    old.go_on();
+    predecessor.go_on();
     assert!(log.any(|line| line.contains("listening for clients: ")));
-    until("the old one leaves out both", || {
-        old.figure("upstreams_excluded") == 2
+    until("the predecessor has both in maintenance", || {
+        predecessor.figure("upstreams_excluded") == 2
     });
-    let mut operator = Client::connect(console).unwrap();
-    operator.write("GET /stats HTTP/1.1\r\nHost: console\r\n\r\n");
-    let figures = operator.receive().unwrap().expect("an answer").body;
+    let mut admin_client = Client::connect(admin).unwrap();
+    admin_client.write("GET /stats HTTP/1.1\r\nHost: console\r\n\r\n");
+    let figures = admin_client.receive().unwrap().expect("an answer").body;
     assert!(
         String::from_utf8(figures)
             .unwrap()
             .contains("upstreams_excluded:2|"),
-        "so does the new one"
+        "so has the successor"
     );
-    new.kill().unwrap();
-    new.wait().unwrap();
+    successor.kill().unwrap();
+    successor.wait().unwrap();
 }
 
-/// A folder that takes no writes for a while keeps nothing from outlasting the process once it
-/// does.
+/// The folder takes no writes for a while.
 #[test]
-fn what_can_not_be_kept_at_once_is_kept_later() {
-    // ENOSPC, EIO; 8 is more than are made before the answer.
+fn a_failed_write_of_the_state_file_is_retried() {
+    // ENOSPC, EIO; 8 is more than are made before the response.
     for faults in ["write:28:1:1:8", "rename:5:1:1:8"] {
         let rig = Rig::new();
         let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", faults)];
-        let old = rig.start_with(&variables, "127.0.0.1:0");
-        assert_eq!(old.call("POST /upstreams/u0/maint").0, 500, "{faults}");
-        until("it is kept", || rig.state(old.address).exists());
-        let new = rig.start(&old.address.to_string());
-        until("it is known", || new.figure("upstreams_excluded") == 1);
+        let predecessor = rig.start_with(&variables, "127.0.0.1:0");
+        assert_eq!(
+            predecessor.call("POST /upstreams/u0/maint").0,
+            500,
+            "{faults}"
+        );
+        until("the state is stored", || {
+            rig.state_file(predecessor.address).exists()
+        });
+        let successor = rig.start(&predecessor.address.to_string());
+        until("the maintenance is restored", || {
+            successor.figure("upstreams_excluded") == 1
+        });
     }
 }
 
-/// Nor is an upgrade impossible because the socket at which the next process is awaited could not
-/// be made at once.
+/// The folder is full for a while.
 #[test]
-fn the_next_process_is_awaited_though_the_folder_was_full_for_a_while() {
+fn a_failed_creation_of_the_handover_socket_is_retried() {
     let rig = Rig::new();
-    // The third bind of a process is that of this socket, after those of its two listeners.
+    // The third bind of a process is that of the handover socket, after its two listeners.
     let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", "bind:28:3:1:2")];
-    let old = rig.start_with(&variables, "127.0.0.1:0");
-    assert_eq!(old.client().ask("/pay", ID, "coins").status(), 200);
-    until("the next one is awaited", || {
-        rig.state(old.address).with_extension("sock").exists()
+    let predecessor = rig.start_with(&variables, "127.0.0.1:0");
+    assert_eq!(
+        predecessor
+            .client()
+            .ask("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
+    until("a successor is awaited", || {
+        rig.state_file(predecessor.address)
+            .with_extension("sock")
+            .exists()
     });
-    let new = rig.start(&old.address.to_string());
+    let successor = rig.start(&predecessor.address.to_string());
     until("they have met", || {
-        old.call("GET /healthcheck").0 == 200 && new.call("GET /healthcheck").0 == 200
+        predecessor.call("GET /healthcheck").0 == 200 && successor.call("GET /healthcheck").0 == 200
     });
-    assert!(old.descriptors() + new.descriptors() <= 256);
+    assert!(predecessor.descriptors() + successor.descriptors() <= 256);
 }
 
-/// Guards against a new process that takes itself for the only one, and does not hear what
-/// operators have said, because a call that it makes for that fails for a moment: EIO, EAGAIN,
+/// Otherwise it would take itself for the only process and miss the maintenance: EIO, EAGAIN,
 /// ENOMEM, ENFILE.
 #[test]
-fn a_new_process_knows_of_the_old_one_though_its_calls_fail_for_a_moment() {
+fn a_successor_finds_its_predecessor_though_its_calls_fail_for_a_moment() {
     for faults in [
         "open:5:2:1:3",
         "open:23:2:1:3",
@@ -455,20 +478,20 @@
         "socket_unix:23:1:1:3",
     ] {
         let rig = Rig::new();
-        let old = rig.start("127.0.0.1:0");
-        assert_eq!(old.call("POST /upstreams/u0/maint").0, 200);
+        let predecessor = rig.start("127.0.0.1:0");
+        assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
         let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", faults)];
-        let new = rig.start_with(&variables, &old.address.to_string());
-        assert_eq!(new.figure("upstreams_excluded"), 1, "{faults}");
-        assert_eq!(old.call("POST /upstreams/u0/ready").0, 200);
-        until("it is heard of", || new.figure("upstreams_excluded") == 0);
+        let successor = rig.start_with(&variables, &predecessor.address.to_string());
+        assert_eq!(successor.figure("upstreams_excluded"), 1, "{faults}");
+        assert_eq!(predecessor.call("POST /upstreams/u0/ready").0, 200);
+        until("the change has arrived", || {
+            successor.figure("upstreams_excluded") == 0
+        });
     }
 }
 
-/// Guards against two processes of an upgrade that lose each other over a call that is
-/// interrupted or short of memory.
 #[test]
-fn what_operators_say_goes_on_between_processes_though_their_calls_are_interrupted() {
+fn changes_arrive_at_the_peer_though_calls_are_interrupted_or_lack_memory() {
     for (call, error) in ["recv", "send"]
         .iter()
         .flat_map(|call| [4, 105, 12].map(|error| (*call, error)))
@@ -476,108 +499,119 @@
         let rig = Rig::new();
         let faults = format!("{call}:{error}:1:2:1000000");
         let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", faults.as_str())];
-        let old = rig.start_with(&variables, "127.0.0.1:0");
-        let new = rig.start_with(&variables, &old.address.to_string());
+        let predecessor = rig.start_with(&variables, "127.0.0.1:0");
+        let successor = rig.start_with(&variables, &predecessor.address.to_string());
         for round in 0..10 {
-            let (teller, hearer) = if round % 2 == 0 {
-                (&old, &new)
+            let (sender, receiver) = if round % 2 == 0 {
+                (&predecessor, &successor)
             } else {
-                (&new, &old)
+                (&successor, &predecessor)
             };
-            assert_eq!(teller.call("POST /upstreams/u0/maint").0, 200, "{faults}");
-            until("it is out", || hearer.figure("upstreams_excluded") == 1);
-            assert_eq!(hearer.call("POST /upstreams/u0/ready").0, 200, "{faults}");
-            until("it is back", || teller.figure("upstreams_excluded") == 0);
+            assert_eq!(sender.call("POST /upstreams/u0/maint").0, 200, "{faults}");
+            until("maintenance has begun", || {
+                receiver.figure("upstreams_excluded") == 1
+            });
+            assert_eq!(receiver.call("POST /upstreams/u0/ready").0, 200, "{faults}");
+            until("maintenance has ended", || {
+                sender.figure("upstreams_excluded") == 0
+            });
         }
     }
 }
 
-/// Guards against a new process that looks for the old one between the moment in which that says
-/// that it listens and the making of the socket at which they meet: the third bind takes half a
-/// second.
+/// A successor may be started as soon as that line is logged. The third bind, that of the
+/// handover socket, takes half a second.
 #[test]
-fn a_process_that_says_it_listens_awaits_the_next_one() {
+fn a_process_that_reports_that_it_listens_already_awaits_a_successor() {
     let rig = Rig::new();
     let variables = [
         ("LD_PRELOAD", failing_calls()),
         ("FAULTS", "bind:-500:3:1:1"),
     ];
-    let old = rig.start_with(&variables, "127.0.0.1:0");
-    let new = rig.start(&old.address.to_string());
-    assert_eq!(old.call("POST /upstreams/u0/maint").0, 200);
-    until("it is heard of", || new.figure("upstreams_excluded") == 1);
+    let predecessor = rig.start_with(&variables, "127.0.0.1:0");
+    let successor = rig.start(&predecessor.address.to_string());
+    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
+    until("the change has arrived", || {
+        successor.figure("upstreams_excluded") == 1
+    });
 }
 
-/// Guards against two processes that take themselves for alone because the connection on which
-/// they meet ends at once: the old one can't watch it (ENOMEM).
+/// The predecessor can't register the connection (ENOMEM).
 #[test]
-fn a_new_process_meets_the_old_one_though_their_first_connection_ends_at_once() {
+fn a_successor_connects_again_if_the_first_connection_ends_at_once() {
     let rig = Rig::new();
     let variables = [
         ("LD_PRELOAD", failing_calls()),
         ("FAULTS", "epoll_ctl_accepted:12:1:1:1"),
     ];
-    let old = rig.start_with(&variables, "127.0.0.1:0");
-    until("the next one is awaited", || {
-        rig.state(old.address).with_extension("sock").exists()
+    let predecessor = rig.start_with(&variables, "127.0.0.1:0");
+    until("a successor is awaited", || {
+        rig.state_file(predecessor.address)
+            .with_extension("sock")
+            .exists()
+    });
+    let successor = rig.start(&predecessor.address.to_string());
+    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
+    until("the change has arrived", || {
+        successor.figure("upstreams_excluded") == 1
     });
-    let new = rig.start(&old.address.to_string());
-    assert_eq!(old.call("POST /upstreams/u0/maint").0, 200);
-    until("it is heard of", || new.figure("upstreams_excluded") == 1);
 }
 
-/// Guards against a state that is lost because SIGKILL came between its writing and its taking
-/// the old one's place.
 #[test]
-fn a_kill_before_a_state_takes_its_place_leaves_the_one_before() {
+fn a_kill_during_a_write_of_the_state_file_leaves_the_previous_state() {
     let rig = Rig::new();
-    // The first rename is that of the socket, the second keeps the first state; the third lasts
-    // for a minute.
+    // The first rename is that of the handover socket, the second that of the first state file;
+    // the third takes a minute.
     let variables = [
         ("LD_PRELOAD", failing_calls()),
         ("FAULTS", "rename:-60000:3:1:1"),
     ];
-    let mut old = rig.start_with(&variables, "127.0.0.1:0");
-    let (address, state) = (old.address, rig.state(old.address));
-    assert_eq!(old.call("POST /upstreams/u0/maint").0, 200);
+    let mut predecessor = rig.start_with(&variables, "127.0.0.1:0");
+    let (address, state) = (predecessor.address, rig.state_file(predecessor.address));
+    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
     let before = std::fs::read(&state).unwrap();
-    let mut operator = old.operator();
-    operator.write("POST /upstreams/u0/ready HTTP/1.1\r\nHost: console\r\n\r\n");
-    until("it is written aside", || {
+    let mut admin_client = predecessor.operator();
+    admin_client.write("POST /upstreams/u0/ready HTTP/1.1\r\nHost: console\r\n\r\n");
+    until("the new state is written", || {
         state.with_extension("new").exists()
     });
-    old.kill();
+    predecessor.kill();
     assert_eq!(std::fs::read(&state).unwrap(), before);
-    let new = rig.start(&address.to_string());
+    let successor = rig.start(&address.to_string());
     assert_eq!(
-        new.figure("upstreams_excluded"),
+        successor.figure("upstreams_excluded"),
         1,
-        "nobody had a yes to its return"
+        "its return was never confirmed"
     );
 }
 
-/// Guards against clients that are lost because the new process is told to end before it is ready.
 #[test]
-fn sigterm_to_a_new_process_that_is_not_ready_leaves_the_old_one_serving() {
+fn sigterm_to_a_successor_that_is_not_ready_leaves_the_predecessor_serving() {
     let rig = Rig::new();
-    let old = rig.start("127.0.0.1:0");
-    let mut client = old.client();
-    assert_eq!(client.ask("/pay", ID, "coins").status(), 200);
-    // It knows of no upstream, and discovery says nothing.
+    let predecessor = rig.start("127.0.0.1:0");
+    let mut client = predecessor.client();
+    assert_eq!(client.ask("/pay", REQUEST_ID, "coins").status(), 200);
+    // It knows no upstream, and discovery sends nothing.
     let empty = config(&list(5, true, &[]), rig.discovery.address, 256);
-    let mut new = spawn_in(&rig.folder, &empty, &old.address.to_string());
-    let mut log = BufReader::new(new.stderr.take().unwrap()).lines();
+    let mut successor = spawn_in(&rig.folder, &empty, &predecessor.address.to_string());
+    let mut log = BufReader::new(successor.stderr.take().unwrap()).lines();
     assert!(
         log.any(|line| line.unwrap().contains("peer process found")),
         "they have met"
     );
     assert!(Command::new("kill")
-        .args(["-TERM", &new.id().to_string()])
+        .args(["-TERM", &successor.id().to_string()])
         .status()
         .unwrap()
         .success());
-    assert!(new.wait().unwrap().success());
-    assert_eq!(client.ask("/pay", ID, "coins").status(), 200);
-    assert_eq!(old.client().ask("/pay", ID, "coins").status(), 200);
-    assert_eq!(old.call("GET /healthcheck").0, 200);
+    assert!(successor.wait().unwrap().success());
+    assert_eq!(client.ask("/pay", REQUEST_ID, "coins").status(), 200);
+    assert_eq!(
+        predecessor
+            .client()
+            .ask("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
+    assert_eq!(predecessor.call("GET /healthcheck").0, 200);
 }
