--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -41,65 +41,60 @@
     assert!(output.status.success() && output.stderr.is_empty());
 }
 
-#[test]
-fn malformed_input_ends_the_adapter_with_a_one_line_error() {
-    let cases = [
-        ("NOISE\n".to_string(), "line 1", "NOISE"),
+/// A batch with these lines, which may lack its end.
+fn batch(lines: &str) -> String {
+    format!("SYNC\ttime=1\tseq=1\n{lines}")
+}
+
+/// A batch with these lines for one balancer.
+fn batch_to_balancer(lines: &str) -> String {
+    batch(&format!("SWITCH_TO\ti=1\n{lines}"))
+}
+
+/// Inputs that end the adapter, each with the line and the field that are at fault.
+fn malformed_inputs() -> Vec<(String, &'static str, &'static str)> {
+    let second_batch = |line: &str| {
+        let start = "SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\n";
+        format!("{BORN}{start}{line}\nEND\n")
+    };
+    let list = |lines: &str| batch(&format!("SHEET\tsetId=0\t{lines}"));
+    vec![
+        ("NOISE\n".into(), "line 1", "NOISE"),
         ("SYNC\ttime=x\tseq=1\nEND\n".into(), "line 1", "time"),
         ("SYNC\ttime=nan\tseq=1\nEND\n".into(), "line 1", "time"),
         ("SYNC\ttime=1\nEND\n".into(), "line 1", "seq"),
+        (batch("HELLO\tx=1\nEND\n"), "line 2", "i"),
+        (batch_to_balancer("HELLO\tx=1\nEND\n"), "line 3", "HELLO"),
+        (batch_to_balancer("ARRIVAL\trid\nEND\n"), "line 3", "rid"),
         (
-            "SYNC\ttime=1\tseq=1\nHELLO\tx=1\nEND\n".into(),
-            "line 2",
-            "i",
-        ),
-        (
-            "SYNC\ttime=1\tseq=1\nSWITCH_TO\ti=1\nHELLO\tx=1\nEND\n".into(),
-            "line 3",
-            "HELLO",
-        ),
-        (
-            "SYNC\ttime=1\tseq=1\nSWITCH_TO\ti=1\nARRIVAL\trid\nEND\n".into(),
-            "line 3",
-            "rid",
-        ),
-        (
-            "SYNC\ttime=1\tseq=1\nSWITCH_TO\ti=1\nARRIVAL\trid=1\nEND\n".into(),
+            batch_to_balancer("ARRIVAL\trid=1\nEND\n"),
             "line 3",
             "remaining",
         ),
         (
-            "SYNC\ttime=1\tseq=1\nSWITCH_TO\ti=1\nBORN\tsalt=1\nEND\n".into(),
+            batch_to_balancer("BORN\tsalt=1\nEND\n"),
             "line 3",
             "profileData",
         ),
+        (list("rowsIn=2\nROW\tupstream=a\n"), "line 3", "stageState"),
+        (list("rowsIn=1\nEND\n"), "line 3", "END"),
+        (batch_to_balancer(""), "line 3", "END"),
         (
-            "SYNC\ttime=1\tseq=1\nSHEET\tsetId=0\trowsIn=2\nROW\tupstream=a\n".into(),
-            "line 3",
-            "stageState",
-        ),
-        (
-            "SYNC\ttime=1\tseq=1\nSHEET\tsetId=0\trowsIn=1\nEND\n".into(),
-            "line 3",
-            "END",
-        ),
-        (
-            "SYNC\ttime=1\tseq=1\nSWITCH_TO\ti=1\n".into(),
-            "line 3",
-            "END",
-        ),
-        (
-            format!("{BORN}SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\nFLEET\tscope=odd\tsetId=0\nEND\n"),
+            second_batch("FLEET\tscope=odd\tsetId=0"),
             "line 11",
             "scope",
         ),
         (
-            format!("{BORN}SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\nFLEET\tscope=full\tsetId=9\nEND\n"),
+            second_batch("FLEET\tscope=full\tsetId=9"),
             "line 11",
             "setId",
         ),
-    ];
-    for (input, line, field) in cases {
+    ]
+}
+
+#[test]
+fn malformed_input_ends_the_adapter_with_a_one_line_error() {
+    for (input, line, field) in malformed_inputs() {
         let output = run(&input);
         let error = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success(), "{input}");
