--- a/src/bin/load-balancer/handover/folder.rs
+++ b/src/bin/load-balancer/handover/folder.rs
@@ -1,5 +1,6 @@
 //! The folder in which the processes of one balancer find each other.
 
+use crate::retry::RetrySchedule;
 use crate::socket::system_errors::is_transient;
 use std::cell::Cell;
 use std::io;
@@ -7,15 +8,15 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::net::{UnixListener, UnixStream};
-use tokio::time::{sleep, Instant};
 
 /// Names of files begin with this: versions up to 47c951f look for it.
 const FILE_PREFIX: &str = "magpiechute";
 
-/// Transient errors of the folder are retried at this interval,
-pub const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// and for this long in all.
-pub const RETRY_TIMEOUT: Duration = Duration::from_secs(1);
+/// For transient errors of the folder's files.
+pub const FOLDER_RETRY: RetrySchedule = RetrySchedule {
+    interval: Duration::from_millis(20),
+    timeout: Duration::from_secs(1),
+};
 
 /// The folder `$TMPDIR`, and the address of the balancer, which is part of the files' names.
 pub struct HandoverFolder {
@@ -61,16 +62,9 @@
 
 /// Connects to the predecessor at this socket, if there is one; transient errors are retried.
 pub async fn connect_to_predecessor(socket: &Path) -> Option<UnixStream> {
-    let give_up_at = Instant::now() + RETRY_TIMEOUT;
-    loop {
-        match UnixStream::connect(socket).await {
-            Ok(stream) => return Some(stream),
-            Err(error) if is_transient(&error) && Instant::now() < give_up_at => {
-                sleep(RETRY_INTERVAL).await;
-            }
-            Err(_) => return None,
-        }
-    }
+    let is_transient = |result: &io::Result<UnixStream>| result.as_ref().is_err_and(is_transient);
+    let connect = || UnixStream::connect(socket);
+    FOLDER_RETRY.run(is_transient, connect).await.ok()
 }
 
 /// Listens for a successor at this socket. It takes the place of the predecessor's socket in one
--- a/src/bin/load-balancer/handover/mod.rs
+++ b/src/bin/load-balancer/handover/mod.rs
@@ -223,7 +223,9 @@
         // Here and not in the task: a successor may be started as soon as this process is seen to
         // listen.
         match listen_for_successor(&socket) {
-            Ok(listener) => drop(spawn_local(self.clone().accept(listener))),
+            Ok(listener) => {
+                spawn_local(self.clone().accept(listener));
+            }
             Err(error) => {
                 let path = socket.display();
                 let interval = SOCKET_RETRY_INTERVAL.as_secs_f64();
--- a/src/bin/load-balancer/handover/state_store.rs
+++ b/src/bin/load-balancer/handover/state_store.rs
@@ -1,14 +1,14 @@
 //! Exchanges state between the dispatcher and the state file.
 
 use crate::dispatch::Dispatcher;
-use crate::handover::folder::{HandoverFolder, RETRY_INTERVAL, RETRY_TIMEOUT};
+use crate::handover::folder::{HandoverFolder, FOLDER_RETRY};
 use crate::handover::state_file::{StateError, StoredState};
 use crate::log;
 use load_balancer::Maintenance;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::time::{sleep, Instant};
+use tokio::time::sleep;
 
 /// A failed write is retried at this interval.
 pub const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
@@ -95,15 +95,10 @@
 
     /// The same; transient errors are retried for a while.
     pub async fn read_maintenance_with_retries(&self) -> Option<Result<StoredState, StateError>> {
-        let give_up_at = Instant::now() + RETRY_TIMEOUT;
-        loop {
-            match self.read_maintenance()? {
-                Err(error) if error.is_transient() && Instant::now() < give_up_at => {
-                    sleep(RETRY_INTERVAL).await;
-                }
-                result => return Some(result),
-            }
-        }
+        let is_transient = |result: &Option<Result<StoredState, StateError>>| matches!(result, Some(Err(error)) if error.is_transient());
+        FOLDER_RETRY
+            .run(is_transient, || async { self.read_maintenance() })
+            .await
     }
 
     /// The same; a failure is logged.
--- a/src/bin/load-balancer/main.rs
+++ b/src/bin/load-balancer/main.rs
@@ -11,6 +11,7 @@
 mod metrics;
 mod process;
 mod reload;
+mod retry;
 mod server;
 mod shutdown;
 mod signals;
