--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -18,6 +18,14 @@
 /// On sockets every change of the endpoint list counts as notified this long after discovery had
 /// it, in seconds.
 const NOTIFICATION_DEADLINE_SECONDS: f64 = 6.0;
+// Variables that override fields of the file, and name them in errors.
+const NAME_VARIABLE: &str = "PROXY_NAME";
+const LISTEN_VARIABLE: &str = "PROXY_LISTEN";
+const DISCOVERY_VARIABLE: &str = "PROXY_DISCOVERY";
+const ADMIN_VARIABLE: &str = "PROXY_CONSOLE";
+/// The variable that holds the path of the file.
+const FILE_VARIABLE: &str = "PROXY_CONFIG";
+
 /// The fewest descriptors with which a process can serve.
 const MIN_DESCRIPTORS: usize = 64;
 
@@ -88,7 +96,7 @@
     }
 
     fn read(occasion: Occasion) -> Result<Self, ConfigError> {
-        let name = "PROXY_CONFIG";
+        let name = FILE_VARIABLE;
         let path = env::var(name).map_err(|source| ConfigError::Variable { name, source })?;
         let read = || std::fs::read(&path);
         let text = match occasion {
@@ -126,16 +134,16 @@
         let max_descriptors = cap_descriptors(max_descriptors);
         // Only the address of discovery can change while the process runs.
         let discovery = match occasion {
-            Occasion::Start => variable("PROXY_DISCOVERY").or(file.discovery),
-            Occasion::Reload => file.discovery.or_else(|| variable("PROXY_DISCOVERY")),
+            Occasion::Start => variable(DISCOVERY_VARIABLE).or(file.discovery),
+            Occasion::Reload => file.discovery.or_else(|| variable(DISCOVERY_VARIABLE)),
         };
-        let listen = variable("PROXY_LISTEN").or(file.listen);
-        let admin = variable("PROXY_CONSOLE").or(file.admin);
+        let listen = variable(LISTEN_VARIABLE).or(file.listen);
+        let admin = variable(ADMIN_VARIABLE).or(file.admin);
         Ok(Config {
-            name: variable("PROXY_NAME").unwrap_or(file.name),
-            listen: required_address("PROXY_LISTEN", listen)?,
-            discovery: required_address("PROXY_DISCOVERY", discovery)?,
-            admin: optional_address("PROXY_CONSOLE", admin)?,
+            name: variable(NAME_VARIABLE).unwrap_or(file.name),
+            listen: required_address(LISTEN_VARIABLE, listen)?,
+            discovery: required_address(DISCOVERY_VARIABLE, discovery)?,
+            admin: optional_address(ADMIN_VARIABLE, admin)?,
             seed,
             max_descriptors,
             memory_bytes: (file.limits.memory_mib * f64::from(1 << 20)) as usize,
--- a/src/settings_format/document.rs
+++ b/src/settings_format/document.rs
@@ -176,6 +176,10 @@
 /// A type that a setting's text stands for.
 pub trait FromSetting: Sized {
     /// Reads the text.
+    ///
+    /// # Errors
+    ///
+    /// If the text is no value of this type.
     fn from_setting(text: &str) -> Result<Self, ValueError>;
 }
 
@@ -225,8 +229,11 @@
 /// [`crate::Idempotency`] without the deduplication scope, which is a setting of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyKind {
+    /// Running it again does no harm.
     Idempotent,
+    /// It carries an idempotency key.
     IdempotencyKey,
+    /// It must never run twice.
     NonIdempotent,
 }
 
@@ -263,7 +270,9 @@
 /// What priority weights are counted per.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightUnit {
+    /// Each request.
     Request,
+    /// Each unit of its work.
     Work,
 }
 
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -83,7 +83,9 @@
     });
     assert_eq!(program.figure("in_flight"), 1);
     drop(leaving);
-    until("its client has left", || program.figure("in_flight") == 0);
+    until("its client has disconnected", || {
+        program.figure("in_flight") == 0
+    });
     // Without an id the request is malformed.
     assert_eq!(client.ask("/pay", "", "coins").status(), 400);
     let counts = [
@@ -215,7 +217,7 @@
     let healthy: Vec<_> = (0..200)
         .map(|_| {
             let mut client = program.client();
-            // Where there is no room for it, it is told so.
+            // Without capacity for it, it gets an error.
             client.ask("/healthz", "", "");
             client
         })
@@ -245,7 +247,7 @@
     let mut refused = 0;
     until("one is rejected", || {
         let mut client = program.client();
-        // It may be closed at once, with no room even for a word.
+        // It may be closed at once, without capacity even for a response.
         let answer = client
             .send("/read", REQUEST_ID, "")
             .and_then(|()| client.receive());
@@ -272,7 +274,7 @@
             program.terminate();
         }
         until("it drains", || program.call("GET /healthcheck").0 == 503);
-        // Longer than an idle connection is kept then, and shorter than a head may take.
+        // Longer than the grace of an idle connection, and shorter than a head may take.
         sleep(Duration::from_millis(1000));
         client.write("1\r\nContent-Length: 5\r\n\r\ncoins");
         let answer = client.receive().unwrap().expect("an answer");
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -199,6 +199,6 @@
     }
     successor.kill().unwrap();
     successor.wait().unwrap();
-    assert!(log.is_ok() && client.is_ok(), "somebody listens");
+    assert!(log.is_ok() && client.is_ok(), "a process listens");
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -68,7 +68,7 @@
 
 impl Drop for Rig {
     fn drop(&mut self) {
-        // What it is for is over.
+        // A failure leaves files behind, and nothing else.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -88,7 +88,7 @@
             let (stop, served) = (stop.clone(), served.clone());
             thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
-                    let mut client = Client::connect(address).expect("somebody listens");
+                    let mut client = Client::connect(address).expect("a process listens");
                     assert_eq!(client.ask("/pay", REQUEST_ID, "coins").status(), 200);
                     served.fetch_add(1, Ordering::SeqCst);
                 }
@@ -396,7 +396,11 @@
     let mut admin_client = Client::connect(admin).unwrap();
     admin_client.write("POST /upstreams/u1/maint HTTP/1.1\r\nHost: console\r\n\r\n");
     assert_eq!(
-        admin_client.receive().unwrap().expect("an answer").status(),
+        admin_client
+            .receive()
+            .unwrap()
+            .expect("a response")
+            .status(),
         200
     );
     predecessor.go_on();
@@ -406,7 +410,7 @@
     });
     let mut admin_client = Client::connect(admin).unwrap();
     admin_client.write("GET /stats HTTP/1.1\r\nHost: console\r\n\r\n");
-    let figures = admin_client.receive().unwrap().expect("an answer").body;
+    let figures = admin_client.receive().unwrap().expect("a response").body;
     assert!(
         String::from_utf8(figures)
             .unwrap()
