--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: a golden exchange, and malformed input.
+//! The adapter as a process: a recorded exchange, and malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -26,87 +26,82 @@
 ";
 
 #[test]
-fn the_exchange_is_the_golden_one() {
+fn an_exchange_has_the_recorded_replies() {
     let input = format!(
         "{BORN}SYNC\ttime=5.5\tseq=2\nSWITCH_TO\ti=3\nARRIVAL\trid=77\tremaining=1.5\tcls=0\tcolour=red\nEND\n\
          SYNC\ttime=5.6\tseq=3\nSWITCH_TO\ti=3\nCOMPLETED\trid=77\toutcome=F\tupstream=10.0.0.1:80\tcostTime=0.1\ttry=0\nEND\n\
          SYNC\ttime=5.7\tseq=4\nSWITCH_TO\ti=3\nSTOP\nEND\n"
     );
     let output = run(&input);
-    let golden = "END\tseq=1\n\
+    let recorded = "END\tseq=1\n\
                   FROM\ti=3\nSUBMIT_TO\trid=77\tupstream=10.0.0.1:80\nWAKE_ME\tafter=1.000001\tname=77\nEND\tseq=2\n\
                   FROM\ti=3\nREJECT\trid=77\nEND\tseq=3\n\
                   END\tseq=4\n";
-    assert_eq!(String::from_utf8(output.stdout).unwrap(), golden);
+    assert_eq!(String::from_utf8(output.stdout).unwrap(), recorded);
     assert!(output.status.success() && output.stderr.is_empty());
 }
 
-#[test]
-fn malformed_input_stops_with_one_plain_line() {
-    let cases = [
-        ("NOISE\n".to_string(), "line 1", "NOISE"),
+/// A batch with these lines, which may lack its end.
+fn batch(lines: &str) -> String {
+    format!("SYNC\ttime=1\tseq=1\n{lines}")
+}
+
+/// A batch with these lines for one balancer.
+fn batch_to_balancer(lines: &str) -> String {
+    batch(&format!("SWITCH_TO\ti=1\n{lines}"))
+}
+
+/// Inputs that end the adapter, each with the line and the field that are at fault.
+fn malformed_inputs() -> Vec<(String, &'static str, &'static str)> {
+    let second_batch = |line: &str| {
+        let start = "SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\n";
+        format!("{BORN}{start}{line}\nEND\n")
+    };
+    let list = |lines: &str| batch(&format!("SHEET\tsetId=0\t{lines}"));
+    vec![
+        ("NOISE\n".into(), "line 1", "NOISE"),
         ("SYNC\ttime=x\tseq=1\nEND\n".into(), "line 1", "time"),
         ("SYNC\ttime=nan\tseq=1\nEND\n".into(), "line 1", "time"),
         ("SYNC\ttime=1\nEND\n".into(), "line 1", "seq"),
+        (batch("HELLO\tx=1\nEND\n"), "line 2", "i"),
+        (batch_to_balancer("HELLO\tx=1\nEND\n"), "line 3", "HELLO"),
+        (batch_to_balancer("ARRIVAL\trid\nEND\n"), "line 3", "rid"),
         (
-            "SYNC\ttime=1\tseq=1\nHELLO\tx=1\nEND\n".into(),
-            "line 2",
-            "i",
-        ),
-        (
-            "SYNC\ttime=1\tseq=1\nSWITCH_TO\ti=1\nHELLO\tx=1\nEND\n".into(),
-            "line 3",
-            "HELLO",
-        ),
-        (
-            "SYNC\ttime=1\tseq=1\nSWITCH_TO\ti=1\nARRIVAL\trid\nEND\n".into(),
-            "line 3",
-            "rid",
-        ),
-        (
-            "SYNC\ttime=1\tseq=1\nSWITCH_TO\ti=1\nARRIVAL\trid=1\nEND\n".into(),
+            batch_to_balancer("ARRIVAL\trid=1\nEND\n"),
             "line 3",
             "remaining",
         ),
         (
-            "SYNC\ttime=1\tseq=1\nSWITCH_TO\ti=1\nBORN\tsalt=1\nEND\n".into(),
+            batch_to_balancer("BORN\tsalt=1\nEND\n"),
             "line 3",
             "profileData",
         ),
+        (list("rowsIn=2\nROW\tupstream=a\n"), "line 3", "stageState"),
+        (list("rowsIn=1\nEND\n"), "line 3", "END"),
+        (batch_to_balancer(""), "line 3", "END"),
         (
-            "SYNC\ttime=1\tseq=1\nSHEET\tsetId=0\trowsIn=2\nROW\tupstream=a\n".into(),
-            "line 3",
-            "stageState",
-        ),
-        (
-            "SYNC\ttime=1\tseq=1\nSHEET\tsetId=0\trowsIn=1\nEND\n".into(),
-            "line 3",
-            "END",
-        ),
-        (
-            "SYNC\ttime=1\tseq=1\nSWITCH_TO\ti=1\n".into(),
-            "line 3",
-            "END",
-        ),
-        (
-            format!("{BORN}SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\nFLEET\tscope=odd\tsetId=0\nEND\n"),
+            second_batch("FLEET\tscope=odd\tsetId=0"),
             "line 11",
             "scope",
         ),
         (
-            format!("{BORN}SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\nFLEET\tscope=full\tsetId=9\nEND\n"),
+            second_batch("FLEET\tscope=full\tsetId=9"),
             "line 11",
             "setId",
         ),
-    ];
-    for (input, line, field) in cases {
+    ]
+}
+
+#[test]
+fn malformed_input_ends_the_adapter_with_a_one_line_error() {
+    for (input, line, field) in malformed_inputs() {
         let output = run(&input);
-        let word = String::from_utf8(output.stderr).unwrap();
+        let error = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success(), "{input}");
-        assert_eq!(word.lines().count(), 1, "{word}");
+        assert_eq!(error.lines().count(), 1, "{error}");
         assert!(
-            word.contains(&format!("{line}: field {field}:")),
-            "{word} for {input}"
+            error.contains(&format!("{line}: field {field}:")),
+            "{error} for {input}"
         );
         let replies = String::from_utf8(output.stdout).unwrap();
         let expected = if input.starts_with(BORN) {
@@ -114,19 +109,19 @@
         } else {
             ""
         };
-        assert_eq!(replies, expected, "no half reply");
+        assert_eq!(replies, expected, "no partial reply");
     }
 }
 
 #[test]
-fn an_empty_input_ends_well() {
+fn an_empty_input_is_a_success() {
     let output = run("");
     assert!(output.status.success() && output.stdout.is_empty() && output.stderr.is_empty());
 }
 
 #[test]
-fn idle_connections_are_let_go_on_the_wire() {
-    // Three calls on connections idle for a second; the first two are reset, so the third opens a new one.
+fn idle_connections_are_closed_on_the_wire() {
+    // Requests on connections idle for a second; two of them are reset.
     let mut input = BORN.to_string();
     for (n, time) in [(1, 6.0), (2, 7.0), (3, 8.0), (4, 9.0), (5, 10.0)] {
         let outcome = if n == 2 || n == 4 { "R" } else { "S\tended=1" };
@@ -141,7 +136,7 @@
             took = if outcome == "R" { 0.001 } else { 0.1 },
         );
     }
-    // One more answered call leaves an idle connection, and a second later it is no longer trusted.
+    // One more served request leaves an idle connection, and a second later it is no longer used.
     let last = "SYNC\ttime=11\tseq=20\nSWITCH_TO\ti=3\nARRIVAL\trid=9\tremaining=1.5\tcls=0\nEND\n";
     let output = String::from_utf8(run(&(input + last)).stdout).unwrap();
     assert!(
@@ -151,7 +146,7 @@
 }
 
 #[test]
-fn answers_to_what_is_never_asked_are_passed_over() {
+fn results_of_polls_and_messages_of_peers_are_ignored() {
     let input = format!(
         "{BORN}SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\nCHECKED\tupstream=10.0.0.1:80\toutcome=S\tcostTime=0.001\n\
          FROM_PEER\tneighbour=2\tcontents=aGkgNw==\nEND\n"
