--- a/src/bin/load-balancer/server/connection_table.rs
+++ b/src/bin/load-balancer/server/connection_table.rs
@@ -27,13 +27,14 @@
                 let mut spare = spare
                     .into_iter()
                     .map(|(_, number)| (*number, &clients[number]));
-                let free =
-                    |client: &ClientConnection| client.over.get() || !client.socket.has_unread();
+                let free = |client: &ClientConnection| {
+                    client.lingering.get() || !client.socket.has_unread()
+                };
                 let Some((number, client)) = spare.find(|(_, client)| free(client)) else {
                     return false;
                 };
-                client.evicting.set(true);
-                client.evicted.notify_one();
+                client.eviction_requested.set(true);
+                client.evict.notify_one();
                 (number, client.settled.clone())
             };
             // Its task closes it, unless something has come meanwhile.
@@ -46,9 +47,9 @@
 
     /// True if there is room after all for a client that found none when it came. Guards against turning away whoever
     /// asks for the sake of those that don't.
-    pub(super) async fn has_room_now(&self, client: &ClientConnection) -> bool {
+    pub(super) async fn wait_for_capacity(&self, client: &ClientConnection) -> bool {
         // It is not to make that room itself.
-        client.idle.set(None);
+        client.idle_since.set(None);
         while self.budget.is_exceeded() {
             if !self.evict_idle_connection().await {
                 return false;
--- a/src/bin/load-balancer/server/drain.rs
+++ b/src/bin/load-balancer/server/drain.rs
@@ -8,44 +8,46 @@
 use tokio::time::{sleep, Instant};
 
 /// Once clients are sent away, the front has noticed after this time, and what is idle is closed.
-const FRONT_NOTICES: Duration = Duration::from_millis(700);
+const DRAIN_NOTICE_PERIOD: Duration = Duration::from_millis(700);
 /// After SIGTERM what has come by then may still be open when the process is killed, and what comes later may not.
-const LATE: Duration = Duration::from_millis(500);
+const LATE_REQUEST_DELAY: Duration = Duration::from_millis(500);
 
 impl Server {
     /// Answers with `Connection: close` from now on, and closes what is idle. A connection that is new is
     /// left alone: its first request is on its way, and is settled by `settled`.
     pub fn drain(&self, settled: Instant) {
-        self.draining.set(Some(settled));
-        self.late.set(Some(Instant::now() + LATE));
-        self.serves_more_until.set(Some(Instant::now() + LATE));
+        self.drain_deadline.set(Some(settled));
+        self.late_request_cutoff
+            .set(Some(Instant::now() + LATE_REQUEST_DELAY));
+        self.pipelined_served_until
+            .set(Some(Instant::now() + LATE_REQUEST_DELAY));
         self.dispatcher.borrow_mut().set_drain_deadline(settled);
         self.clients
             .borrow()
             .values()
-            .filter(|client| !client.fresh.get())
+            .filter(|client| !client.carried_no_request.get())
             .for_each(|client| client.close());
         self.dispatcher.borrow().pool().close_all();
     }
 
     /// Sends clients away, or welcomes them again. Guards against requests that cross the end of their connection:
     /// answers say at once that it ends, but one that is idle ends only after the front has noticed.
-    pub fn drain_clients(self: &Rc<Self>, away: bool) {
-        if !away {
-            return self.away.set(None);
+    pub fn drain_clients(self: &Rc<Self>, client_drain: bool) {
+        if !client_drain {
+            return self.client_drain.set(None);
         }
-        if self.away.get().is_some() {
+        if self.client_drain.get().is_some() {
             return;
         }
-        let number = self.last_away.get() + 1;
-        self.last_away.set(number);
-        self.away.set(Some(number));
-        self.serves_more_until
-            .set(Some(Instant::now() + FRONT_NOTICES));
+        let number = self.last_client_drain.get() + 1;
+        self.last_client_drain.set(number);
+        self.client_drain.set(Some(number));
+        self.pipelined_served_until
+            .set(Some(Instant::now() + DRAIN_NOTICE_PERIOD));
         let server = self.clone();
         spawn_local(async move {
-            sleep(FRONT_NOTICES).await;
-            if server.away.get() == Some(number) {
+            sleep(DRAIN_NOTICE_PERIOD).await;
+            if server.client_drain.get() == Some(number) {
                 server
                     .clients
                     .borrow()
@@ -64,17 +66,17 @@
     }
 
     /// True while connections end with the answer that they carry.
-    pub(super) fn sheds(&self) -> bool {
-        self.draining.get().is_some() || self.away.get().is_some()
+    pub(super) fn is_draining(&self) -> bool {
+        self.drain_deadline.get().is_some() || self.client_drain.get().is_some()
     }
 
     /// True if the answer that is due now ends its connection. One that has been read is lost if its connection ends
     /// without an answer to it, so what came with it goes on for a while.
-    pub(super) fn ends_with_this(&self, client: &ClientConnection) -> bool {
-        let goes_on = self
-            .serves_more_until
+    pub(super) fn closes_after_response(&self, client: &ClientConnection) -> bool {
+        let serves_pipelined = self
+            .pipelined_served_until
             .get()
             .is_some_and(|until| Instant::now() < until);
-        self.sheds() && !(goes_on && client.has_more())
+        self.is_draining() && !(serves_pipelined && client.has_pipelined_bytes())
     }
 }
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -5,7 +5,7 @@
 use crate::metrics::RequestOutcome;
 use crate::server::connection::ClientConnection;
 use crate::server::request::RequestError;
-use crate::server::response::{plain, Answer, Streaming};
+use crate::server::response::{text_response, ClientResponse, StreamingGuard};
 use crate::server::Server;
 use crate::upstream::{end_to_end_headers, ResponseContent};
 use hyper::body::Incoming;
@@ -18,19 +18,19 @@
 
 impl Server {
     /// There is no room for whoever asks. A request is refused like any other, and counted.
-    pub(super) fn refuse(&self, request: &Request<Incoming>) -> Answer {
+    pub(super) fn reject_over_capacity(&self, request: &Request<Incoming>) -> ClientResponse {
         let class = self
-            .class_of(request.uri().path())
+            .class_index(request.uri().path())
             .filter(|_| request.headers().contains_key("request-id"));
         class.into_iter().for_each(|class| {
             self.metrics
                 .begin_request(class)
                 .end(RequestOutcome::Rejected)
         });
-        plain(StatusCode::SERVICE_UNAVAILABLE, "no descriptor is free")
+        text_response(StatusCode::SERVICE_UNAVAILABLE, "no descriptor is free")
     }
 
-    pub(super) fn class_of(&self, path: &str) -> Option<usize> {
+    pub(super) fn class_index(&self, path: &str) -> Option<usize> {
         let name = path.split('/').nth(1).unwrap_or_default();
         self.dispatcher
             .borrow()
@@ -40,52 +40,52 @@
             .position(|class| class == name)
     }
 
-    pub(super) async fn answer(
+    pub(super) async fn handle_request(
         &self,
         request: Request<Incoming>,
         client: &Rc<ClientConnection>,
-    ) -> Answer {
+    ) -> ClientResponse {
         if request.uri().path() == "/healthz" {
             return match self.is_ready() {
-                true => plain(StatusCode::OK, "ready"),
-                false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+                true => text_response(StatusCode::OK, "ready"),
+                false => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
             };
         }
-        let taken = match self.read(request, client).await {
+        let taken = match self.read_request(request, client).await {
             Ok(taken) => taken,
-            Err(RequestError(status, text)) => return plain(status, &text),
+            Err(RequestError(status, text)) => return text_response(status, &text),
         };
         let upload = taken.forward.upload.clone();
-        client.fresh.set(false);
-        client.asked.set(true);
+        client.carried_no_request.set(false);
+        client.carried_valid_request.set(true);
         let request = self.metrics.begin_request(taken.class);
         let (id, answer) = match self.dispatcher.borrow_mut().accept(taken) {
             Ok(taken) => taken,
             Err(RejectionReason::TooManyOpen) => {
                 request.end(RequestOutcome::Rejected);
-                return plain(
+                return text_response(
                     StatusCode::SERVICE_UNAVAILABLE,
                     "too many requests are open",
                 );
             }
             Err(RejectionReason::DuplicateId) => {
                 request.end(RequestOutcome::Failed);
-                return plain(StatusCode::CONFLICT, "Request-Id has been used before");
+                return text_response(StatusCode::CONFLICT, "Request-Id has been used before");
             }
         };
         // Dropped with this future when the client goes away first.
-        let _gone = CancelOnDrop {
+        let _cancel_on_drop = CancelOnDrop {
             dispatcher: &self.dispatcher,
             id,
         };
-        client.waits.set(true);
+        client.awaiting_response.set(true);
         // Nobody reads what comes behind a request that is whole before it has its answer.
         client.socket.set_read_ahead(!upload.is_streamed());
         let answer = answer.await;
-        client.waits.set(false);
+        client.awaiting_response.set(false);
         client.socket.set_read_ahead(false);
         if upload.is_streamed() {
-            client.discards.set(true);
+            client.discarding_body.set(true);
             // Its connection doesn't stay open for this.
             let (upload, client) = (upload.clone(), Rc::downgrade(client));
             spawn_local(async move {
@@ -93,46 +93,46 @@
                 // Its next request may have begun by now.
                 let client = client
                     .upgrade()
-                    .filter(|client| client.discards.replace(false));
+                    .filter(|client| client.discarding_body.replace(false));
                 client
                     .filter(|client| !client.streaming.get())
-                    .inspect(|client| client.rest());
+                    .inspect(|client| client.mark_idle());
             });
         }
         match answer {
             Ok(FinalResponse::Served(served)) => {
-                let body = match served.body {
-                    ResponseContent::Complete(body) => {
-                        request.end(RequestOutcome::Served);
-                        ResponseBody::whole(body)
-                    }
-                    // Guards against a long answer that the end of the process cuts off, though its request came
-                    // when that was near: it could not be finished for a slow client.
-                    ResponseContent::Streamed(_)
-                        if self
-                            .late
-                            .get()
-                            .is_some_and(|late| upload.last_progress() > late) =>
-                    {
-                        request.end(RequestOutcome::Failed);
-                        return plain(
-                            StatusCode::BAD_GATEWAY,
-                            "too long an answer for a process that ends",
-                        );
-                    }
-                    ResponseContent::Streamed(download) => ResponseBody::streamed(
-                        download,
-                        request,
-                        Box::new(Streaming::begin(client)),
-                    ),
-                };
+                let body =
+                    match served.body {
+                        ResponseContent::Complete(body) => {
+                            request.end(RequestOutcome::Served);
+                            ResponseBody::whole(body)
+                        }
+                        // Guards against a long answer that the end of the process cuts off, though its request came
+                        // when that was near: it could not be finished for a slow client.
+                        ResponseContent::Streamed(_)
+                            if self.late_request_cutoff.get().is_some_and(
+                                |late_request_cutoff| upload.last_progress() > late_request_cutoff,
+                            ) =>
+                        {
+                            request.end(RequestOutcome::Failed);
+                            return text_response(
+                                StatusCode::BAD_GATEWAY,
+                                "too long an answer for a process that ends",
+                            );
+                        }
+                        ResponseContent::Streamed(download) => ResponseBody::streamed(
+                            download,
+                            request,
+                            Box::new(StreamingGuard::begin(client)),
+                        ),
+                    };
                 let mut response = Response::new(body);
                 *response.headers_mut() = end_to_end_headers(&served.headers);
                 response
             }
             Ok(FinalResponse::Rejected { retry_after }) => {
                 request.end(RequestOutcome::Rejected);
-                let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
+                let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
                 let value =
                     retry_after.and_then(|t| HeaderValue::from_str(&format!("{t:.3}")).ok());
                 value.map(|value| response.headers_mut().insert("retry-after", value));
@@ -140,11 +140,11 @@
             }
             Ok(FinalResponse::Failed) => {
                 request.end(RequestOutcome::Failed);
-                plain(StatusCode::BAD_GATEWAY, "failed")
+                text_response(StatusCode::BAD_GATEWAY, "failed")
             }
             // None is owed, as the client has left; it counts under no ending.
             Err(_) => {
-                let mut answer = plain(StatusCode::BAD_GATEWAY, "its client has left");
+                let mut answer = text_response(StatusCode::BAD_GATEWAY, "its client has left");
                 answer
                     .headers_mut()
                     .insert(CONNECTION, HeaderValue::from_static("close"));
--- a/src/bin/load-balancer/server/listener.rs
+++ b/src/bin/load-balancer/server/listener.rs
@@ -11,11 +11,11 @@
 use tokio::time::sleep;
 
 /// Connections that the kernel takes for us while the loop is busy.
-const BACKLOG: i32 = 4096;
+const LISTEN_BACKLOG: i32 = 4096;
 /// A connection that can't be watched for events is tried again at once, then this much later,
-const REGISTER_AGAIN: Duration = Duration::from_millis(10);
+const REGISTER_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// and so often: the others behind it wait for no longer than 0.4 s.
-const REGISTER_TRIES: usize = 40;
+const MAX_REGISTER_RETRIES: usize = 40;
 
 /// A listening socket. The runtime's own type for it would register each connection within accept, and close those for
 /// which that fails; this one only has its readiness watched, in the type that allows that.
@@ -37,7 +37,7 @@
         retry_transient_errors(|| socket.set_reuse_address(true))?;
         retry_transient_errors(|| socket.set_reuse_port(shared))?;
         retry_transient_errors(|| socket.bind(&address.into()))?;
-        retry_transient_errors(|| socket.listen(BACKLOG))?;
+        retry_transient_errors(|| socket.listen(LISTEN_BACKLOG))?;
         let watched = retry_transient_errors(|| TcpStream::from_std(socket.try_clone()?.into()))?;
         Ok(Listener(watched))
     }
@@ -94,14 +94,14 @@
         loop {
             let spare = stream.try_clone();
             match (TcpStream::from_std(stream), spare) {
-                (Err(error), Ok(spare)) if is_transient(&error) && tries < REGISTER_TRIES => {
+                (Err(error), Ok(spare)) if is_transient(&error) && tries < MAX_REGISTER_RETRIES => {
                     stream = spare
                 }
                 (result, _) => return result,
             }
             match tries {
                 0 => yield_now().await,
-                _ => sleep(REGISTER_AGAIN).await,
+                _ => sleep(REGISTER_RETRY_INTERVAL).await,
             }
             tries += 1;
         }
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -25,13 +25,13 @@
 
 /// A client has this long from its connection to the end of its first request, or of the head of a longer one, and from
 /// the first byte of a further request to the end of that.
-pub const FIRST_REQUEST: Duration = Duration::from_millis(2500);
+pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Then it has this much more to be told that it took too long.
-pub const GRACE: Duration = Duration::from_millis(200);
+pub const TIMEOUT_RESPONSE_GRACE: Duration = Duration::from_millis(200);
 /// A connection whose next request takes longer to come, or whose client takes its answer no faster, is closed.
-const IDLE: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Whether a client that has left has a request that waits is looked up this often.
-const LOOK: Duration = Duration::from_millis(50);
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The listener and the connections that came from it.
 pub struct Server {
@@ -40,18 +40,18 @@
     clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     accepted: Cell<u64>,
     /// Clients' connections are taken.
-    listens: Cell<bool>,
+    listening: Cell<bool>,
     /// The process is to end: by then all that comes from now on has its answer.
-    draining: Rc<Cell<Option<Instant>>>,
+    drain_deadline: Rc<Cell<Option<Instant>>>,
     /// What comes after this may still be open when the process is killed, and then it is lost.
-    late: Cell<Option<Instant>>,
+    late_request_cutoff: Cell<Option<Instant>>,
     /// Clients are sent away; a number for each time that this began, none while they are welcome.
-    away: Cell<Option<u64>>,
-    last_away: Cell<u64>,
+    client_drain: Cell<Option<u64>>,
+    last_client_drain: Cell<u64>,
     /// Until then requests are answered that came behind others, though their connection is to end.
-    serves_more_until: Cell<Option<Instant>>,
+    pipelined_served_until: Cell<Option<Instant>>,
     /// When the log last told of a failed accept.
-    accept_failed: Cell<Option<Instant>>,
+    accept_error_logged_at: Cell<Option<Instant>>,
     metrics: Rc<Metrics>,
     memory: Rc<MemoryBudget>,
 }
@@ -65,29 +65,29 @@
         Rc::new(Server {
             dispatcher,
             budget,
-            away: Cell::new(None),
-            last_away: Cell::new(0),
-            serves_more_until: Cell::new(None),
-            accept_failed: Cell::new(None),
+            client_drain: Cell::new(None),
+            last_client_drain: Cell::new(0),
+            pipelined_served_until: Cell::new(None),
+            accept_error_logged_at: Cell::new(None),
             metrics,
             memory,
             clients: RefCell::default(),
             accepted: Cell::new(0),
-            listens: Cell::new(false),
-            draining: Rc::default(),
-            late: Cell::new(None),
+            listening: Cell::new(false),
+            drain_deadline: Rc::default(),
+            late_request_cutoff: Cell::new(None),
         })
     }
 
     /// True while clients are to come here.
     pub fn is_ready(&self) -> bool {
-        let listens = self.listens.get() && self.draining.get().is_none();
-        listens && self.dispatcher.borrow().is_ready() && self.away.get().is_none()
+        let listening = self.listening.get() && self.drain_deadline.get().is_none();
+        listening && self.dispatcher.borrow().is_ready() && self.client_drain.get().is_none()
     }
 
     /// Clients' connections are taken from now on.
     pub fn open(&self) {
-        self.listens.set(true);
+        self.listening.set(true);
     }
 
     /// Connections that are open.
--- a/src/bin/load-balancer/server/raw_head.rs
+++ b/src/bin/load-balancer/server/raw_head.rs
@@ -6,17 +6,17 @@
 /// The head of a request as it came.
 pub struct RawHead {
     /// It has a length, beside a coding or not.
-    pub has_length: bool,
+    pub has_content_length: bool,
     /// Bytes that have come behind it.
-    pub behind: usize,
+    pub trailing_bytes: usize,
 }
 
 impl RawHead {
     /// Finds the head of the request of this name among the bytes that came last.
     pub fn find(recent: &[u8], name: &str) -> Option<Self> {
-        let (mut found, mut has_length, mut read) = (false, false, 0);
+        let (mut found, mut has_content_length, mut consumed) = (false, false, 0);
         for line in recent.split_inclusive(|byte| *byte == b'\n') {
-            read += line.len();
+            consumed += line.len();
             let line = line.trim_ascii();
             let mut parts = line.splitn(2, |byte| *byte == b':');
             let (header, value) = (
@@ -26,12 +26,12 @@
             match header {
                 [] if found => {
                     return Some(RawHead {
-                        has_length,
-                        behind: recent.len() - read,
+                        has_content_length,
+                        trailing_bytes: recent.len() - consumed,
                     })
                 }
-                [] => has_length = false,
-                _ if header.eq_ignore_ascii_case(b"content-length") => has_length = true,
+                [] => has_content_length = false,
+                _ if header.eq_ignore_ascii_case(b"content-length") => has_content_length = true,
                 _ if header.eq_ignore_ascii_case(b"request-id") => {
                     found = value.trim_ascii() == name.as_bytes();
                 }
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -4,7 +4,7 @@
 use crate::dispatch::AcceptedRequest;
 use crate::server::connection::ClientConnection;
 use crate::server::raw_head::RawHead;
-use crate::server::{Server, FIRST_REQUEST};
+use crate::server::{Server, FIRST_REQUEST_TIMEOUT};
 use crate::upstream::{end_to_end_headers, ForwardedRequest};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -15,16 +15,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-const LONGEST_ID: usize = 128;
+const MAX_REQUEST_ID_BYTES: usize = 128;
 
 impl Server {
     /// Reads a request whole and checks it.
-    pub(super) async fn read(
+    pub(super) async fn read_request(
         &self,
         request: Request<Incoming>,
         client: &ClientConnection,
     ) -> Result<AcceptedRequest, RequestError> {
-        let came = Instant::now();
+        let received_at = Instant::now();
         let (head, body) = request.into_parts();
         let bad = |what: &str| RequestError(StatusCode::BAD_REQUEST, what.to_string());
         // A header that may stand there once.
@@ -45,7 +45,7 @@
         let (class, tenant, limit) = {
             let dispatcher = self.dispatcher.borrow();
             let class = self
-                .class_of(head.uri.path())
+                .class_index(head.uri.path())
                 .ok_or_else(|| bad("the path names no known class"))?;
             let tenants = &dispatcher.names().tenants;
             let tenant = header("tenant")?;
@@ -81,7 +81,8 @@
         let name = match header("request-id")? {
             None | Some("") => return Err(bad("Request-Id is missing")),
             Some(id)
-                if id.len() > LONGEST_ID || !id.bytes().all(|byte| byte.is_ascii_graphic()) =>
+                if id.len() > MAX_REQUEST_ID_BYTES
+                    || !id.bytes().all(|byte| byte.is_ascii_graphic()) =>
             {
                 return Err(bad("Request-Id is malformed"));
             }
@@ -91,20 +92,20 @@
         // Guards against a request that hides another: beside a coding, a length may say otherwise, and not
         // everyone on the way believes the same of the two.
         let chunked = head.headers.contains_key(TRANSFER_ENCODING);
-        if chunked && raw.as_ref().is_none_or(|raw| raw.has_length) {
+        if chunked && raw.as_ref().is_none_or(|raw| raw.has_content_length) {
             return Err(bad("the end of the body is unclear"));
         }
-        let body_begins = raw.map(|raw| client.socket.read() - raw.behind);
+        let body_begins = raw.map(|raw| client.socket.read() - raw.trailing_bytes);
         let wait = number("request-timeout")?.unwrap_or(limit).min(limit);
         let wait = Duration::try_from_secs_f64(wait).unwrap_or_default();
         let cost_hint = number("work-hint")?.map(|micros| micros / 1e6);
-        let request_started_at = client.socket.request_started_at().unwrap_or(came);
+        let request_started_at = client.socket.request_started_at().unwrap_or(received_at);
         let first = client
-            .first_request()
-            .unwrap_or(request_started_at + FIRST_REQUEST);
+            .first_request_deadline()
+            .unwrap_or(request_started_at + FIRST_REQUEST_TIMEOUT);
         // Its body is timed by itself.
-        client.idle.set(None);
-        let read = Upload::read(body, &self.memory, first, &self.draining);
+        client.idle_since.set(None);
+        let read = Upload::read(body, &self.memory, first, &self.drain_deadline);
         let upload = read.await.map_err(|broken| {
             let status = match broken {
                 BodyError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -116,7 +117,7 @@
         // Guards against a client that sends several requests at once and waits for the later ones from then on.
         upload.set_last_progress(client.socket.last_read());
         let length = upload.length().filter(|_| !chunked);
-        client.ends_at.set(
+        client.request_end.set(
             body_begins
                 .zip(length)
                 .map(|(begin, length)| begin + length as usize),
@@ -135,7 +136,7 @@
             None => return Err(bad("the path is missing")),
         };
         // Guards against a request that is still open when the process is killed, and so is lost.
-        let settled = self.draining.clone();
+        let settled = self.drain_deadline.clone();
         let upload = Rc::new(upload);
         let client = client.socket.peer();
         let forward = ForwardedRequest {
--- a/src/bin/load-balancer/server/response.rs
+++ b/src/bin/load-balancer/server/response.rs
@@ -6,26 +6,26 @@
 use hyper::{Response, StatusCode};
 use std::rc::Rc;
 
-pub(super) type Answer = Response<ResponseBody>;
+pub(super) type ClientResponse = Response<ResponseBody>;
 
 /// An answer that goes to its client in parts.
-pub(super) struct Streaming(Rc<ClientConnection>);
+pub(super) struct StreamingGuard(Rc<ClientConnection>);
 
-impl Streaming {
+impl StreamingGuard {
     pub(super) fn begin(client: &Rc<ClientConnection>) -> Self {
         client.streaming.set(true);
-        Streaming(client.clone())
+        StreamingGuard(client.clone())
     }
 }
 
-impl Drop for Streaming {
+impl Drop for StreamingGuard {
     fn drop(&mut self) {
         self.0.streaming.set(false);
-        self.0.rest();
+        self.0.mark_idle();
     }
 }
 
-pub(super) fn plain(status: StatusCode, text: &str) -> Answer {
+pub(super) fn text_response(status: StatusCode, text: &str) -> ClientResponse {
     let mut response = Response::new(ResponseBody::whole(Bytes::copy_from_slice(text.as_bytes())));
     *response.status_mut() = status;
     response
--- a/src/bin/load-balancer/server/serve.rs
+++ b/src/bin/load-balancer/server/serve.rs
@@ -1,7 +1,7 @@
 //! Serves one connection.
 
 use crate::server::connection::ClientConnection;
-use crate::server::{Server, IDLE, LOOK};
+use crate::server::{Server, DISCONNECT_POLL_INTERVAL, IDLE_TIMEOUT};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION};
 use hyper::server::conn::http1;
@@ -11,77 +11,84 @@
 use std::rc::Rc;
 use tokio::time::{sleep, Instant};
 
-const LARGEST_HEAD: usize = 32 << 10;
-const MOST_HEADERS: usize = 100;
+const MAX_HEAD_BYTES: usize = 32 << 10;
+const MAX_HEADERS: usize = 100;
 
 impl Server {
     pub(super) async fn serve(
         self: Rc<Self>,
         number: u64,
         client: Rc<ClientConnection>,
-        refused: bool,
+        over_capacity: bool,
     ) {
-        let last = refused || self.sheds();
-        let mut http = http1::Builder::new();
-        http.keep_alive(!refused)
-            .max_buf_size(LARGEST_HEAD)
-            .max_headers(MOST_HEADERS);
-        client.closing.set(last || client.closing.get());
+        let closing = over_capacity || self.is_draining();
+        let mut builder = http1::Builder::new();
+        builder
+            .keep_alive(!over_capacity)
+            .max_buf_size(MAX_HEAD_BYTES)
+            .max_headers(MAX_HEADERS);
+        client
+            .close_requested
+            .set(closing || client.close_requested.get());
         let service = service_fn(|request: Request<Incoming>| {
             let (server, client) = (&self, &client);
             async move {
-                client.discards.set(false);
-                client.ends_at.set(None);
-                client.idle.set(Some(if client.fresh.get() {
-                    client.opened
-                } else {
-                    Instant::now()
-                }));
-                let unread = !request.body().is_end_stream();
-                let refused = refused && !server.has_room_now(client).await;
-                let mut answer = match refused {
-                    true => server.refuse(&request),
-                    false => server.answer(request, client).await,
+                client.discarding_body.set(false);
+                client.request_end.set(None);
+                client
+                    .idle_since
+                    .set(Some(if client.carried_no_request.get() {
+                        client.opened
+                    } else {
+                        Instant::now()
+                    }));
+                let incomplete = !request.body().is_end_stream();
+                let over_capacity = over_capacity && !server.wait_for_capacity(client).await;
+                let mut answer = match over_capacity {
+                    true => server.reject_over_capacity(&request),
+                    false => server.handle_request(request, client).await,
                 };
-                client.fresh.set(false);
+                client.carried_no_request.set(false);
                 // Whoever sends what can't be used may go on with what is no request at all.
-                let turned_away = refused || answer.status().is_client_error();
-                client.turned_away.set(turned_away && unread);
-                if turned_away || server.ends_with_this(client) {
+                let rejected_before_complete = over_capacity || answer.status().is_client_error();
+                client
+                    .rejected_before_complete
+                    .set(rejected_before_complete && incomplete);
+                if rejected_before_complete || server.closes_after_response(client) {
                     answer
                         .headers_mut()
                         .insert(CONNECTION, HeaderValue::from_static("close"));
                 }
                 if !client.streaming.get() {
-                    client.rest();
+                    client.mark_idle();
                 }
                 Ok::<_, Infallible>(answer)
             }
         });
         {
-            let connection = http.serve_connection(client.socket.clone(), service);
-            let (stalled, left) = (client.stalled(), client.left());
-            tokio::pin!(connection, stalled, left);
+            let connection = builder.serve_connection(client.socket.clone(), service);
+            let (stalled, disconnected) = (client.stalled(), client.disconnected());
+            tokio::pin!(connection, stalled, disconnected);
             loop {
                 tokio::select! {
                     // A client that breaks off or sends nonsense has been told so by hyper.
                     _ = connection.as_mut() => {
-                        client.over.set(true);
+                        client.lingering.set(true);
                         break;
                     }
                     () = client.close.notified() => {
                         // Guards against closing on a request of which a part has come, read or not: its answer is
                         // going to end the connection, unless that is on its way already.
-                        let rests = client.socket.request_started_at().is_none() && client.socket.is_open_and_idle();
-                        if client.streaming.get() && !client.has_more() || rests {
+                        let idle = client.socket.request_started_at().is_none() && client.socket.is_open_and_idle();
+                        if client.streaming.get() && !client.has_pipelined_bytes() || idle {
                             connection.as_mut().graceful_shutdown();
                         }
                     }
                     () = &mut stalled => break,
-                    () = &mut left => break,
-                    () = client.evicted.notified() => {
-                        client.evicting.set(false);
-                        if client.idle.get().is_some() && !client.socket.has_unread() {
+                    () = &mut disconnected => break,
+                    () = client.evict.notified() => {
+                        client.eviction_requested.set(false);
+                        if client.idle_since.get().is_some() && !client.socket.has_unread() {
                             break;
                         }
                         client.settled.notify_one();
@@ -89,11 +96,11 @@
                 }
             }
         }
-        if client.over.get() {
+        if client.lingering.get() {
             tokio::select! {
-                () = client.socket.linger(client.turned_away.get(), LOOK) => {}
-                () = client.evicted.notified() => {}
-                () = sleep(IDLE) => {}
+                () = client.socket.linger(client.rejected_before_complete.get(), DISCONNECT_POLL_INTERVAL) => {}
+                () = client.evict.notified() => {}
+                () = sleep(IDLE_TIMEOUT) => {}
             }
         }
         self.clients.borrow_mut().remove(&number);
--- a/src/bin/load-balancer/tests.rs
+++ b/src/bin/load-balancer/tests.rs
@@ -36,6 +36,6 @@
 #[test]
 fn whoever_stops_in_the_middle_of_a_request_is_turned_away_in_time() {
     let owed = Duration::from_millis(3000 - 150);
-    assert!(server::FIRST_REQUEST + server::GRACE < owed);
+    assert!(server::FIRST_REQUEST_TIMEOUT + server::TIMEOUT_RESPONSE_GRACE < owed);
     assert!(body::CLIENT_STALL < owed);
 }
