--- a/src/bin/load-balancer/server/accept.rs
+++ b/src/bin/load-balancer/server/accept.rs
@@ -86,7 +86,7 @@
         }
         shortage.record_failure();
         if shortage.is_persistent() && is_descriptor_limit(error) {
-            self.evict_idle_connection().await;
+            self.connections.evict_one().await;
         }
         match shortage.consecutive_failures {
             1 => yield_now().await,
@@ -124,7 +124,7 @@
             if permit.is_some() {
                 break;
             }
-            if self.evict_idle_connection().await {
+            if self.connections.evict_one().await {
                 permit = self.budget.acquire(Purpose::ClientConnection);
             }
             over_capacity = permit.is_none();
@@ -135,10 +135,8 @@
         }
         // With no room even for a refusal, closing is all that is left.
         let Some(permit) = permit else { return };
-        let number = self.accepted.get();
-        self.accepted.set(number + 1);
         let client = ClientConnection::new(Socket::for_client(stream, permit));
-        self.clients.borrow_mut().insert(number, client.clone());
-        spawn_local(self.clone().serve(number, client, over_capacity));
+        let id = self.connections.insert(client.clone());
+        spawn_local(self.clone().serve(id, client, over_capacity));
     }
 }
--- a/src/bin/load-balancer/server/connection.rs
+++ b/src/bin/load-balancer/server/connection.rs
@@ -1,4 +1,5 @@
-//! One connection of a client, as far as others need to see it.
+//! The state of one client connection: its phase, what it has carried, and the signals by which
+//! other tasks ask it to close.
 
 use crate::body::CLIENT_STALL;
 use crate::server::{
@@ -11,41 +12,104 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Nor does one last whose client takes nothing of a long answer for this time. The kernel holds megabytes for it, and
-/// wants more only when a good part is gone: at 64 kB a second that takes half a minute.
+/// A connection is closed if its client takes no byte of a response for this time. The kernel buffers
+/// megabytes for the client and asks for more only when a good part of them is gone: at 64 kB/s that
+/// takes half a minute.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(60);
-/// The same while shutting down, or for one that is only to be refused.
+/// Replaces [`IDLE_TIMEOUT`] on a connection that is to close after its current request.
 const CLOSING_IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The stall deadline depends on state that changes meanwhile, so it is computed again this often.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// A client's connection, as far as others need to see it.
+/// What a connection is doing now.
+///
+/// A connection starts in `AwaitingRequest`, and returns there after each response; a connection over
+/// capacity passes through `AwaitingCapacity` on its way. `Lingering` is the last phase.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Phase {
+    /// No request is in progress, or only its head has arrived. `Socket::request_started_at` tells the
+    /// two apart.
+    AwaitingRequest {
+        /// When the last response ended or the last head arrived; before the first request has
+        /// ended, when the connection was opened.
+        since: Instant,
+    },
+    /// The connection was accepted over capacity and its request waits while idle connections are
+    /// evicted.
+    AwaitingCapacity,
+    /// The body of a valid request is being read ahead.
+    ReceivingBody,
+    /// The request was accepted and has no final response yet.
+    AwaitingResponse,
+    /// The response is being streamed.
+    StreamingResponse,
+    /// Serving has ended; the connection stays open until the client has taken the last response.
+    Lingering {
+        /// The time at which the connection became idle; `None` if serving ended in the middle of a
+        /// request, in which case the connection is not evicted.
+        idle_since: Option<Instant>,
+    },
+}
+
+impl Phase {
+    /// Since when the connection is idle; `None` while it carries a request.
+    pub(super) fn idle_since(self) -> Option<Instant> {
+        match self {
+            Phase::AwaitingRequest { since } => Some(since),
+            Phase::Lingering { idle_since } => idle_since,
+            Phase::AwaitingCapacity
+            | Phase::ReceivingBody
+            | Phase::AwaitingResponse
+            | Phase::StreamingResponse => None,
+        }
+    }
+}
+
+/// What a connection has carried so far.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RequestHistory {
+    /// No complete request.
+    Empty,
+    /// Only requests that were no use of the service: health checks, invalid or rejected ones.
+    NoneValid,
+    /// At least one request that passed validation.
+    SomeValid,
+}
+
+/// The framing of the request that is being served, or was served last.
+struct CurrentRequest {
+    /// Where it ends, in bytes from the connection's beginning; `None` if that is unknown.
+    end_offset: Cell<Option<usize>>,
+    /// The rest of its body is being read and discarded, as its response came before its end.
+    discarding_body: Cell<bool>,
+    /// It was rejected before all of it had arrived.
+    rejected_incomplete: Cell<bool>,
+}
+
+/// Asks a connection's task to close the connection once it carries no request.
+struct CloseSignal {
+    requested: Cell<bool>,
+    notify: Notify,
+}
+
+/// Asks a connection's task to close the connection now, and carries its reply.
+struct EvictionSignal {
+    pending: Cell<bool>,
+    notify: Notify,
+    /// Notified when the connection has been closed, or has refused because a request arrived.
+    decided: Rc<Notify>,
+}
+
+/// The state of one client connection, shared by its task, the connection table and the guards of
+/// its responses.
 pub(super) struct ClientConnection {
     pub(super) socket: Socket,
-    pub(super) opened: Instant,
-    /// Since when it has waited for its next request to be whole; `None` while one is being served.
-    pub(super) idle_since: Cell<Option<Instant>>,
-    /// It has carried no whole request yet.
-    pub(super) carried_no_request: Cell<bool>,
-    /// It has carried a request that was taken, not just asked for health.
-    pub(super) carried_valid_request: Cell<bool>,
-    /// A request has been taken and has no answer yet.
-    pub(super) awaiting_response: Cell<bool>,
-    /// An answer is on its way in parts.
-    pub(super) streaming: Cell<bool>,
-    /// The request that is being served ends so many bytes from the connection's beginning, if that is known.
-    pub(super) request_end: Cell<Option<usize>>,
-    /// What is left of the body of a request that has its answer is read to no end.
-    pub(super) discarding_body: Cell<bool>,
-    pub(super) close_requested: Cell<bool>,
-    pub(super) close: Notify,
-    /// Its last answer is written, and it is open only until its client has taken that.
-    pub(super) lingering: Cell<bool>,
-    /// It has been told that its request can't be used, or that there is no room for it, before all of that had come.
-    pub(super) rejected_before_complete: Cell<bool>,
-    /// It is to make room.
-    pub(super) eviction_requested: Cell<bool>,
-    pub(super) evict: Notify,
-    /// It has made room, or has not.
-    pub(super) settled: Rc<Notify>,
+    opened: Instant,
+    phase: Cell<Phase>,
+    history: Cell<RequestHistory>,
+    request: CurrentRequest,
+    close: CloseSignal,
+    eviction: EvictionSignal,
 }
 
 impl ClientConnection {
@@ -54,108 +118,236 @@
         Rc::new(ClientConnection {
             socket,
             opened,
-            idle_since: Cell::new(Some(opened)),
-            carried_no_request: Cell::new(true),
-            carried_valid_request: Cell::new(false),
-            awaiting_response: Cell::new(false),
-            streaming: Cell::new(false),
-            request_end: Cell::new(None),
-            discarding_body: Cell::new(false),
-            close_requested: Cell::new(false),
-            close: Notify::new(),
-            lingering: Cell::new(false),
-            rejected_before_complete: Cell::new(false),
-            eviction_requested: Cell::new(false),
-            evict: Notify::new(),
-            settled: Rc::default(),
+            phase: Cell::new(Phase::AwaitingRequest { since: opened }),
+            history: Cell::new(RequestHistory::Empty),
+            request: CurrentRequest {
+                end_offset: Cell::new(None),
+                discarding_body: Cell::new(false),
+                rejected_incomplete: Cell::new(false),
+            },
+            close: CloseSignal {
+                requested: Cell::new(false),
+                notify: Notify::new(),
+            },
+            eviction: EvictionSignal {
+                pending: Cell::new(false),
+                notify: Notify::new(),
+                decided: Rc::default(),
+            },
         })
     }
 
-    /// It waits for its next request.
+    /// What the connection is doing now.
+    pub(super) fn phase(&self) -> Phase {
+        self.phase.get()
+    }
+
+    /// Moves the connection to another phase.
+    pub(super) fn enter(&self, phase: Phase) {
+        self.phase.set(phase);
+    }
+
+    /// What the connection has carried so far.
+    pub(super) fn history(&self) -> RequestHistory {
+        self.history.get()
+    }
+
+    /// The head of a request has arrived.
+    pub(super) fn begin_request(&self) {
+        self.request.discarding_body.set(false);
+        self.request.end_offset.set(None);
+        let since = match self.history.get() {
+            RequestHistory::Empty => self.opened,
+            RequestHistory::NoneValid | RequestHistory::SomeValid => Instant::now(),
+        };
+        self.enter(Phase::AwaitingRequest { since });
+    }
+
+    /// Stores where the current request ends, in bytes from the connection's beginning.
+    pub(super) fn set_request_end(&self, end_offset: Option<usize>) {
+        self.request.end_offset.set(end_offset);
+    }
+
+    /// The current request has arrived and passed validation.
+    pub(super) fn record_valid_request(&self) {
+        self.history.set(RequestHistory::SomeValid);
+    }
+
+    /// The response to the current request is known.
+    pub(super) fn record_response(&self) {
+        if self.history.get() == RequestHistory::Empty {
+            self.history.set(RequestHistory::NoneValid);
+        }
+    }
+
+    /// Stores whether the current request was rejected before all of it had arrived.
+    pub(super) fn set_rejected_incomplete(&self, rejected_incomplete: bool) {
+        self.request.rejected_incomplete.set(rejected_incomplete);
+    }
+
+    /// True if the last request was rejected before all of it had arrived.
+    pub(super) fn is_rejected_incomplete(&self) -> bool {
+        self.request.rejected_incomplete.get()
+    }
+
+    /// The response came before the request's end; the rest of the body is being discarded.
+    pub(super) fn begin_discarding_body(&self) {
+        self.request.discarding_body.set(true);
+    }
+
+    /// The rest of the body has been discarded. Does nothing if the next request has begun.
+    pub(super) fn end_discarding_body(&self) {
+        if self.request.discarding_body.replace(false) && self.phase() != Phase::StreamingResponse {
+            self.mark_idle();
+        }
+    }
+
+    /// The connection carries no request any more.
     pub(super) fn mark_idle(&self) {
-        self.idle_since.set(Some(Instant::now()));
+        let now = Instant::now();
+        self.enter(match self.phase() {
+            Phase::Lingering { .. } => Phase::Lingering {
+                idle_since: Some(now),
+            },
+            _ => Phase::AwaitingRequest { since: now },
+        });
         self.socket.mark_idle();
-        // Heads are looked for in what came last: the fewer bytes the better.
-        if self.request_end.get() == Some(self.socket.read()) {
+        // The bytes of the next head are searched for in these, so the fewer remain the better.
+        if self.request.end_offset.get() == Some(self.socket.read()) {
             self.socket.clear_recent_bytes();
         }
     }
 
-    /// Something has come behind the request that is being served.
+    /// Serving has ended, and only the lingering close remains.
+    pub(super) fn begin_lingering(&self) {
+        let idle_since = self.phase().idle_since();
+        self.enter(Phase::Lingering { idle_since });
+    }
+
+    /// True if bytes have arrived behind the current request. Asks the kernel if need be.
     pub(super) fn has_pipelined_bytes(&self) -> bool {
-        self.request_end
+        self.request
+            .end_offset
             .get()
             .is_some_and(|end| self.socket.read() > end || self.socket.has_unread())
     }
 
-    /// Closes it once it carries no request.
-    pub(super) fn close(&self) {
-        self.close_requested.set(true);
-        self.close.notify_one();
+    /// Asks the connection's task to close the connection once it carries no request.
+    pub(super) fn request_close(&self) {
+        self.close.requested.set(true);
+        self.close.notify.notify_one();
+    }
+
+    /// The connection is to close after its current request; its task needs no notice of that.
+    pub(super) fn set_closing(&self) {
+        self.close.requested.set(true);
+    }
+
+    /// Waits for [`Self::request_close`].
+    pub(super) async fn close_requested(&self) {
+        self.close.notify.notified().await;
+    }
+
+    /// Asks the connection's task to close the connection now. Returns the notice of its decision;
+    /// only the connection table knows which it was.
+    pub(super) fn request_eviction(&self) -> Rc<Notify> {
+        self.eviction.pending.set(true);
+        self.eviction.notify.notify_one();
+        self.eviction.decided.clone()
+    }
+
+    /// True while the connection's task has not decided on an eviction.
+    pub(super) fn is_eviction_pending(&self) -> bool {
+        self.eviction.pending.get()
+    }
+
+    /// Waits for [`Self::request_eviction`].
+    pub(super) async fn eviction_requested(&self) {
+        self.eviction.notify.notified().await;
     }
 
-    /// When its first request has to be whole.
+    /// Decides on an eviction: true if the connection can be closed, as no request has arrived
+    /// meanwhile.
+    pub(super) fn accepts_eviction(&self) -> bool {
+        self.eviction.pending.set(false);
+        self.phase().idle_since().is_some() && !self.socket.has_unread()
+    }
+
+    /// Wakes the task that has asked for an eviction.
+    pub(super) fn notify_eviction_decided(&self) {
+        self.eviction.decided.notify_one();
+    }
+
+    /// When the first request has to be complete; `None` once there has been one.
     pub(super) fn first_request_deadline(&self) -> Option<Instant> {
-        self.carried_no_request
-            .get()
-            .then(|| self.opened + FIRST_REQUEST_TIMEOUT)
+        (self.history.get() == RequestHistory::Empty).then(|| self.opened + FIRST_REQUEST_TIMEOUT)
     }
 
-    /// Ends when the peer has stood still, or dawdled with its first request, for longer than any should: also
-    /// when it takes no bytes of its answer, or doesn't notice that the connection closes.
+    /// Returns when the client has made no progress for too long: it is idle, its request doesn't
+    /// arrive, or it takes no bytes of its response.
     pub(super) async fn stalled(&self) {
-        let most = || {
-            if self.close_requested.get() {
-                CLOSING_IDLE_TIMEOUT
-            } else {
-                IDLE_TIMEOUT
-            }
-        };
         loop {
             let now = Instant::now();
-            let until = match (self.idle_since.get(), self.socket.request_started_at()) {
-                // The end of its answer has still to go.
-                (Some(_), _) if self.socket.is_blocked() => {
-                    self.socket.last_written() + WRITE_STALL_TIMEOUT
-                }
-                // Guards against taking the rest of a body, which may come for long, for a head.
-                (Some(since), _) if self.discarding_body.get() => {
-                    since.max(self.socket.last_read()) + CLIENT_STALL
-                }
-                // It may take its time for a head, also while the process ends.
-                (Some(_), Some(request_started_at)) => {
-                    self.first_request_deadline()
-                        .unwrap_or(request_started_at + FIRST_REQUEST_TIMEOUT)
-                        + TIMEOUT_RESPONSE_GRACE
-                }
-                (Some(since), None) => {
-                    // A client that takes what it is given is not idle.
-                    let since = since.max(self.socket.last_written());
-                    self.first_request_deadline()
-                        .map_or(since + IDLE_TIMEOUT, |first| first + TIMEOUT_RESPONSE_GRACE)
-                        .min(since + most())
-                }
-                (None, _) if self.streaming.get() => {
-                    self.socket.last_written() + WRITE_STALL_TIMEOUT
-                }
-                (None, _) => now + CLOSING_IDLE_TIMEOUT,
-            };
-            // What has come of the rest of a body may be unread only because the process had no turn.
-            if until <= now && self.discarding_body.get() && self.socket.has_unread() {
+            let deadline = self.stall_deadline(now);
+            if deadline <= now && self.request.discarding_body.get() && self.socket.has_unread() {
+                // The rest of the body has arrived, and is unread only because this process had no
+                // time for it.
                 sleep(DISCONNECT_POLL_INTERVAL).await;
-            } else if until <= now {
+            } else if deadline <= now {
                 return;
             }
-            sleep_until(until.min(now + CLOSING_IDLE_TIMEOUT)).await;
+            sleep_until(deadline.min(now + STALL_CHECK_INTERVAL)).await;
+        }
+    }
+
+    /// When the client counts as stalled if nothing changes until then.
+    fn stall_deadline(&self, now: Instant) -> Instant {
+        match self.phase() {
+            Phase::AwaitingRequest { since } => self.idle_deadline(since),
+            Phase::StreamingResponse => self.socket.last_written() + WRITE_STALL_TIMEOUT,
+            // These have time limits of their own.
+            Phase::AwaitingCapacity
+            | Phase::ReceivingBody
+            | Phase::AwaitingResponse
+            | Phase::Lingering { .. } => now + STALL_CHECK_INTERVAL,
+        }
+    }
+
+    /// When the client counts as stalled on a connection that awaits a request since then.
+    fn idle_deadline(&self, since: Instant) -> Instant {
+        // The end of the last response is still to be sent.
+        if self.socket.is_blocked() {
+            return self.socket.last_written() + WRITE_STALL_TIMEOUT;
+        }
+        // The rest of a body may take long and is no head, to which a stricter limit applies.
+        if self.request.discarding_body.get() {
+            return since.max(self.socket.last_read()) + CLIENT_STALL;
         }
+        // A head that has begun to arrive has its full time, also during a shutdown.
+        if let Some(request_started_at) = self.socket.request_started_at() {
+            return self
+                .first_request_deadline()
+                .unwrap_or(request_started_at + FIRST_REQUEST_TIMEOUT)
+                + TIMEOUT_RESPONSE_GRACE;
+        }
+        // A client that takes the bytes of its response is not idle.
+        let since = since.max(self.socket.last_written());
+        let idle_timeout = if self.close.requested.get() {
+            CLOSING_IDLE_TIMEOUT
+        } else {
+            IDLE_TIMEOUT
+        };
+        self.first_request_deadline()
+            .map_or(since + IDLE_TIMEOUT, |first| first + TIMEOUT_RESPONSE_GRACE)
+            .min(since + idle_timeout)
     }
 
-    /// Ends when the client has left while its request waits. Guards against holding what nobody wants any more
-    /// where bytes behind the request hide the end of the connection: whoever reads them would read no further.
+    /// Returns when the client has disconnected while its request awaits a response. The HTTP
+    /// implementation doesn't notice that if there are unread bytes before the end of the stream.
     pub(super) async fn disconnected(&self) {
         loop {
             self.socket.readable().await;
-            if self.awaiting_response.get() && self.socket.is_disconnected() {
+            if self.phase() == Phase::AwaitingResponse && self.socket.is_disconnected() {
                 return;
             }
             sleep(DISCONNECT_POLL_INTERVAL).await;
--- a/src/bin/load-balancer/server/connection_table.rs
+++ b/src/bin/load-balancer/server/connection_table.rs
@@ -1,60 +1,78 @@
-//! The open connections, and how room is made among them.
-
-use crate::server::connection::ClientConnection;
-use crate::server::Server;
-
-impl Server {
-    /// Closes what can be spared until the process holds no more than so many descriptors.
-    pub async fn evict_down_to(&self, descriptors: usize) {
-        let pool = self.dispatcher.borrow().pool().clone();
-        while self.budget.in_use() > descriptors
-            && (pool.evict_oldest() || self.evict_idle_connection().await)
-        {}
+//! The table of open client connections, and the eviction of idle ones.
+
+use crate::server::connection::{ClientConnection, Phase};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// The number of a connection, in the order in which connections were accepted.
+pub(super) type ConnectionId = u64;
+
+/// All open client connections.
+#[derive(Default)]
+pub(super) struct ConnectionTable {
+    connections: RefCell<BTreeMap<ConnectionId, Rc<ClientConnection>>>,
+    next_id: Cell<ConnectionId>,
+}
+
+impl ConnectionTable {
+    /// Adds a connection.
+    pub(super) fn insert(&self, connection: Rc<ClientConnection>) -> ConnectionId {
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        self.connections.borrow_mut().insert(id, connection);
+        id
     }
 
-    /// Closes the client's connection that can best be spared; false if there is none.
-    pub(super) async fn evict_idle_connection(&self) -> bool {
-        loop {
-            let (number, settled) = {
-                let clients = self.clients.borrow();
-                let spare = clients
-                    .iter()
-                    .filter_map(|(number, client)| Some((client.eviction_priority()?, number)));
-                let mut spare: Vec<_> = spare.collect();
-                spare.sort_unstable();
-                // Guards against closing on a request that has come and is still unread. Asking the kernel is dear,
-                // so it is asked of few.
-                let mut spare = spare
-                    .into_iter()
-                    .map(|(_, number)| (*number, &clients[number]));
-                let free = |client: &ClientConnection| {
-                    client.lingering.get() || !client.socket.has_unread()
-                };
-                let Some((number, client)) = spare.find(|(_, client)| free(client)) else {
-                    return false;
-                };
-                client.eviction_requested.set(true);
-                client.evict.notify_one();
-                (number, client.settled.clone())
-            };
-            // Its task closes it, unless something has come meanwhile.
-            settled.notified().await;
-            if !self.clients.borrow().contains_key(&number) {
-                return true;
+    /// Removes a connection that has been closed.
+    pub(super) fn remove(&self, id: ConnectionId) {
+        self.connections.borrow_mut().remove(&id);
+    }
+
+    /// The number of open connections.
+    pub(super) fn len(&self) -> usize {
+        self.connections.borrow().len()
+    }
+
+    /// Asks all connections for which `condition` holds to close once they carry no request.
+    pub(super) fn request_close_where(&self, condition: impl Fn(&ClientConnection) -> bool) {
+        for connection in self.connections.borrow().values() {
+            if condition(connection) {
+                connection.request_close();
             }
         }
     }
 
-    /// True if there is room after all for a client that found none when it came. Guards against turning away whoever
-    /// asks for the sake of those that don't.
-    pub(super) async fn wait_for_capacity(&self, client: &ClientConnection) -> bool {
-        // It is not to make that room itself.
-        client.idle_since.set(None);
-        while self.budget.is_exceeded() {
-            if !self.evict_idle_connection().await {
-                return false;
+    /// Closes the connection that comes first in the order of eviction; false if there is none.
+    pub(super) async fn evict_one(&self) -> bool {
+        while let Some(id) = self.eviction_candidate() {
+            let decided = self.connections.borrow()[&id].request_eviction();
+            // The connection's task closes it, unless a request has arrived meanwhile.
+            decided.notified().await;
+            if !self.connections.borrow().contains_key(&id) {
+                return true;
             }
         }
-        true
+        false
     }
+
+    /// The first connection in the order of eviction whose client has sent no request that is still
+    /// unread. This takes a system call for each, so it is checked only for as many as necessary.
+    fn eviction_candidate(&self) -> Option<ConnectionId> {
+        let connections = self.connections.borrow();
+        let mut candidates: Vec<_> = connections
+            .iter()
+            .filter_map(|(id, connection)| Some((connection.eviction_priority()?, *id)))
+            .collect();
+        candidates.sort_unstable();
+        candidates
+            .into_iter()
+            .map(|(_, id)| id)
+            .find(|id| is_evictable(&connections[id]))
+    }
+}
+
+/// True unless a request has arrived that is still unread.
+fn is_evictable(connection: &ClientConnection) -> bool {
+    matches!(connection.phase(), Phase::Lingering { .. }) || !connection.socket.has_unread()
 }
--- a/src/bin/load-balancer/server/drain.rs
+++ b/src/bin/load-balancer/server/drain.rs
@@ -1,6 +1,6 @@
 //! The end of the process, and clients that are sent away.
 
-use crate::server::connection::ClientConnection;
+use crate::server::connection::{ClientConnection, RequestHistory};
 use crate::server::Server;
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,11 +22,8 @@
         self.pipelined_served_until
             .set(Some(Instant::now() + LATE_REQUEST_DELAY));
         self.dispatcher.borrow_mut().set_drain_deadline(settled);
-        self.clients
-            .borrow()
-            .values()
-            .filter(|client| !client.carried_no_request.get())
-            .for_each(|client| client.close());
+        self.connections
+            .request_close_where(|client| client.history() != RequestHistory::Empty);
         self.dispatcher.borrow().pool().close_all();
     }
 
@@ -48,21 +45,14 @@
         spawn_local(async move {
             sleep(DRAIN_NOTICE_PERIOD).await;
             if server.client_drain.get() == Some(number) {
-                server
-                    .clients
-                    .borrow()
-                    .values()
-                    .for_each(|client| client.close());
+                server.connections.request_close_where(|_| true);
             }
         });
     }
 
     /// Closes also the connections that are new, as nothing has come on them.
     pub fn drain_new_connections(&self) {
-        self.clients
-            .borrow()
-            .values()
-            .for_each(|client| client.close());
+        self.connections.request_close_where(|_| true);
     }
 
     /// True while connections end with the answer that they carry.
--- a/src/bin/load-balancer/server/eviction.rs
+++ b/src/bin/load-balancer/server/eviction.rs
@@ -1,41 +1,75 @@
-//! Which connections are closed first to make room.
+//! The order in which client connections are evicted when descriptors run short.
 
-use crate::server::connection::ClientConnection;
+use crate::server::connection::{ClientConnection, Phase, RequestHistory};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// When room is short, connections without a request may be closed after this time,
+/// A connection that awaits a further request for this long is evicted first.
 const LONG_IDLE_AGE: Duration = Duration::from_secs(2);
-/// and those on which nothing at all has come after this: the first request comes with the connection.
+/// A client sends its first request together with the connection, so that one which has sent nothing
+/// for this long may never do so.
 const UNUSED_AGE: Duration = Duration::from_millis(30);
-/// A request takes no longer than this to be written, as a rule.
+/// Clients rarely take longer than this to send a request, or to follow up a response with the next
+/// one.
 const SLOW_REQUEST_AGE: Duration = Duration::from_millis(500);
 
+/// Why a connection may be evicted, the reasons that cost a client least first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum EvictionReason {
+    /// It only lingers, or has awaited a further request for [`LONG_IDLE_AGE`].
+    LongIdle,
+    /// It has sent nothing but health checks, and nothing for [`UNUSED_AGE`].
+    Unused,
+    /// Its request takes longer than [`SLOW_REQUEST_AGE`] to arrive.
+    SlowRequest,
+    /// It has awaited a further request for [`SLOW_REQUEST_AGE`].
+    Idle,
+    /// It has carried no valid request, and none is arriving.
+    NoValidRequest,
+    /// Its first request is arriving. That of a later request never is a reason.
+    FirstRequestArriving,
+}
+
+/// Orders connections for eviction: the smallest goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct EvictionPriority {
+    reason: EvictionReason,
+    idle_since: Instant,
+}
+
 impl ClientConnection {
-    /// How dear it is, if it may be closed to make room. Those that have waited long for a further request go first,
-    /// then those that have never sent anything or only asked for health, those that don't finish their first
-    /// request, those that wait for a further one, then any on which nothing but calls for health has come, and at last
-    /// those whose first request still comes; among the same, the longest.
-    pub(super) fn eviction_priority(&self) -> Option<(usize, Instant)> {
-        let spare = !self.eviction_requested.get() && !self.socket.is_blocked();
-        let since = self.idle_since.get().filter(|_| spare)?;
-        let age = since.elapsed();
-        let kind = match (
-            self.carried_no_request.get(),
-            self.socket.request_started_at(),
-        ) {
-            _ if self.lingering.get() => 0,
-            (false, None) if age >= LONG_IDLE_AGE => 0,
-            (true, None) if age >= UNUSED_AGE => 1,
-            (false, None) if age >= UNUSED_AGE && !self.carried_valid_request.get() => 1,
-            (_, Some(request_started_at)) if request_started_at.elapsed() >= SLOW_REQUEST_AGE => 2,
-            (false, None) if age >= SLOW_REQUEST_AGE => 3,
-            // Guards against shutting whoever comes with a request for the sake of those that come with nothing.
-            (_, None) if !self.carried_valid_request.get() => 4,
-            // Nor of those that come with half of one. The first on a connection may be shut.
-            (true, Some(_)) => 5,
-            _ => return None,
-        };
-        Some((kind, since))
+    /// The connection's place in the order of eviction; `None` if it is not to be evicted.
+    pub(super) fn eviction_priority(&self) -> Option<EvictionPriority> {
+        if self.is_eviction_pending() || self.socket.is_blocked() {
+            return None;
+        }
+        let idle_since = self.phase().idle_since()?;
+        let reason = self.eviction_reason(idle_since.elapsed())?;
+        Some(EvictionPriority { reason, idle_since })
+    }
+
+    /// Why the connection may be evicted after having been idle for this long.
+    fn eviction_reason(&self, idle: Duration) -> Option<EvictionReason> {
+        if matches!(self.phase(), Phase::Lingering { .. }) {
+            return Some(EvictionReason::LongIdle);
+        }
+        if let Some(request_started_at) = self.socket.request_started_at() {
+            return if request_started_at.elapsed() >= SLOW_REQUEST_AGE {
+                Some(EvictionReason::SlowRequest)
+            } else if self.history() == RequestHistory::Empty {
+                Some(EvictionReason::FirstRequestArriving)
+            } else {
+                None
+            };
+        }
+        match self.history() {
+            RequestHistory::Empty if idle >= UNUSED_AGE => Some(EvictionReason::Unused),
+            RequestHistory::Empty => Some(EvictionReason::NoValidRequest),
+            _ if idle >= LONG_IDLE_AGE => Some(EvictionReason::LongIdle),
+            RequestHistory::NoneValid if idle >= UNUSED_AGE => Some(EvictionReason::Unused),
+            RequestHistory::SomeValid if idle >= SLOW_REQUEST_AGE => Some(EvictionReason::Idle),
+            RequestHistory::NoneValid => Some(EvictionReason::NoValidRequest),
+            RequestHistory::SomeValid => None,
+        }
     }
 }
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -3,7 +3,7 @@
 use crate::body::ResponseBody;
 use crate::dispatch::{Dispatcher, FinalResponse, RejectionReason};
 use crate::metrics::RequestOutcome;
-use crate::server::connection::ClientConnection;
+use crate::server::connection::{ClientConnection, Phase};
 use crate::server::request::RequestError;
 use crate::server::response::{text_response, ClientResponse, StreamingGuard};
 use crate::server::Server;
@@ -56,8 +56,7 @@
             Err(RequestError(status, text)) => return text_response(status, &text),
         };
         let upload = taken.forward.upload.clone();
-        client.carried_no_request.set(false);
-        client.carried_valid_request.set(true);
+        client.record_valid_request();
         let request = self.metrics.begin_request(taken.class);
         let (id, answer) = match self.dispatcher.borrow_mut().accept(taken) {
             Ok(taken) => taken,
@@ -78,25 +77,21 @@
             dispatcher: &self.dispatcher,
             id,
         };
-        client.awaiting_response.set(true);
+        client.enter(Phase::AwaitingResponse);
         // Nobody reads what comes behind a request that is whole before it has its answer.
         client.socket.set_read_ahead(!upload.is_streamed());
         let answer = answer.await;
-        client.awaiting_response.set(false);
         client.socket.set_read_ahead(false);
         if upload.is_streamed() {
-            client.discarding_body.set(true);
+            client.begin_discarding_body();
             // Its connection doesn't stay open for this.
             let (upload, client) = (upload.clone(), Rc::downgrade(client));
             spawn_local(async move {
                 upload.discard().await;
                 // Its next request may have begun by now.
-                let client = client
-                    .upgrade()
-                    .filter(|client| client.discarding_body.replace(false));
-                client
-                    .filter(|client| !client.streaming.get())
-                    .inspect(|client| client.mark_idle());
+                if let Some(client) = client.upgrade() {
+                    client.end_discarding_body();
+                }
             });
         }
         match answer {
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -1,6 +1,7 @@
 //! Callers: takes their connections and requests, and gives them their answers.
 
 mod accept;
+mod capacity;
 mod connection;
 mod connection_table;
 mod drain;
@@ -15,10 +16,9 @@
 use crate::body::MemoryBudget;
 use crate::dispatch::Dispatcher;
 use crate::metrics::Metrics;
-use crate::server::connection::ClientConnection;
+use crate::server::connection_table::ConnectionTable;
 use crate::socket::DescriptorBudget;
 use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -37,8 +37,7 @@
 pub struct Server {
     dispatcher: Rc<RefCell<Dispatcher>>,
     budget: Rc<DescriptorBudget>,
-    clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    accepted: Cell<u64>,
+    connections: ConnectionTable,
     /// Clients' connections are taken.
     listening: Cell<bool>,
     /// The process is to end: by then all that comes from now on has its answer.
@@ -71,8 +70,7 @@
             accept_error_logged_at: Cell::new(None),
             metrics,
             memory,
-            clients: RefCell::default(),
-            accepted: Cell::new(0),
+            connections: ConnectionTable::default(),
             listening: Cell::new(false),
             drain_deadline: Rc::default(),
             late_request_cutoff: Cell::new(None),
@@ -92,6 +90,6 @@
 
     /// Connections that are open.
     pub fn connections(&self) -> usize {
-        self.clients.borrow().len()
+        self.connections.len()
     }
 }
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -2,7 +2,7 @@
 
 use crate::body::{BodyError, Upload};
 use crate::dispatch::AcceptedRequest;
-use crate::server::connection::ClientConnection;
+use crate::server::connection::{ClientConnection, Phase};
 use crate::server::raw_head::RawHead;
 use crate::server::{Server, FIRST_REQUEST_TIMEOUT};
 use crate::upstream::{end_to_end_headers, ForwardedRequest};
@@ -104,7 +104,7 @@
             .first_request_deadline()
             .unwrap_or(request_started_at + FIRST_REQUEST_TIMEOUT);
         // Its body is timed by itself.
-        client.idle_since.set(None);
+        client.enter(Phase::ReceivingBody);
         let read = Upload::read(body, &self.memory, first, &self.drain_deadline);
         let upload = read.await.map_err(|broken| {
             let status = match broken {
@@ -117,7 +117,7 @@
         // Guards against a client that sends several requests at once and waits for the later ones from then on.
         upload.set_last_progress(client.socket.last_read());
         let length = upload.length().filter(|_| !chunked);
-        client.request_end.set(
+        client.set_request_end(
             body_begins
                 .zip(length)
                 .map(|(begin, length)| begin + length as usize),
--- a/src/bin/load-balancer/server/response.rs
+++ b/src/bin/load-balancer/server/response.rs
@@ -1,7 +1,7 @@
 //! Answers to clients.
 
 use crate::body::ResponseBody;
-use crate::server::connection::ClientConnection;
+use crate::server::connection::{ClientConnection, Phase};
 use bytes::Bytes;
 use hyper::{Response, StatusCode};
 use std::rc::Rc;
@@ -13,14 +13,13 @@
 
 impl StreamingGuard {
     pub(super) fn begin(client: &Rc<ClientConnection>) -> Self {
-        client.streaming.set(true);
+        client.enter(Phase::StreamingResponse);
         StreamingGuard(client.clone())
     }
 }
 
 impl Drop for StreamingGuard {
     fn drop(&mut self) {
-        self.0.streaming.set(false);
         self.0.mark_idle();
     }
 }
