--- a/src/bin/load-balancer/server/accept.rs
+++ b/src/bin/load-balancer/server/accept.rs
@@ -1,11 +1,11 @@
-//! Takes clients' connections.
+//! The accept loop, with its backoff when the system is short of resources.
 
 use crate::log;
 use crate::server::connection::ClientConnection;
 use crate::server::listener::{Listener, PendingConnection};
-use crate::server::{Server, IDLE_TIMEOUT};
+use crate::server::Server;
 use crate::socket::system_errors::{is_connection_error, is_descriptor_limit};
-use crate::socket::{Purpose, Socket};
+use crate::socket::Socket;
 use std::future::Future;
 use std::io;
 use std::pin::pin;
@@ -14,19 +14,18 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, Instant};
 
-/// With no room at all, a new connection waits for so many turns of the other tasks: what those that came with it have sent
-/// may be unread only because they had none yet.
-const MAX_PERMIT_ATTEMPTS: usize = 16;
-/// After a second accept in a row that failed for want of something the next try comes this much later.
+/// The delay before the next accept after the second failure in a row and each further one.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
-/// So many such failures are no passing shortage: descriptors have to be given back.
+/// With this many more failures than successes a shortage counts as persistent.
 const PERSISTENT_SHORTAGE_EXCESS: u32 = 10;
+/// Failed accepts are logged no more often than this.
+const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Accepts that failed because this process or machine is short of something.
+/// Counts accepts that failed because this process or machine is short of a resource.
 #[derive(Default)]
 struct ResourceShortage {
     consecutive_failures: u32,
-    /// Those that failed, less those that did not meanwhile.
+    /// Failures less successes, never below zero.
     excess: u32,
 }
 
@@ -41,15 +40,15 @@
         self.excess = self.excess.saturating_sub(1);
     }
 
-    /// It is no passing one.
+    /// True if waiting has not helped, so that a descriptor has to be freed.
     fn is_persistent(&self) -> bool {
         self.excess >= PERSISTENT_SHORTAGE_EXCESS
     }
 }
 
 impl Server {
-    /// Takes connections until that is over. Guards against one that has been taken, and is dropped as the end comes just
-    /// then.
+    /// Accepts connections until `stop` is ready. `stop` doesn't interrupt the admission of a
+    /// connection, so that none which has been accepted is dropped.
     pub async fn accept(self: &Rc<Self>, listener: &Listener, stop: impl Future<Output = ()>) {
         let mut stop = pin!(stop);
         let mut shortage = ResourceShortage::default();
@@ -59,84 +58,81 @@
                 () = &mut stop => return,
                 accepted = listener.accept() => accepted,
             };
-            match accepted {
-                Ok(accepted) => {
-                    shortage.record_success();
-                    self.admit_connection(accepted).await;
-                }
-                Err(error) => self.back_off(&mut shortage, &error).await,
+            self.handle_accepted(accepted, &mut shortage).await;
+        }
+    }
+
+    /// Accepts all connections in the listener's queue, and closes the listener. The kernel resets
+    /// connections that are still in the queue then.
+    ///
+    /// # Errors
+    ///
+    /// Those of accept(2) that last until `deadline`.
+    pub async fn close(self: &Rc<Self>, listener: Listener, deadline: Instant) -> io::Result<()> {
+        let mut shortage = ResourceShortage::default();
+        loop {
+            match listener.accept_now() {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
+                Err(error) if Instant::now() >= deadline => return Err(error),
+                accepted => self.handle_accepted(accepted, &mut shortage).await,
             }
         }
     }
 
-    /// Waits before the next accept, if this error asks for that. A passing shortage must not cost other clients their
-    /// connections; where the process itself holds too many descriptors for long, one is closed.
+    async fn handle_accepted(
+        self: &Rc<Self>,
+        accepted: io::Result<PendingConnection>,
+        shortage: &mut ResourceShortage,
+    ) {
+        match accepted {
+            Ok(connection) => {
+                shortage.record_success();
+                self.admit_connection(connection).await;
+            }
+            Err(error) => self.back_off(shortage, &error).await,
+        }
+    }
+
+    /// Waits before the next accept if the error requires that. In a short shortage clients keep
+    /// their connections; if this process is at its descriptor limit for long, an idle one is evicted.
     async fn back_off(&self, shortage: &mut ResourceShortage, error: &io::Error) {
         if is_connection_error(error) {
-            // The next in the queue may be a good one.
+            // Only this connection has failed; the next one may be sound.
             return yield_now().await;
         }
-        if self
-            .accept_error_logged_at
-            .get()
-            .is_none_or(|last| last.elapsed() > IDLE_TIMEOUT)
-        {
-            self.accept_error_logged_at.set(Some(Instant::now()));
-            log::line(format!("accept: {error}"));
-        }
+        self.log_accept_error(error);
         shortage.record_failure();
         if shortage.is_persistent() && is_descriptor_limit(error) {
             self.connections.evict_one().await;
         }
-        match shortage.consecutive_failures {
-            1 => yield_now().await,
-            _ => sleep(ACCEPT_BACKOFF).await,
+        if shortage.consecutive_failures == 1 {
+            yield_now().await;
+        } else {
+            sleep(ACCEPT_BACKOFF).await;
         }
     }
 
-    /// Takes all connections that the kernel has taken for this listener, and closes it; not later than `until`.
-    /// Those that are still in its queue when it closes are reset.
-    pub async fn close(self: &Rc<Self>, listener: Listener, until: Instant) -> io::Result<()> {
-        let mut shortage = ResourceShortage::default();
-        loop {
-            match listener.accept_now() {
-                Ok(accepted) => {
-                    shortage.record_success();
-                    self.admit_connection(accepted).await;
-                }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
-                Err(error) if Instant::now() >= until => return Err(error),
-                Err(error) => self.back_off(&mut shortage, &error).await,
-            }
+    fn log_accept_error(&self, error: &io::Error) {
+        let logged_at = self.accept_error_logged_at.get();
+        if logged_at.is_none_or(|logged_at| logged_at.elapsed() > ACCEPT_ERROR_LOG_INTERVAL) {
+            self.accept_error_logged_at.set(Some(Instant::now()));
+            log::line(format!("accept failed: {error}"));
         }
     }
 
-    pub(super) async fn admit_connection(self: &Rc<Self>, accepted: PendingConnection) {
+    /// Starts serving a connection, or closes it if there is no descriptor for it.
+    async fn admit_connection(self: &Rc<Self>, accepted: PendingConnection) {
         let stream = match accepted.register().await {
             Ok(stream) => stream,
-            Err(error) => return log::line(format!("a connection can't be served: {error}")),
-        };
-        // Guards against silent connections that keep all others waiting behind them: whoever comes is taken or
-        // turned away at once.
-        let mut permit = self.budget.acquire(Purpose::ClientConnection);
-        let mut over_capacity = false;
-        for _ in 0..MAX_PERMIT_ATTEMPTS {
-            if permit.is_some() {
-                break;
-            }
-            if self.connections.evict_one().await {
-                permit = self.budget.acquire(Purpose::ClientConnection);
-            }
-            over_capacity = permit.is_none();
-            permit = permit.or_else(|| self.budget.acquire(Purpose::Rejection));
-            if permit.is_none() {
-                yield_now().await;
+            Err(error) => {
+                return log::line(format!("client connection dropped: {error}"));
             }
-        }
-        // With no room even for a refusal, closing is all that is left.
-        let Some(permit) = permit else { return };
+        };
+        let Some((permit, admission)) = self.acquire_permit().await else {
+            return;
+        };
         let client = ClientConnection::new(Socket::for_client(stream, permit));
         let id = self.connections.insert(client.clone());
-        spawn_local(self.clone().serve(id, client, over_capacity));
+        spawn_local(self.clone().serve(id, client, admission));
     }
 }
--- a/src/bin/load-balancer/server/connection.rs
+++ b/src/bin/load-balancer/server/connection.rs
@@ -248,6 +248,14 @@
         self.close.notify.notified().await;
     }
 
+    /// True if a requested close can begin now. It waits for a request of which any byte has arrived,
+    /// read or not, as its response is going to end the connection; unless the current response has
+    /// already begun without saying so, and nothing has arrived behind its request.
+    pub(super) fn can_close_now(&self) -> bool {
+        let idle = self.socket.request_started_at().is_none() && self.socket.is_open_and_idle();
+        self.phase() == Phase::StreamingResponse && !self.has_pipelined_bytes() || idle
+    }
+
     /// Asks the connection's task to close the connection now. Returns the notice of its decision;
     /// only the connection table knows which it was.
     pub(super) fn request_eviction(&self) -> Rc<Notify> {
--- a/src/bin/load-balancer/server/response.rs
+++ b/src/bin/load-balancer/server/response.rs
@@ -3,6 +3,7 @@
 use crate::body::ResponseBody;
 use crate::server::connection::{ClientConnection, Phase};
 use bytes::Bytes;
+use hyper::header::{HeaderValue, CONNECTION};
 use hyper::{Response, StatusCode};
 use std::rc::Rc;
 
@@ -29,3 +30,10 @@
     *response.status_mut() = status;
     response
 }
+
+/// Has the connection closed after this response.
+pub(super) fn close_connection_after(response: &mut ClientResponse) {
+    response
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
+}
--- a/src/bin/load-balancer/server/serve.rs
+++ b/src/bin/load-balancer/server/serve.rs
@@ -1,14 +1,18 @@
-//! Serves one connection.
+//! The task that serves one client connection, from its first request to its lingering close.
 
+use crate::body::ResponseBody;
+use crate::server::capacity::Admission;
 use crate::server::connection::{ClientConnection, Phase};
 use crate::server::connection_table::ConnectionId;
+use crate::server::response::{close_connection_after, ClientResponse};
 use crate::server::{Server, DISCONNECT_POLL_INTERVAL, IDLE_TIMEOUT};
+use crate::socket::Socket;
 use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderValue, CONNECTION};
 use hyper::server::conn::http1;
-use hyper::service::service_fn;
+use hyper::service::{service_fn, HttpService};
 use hyper::Request;
 use std::convert::Infallible;
+use std::error::Error;
 use std::rc::Rc;
 use tokio::time::sleep;
 
@@ -25,82 +29,100 @@
 }
 
 impl Server {
+    /// Serves a connection until it is closed, and removes it from the table.
     pub(super) async fn serve(
         self: Rc<Self>,
         id: ConnectionId,
         client: Rc<ClientConnection>,
-        over_capacity: bool,
+        admission: Admission,
     ) {
-        let closing = over_capacity || self.is_draining();
-        let mut builder = http1::Builder::new();
-        builder
-            .keep_alive(!over_capacity)
-            .max_buf_size(MAX_HEAD_BYTES)
-            .max_headers(MAX_HEADERS);
-        if closing {
+        if admission == Admission::OverCapacity || self.is_draining() {
             client.set_closing();
         }
-        let service = service_fn(|request: Request<Incoming>| {
-            let (server, client) = (&self, &client);
-            async move {
-                client.begin_request();
-                let incomplete = !request.body().is_end_stream();
-                let over_capacity = over_capacity && !server.wait_for_capacity(client).await;
-                let mut answer = match over_capacity {
-                    true => server.reject_over_capacity(&request),
-                    false => server.handle_request(request, client).await,
-                };
-                client.record_response();
-                // Whoever sends what can't be used may go on with what is no request at all.
-                let rejected = over_capacity || answer.status().is_client_error();
-                client.set_rejected_incomplete(rejected && incomplete);
-                if rejected || server.closes_after_response(client) {
-                    answer
-                        .headers_mut()
-                        .insert(CONNECTION, HeaderValue::from_static("close"));
-                }
-                if client.phase() != Phase::StreamingResponse {
-                    client.mark_idle();
+        let service = service_fn(|request| self.serve_request(request, &client, admission));
+        let connection = http_builder(admission).serve_connection(client.socket.clone(), service);
+        if drive(connection, &client).await == ServingEnd::Completed {
+            linger(&client).await;
+        }
+        self.connections.remove(id);
+        client.notify_eviction_decided();
+    }
+
+    async fn serve_request(
+        &self,
+        request: Request<Incoming>,
+        client: &Rc<ClientConnection>,
+        admission: Admission,
+    ) -> Result<ClientResponse, Infallible> {
+        client.begin_request();
+        let incomplete = !request.body().is_end_stream();
+        let over_capacity =
+            admission == Admission::OverCapacity && !self.wait_for_capacity(client).await;
+        let mut response = if over_capacity {
+            self.reject_over_capacity(&request)
+        } else {
+            self.handle_request(request, client).await
+        };
+        client.record_response();
+        // After an invalid request the remaining bytes may be no request, so the connection is closed.
+        let rejected = over_capacity || response.status().is_client_error();
+        client.set_rejected_incomplete(rejected && incomplete);
+        if rejected || self.closes_after_response(client) {
+            close_connection_after(&mut response);
+        }
+        if client.phase() != Phase::StreamingResponse {
+            client.mark_idle();
+        }
+        Ok(response)
+    }
+}
+
+fn http_builder(admission: Admission) -> http1::Builder {
+    let mut builder = http1::Builder::new();
+    builder
+        .keep_alive(admission == Admission::WithinCapacity)
+        .max_buf_size(MAX_HEAD_BYTES)
+        .max_headers(MAX_HEADERS);
+    builder
+}
+
+/// Runs the HTTP connection until it ends or is to be aborted, and drops it.
+async fn drive<S>(connection: http1::Connection<Socket, S>, client: &ClientConnection) -> ServingEnd
+where
+    S: HttpService<Incoming, ResBody = ResponseBody>,
+    S::Error: Into<Box<dyn Error + Send + Sync>>,
+{
+    let (stalled, disconnected) = (client.stalled(), client.disconnected());
+    tokio::pin!(connection, stalled, disconnected);
+    loop {
+        tokio::select! {
+            // On an error, hyper has sent the client a response if it could.
+            _ = connection.as_mut() => return ServingEnd::Completed,
+            () = client.close_requested() => {
+                if client.can_close_now() {
+                    connection.as_mut().graceful_shutdown();
                 }
-                Ok::<_, Infallible>(answer)
             }
-        });
-        let end = {
-            let connection = builder.serve_connection(client.socket.clone(), service);
-            let (stalled, disconnected) = (client.stalled(), client.disconnected());
-            tokio::pin!(connection, stalled, disconnected);
-            loop {
-                tokio::select! {
-                    // A client that breaks off or sends nonsense has been told so by hyper.
-                    _ = connection.as_mut() => break ServingEnd::Completed,
-                    () = client.close_requested() => {
-                        // Guards against closing on a request of which a part has come, read or not: its answer is
-                        // going to end the connection, unless that is on its way already.
-                        let idle = client.socket.request_started_at().is_none() && client.socket.is_open_and_idle();
-                        if client.phase() == Phase::StreamingResponse && !client.has_pipelined_bytes() || idle {
-                            connection.as_mut().graceful_shutdown();
-                        }
-                    }
-                    () = &mut stalled => break ServingEnd::Aborted,
-                    () = &mut disconnected => break ServingEnd::Aborted,
-                    () = client.eviction_requested() => {
-                        if client.accepts_eviction() {
-                            break ServingEnd::Aborted;
-                        }
-                        client.notify_eviction_decided();
-                    }
+            () = &mut stalled => return ServingEnd::Aborted,
+            () = &mut disconnected => return ServingEnd::Aborted,
+            () = client.eviction_requested() => {
+                if client.accepts_eviction() {
+                    return ServingEnd::Aborted;
                 }
-            }
-        };
-        if end == ServingEnd::Completed {
-            client.begin_lingering();
-            tokio::select! {
-                () = client.socket.linger(client.is_rejected_incomplete(), DISCONNECT_POLL_INTERVAL) => {}
-                () = client.eviction_requested() => {}
-                () = sleep(IDLE_TIMEOUT) => {}
+                client.notify_eviction_decided();
             }
         }
-        self.connections.remove(id);
-        client.notify_eviction_decided();
+    }
+}
+
+/// Keeps the connection open until the client has taken the last response, is evicted, or takes too
+/// long.
+async fn linger(client: &ClientConnection) {
+    client.begin_lingering();
+    let discard_unread = client.is_rejected_incomplete();
+    tokio::select! {
+        () = client.socket.linger(discard_unread, DISCONNECT_POLL_INTERVAL) => {}
+        () = client.eviction_requested() => {}
+        () = sleep(IDLE_TIMEOUT) => {}
     }
 }
