--- a/src/bin/load-balancer/server/drain.rs
+++ b/src/bin/load-balancer/server/drain.rs
@@ -1,5 +1,6 @@
 //! The end of the process, and clients that are sent away.
 
+use crate::body::Upload;
 use crate::server::connection::{ClientConnection, RequestHistory};
 use crate::server::Server;
 use std::rc::Rc;
@@ -55,6 +56,14 @@
         self.connections.request_close_where(|_| true);
     }
 
+    /// True if this request arrived so late during a shutdown that a streamed response might not be
+    /// complete when the process is killed.
+    pub(super) fn arrived_late(&self, upload: &Upload) -> bool {
+        self.late_request_cutoff
+            .get()
+            .is_some_and(|cutoff| upload.last_progress() > cutoff)
+    }
+
     /// True while connections end with the answer that they carry.
     pub(super) fn is_draining(&self) -> bool {
         self.drain_deadline.get().is_some() || self.client_drain.get().is_some()
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -1,15 +1,17 @@
-//! Handles one request.
+//! Handles one request: has it dispatched, and makes its final response into one for the client.
 
-use crate::body::ResponseBody;
+use crate::body::{ResponseBody, Upload};
 use crate::dispatch::{Dispatcher, FinalResponse, RejectionReason};
-use crate::metrics::RequestOutcome;
+use crate::metrics::{InFlightRequest, RequestOutcome};
 use crate::server::connection::{ClientConnection, Phase};
-use crate::server::request::RequestError;
-use crate::server::response::{text_response, ClientResponse, StreamingGuard};
+use crate::server::response::{
+    close_connection_after, error_response, rejected_response, text_response, ClientResponse,
+    StreamingGuard,
+};
 use crate::server::Server;
 use crate::upstream::{end_to_end_headers, ResponseContent};
 use hyper::body::Incoming;
-use hyper::header::{HeaderValue, CONNECTION};
+use hyper::header::HeaderMap;
 use hyper::{Request, Response, StatusCode};
 use load_balancer::RequestId;
 use std::cell::RefCell;
@@ -17,139 +19,135 @@
 use tokio::task::spawn_local;
 
 impl Server {
-    /// There is no room for whoever asks. A request is refused like any other, and counted.
+    /// Rejects a request for want of descriptors, and counts it as one of its class if it is valid
+    /// that far.
     pub(super) fn reject_over_capacity(&self, request: &Request<Incoming>) -> ClientResponse {
-        let class = self
+        if let Some(class) = self
             .class_index(request.uri().path())
-            .filter(|_| request.headers().contains_key("request-id"));
-        class.into_iter().for_each(|class| {
+            .filter(|_| request.headers().contains_key("request-id"))
+        {
             self.metrics
                 .begin_request(class)
-                .end(RequestOutcome::Rejected)
-        });
+                .end(RequestOutcome::Rejected);
+        }
         text_response(StatusCode::SERVICE_UNAVAILABLE, "no descriptor is free")
     }
 
-    pub(super) fn class_index(&self, path: &str) -> Option<usize> {
-        let name = path.split('/').nth(1).unwrap_or_default();
-        self.dispatcher
-            .borrow()
-            .names()
-            .classes
-            .iter()
-            .position(|class| class == name)
-    }
-
+    /// Handles a request, and returns once its response can begin.
     pub(super) async fn handle_request(
         &self,
         request: Request<Incoming>,
         client: &Rc<ClientConnection>,
     ) -> ClientResponse {
         if request.uri().path() == "/healthz" {
-            return match self.is_ready() {
-                true => text_response(StatusCode::OK, "ready"),
-                false => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-            };
+            return self.health_response();
         }
-        let taken = match self.read_request(request, client).await {
-            Ok(taken) => taken,
-            Err(RequestError(status, text)) => return text_response(status, &text),
+        let accepted = match self.read_request(request, client).await {
+            Ok(accepted) => accepted,
+            Err(error) => return error_response(&error),
         };
-        let upload = taken.forward.upload.clone();
+        let upload = accepted.forward.upload.clone();
         client.record_valid_request();
-        let request = self.metrics.begin_request(taken.class);
-        let (id, answer) = match self.dispatcher.borrow_mut().accept(taken) {
-            Ok(taken) => taken,
-            Err(RejectionReason::TooManyOpen) => {
-                request.end(RequestOutcome::Rejected);
-                return text_response(
-                    StatusCode::SERVICE_UNAVAILABLE,
-                    "too many requests are open",
-                );
-            }
-            Err(RejectionReason::DuplicateId) => {
-                request.end(RequestOutcome::Failed);
-                return text_response(StatusCode::CONFLICT, "Request-Id has been used before");
+        let in_flight = self.metrics.begin_request(accepted.class);
+        let dispatched = self.dispatcher.borrow_mut().accept(accepted);
+        let (id, final_response) = match dispatched {
+            Ok(dispatched) => dispatched,
+            Err(reason) => {
+                in_flight.end(match reason {
+                    RejectionReason::TooManyOpen => RequestOutcome::Rejected,
+                    RejectionReason::DuplicateId => RequestOutcome::Failed,
+                });
+                return error_response(&reason.into());
             }
         };
-        // Dropped with this future when the client goes away first.
         let _cancel_on_drop = CancelOnDrop {
             dispatcher: &self.dispatcher,
             id,
         };
         client.enter(Phase::AwaitingResponse);
-        // Nobody reads what comes behind a request that is whole before it has its answer.
+        // While a complete request awaits its response, nothing else reads the bytes behind it.
         client.socket.set_read_ahead(!upload.is_streamed());
-        let answer = answer.await;
+        let final_response = final_response.await;
         client.socket.set_read_ahead(false);
         if upload.is_streamed() {
-            client.begin_discarding_body();
-            // Its connection doesn't stay open for this.
-            let (upload, client) = (upload.clone(), Rc::downgrade(client));
-            spawn_local(async move {
-                upload.discard().await;
-                // Its next request may have begun by now.
-                if let Some(client) = client.upgrade() {
-                    client.end_discarding_body();
-                }
-            });
+            discard_rest_of_body(client, upload.clone());
         }
-        match answer {
+        match final_response {
             Ok(FinalResponse::Served(served)) => {
-                let body =
-                    match served.body {
-                        ResponseContent::Complete(body) => {
-                            request.end(RequestOutcome::Served);
-                            ResponseBody::whole(body)
-                        }
-                        // Guards against a long answer that the end of the process cuts off, though its request came
-                        // when that was near: it could not be finished for a slow client.
-                        ResponseContent::Streamed(_)
-                            if self.late_request_cutoff.get().is_some_and(
-                                |late_request_cutoff| upload.last_progress() > late_request_cutoff,
-                            ) =>
-                        {
-                            request.end(RequestOutcome::Failed);
-                            return text_response(
-                                StatusCode::BAD_GATEWAY,
-                                "too long an answer for a process that ends",
-                            );
-                        }
-                        ResponseContent::Streamed(download) => ResponseBody::streamed(
-                            download,
-                            request,
-                            Box::new(StreamingGuard::begin(client)),
-                        ),
-                    };
-                let mut response = Response::new(body);
-                *response.headers_mut() = end_to_end_headers(&served.headers);
-                response
+                self.served_response(&served.headers, served.body, in_flight, &upload, client)
             }
             Ok(FinalResponse::Rejected { retry_after }) => {
-                request.end(RequestOutcome::Rejected);
-                let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
-                let value =
-                    retry_after.and_then(|t| HeaderValue::from_str(&format!("{t:.3}")).ok());
-                value.map(|value| response.headers_mut().insert("retry-after", value));
-                response
+                in_flight.end(RequestOutcome::Rejected);
+                rejected_response(retry_after)
             }
             Ok(FinalResponse::Failed) => {
-                request.end(RequestOutcome::Failed);
+                in_flight.end(RequestOutcome::Failed);
                 text_response(StatusCode::BAD_GATEWAY, "failed")
             }
-            // None is owed, as the client has left; it counts under no ending.
+            // The client has disconnected: nobody reads the response, and no outcome is counted.
             Err(_) => {
-                let mut answer = text_response(StatusCode::BAD_GATEWAY, "its client has left");
-                answer
-                    .headers_mut()
-                    .insert(CONNECTION, HeaderValue::from_static("close"));
-                answer
+                let mut response = text_response(StatusCode::BAD_GATEWAY, "its client has left");
+                close_connection_after(&mut response);
+                response
             }
         }
     }
+
+    fn health_response(&self) -> ClientResponse {
+        if self.is_ready() {
+            text_response(StatusCode::OK, "ready")
+        } else {
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        }
+    }
+
+    /// The response to a request that an upstream has served.
+    fn served_response(
+        &self,
+        upstream_headers: &HeaderMap,
+        content: ResponseContent,
+        in_flight: InFlightRequest,
+        upload: &Upload,
+        client: &Rc<ClientConnection>,
+    ) -> ClientResponse {
+        let body = match content {
+            ResponseContent::Complete(body) => {
+                in_flight.end(RequestOutcome::Served);
+                ResponseBody::whole(body)
+            }
+            // The process may be killed before a slow client has taken all of it.
+            ResponseContent::Streamed(_) if self.arrived_late(upload) => {
+                in_flight.end(RequestOutcome::Failed);
+                return text_response(
+                    StatusCode::BAD_GATEWAY,
+                    "too long an answer for a process that ends",
+                );
+            }
+            ResponseContent::Streamed(download) => {
+                ResponseBody::streamed(download, in_flight, Box::new(StreamingGuard::begin(client)))
+            }
+        };
+        let mut response = Response::new(body);
+        *response.headers_mut() = end_to_end_headers(upstream_headers);
+        response
+    }
+}
+
+/// Reads the rest of a body whose request already has its response. The client may read no response
+/// before it has sent all of its request. The task doesn't keep the connection open.
+fn discard_rest_of_body(client: &Rc<ClientConnection>, upload: Rc<Upload>) {
+    client.begin_discarding_body();
+    let client = Rc::downgrade(client);
+    spawn_local(async move {
+        upload.discard().await;
+        if let Some(client) = client.upgrade() {
+            client.end_discarding_body();
+        }
+    });
 }
 
-/// Tells the driver when a request is over for its client; after an answer that says nothing.
+/// Tells the dispatcher when a request's handler is dropped, as its client has disconnected. After
+/// the final response this has no effect.
 struct CancelOnDrop<'a> {
     dispatcher: &'a RefCell<Dispatcher>,
     id: RequestId,
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -10,6 +10,7 @@
 pub mod listener;
 mod raw_head;
 mod request;
+mod request_error;
 mod response;
 mod serve;
 
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -1,14 +1,17 @@
-//! Reads and checks requests.
+//! Reads and validates requests: the head first, then as much of the body as is read ahead.
 
 use crate::body::{BodyError, Upload};
 use crate::dispatch::AcceptedRequest;
 use crate::server::connection::{ClientConnection, Phase};
 use crate::server::raw_head::RawHead;
+use crate::server::request_error::RequestError;
 use crate::server::{Server, FIRST_REQUEST_TIMEOUT};
+use crate::socket::Socket;
 use crate::upstream::{end_to_end_headers, ForwardedRequest};
 use hyper::body::Incoming;
-use hyper::header::{HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
-use hyper::{Method, Request, StatusCode};
+use hyper::header::{HeaderMap, HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
+use hyper::http::request::Parts;
+use hyper::{Method, Request};
 use load_balancer::Idempotency;
 use std::rc::Rc;
 use std::str::FromStr;
@@ -17,8 +20,44 @@
 
 const MAX_REQUEST_ID_BYTES: usize = 128;
 
+/// What the head of a valid request says.
+struct ValidatedHead {
+    request_id: String,
+    /// Indices into the settings' lists. A tenant that they don't name has the index behind the last.
+    class: usize,
+    tenant: usize,
+    /// How long the client waits for its response.
+    timeout: Duration,
+    /// The work that the client expects the request to cost, in seconds.
+    cost_hint: Option<f64>,
+    framing: BodyFraming,
+}
+
+/// Where a request's body lies among the bytes of its connection.
+struct BodyFraming {
+    /// In bytes from the connection's beginning; `None` if the head is no longer among the recent
+    /// bytes.
+    start_offset: Option<usize>,
+    chunked: bool,
+}
+
 impl Server {
-    /// Reads a request whole and checks it.
+    /// The index of the class that a request's path names.
+    pub(super) fn class_index(&self, path: &str) -> Option<usize> {
+        let name = path.split('/').nth(1).unwrap_or_default();
+        self.dispatcher
+            .borrow()
+            .names()
+            .classes
+            .iter()
+            .position(|class| class == name)
+    }
+
+    /// Reads and validates a request.
+    ///
+    /// # Errors
+    ///
+    /// Why the request is invalid, or its body did not arrive.
     pub(super) async fn read_request(
         &self,
         request: Request<Incoming>,
@@ -26,137 +65,198 @@
     ) -> Result<AcceptedRequest, RequestError> {
         let received_at = Instant::now();
         let (head, body) = request.into_parts();
-        let bad = |what: &str| RequestError(StatusCode::BAD_REQUEST, what.to_string());
-        // A header that may stand there once.
-        let header = |name: &'static str| {
-            let mut values = head.headers.get_all(name).into_iter();
-            match (values.next().map(HeaderValue::to_str), values.next()) {
-                (None, None) => Ok(None),
-                (Some(Ok(text)), None) => Ok(Some(text.trim())),
-                (Some(Err(_)), None) => Err(bad(&format!("{name} can't be read"))),
-                (_, Some(_)) => Err(bad(&format!("{name} stands there twice"))),
-            }
-        };
-        let number = |name: &'static str| match header(name)?.map(f64::from_str) {
-            None => Ok(None),
-            Some(Ok(value)) if value.is_finite() && value >= 0.0 => Ok(Some(value)),
-            Some(_) => Err(bad(&format!("{name} is not a number"))),
-        };
-        let (class, tenant, limit) = {
-            let dispatcher = self.dispatcher.borrow();
-            let class = self
-                .class_index(head.uri.path())
-                .ok_or_else(|| bad("the path names no known class"))?;
-            let tenants = &dispatcher.names().tenants;
-            let tenant = header("tenant")?;
-            // One that the settings don't name has no quota, and so no number among them.
-            let tenant = tenants
-                .iter()
-                .position(|t| Some(t.as_str()) == tenant)
-                .unwrap_or(tenants.len());
-            let settings = &dispatcher.classes()[class];
-            let method = if settings.idempotency == Idempotency::Idempotent {
-                Method::GET
-            } else {
-                Method::POST
-            };
-            if head.method != method {
-                return Err(RequestError(
-                    StatusCode::METHOD_NOT_ALLOWED,
-                    format!("this class is asked for with {method}"),
-                ));
-            }
-            // Guards against a repeat that no upstream could know for one.
-            match (&settings.idempotency, header("idempotency-key")?) {
-                (Idempotency::IdempotencyKey { .. }, None | Some("")) => {
-                    return Err(bad("Idempotency-Key is missing"))
-                }
-                (Idempotency::Idempotent | Idempotency::NonIdempotent, Some(_)) => {
-                    return Err(bad("this class has no Idempotency-Key"))
-                }
-                _ => {}
-            }
-            (class, tenant, settings.deadline)
-        };
-        let name = match header("request-id")? {
-            None | Some("") => return Err(bad("Request-Id is missing")),
-            Some(id)
-                if id.len() > MAX_REQUEST_ID_BYTES
-                    || !id.bytes().all(|byte| byte.is_ascii_graphic()) =>
-            {
-                return Err(bad("Request-Id is malformed"));
-            }
-            Some(id) => id.to_string(),
-        };
-        let raw = RawHead::find(&client.socket.recent_bytes(), &name);
-        // Guards against a request that hides another: beside a coding, a length may say otherwise, and not
-        // everyone on the way believes the same of the two.
-        let chunked = head.headers.contains_key(TRANSFER_ENCODING);
-        if chunked && raw.as_ref().is_none_or(|raw| raw.has_content_length) {
-            return Err(bad("the end of the body is unclear"));
-        }
-        let body_begins = raw.map(|raw| client.socket.read() - raw.trailing_bytes);
-        let wait = number("request-timeout")?.unwrap_or(limit).min(limit);
-        let wait = Duration::try_from_secs_f64(wait).unwrap_or_default();
-        let cost_hint = number("work-hint")?.map(|micros| micros / 1e6);
+        let validated = self.validate_head(&head, &client.socket)?;
+        let upload = self.receive_body(body, client, received_at).await?;
+        client.set_request_end(validated.framing.end_offset(&upload));
+        let forward = self.forwarded_request(head, upload, validated.timeout, client)?;
+        Ok(AcceptedRequest {
+            name: validated.request_id,
+            class: validated.class,
+            tenant: validated.tenant,
+            cost_hint: validated.cost_hint,
+            forward,
+        })
+    }
+
+    fn validate_head(&self, head: &Parts, socket: &Socket) -> Result<ValidatedHead, RequestError> {
+        let class = self
+            .class_index(head.uri.path())
+            .ok_or(RequestError::UnknownClass)?;
+        let dispatcher = self.dispatcher.borrow();
+        let tenant = tenant_index(&head.headers, &dispatcher.names().tenants)?;
+        let settings = &dispatcher.classes()[class];
+        check_method(&head.method, &settings.idempotency)?;
+        check_idempotency_key(&head.headers, &settings.idempotency)?;
+        let request_id = request_id(&head.headers)?.to_string();
+        let framing = BodyFraming::find(&head.headers, socket, &request_id)?;
+        let timeout = timeout(&head.headers, settings.deadline)?;
+        let cost_hint = number(&head.headers, "work-hint")?.map(|micros| micros / 1e6);
+        Ok(ValidatedHead {
+            request_id,
+            class,
+            tenant,
+            timeout,
+            cost_hint,
+            framing,
+        })
+    }
+
+    async fn receive_body(
+        &self,
+        body: Incoming,
+        client: &ClientConnection,
+        received_at: Instant,
+    ) -> Result<Upload, BodyError> {
         let request_started_at = client.socket.request_started_at().unwrap_or(received_at);
-        let first = client
+        let deadline = client
             .first_request_deadline()
             .unwrap_or(request_started_at + FIRST_REQUEST_TIMEOUT);
-        // Its body is timed by itself.
         client.enter(Phase::ReceivingBody);
-        let read = Upload::read(body, &self.memory, first, &self.drain_deadline);
-        let upload = read.await.map_err(|broken| {
-            let status = match broken {
-                BodyError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-                BodyError::Stalled => StatusCode::REQUEST_TIMEOUT,
-                BodyError::Truncated => StatusCode::BAD_REQUEST,
-            };
-            RequestError(status, broken.to_string())
-        })?;
-        // Guards against a client that sends several requests at once and waits for the later ones from then on.
+        let upload = Upload::read(body, &self.memory, deadline, &self.drain_deadline).await?;
+        // A client that pipelines requests waits for each from the time at which it sent it, not from
+        // the time at which it was read.
         upload.set_last_progress(client.socket.last_read());
-        let length = upload.length().filter(|_| !chunked);
-        client.set_request_end(
-            body_begins
-                .zip(length)
-                .map(|(begin, length)| begin + length as usize),
-        );
+        Ok(upload)
+    }
+
+    fn forwarded_request(
+        &self,
+        head: Parts,
+        upload: Upload,
+        timeout: Duration,
+        client: &ClientConnection,
+    ) -> Result<ForwardedRequest, RequestError> {
         if head.method == Method::GET && upload.length() != Some(0) {
-            return Err(bad("GET has no body"));
+            return Err(RequestError::UnexpectedBody);
         }
-        let mut headers = end_to_end_headers(&head.headers);
-        match upload.length() {
-            Some(0) if !head.headers.contains_key(CONTENT_LENGTH) => {}
-            Some(length) => drop(headers.insert(CONTENT_LENGTH, HeaderValue::from(length))),
-            None => {}
-        }
-        let uri = match head.uri.path_and_query() {
-            Some(path) => path.clone().into(),
-            None => return Err(bad("the path is missing")),
-        };
-        // Guards against a request that is still open when the process is killed, and so is lost.
-        let settled = self.drain_deadline.clone();
-        let upload = Rc::new(upload);
-        let client = client.socket.peer();
-        let forward = ForwardedRequest {
+        let headers = forwarded_headers(&head.headers, upload.length());
+        let path = head.uri.path_and_query().ok_or(RequestError::MissingPath)?;
+        Ok(ForwardedRequest {
             method: head.method,
-            uri,
+            uri: path.clone().into(),
             headers,
-            upload,
-            client,
-            wait,
-            settled,
-        };
-        Ok(AcceptedRequest {
-            name,
-            class,
-            tenant,
-            cost_hint,
-            forward,
+            upload: Rc::new(upload),
+            client: client.socket.peer(),
+            wait: timeout,
+            settled: self.drain_deadline.clone(),
         })
     }
 }
 
-/// Why a request was not taken.
-pub(super) struct RequestError(pub(super) StatusCode, pub(super) String);
+impl BodyFraming {
+    /// # Errors
+    ///
+    /// The request has both a transfer coding and a length, or it can't be told. Recipients disagree
+    /// on which of the two holds, so that one request could hide another.
+    fn find(headers: &HeaderMap, socket: &Socket, request_id: &str) -> Result<Self, RequestError> {
+        let raw_head = RawHead::find(&socket.recent_bytes(), request_id);
+        let chunked = headers.contains_key(TRANSFER_ENCODING);
+        if chunked && raw_head.as_ref().is_none_or(|raw| raw.has_content_length) {
+            return Err(RequestError::AmbiguousBodyLength);
+        }
+        Ok(BodyFraming {
+            start_offset: raw_head.map(|raw| socket.read() - raw.trailing_bytes),
+            chunked,
+        })
+    }
+
+    /// Where the body ends, in bytes from the connection's beginning, if that is known. That of a
+    /// chunked body is not, as its chunks have heads of their own.
+    fn end_offset(&self, upload: &Upload) -> Option<usize> {
+        let length = upload.length().filter(|_| !self.chunked);
+        self.start_offset
+            .zip(length)
+            .map(|(start, length)| start + length as usize)
+    }
+}
+
+/// The value of a header that may occur once.
+fn single<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, RequestError> {
+    let mut values = headers.get_all(name).into_iter();
+    match (values.next().map(HeaderValue::to_str), values.next()) {
+        (None, None) => Ok(None),
+        (Some(Ok(text)), None) => Ok(Some(text.trim())),
+        (Some(Err(_)), None) => Err(RequestError::UnreadableHeader(name)),
+        (_, Some(_)) => Err(RequestError::RepeatedHeader(name)),
+    }
+}
+
+/// The value of a header that holds a finite number, not below zero.
+fn number(headers: &HeaderMap, name: &'static str) -> Result<Option<f64>, RequestError> {
+    match single(headers, name)?.map(f64::from_str) {
+        None => Ok(None),
+        Some(Ok(value)) if value.is_finite() && value >= 0.0 => Ok(Some(value)),
+        Some(_) => Err(RequestError::NotANumber(name)),
+    }
+}
+
+/// The index of the request's tenant. One that the settings don't name has no quota, and the index
+/// behind the last.
+fn tenant_index(headers: &HeaderMap, tenants: &[String]) -> Result<usize, RequestError> {
+    let name = single(headers, "tenant")?;
+    Ok(tenants
+        .iter()
+        .position(|tenant| Some(tenant.as_str()) == name)
+        .unwrap_or(tenants.len()))
+}
+
+fn check_method(method: &Method, idempotency: &Idempotency) -> Result<(), RequestError> {
+    let expected = if *idempotency == Idempotency::Idempotent {
+        Method::GET
+    } else {
+        Method::POST
+    };
+    if *method == expected {
+        Ok(())
+    } else {
+        Err(RequestError::MethodNotAllowed { expected })
+    }
+}
+
+/// Without its key an upstream could not recognize a retry.
+fn check_idempotency_key(
+    headers: &HeaderMap,
+    idempotency: &Idempotency,
+) -> Result<(), RequestError> {
+    match (idempotency, single(headers, "idempotency-key")?) {
+        (Idempotency::IdempotencyKey { .. }, None | Some("")) => {
+            Err(RequestError::MissingIdempotencyKey)
+        }
+        (Idempotency::Idempotent | Idempotency::NonIdempotent, Some(_)) => {
+            Err(RequestError::UnexpectedIdempotencyKey)
+        }
+        _ => Ok(()),
+    }
+}
+
+fn request_id(headers: &HeaderMap) -> Result<&str, RequestError> {
+    let is_well_formed = |id: &str| {
+        id.len() <= MAX_REQUEST_ID_BYTES && id.bytes().all(|byte| byte.is_ascii_graphic())
+    };
+    match single(headers, "request-id")? {
+        None | Some("") => Err(RequestError::MissingRequestId),
+        Some(id) if is_well_formed(id) => Ok(id),
+        Some(_) => Err(RequestError::MalformedRequestId),
+    }
+}
+
+/// How long the client waits: as long as it says, and no longer than its class's deadline, in seconds.
+fn timeout(headers: &HeaderMap, class_deadline: f64) -> Result<Duration, RequestError> {
+    let seconds = number(headers, "request-timeout")?
+        .unwrap_or(class_deadline)
+        .min(class_deadline);
+    // Fails only for a class deadline beyond the range of `Duration`.
+    Ok(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::ZERO))
+}
+
+/// The headers that go to the upstream, with the length of the body if that is known. A request
+/// without a body gets none unless it came with one.
+fn forwarded_headers(received: &HeaderMap, body_length: Option<u64>) -> HeaderMap {
+    let mut headers = end_to_end_headers(received);
+    if let Some(length) = body_length {
+        if length > 0 || received.contains_key(CONTENT_LENGTH) {
+            headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
+        }
+    }
+    headers
+}
--- a/src/bin/load-balancer/server/response.rs
+++ b/src/bin/load-balancer/server/response.rs
@@ -1,15 +1,17 @@
-//! Answers to clients.
+//! Responses to clients, and the guard of one that is being streamed.
 
 use crate::body::ResponseBody;
 use crate::server::connection::{ClientConnection, Phase};
+use crate::server::request_error::RequestError;
 use bytes::Bytes;
-use hyper::header::{HeaderValue, CONNECTION};
+use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use std::rc::Rc;
 
+/// A response to a client.
 pub(super) type ClientResponse = Response<ResponseBody>;
 
-/// An answer that goes to its client in parts.
+/// Keeps a connection in the streaming phase while a response is streamed to its client.
 pub(super) struct StreamingGuard(Rc<ClientConnection>);
 
 impl StreamingGuard {
@@ -25,12 +27,29 @@
     }
 }
 
+/// A response with a text as its body.
 pub(super) fn text_response(status: StatusCode, text: &str) -> ClientResponse {
     let mut response = Response::new(ResponseBody::whole(Bytes::copy_from_slice(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
+/// The response to a request that is not served.
+pub(super) fn error_response(error: &RequestError) -> ClientResponse {
+    text_response(error.status(), &error.to_string())
+}
+
+/// The response to a request that the balancer has rejected; `retry_after` in seconds.
+pub(super) fn rejected_response(retry_after: Option<f64>) -> ClientResponse {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
+    if let Some(seconds) = retry_after {
+        if let Ok(value) = HeaderValue::from_str(&format!("{seconds:.3}")) {
+            response.headers_mut().insert(RETRY_AFTER, value);
+        }
+    }
+    response
+}
+
 /// Has the connection closed after this response.
 pub(super) fn close_connection_after(response: &mut ClientResponse) {
     response
