--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -116,7 +116,7 @@
                 ResponseBody::whole(body)
             }
             // The process may be killed before a slow client has taken all of it.
-            ResponseContent::Streamed(_) if self.arrived_late(upload) => {
+            ResponseContent::Streamed(_) if self.drain_state.is_late(upload) => {
                 in_flight.end(RequestOutcome::Failed);
                 return text_response(
                     StatusCode::BAD_GATEWAY,
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -1,4 +1,9 @@
-//! Callers: takes their connections and requests, and gives them their answers.
+//! The client side of the proxy: accepts connections, reads and validates requests, has them
+//! dispatched and sends the responses.
+//!
+//! [`accept`] admits connections within the descriptor budget ([`capacity`], [`eviction`]); each is
+//! served by a task of its own ([`serve`]) that handles one request after another ([`request`],
+//! [`handler`], [`response`]). [`drain`] ends all of that.
 
 mod accept;
 mod capacity;
@@ -18,78 +23,67 @@
 use crate::dispatch::Dispatcher;
 use crate::metrics::Metrics;
 use crate::server::connection_table::ConnectionTable;
+use crate::server::drain::DrainState;
 use crate::socket::DescriptorBudget;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A client has this long from its connection to the end of its first request, or of the head of a longer one, and from
-/// the first byte of a further request to the end of that.
+/// The time for a request to arrive: for the first one since the connection was opened, for a further
+/// one since its first byte. Of a body that takes longer only the beginning counts.
 pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Then it has this much more to be told that it took too long.
+/// The time after [`FIRST_REQUEST_TIMEOUT`] in which the client can be sent an error response before
+/// its connection is closed.
 pub const TIMEOUT_RESPONSE_GRACE: Duration = Duration::from_millis(200);
-/// A connection whose next request takes longer to come, or whose client takes its answer no faster, is closed.
+/// A connection is closed if its next request doesn't begin within this time, or if its client takes
+/// longer than this for the end of the last response.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Whether a client that has left has a request that waits is looked up this often.
+/// How often a connection is checked for a client that has disconnected.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The listener and the connections that came from it.
+/// Serves clients. Owns their connections and the state of the drain.
 pub struct Server {
     dispatcher: Rc<RefCell<Dispatcher>>,
     budget: Rc<DescriptorBudget>,
+    metrics: Rc<Metrics>,
+    memory: Rc<MemoryBudget>,
     connections: ConnectionTable,
-    /// Clients' connections are taken.
+    drain_state: DrainState,
     listening: Cell<bool>,
-    /// The process is to end: by then all that comes from now on has its answer.
-    drain_deadline: Rc<Cell<Option<Instant>>>,
-    /// What comes after this may still be open when the process is killed, and then it is lost.
-    late_request_cutoff: Cell<Option<Instant>>,
-    /// Clients are sent away; a number for each time that this began, none while they are welcome.
-    client_drain: Cell<Option<u64>>,
-    last_client_drain: Cell<u64>,
-    /// Until then requests are answered that came behind others, though their connection is to end.
-    pipelined_served_until: Cell<Option<Instant>>,
-    /// When the log last told of a failed accept.
+    /// When a failed accept was last logged.
     accept_error_logged_at: Cell<Option<Instant>>,
-    metrics: Rc<Metrics>,
-    memory: Rc<MemoryBudget>,
 }
 
 impl Server {
+    /// A server that doesn't listen yet, with the dispatcher's metrics and memory budget.
     pub fn new(dispatcher: Rc<RefCell<Dispatcher>>, budget: Rc<DescriptorBudget>) -> Rc<Self> {
-        let (metrics, memory) = (
-            dispatcher.borrow().metrics().clone(),
-            dispatcher.borrow().memory(),
-        );
+        let metrics = dispatcher.borrow().metrics().clone();
+        let memory = dispatcher.borrow().memory();
         Rc::new(Server {
             dispatcher,
             budget,
-            client_drain: Cell::new(None),
-            last_client_drain: Cell::new(0),
-            pipelined_served_until: Cell::new(None),
-            accept_error_logged_at: Cell::new(None),
             metrics,
             memory,
             connections: ConnectionTable::default(),
+            drain_state: DrainState::default(),
             listening: Cell::new(false),
-            drain_deadline: Rc::default(),
-            late_request_cutoff: Cell::new(None),
+            accept_error_logged_at: Cell::new(None),
         })
     }
 
-    /// True while clients are to come here.
+    /// True while new clients can be served: the server listens, has an endpoint list and is not
+    /// draining.
     pub fn is_ready(&self) -> bool {
-        let listening = self.listening.get() && self.drain_deadline.get().is_none();
-        listening && self.dispatcher.borrow().is_ready() && self.client_drain.get().is_none()
+        self.listening.get() && !self.drain_state.is_active() && self.dispatcher.borrow().is_ready()
     }
 
-    /// Clients' connections are taken from now on.
+    /// The listener is open, so that the server can become ready.
     pub fn open(&self) {
         self.listening.set(true);
     }
 
-    /// Connections that are open.
+    /// The number of open client connections.
     pub fn connections(&self) -> usize {
         self.connections.len()
     }
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -112,7 +112,13 @@
             .first_request_deadline()
             .unwrap_or(request_started_at + FIRST_REQUEST_TIMEOUT);
         client.enter(Phase::ReceivingBody);
-        let upload = Upload::read(body, &self.memory, deadline, &self.drain_deadline).await?;
+        let upload = Upload::read(
+            body,
+            &self.memory,
+            deadline,
+            self.drain_state.shutdown_deadline(),
+        )
+        .await?;
         // A client that pipelines requests waits for each from the time at which it sent it, not from
         // the time at which it was read.
         upload.set_last_progress(client.socket.last_read());
@@ -138,7 +144,7 @@
             upload: Rc::new(upload),
             client: client.socket.peer(),
             wait: timeout,
-            settled: self.drain_deadline.clone(),
+            settled: self.drain_state.shutdown_deadline().clone(),
         })
     }
 }
--- a/src/bin/load-balancer/server/serve.rs
+++ b/src/bin/load-balancer/server/serve.rs
@@ -36,7 +36,7 @@
         client: Rc<ClientConnection>,
         admission: Admission,
     ) {
-        if admission == Admission::OverCapacity || self.is_draining() {
+        if admission == Admission::OverCapacity || self.drain_state.is_active() {
             client.set_closing();
         }
         let service = service_fn(|request| self.serve_request(request, &client, admission));
@@ -67,7 +67,7 @@
         // After an invalid request the remaining bytes may be no request, so the connection is closed.
         let rejected = over_capacity || response.status().is_client_error();
         client.set_rejected_incomplete(rejected && incomplete);
-        if rejected || self.closes_after_response(client) {
+        if rejected || self.drain_state.closes_after_response(client) {
             close_connection_after(&mut response);
         }
         if client.phase() != Phase::StreamingResponse {
