--- a/src/bin/load-balancer/admin/mod.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -4,7 +4,7 @@
 use crate::handover::Handover;
 use crate::log;
 use crate::server::listener::{Listener, PendingConnection};
-use crate::server::Server;
+use crate::server::{ClientDrain, Server};
 use crate::socket::{DescriptorBudget, Purpose, Socket};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -180,7 +180,11 @@
                     "console: clients are {}",
                     if away { "sent away" } else { "welcome again" }
                 ));
-                self.server.drain_clients(away);
+                self.server.drain_clients(if away {
+                    ClientDrain::Start
+                } else {
+                    ClientDrain::Stop
+                });
                 text(StatusCode::OK, "done")
             }
             Call::Maintain(id, out) => {
--- a/src/bin/load-balancer/server/drain.rs
+++ b/src/bin/load-balancer/server/drain.rs
@@ -18,6 +18,15 @@
 /// process is killed.
 const LATE_REQUEST_DELAY: Duration = Duration::from_millis(500);
 
+/// What an operator wants to be done with the clients.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClientDrain {
+    /// Close their connections, so that they go to other balancers.
+    Start,
+    /// Serve them again.
+    Stop,
+}
+
 /// Whether the process shuts down, and whether clients are drained.
 #[derive(Default)]
 pub(super) struct DrainState {
@@ -103,11 +112,10 @@
 
     /// Starts or stops draining clients. Responses close their connections at once; idle connections
     /// are closed only after [`DRAIN_NOTICE_PERIOD`], so that no request crosses the close.
-    pub fn drain_clients(self: &Rc<Self>, active: bool) {
-        if active {
-            self.start_client_drain();
-        } else {
-            self.drain_state.client_drain.set(None);
+    pub fn drain_clients(self: &Rc<Self>, client_drain: ClientDrain) {
+        match client_drain {
+            ClientDrain::Start => self.start_client_drain(),
+            ClientDrain::Stop => self.drain_state.client_drain.set(None),
         }
     }
 
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -19,6 +19,8 @@
 mod response;
 mod serve;
 
+pub use drain::ClientDrain;
+
 use crate::body::MemoryBudget;
 use crate::dispatch::Dispatcher;
 use crate::metrics::Metrics;
