--- a/src/bin/load-balancer/main.rs
+++ b/src/bin/load-balancer/main.rs
@@ -18,7 +18,7 @@
 use dispatch::Dispatcher;
 
 use handover::Handover;
-use server::listener::Listener;
+use server::listener::{Listener, PortSharing};
 use server::Server;
 use signals::{Signal, SIGHUP, SIGINT, SIGTERM};
 use socket::system_errors::retry_transient_errors;
@@ -85,7 +85,7 @@
     let budget = DescriptorBudget::new(sockets, config.admin.is_some());
     let admin = match config.admin {
         Some(address) => Some(
-            Listener::bind(address, false)
+            Listener::bind(address, PortSharing::Exclusive)
                 .map_err(|error| format!("listen on {address} for operators: {error}"))?,
         ),
         None => None,
@@ -141,8 +141,8 @@
         () = terminate.received() => return Ok(()),
         () = interrupt.received() => return Ok(()),
     }
-    let listener =
-        Listener::bind(address, true).map_err(|error| format!("listen on {address}: {error}"))?;
+    let listener = Listener::bind(address, PortSharing::Shared)
+        .map_err(|error| format!("listen on {address}: {error}"))?;
     let address = retry_transient_errors(|| listener.local_addr())?;
     server.open();
     handover.settle(address);
--- a/src/bin/load-balancer/server/listener.rs
+++ b/src/bin/load-balancer/server/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket whose connections outlast a passing failure of the calls that make them ready for use.
+//! A listening socket that keeps connections when the calls that prepare them fail for a moment.
 
 use crate::socket::system_errors::{is_transient, retry_transient_errors};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
@@ -10,39 +10,53 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// Connections that the kernel takes for us while the loop is busy.
+/// The number of connections that the kernel queues while the process is busy.
 const LISTEN_BACKLOG: i32 = 4096;
-/// A connection that can't be watched for events is tried again at once, then this much later,
+/// The delay before registering a connection with the event loop is retried. The first retry follows
+/// at once.
 const REGISTER_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// and so often: the others behind it wait for no longer than 0.4 s.
+/// Registering is retried this often, so that the connections behind it wait for 0.4 s at most.
 const MAX_REGISTER_RETRIES: usize = 40;
 
-/// A listening socket. The runtime's own type for it would register each connection within accept, and close those for
-/// which that fails; this one only has its readiness watched, in the type that allows that.
+/// Whether other processes may listen on the same port.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PortSharing {
+    /// None may.
+    Exclusive,
+    /// Those that share it as well may, so that a new process can replace an old one.
+    Shared,
+}
+
+/// A listening socket.
+///
+/// Tokio's listener registers each connection with the event loop within accept, and closes those
+/// for which that fails. This one watches only the listening socket, for which tokio's stream type
+/// has to serve, and hands out connections that are not registered.
 pub struct Listener(TcpStream);
 
 impl Listener {
-    /// Listens; an address that a killed predecessor held can be taken at once, and one that is `shared` beside a process
-    /// that shares it as well. A passing failure of each call is waited out by itself. Guards against two that fail in
-    /// turn.
+    /// Listens on an address, also on one that a process held which was killed before. A transient
+    /// failure of one call is retried by itself, without repeating the calls before it.
     ///
     /// # Errors
     ///
-    /// Those of the system: the address is taken or not of this machine, or the failure lasts.
-    pub fn bind(address: SocketAddr, shared: bool) -> io::Result<Self> {
+    /// Those of the system: the address is in use or not one of this machine, or a failure lasts.
+    pub fn bind(address: SocketAddr, sharing: PortSharing) -> io::Result<Self> {
         let domain = Domain::for_address(address);
+        let share = sharing == PortSharing::Shared;
         let socket =
             retry_transient_errors(|| Socket::new(domain, Type::STREAM, Some(Protocol::TCP)))?;
         retry_transient_errors(|| socket.set_nonblocking(true))?;
         retry_transient_errors(|| socket.set_reuse_address(true))?;
-        retry_transient_errors(|| socket.set_reuse_port(shared))?;
+        retry_transient_errors(|| socket.set_reuse_port(share))?;
         retry_transient_errors(|| socket.bind(&address.into()))?;
         retry_transient_errors(|| socket.listen(LISTEN_BACKLOG))?;
-        let watched = retry_transient_errors(|| TcpStream::from_std(socket.try_clone()?.into()))?;
-        Ok(Listener(watched))
+        let registered =
+            retry_transient_errors(|| TcpStream::from_std(socket.try_clone()?.into()))?;
+        Ok(Listener(registered))
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     ///
     /// # Errors
     ///
@@ -51,7 +65,7 @@
         self.0.local_addr()
     }
 
-    /// The next connection, once there is one; dropped before that, it has taken none.
+    /// Waits for the next connection. Cancel safe: no connection is lost if it is dropped.
     ///
     /// # Errors
     ///
@@ -66,44 +80,48 @@
         }
     }
 
-    /// The next connection if the kernel holds one now, asked of the kernel: the event loop may know less.
+    /// The next connection in the kernel's queue. Asks the kernel, as the event loop may not know of
+    /// it yet.
     ///
     /// # Errors
     ///
-    /// As above; `WouldBlock` if there is none.
+    /// Those of accept(2); `WouldBlock` if the queue is empty.
     pub fn accept_now(&self) -> io::Result<PendingConnection> {
         let (stream, _) = SockRef::from(&self.0).accept()?;
         Ok(PendingConnection(stream.into()))
     }
 }
 
-/// A connection that has been taken, and can't be waited on yet.
+/// A connection that has been accepted, and is not registered with the event loop yet.
 pub struct PendingConnection(net::TcpStream);
 
 impl PendingConnection {
-    /// Has the runtime watch it. Guards against a connection that is closed, as the runtime does, because the call for
-    /// that fails for a moment: a second descriptor keeps it, if there is room for one.
+    /// Registers the connection with the event loop. Tokio closes the socket if that fails, so a
+    /// second descriptor, if there is one to be had, keeps the connection open for a retry.
     ///
     /// # Errors
     ///
-    /// Those of epoll_ctl(2), if it goes on failing.
+    /// Those of epoll_ctl(2) that last.
     pub async fn register(self) -> io::Result<TcpStream> {
         let mut stream = self.0;
         stream.set_nonblocking(true)?;
-        let mut tries = 0;
+        let mut retries = 0;
         loop {
-            let spare = stream.try_clone();
-            match (TcpStream::from_std(stream), spare) {
-                (Err(error), Ok(spare)) if is_transient(&error) && tries < MAX_REGISTER_RETRIES => {
-                    stream = spare
+            let duplicate = stream.try_clone();
+            match (TcpStream::from_std(stream), duplicate) {
+                (Err(error), Ok(duplicate))
+                    if is_transient(&error) && retries < MAX_REGISTER_RETRIES =>
+                {
+                    stream = duplicate;
                 }
                 (result, _) => return result,
             }
-            match tries {
-                0 => yield_now().await,
-                _ => sleep(REGISTER_RETRY_INTERVAL).await,
+            if retries == 0 {
+                yield_now().await;
+            } else {
+                sleep(REGISTER_RETRY_INTERVAL).await;
             }
-            tries += 1;
+            retries += 1;
         }
     }
 }
