--- a/src/bin/load-balancer/server/accept.rs
+++ b/src/bin/load-balancer/server/accept.rs
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Accepts all connections in the listener's queue, and closes the listener. The kernel resets
-    /// connections that are still in the queue then.
+    /// Accepts all connections in the listener's queue, and closes the listener. The kernel
+    /// resets connections that are still in the queue then.
     ///
     /// # Errors
     ///
@@ -94,7 +94,8 @@
     }
 
     /// Waits before the next accept if the error requires that. In a short shortage clients keep
-    /// their connections; if this process is at its descriptor limit for long, an idle one is evicted.
+    /// their connections; if this process is at its descriptor limit for long, an idle one is
+    /// evicted.
     async fn back_off(&self, shortage: &mut ResourceShortage, error: &io::Error) {
         if is_connection_error(error) {
             // Only this connection has failed; the next one may be sound.
--- a/src/bin/load-balancer/server/connection.rs
+++ b/src/bin/load-balancer/server/connection/mod.rs
@@ -1,34 +1,24 @@
 //! The state of one client connection: its phase, what it has carried, and the signals by which
 //! other tasks ask it to close.
 
-use crate::body::CLIENT_STALL;
-use crate::server::{
-    DISCONNECT_POLL_INTERVAL, FIRST_REQUEST_TIMEOUT, IDLE_TIMEOUT, TIMEOUT_RESPONSE_GRACE,
-};
+mod signals;
+mod stall;
+
+use crate::server::connection::signals::{CloseSignal, EvictionSignal};
+use crate::server::FIRST_REQUEST_TIMEOUT;
 use crate::socket::Socket;
 use std::cell::Cell;
 use std::rc::Rc;
-use std::time::Duration;
-use tokio::sync::Notify;
-use tokio::time::{sleep, sleep_until, Instant};
-
-/// A connection is closed if its client takes no byte of a response for this time. The kernel buffers
-/// megabytes for the client and asks for more only when a good part of them is gone: at 64 kB/s that
-/// takes half a minute.
-const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(60);
-/// Replaces [`IDLE_TIMEOUT`] on a connection that is to close after its current request.
-const CLOSING_IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The stall deadline depends on state that changes meanwhile, so it is computed again this often.
-const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(1500);
+use tokio::time::Instant;
 
 /// What a connection is doing now.
 ///
-/// A connection starts in `AwaitingRequest`, and returns there after each response; a connection over
-/// capacity passes through `AwaitingCapacity` on its way. `Lingering` is the last phase.
+/// A connection starts in `AwaitingRequest`, and returns there after each response; a connection
+/// over capacity passes through `AwaitingCapacity` on its way. `Lingering` is the last phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// No request is in progress, or only its head has arrived. `Socket::request_started_at` tells the
-    /// two apart.
+    /// No request is in progress, or only its head has arrived. `Socket::request_started_at`
+    /// tells the two apart.
     AwaitingRequest {
         /// When the last response ended or the last head arrived; before the first request has
         /// ended, when the connection was opened.
@@ -45,8 +35,8 @@
     StreamingResponse,
     /// Serving has ended; the connection stays open until the client has taken the last response.
     Lingering {
-        /// The time at which the connection became idle; `None` if serving ended in the middle of a
-        /// request, in which case the connection is not evicted.
+        /// The time at which the connection became idle; `None` if serving ended in the middle of
+        /// a request, in which case the connection is not evicted.
         idle_since: Option<Instant>,
     },
 }
@@ -77,6 +67,7 @@
 }
 
 /// The framing of the request that is being served, or was served last.
+#[derive(Default)]
 struct CurrentRequest {
     /// Where it ends, in bytes from the connection's beginning; `None` if that is unknown.
     end_offset: Cell<Option<usize>>,
@@ -86,20 +77,6 @@
     rejected_incomplete: Cell<bool>,
 }
 
-/// Asks a connection's task to close the connection once it carries no request.
-struct CloseSignal {
-    requested: Cell<bool>,
-    notify: Notify,
-}
-
-/// Asks a connection's task to close the connection now, and carries its reply.
-struct EvictionSignal {
-    pending: Cell<bool>,
-    notify: Notify,
-    /// Notified when the connection has been closed, or has refused because a request arrived.
-    decided: Rc<Notify>,
-}
-
 /// The state of one client connection, shared by its task, the connection table and the guards of
 /// its responses.
 pub(super) struct ClientConnection {
@@ -108,8 +85,8 @@
     phase: Cell<Phase>,
     history: Cell<RequestHistory>,
     request: CurrentRequest,
-    close: CloseSignal,
-    eviction: EvictionSignal,
+    pub(super) close: CloseSignal,
+    pub(super) eviction: EvictionSignal,
 }
 
 impl ClientConnection {
@@ -120,20 +97,9 @@
             opened,
             phase: Cell::new(Phase::AwaitingRequest { since: opened }),
             history: Cell::new(RequestHistory::Empty),
-            request: CurrentRequest {
-                end_offset: Cell::new(None),
-                discarding_body: Cell::new(false),
-                rejected_incomplete: Cell::new(false),
-            },
-            close: CloseSignal {
-                requested: Cell::new(false),
-                notify: Notify::new(),
-            },
-            eviction: EvictionSignal {
-                pending: Cell::new(false),
-                notify: Notify::new(),
-                decided: Rc::default(),
-            },
+            request: CurrentRequest::default(),
+            close: CloseSignal::default(),
+            eviction: EvictionSignal::default(),
         })
     }
 
@@ -232,133 +198,23 @@
             .is_some_and(|end| self.socket.read() > end || self.socket.has_unread())
     }
 
-    /// Asks the connection's task to close the connection once it carries no request.
-    pub(super) fn request_close(&self) {
-        self.close.requested.set(true);
-        self.close.notify.notify_one();
-    }
-
-    /// The connection is to close after its current request; its task needs no notice of that.
-    pub(super) fn set_closing(&self) {
-        self.close.requested.set(true);
-    }
-
-    /// Waits for [`Self::request_close`].
-    pub(super) async fn close_requested(&self) {
-        self.close.notify.notified().await;
-    }
-
-    /// True if a requested close can begin now. It waits for a request of which any byte has arrived,
-    /// read or not, as its response is going to end the connection; unless the current response has
-    /// already begun without saying so, and nothing has arrived behind its request.
+    /// True if a requested close can begin now. It waits for a request of which any byte has
+    /// arrived, read or not, as its response is going to end the connection; unless the current
+    /// response has already begun without saying so, and nothing has arrived behind its request.
     pub(super) fn can_close_now(&self) -> bool {
         let idle = self.socket.request_started_at().is_none() && self.socket.is_open_and_idle();
         self.phase() == Phase::StreamingResponse && !self.has_pipelined_bytes() || idle
     }
 
-    /// Asks the connection's task to close the connection now. Returns the notice of its decision;
-    /// only the connection table knows which it was.
-    pub(super) fn request_eviction(&self) -> Rc<Notify> {
-        self.eviction.pending.set(true);
-        self.eviction.notify.notify_one();
-        self.eviction.decided.clone()
-    }
-
-    /// True while the connection's task has not decided on an eviction.
-    pub(super) fn is_eviction_pending(&self) -> bool {
-        self.eviction.pending.get()
-    }
-
-    /// Waits for [`Self::request_eviction`].
-    pub(super) async fn eviction_requested(&self) {
-        self.eviction.notify.notified().await;
-    }
-
     /// Decides on an eviction: true if the connection can be closed, as no request has arrived
     /// meanwhile.
     pub(super) fn accepts_eviction(&self) -> bool {
-        self.eviction.pending.set(false);
+        self.eviction.acknowledge();
         self.phase().idle_since().is_some() && !self.socket.has_unread()
     }
 
-    /// Wakes the task that has asked for an eviction.
-    pub(super) fn notify_eviction_decided(&self) {
-        self.eviction.decided.notify_one();
-    }
-
     /// When the first request has to be complete; `None` once there has been one.
     pub(super) fn first_request_deadline(&self) -> Option<Instant> {
         (self.history.get() == RequestHistory::Empty).then(|| self.opened + FIRST_REQUEST_TIMEOUT)
     }
-
-    /// Returns when the client has made no progress for too long: it is idle, its request doesn't
-    /// arrive, or it takes no bytes of its response.
-    pub(super) async fn stalled(&self) {
-        loop {
-            let now = Instant::now();
-            let deadline = self.stall_deadline(now);
-            if deadline <= now && self.request.discarding_body.get() && self.socket.has_unread() {
-                // The rest of the body has arrived, and is unread only because this process had no
-                // time for it.
-                sleep(DISCONNECT_POLL_INTERVAL).await;
-            } else if deadline <= now {
-                return;
-            }
-            sleep_until(deadline.min(now + STALL_CHECK_INTERVAL)).await;
-        }
-    }
-
-    /// When the client counts as stalled if nothing changes until then.
-    fn stall_deadline(&self, now: Instant) -> Instant {
-        match self.phase() {
-            Phase::AwaitingRequest { since } => self.idle_deadline(since),
-            Phase::StreamingResponse => self.socket.last_written() + WRITE_STALL_TIMEOUT,
-            // These have time limits of their own.
-            Phase::AwaitingCapacity
-            | Phase::ReceivingBody
-            | Phase::AwaitingResponse
-            | Phase::Lingering { .. } => now + STALL_CHECK_INTERVAL,
-        }
-    }
-
-    /// When the client counts as stalled on a connection that awaits a request since then.
-    fn idle_deadline(&self, since: Instant) -> Instant {
-        // The end of the last response is still to be sent.
-        if self.socket.is_blocked() {
-            return self.socket.last_written() + WRITE_STALL_TIMEOUT;
-        }
-        // The rest of a body may take long and is no head, to which a stricter limit applies.
-        if self.request.discarding_body.get() {
-            return since.max(self.socket.last_read()) + CLIENT_STALL;
-        }
-        // A head that has begun to arrive has its full time, also during a shutdown.
-        if let Some(request_started_at) = self.socket.request_started_at() {
-            return self
-                .first_request_deadline()
-                .unwrap_or(request_started_at + FIRST_REQUEST_TIMEOUT)
-                + TIMEOUT_RESPONSE_GRACE;
-        }
-        // A client that takes the bytes of its response is not idle.
-        let since = since.max(self.socket.last_written());
-        let idle_timeout = if self.close.requested.get() {
-            CLOSING_IDLE_TIMEOUT
-        } else {
-            IDLE_TIMEOUT
-        };
-        self.first_request_deadline()
-            .map_or(since + IDLE_TIMEOUT, |first| first + TIMEOUT_RESPONSE_GRACE)
-            .min(since + idle_timeout)
-    }
-
-    /// Returns when the client has disconnected while its request awaits a response. The HTTP
-    /// implementation doesn't notice that if there are unread bytes before the end of the stream.
-    pub(super) async fn disconnected(&self) {
-        loop {
-            self.socket.readable().await;
-            if self.phase() == Phase::AwaitingResponse && self.socket.is_disconnected() {
-                return;
-            }
-            sleep(DISCONNECT_POLL_INTERVAL).await;
-        }
-    }
 }
--- a/src/bin/load-balancer/server/connection_table.rs
+++ b/src/bin/load-balancer/server/connection_table.rs
@@ -38,7 +38,7 @@
     pub(super) fn request_close_where(&self, condition: impl Fn(&ClientConnection) -> bool) {
         for connection in self.connections.borrow().values() {
             if condition(connection) {
-                connection.request_close();
+                connection.close.request();
             }
         }
     }
@@ -46,7 +46,7 @@
     /// Closes the connection that comes first in the order of eviction; false if there is none.
     pub(super) async fn evict_one(&self) -> bool {
         while let Some(id) = self.eviction_candidate() {
-            let decided = self.connections.borrow()[&id].request_eviction();
+            let decided = self.connections.borrow()[&id].eviction.request();
             // The connection's task closes it, unless a request has arrived meanwhile.
             decided.notified().await;
             if !self.connections.borrow().contains_key(&id) {
@@ -56,8 +56,9 @@
         false
     }
 
-    /// The first connection in the order of eviction whose client has sent no request that is still
-    /// unread. This takes a system call for each, so it is checked only for as many as necessary.
+    /// The first connection in the order of eviction whose client has sent no request that is
+    /// still unread. This takes a system call for each, so it is checked only for as many as
+    /// necessary.
     fn eviction_candidate(&self) -> Option<ConnectionId> {
         let connections = self.connections.borrow();
         let mut candidates: Vec<_> = connections
--- a/src/bin/load-balancer/server/drain.rs
+++ b/src/bin/load-balancer/server/drain.rs
@@ -30,8 +30,8 @@
 /// Whether the process shuts down, and whether clients are drained.
 #[derive(Default)]
 pub(super) struct DrainState {
-    /// When all requests have to have their responses; `None` until the shutdown begins. Shared with
-    /// the requests in flight, whose deadlines it limits.
+    /// When all requests have to have their responses; `None` until the shutdown begins. Shared
+    /// with the requests in flight, whose deadlines it limits.
     shutdown_deadline: Rc<Cell<Option<Instant>>>,
     /// Requests that arrive after this may be unfinished when the process is killed.
     late_request_cutoff: Cell<Option<Instant>>,
@@ -53,16 +53,16 @@
         self.shutdown_deadline.get().is_some() || self.client_drain.get().is_some()
     }
 
-    /// True if this request arrived so late during a shutdown that a streamed response might not be
-    /// complete when the process is killed.
+    /// True if this request arrived so late during a shutdown that a streamed response might not
+    /// be complete when the process is killed.
     pub(super) fn is_late(&self, upload: &Upload) -> bool {
         self.late_request_cutoff
             .get()
             .is_some_and(|cutoff| upload.last_progress() > cutoff)
     }
 
-    /// True if the response that is due closes its connection. A client loses a request that has been
-    /// read when the connection closes, so pipelined requests are served for a while.
+    /// True if the response that is due closes its connection. A client loses a request that has
+    /// been read when the connection closes, so pipelined requests are served for a while.
     pub(super) fn closes_after_response(&self, client: &ClientConnection) -> bool {
         let serves_pipelined = self
             .pipelined_served_until
@@ -95,8 +95,9 @@
 
 impl Server {
     /// Begins a graceful shutdown: responses close their connections from now on, and idle
-    /// connections are closed, those to upstreams too. Connections that have carried no request yet
-    /// stay open, as their first one is on its way. All requests get their responses by `deadline`.
+    /// connections are closed, those to upstreams too. Connections that have carried no request
+    /// yet stay open, as their first one is on its way. All requests get their responses by
+    /// `deadline`.
     pub fn drain(&self, deadline: Instant) {
         self.drain_state.begin_shutdown(deadline);
         self.dispatcher.borrow_mut().set_drain_deadline(deadline);
@@ -110,8 +111,9 @@
         self.connections.request_close_where(|_| true);
     }
 
-    /// Starts or stops draining clients. Responses close their connections at once; idle connections
-    /// are closed only after [`DRAIN_NOTICE_PERIOD`], so that no request crosses the close.
+    /// Starts or stops draining clients. Responses close their connections at once; idle
+    /// connections are closed only after [`DRAIN_NOTICE_PERIOD`], so that no request crosses the
+    /// close.
     pub fn drain_clients(self: &Rc<Self>, client_drain: ClientDrain) {
         match client_drain {
             ClientDrain::Start => self.start_client_drain(),
--- a/src/bin/load-balancer/server/eviction.rs
+++ b/src/bin/load-balancer/server/eviction.rs
@@ -6,11 +6,11 @@
 
 /// A connection that awaits a further request for this long is evicted first.
 const LONG_IDLE_AGE: Duration = Duration::from_secs(2);
-/// A client sends its first request together with the connection, so that one which has sent nothing
-/// for this long may never do so.
+/// A client sends its first request together with the connection, so that one which has sent
+/// nothing for this long may never do so.
 const UNUSED_AGE: Duration = Duration::from_millis(30);
-/// Clients rarely take longer than this to send a request, or to follow up a response with the next
-/// one.
+/// Clients rarely take longer than this to send a request, or to follow up a response with the
+/// next one.
 const SLOW_REQUEST_AGE: Duration = Duration::from_millis(500);
 
 /// Why a connection may be evicted, the reasons that cost a client least first.
@@ -40,7 +40,7 @@
 impl ClientConnection {
     /// The connection's place in the order of eviction; `None` if it is not to be evicted.
     pub(super) fn eviction_priority(&self) -> Option<EvictionPriority> {
-        if self.is_eviction_pending() || self.socket.is_blocked() {
+        if self.eviction.is_pending() || self.socket.is_blocked() {
             return None;
         }
         let idle_since = self.phase().idle_since()?;
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -19,8 +19,8 @@
 use tokio::task::spawn_local;
 
 impl Server {
-    /// Rejects a request for want of descriptors, and counts it as one of its class if it is valid
-    /// that far.
+    /// Rejects a request for want of descriptors, and counts it as one of its class if it is
+    /// valid that far.
     pub(super) fn reject_over_capacity(&self, request: &Request<Incoming>) -> ClientResponse {
         if let Some(class) = self
             .class_index(request.uri().path())
@@ -133,8 +133,8 @@
     }
 }
 
-/// Reads the rest of a body whose request already has its response. The client may read no response
-/// before it has sent all of its request. The task doesn't keep the connection open.
+/// Reads the rest of a body whose request already has its response. The client may read no
+/// response before it has sent all of its request. The task doesn't keep the connection open.
 fn discard_rest_of_body(client: &Rc<ClientConnection>, upload: Rc<Upload>) {
     client.begin_discarding_body();
     let client = Rc::downgrade(client);
@@ -146,8 +146,8 @@
     });
 }
 
-/// Tells the dispatcher when a request's handler is dropped, as its client has disconnected. After
-/// the final response this has no effect.
+/// Tells the dispatcher when a request's handler is dropped, as its client has disconnected.
+/// After the final response this has no effect.
 struct CancelOnDrop<'a> {
     dispatcher: &'a RefCell<Dispatcher>,
     id: RequestId,
--- a/src/bin/load-balancer/server/listener.rs
+++ b/src/bin/load-balancer/server/listener.rs
@@ -12,8 +12,8 @@
 
 /// The number of connections that the kernel queues while the process is busy.
 const LISTEN_BACKLOG: i32 = 4096;
-/// The delay before registering a connection with the event loop is retried. The first retry follows
-/// at once.
+/// The delay before registering a connection with the event loop is retried. The first retry
+/// follows at once.
 const REGISTER_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// Registering is retried this often, so that the connections behind it wait for 0.4 s at most.
 const MAX_REGISTER_RETRIES: usize = 40;
@@ -30,13 +30,13 @@
 /// A listening socket.
 ///
 /// Tokio's listener registers each connection with the event loop within accept, and closes those
-/// for which that fails. This one watches only the listening socket, for which tokio's stream type
-/// has to serve, and hands out connections that are not registered.
+/// for which that fails. This one watches only the listening socket, for which tokio's stream
+/// type has to serve, and hands out connections that are not registered.
 pub struct Listener(TcpStream);
 
 impl Listener {
-    /// Listens on an address, also on one that a process held which was killed before. A transient
-    /// failure of one call is retried by itself, without repeating the calls before it.
+    /// Listens on an address, also on one that a process held which was killed before. A
+    /// transient failure of one call is retried by itself, without repeating the calls before it.
     ///
     /// # Errors
     ///
@@ -80,8 +80,8 @@
         }
     }
 
-    /// The next connection in the kernel's queue. Asks the kernel, as the event loop may not know of
-    /// it yet.
+    /// The next connection in the kernel's queue. Asks the kernel, as the event loop may not know
+    /// of it yet.
     ///
     /// # Errors
     ///
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -1,9 +1,9 @@
 //! The client side of the proxy: accepts connections, reads and validates requests, has them
 //! dispatched and sends the responses.
 //!
-//! [`accept`] admits connections within the descriptor budget ([`capacity`], [`eviction`]); each is
-//! served by a task of its own ([`serve`]) that handles one request after another ([`request`],
-//! [`handler`], [`response`]). [`drain`] ends all of that.
+//! [`accept`] admits connections within the descriptor budget ([`capacity`], [`eviction`]); each
+//! is served by a task of its own ([`serve`]) that handles one request after another
+//! ([`request`], [`handler`], [`response`]). [`drain`] ends all of that.
 
 mod accept;
 mod capacity;
@@ -32,14 +32,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time for a request to arrive: for the first one since the connection was opened, for a further
-/// one since its first byte. Of a body that takes longer only the beginning counts.
+/// The time for a request to arrive: for the first one since the connection was opened, for a
+/// further one since its first byte. Of a body that takes longer only the beginning counts.
 pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The time after [`FIRST_REQUEST_TIMEOUT`] in which the client can be sent an error response before
-/// its connection is closed.
+/// The time after [`FIRST_REQUEST_TIMEOUT`] in which the client can be sent an error response
+/// before its connection is closed.
 pub const TIMEOUT_RESPONSE_GRACE: Duration = Duration::from_millis(200);
-/// A connection is closed if its next request doesn't begin within this time, or if its client takes
-/// longer than this for the end of the last response.
+/// A connection is closed if its next request doesn't begin within this time, or if its client
+/// takes longer than this for the end of the last response.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How often a connection is checked for a client that has disconnected.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/src/bin/load-balancer/server/raw_head.rs
+++ b/src/bin/load-balancer/server/raw_head.rs
@@ -1,7 +1,7 @@
 //! Request heads as they were received.
 //!
-//! The HTTP implementation drops a Content-Length beside a transfer coding, and doesn't say where a
-//! head ends. Both are therefore looked up in the bytes of the connection.
+//! The HTTP implementation drops a Content-Length beside a transfer coding, and doesn't say where
+//! a head ends. Both are therefore looked up in the bytes of the connection.
 
 /// What only the bytes of a request head show.
 pub(super) struct RawHead {
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -23,7 +23,8 @@
 /// What the head of a valid request says.
 struct ValidatedHead {
     request_id: String,
-    /// Indices into the settings' lists. A tenant that they don't name has the index behind the last.
+    /// Indices into the settings' lists. A tenant that they don't name has the index behind the
+    /// last.
     class: usize,
     tenant: usize,
     /// How long the client waits for its response.
@@ -119,8 +120,8 @@
             self.drain_state.shutdown_deadline(),
         )
         .await?;
-        // A client that pipelines requests waits for each from the time at which it sent it, not from
-        // the time at which it was read.
+        // A client that pipelines requests waits for each from the time at which it sent it, not
+        // from the time at which it was read.
         upload.set_last_progress(client.socket.last_read());
         Ok(upload)
     }
@@ -152,8 +153,8 @@
 impl BodyFraming {
     /// # Errors
     ///
-    /// The request has both a transfer coding and a length, or it can't be told. Recipients disagree
-    /// on which of the two holds, so that one request could hide another.
+    /// The request has both a transfer coding and a length, or it can't be told. Recipients
+    /// disagree on which of the two holds, so that one request could hide another.
     fn find(headers: &HeaderMap, socket: &Socket, request_id: &str) -> Result<Self, RequestError> {
         let raw_head = RawHead::find(&socket.recent_bytes(), request_id);
         let chunked = headers.contains_key(TRANSFER_ENCODING);
@@ -196,8 +197,8 @@
     }
 }
 
-/// The index of the request's tenant. One that the settings don't name has no quota, and the index
-/// behind the last.
+/// The index of the request's tenant. One that the settings don't name has no quota, and the
+/// index behind the last.
 fn tenant_index(headers: &HeaderMap, tenants: &[String]) -> Result<usize, RequestError> {
     let name = single(headers, "tenant")?;
     Ok(tenants
@@ -246,7 +247,8 @@
     }
 }
 
-/// How long the client waits: as long as it says, and no longer than its class's deadline, in seconds.
+/// How long the client waits: as long as it says, and no longer than its class's deadline, in
+/// seconds.
 fn timeout(headers: &HeaderMap, class_deadline: f64) -> Result<Duration, RequestError> {
     let seconds = number(headers, "request-timeout")?
         .unwrap_or(class_deadline)
--- a/src/bin/load-balancer/server/serve.rs
+++ b/src/bin/load-balancer/server/serve.rs
@@ -37,7 +37,7 @@
         admission: Admission,
     ) {
         if admission == Admission::OverCapacity || self.drain_state.is_active() {
-            client.set_closing();
+            client.close.set();
         }
         let service = service_fn(|request| self.serve_request(request, &client, admission));
         let connection = http_builder(admission).serve_connection(client.socket.clone(), service);
@@ -45,7 +45,7 @@
             linger(&client).await;
         }
         self.connections.remove(id);
-        client.notify_eviction_decided();
+        client.eviction.notify_decided();
     }
 
     async fn serve_request(
@@ -64,7 +64,8 @@
             self.handle_request(request, client).await
         };
         client.record_response();
-        // After an invalid request the remaining bytes may be no request, so the connection is closed.
+        // After an invalid request the remaining bytes may be no request, so the connection is
+        // closed.
         let rejected = over_capacity || response.status().is_client_error();
         client.set_rejected_incomplete(rejected && incomplete);
         if rejected || self.drain_state.closes_after_response(client) {
@@ -98,31 +99,31 @@
         tokio::select! {
             // On an error, hyper has sent the client a response if it could.
             _ = connection.as_mut() => return ServingEnd::Completed,
-            () = client.close_requested() => {
+            () = client.close.requested() => {
                 if client.can_close_now() {
                     connection.as_mut().graceful_shutdown();
                 }
             }
             () = &mut stalled => return ServingEnd::Aborted,
             () = &mut disconnected => return ServingEnd::Aborted,
-            () = client.eviction_requested() => {
+            () = client.eviction.requested() => {
                 if client.accepts_eviction() {
                     return ServingEnd::Aborted;
                 }
-                client.notify_eviction_decided();
+                client.eviction.notify_decided();
             }
         }
     }
 }
 
-/// Keeps the connection open until the client has taken the last response, is evicted, or takes too
-/// long.
+/// Keeps the connection open until the client has taken the last response, is evicted, or takes
+/// too long.
 async fn linger(client: &ClientConnection) {
     client.begin_lingering();
     let discard_unread = client.is_rejected_incomplete();
     tokio::select! {
         () = client.socket.linger(discard_unread, DISCONNECT_POLL_INTERVAL) => {}
-        () = client.eviction_requested() => {}
+        () = client.eviction.requested() => {}
         () = sleep(IDLE_TIMEOUT) => {}
     }
 }
