--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that leave, and what is not sent on for them any more.
+//! Clients that disconnect: their requests are not forwarded any more.
 
 mod peers;
 use peers::*;
@@ -7,12 +7,13 @@
 use std::sync::atomic::Ordering;
 
 const ID: &str = "Request-Id: {id}\r\n";
-/// The most that is read of a client while its request waits, and much more than that.
-const BEHIND: [usize; 3] = [0, 20, 200_000];
-/// What the kernel takes for a program that stands still.
-const BEHIND_STILL: [usize; 3] = [0, 20, 30_000];
+/// Bytes bytes_behind a request: none, few, and many more than are read ahead.
+const BYTES_BEHIND: [usize; 3] = [0, 20, 200_000];
+/// The same, limited to what the kernel buffers for a process that is stopped.
+const BYTES_BEHIND_WHILE_STOPPED: [usize; 3] = [0, 20, 30_000];
 
-/// A program whose calls wait for longer than any test, so that none is given up but for its client.
+/// A balancer with deadlines beyond the time of any test, so that requests end early only with
+/// their clients.
 fn start(upstreams: &[SocketAddr], cancel: bool) -> (Program, DiscoveryPeer) {
     let discovery = DiscoveryPeer::start();
     let config = patient(&config_of(upstreams, discovery.address, 256))
@@ -24,26 +25,27 @@
     )
 }
 
-/// How a client leaves: with so many bytes behind its request, and by a reset or not.
-fn leave(mut client: Client, behind: usize, reset: bool) {
-    if behind > 0 {
+/// Disconnects a client, with this many bytes bytes_behind its request, by a close or a reset.
+fn disconnect(mut client: Client, bytes_behind: usize, reset: bool) {
+    if bytes_behind > 0 {
         client.write("GET /read/behind HTTP/1.1\r\n");
-        client.write(&"x".repeat(behind));
+        client.write(&"x".repeat(bytes_behind));
     }
     if reset {
         client.reset();
     }
 }
 
-/// The same, and its end has reached the program's machine.
-fn leave_unseen(program: &Program, client: Client, behind: usize, reset: bool) {
+/// The same, and waits until the kernel of the stopped process has received it.
+fn disconnect_while_stopped(program: &Program, client: Client, bytes_behind: usize, reset: bool) {
     let port = client.port();
-    leave(client, behind, reset);
+    disconnect(client, bytes_behind, reset);
     until("its end has come", || program.has_end_of(port));
 }
 
-/// Calls that fill what an upstream may have at a time, two at the start, and one more that waits.
-fn held(program: &Program, upstream: &Upstream, path: &str) -> (Vec<Client>, Client) {
+/// Requests that fill an upstream's concurrency limit, two at the start, and one more that is
+/// queued.
+fn one_queued(program: &Program, upstream: &Upstream, path: &str) -> (Vec<Client>, Client) {
     let next = |count, figure| {
         let mut client = program.client();
         client.send(path, ID, "").unwrap();
@@ -56,9 +58,9 @@
     (running, waiting)
 }
 
-/// The same with so many that wait.
-fn many_held(program: &Program, upstream: &Upstream, count: usize) -> (Vec<Client>, Vec<Client>) {
-    let (running, waiting) = held(program, upstream, "/pay");
+/// The same with this many queued requests.
+fn many_queued(program: &Program, upstream: &Upstream, count: usize) -> (Vec<Client>, Vec<Client>) {
+    let (running, waiting) = one_queued(program, upstream, "/pay");
     let mut all_waiting = vec![waiting];
     while all_waiting.len() < count {
         let mut client = program.client();
@@ -70,8 +72,8 @@
     (running, all_waiting)
 }
 
-/// Four clients, whose calls to `/pay/0`, `/pay/1` and so on are all out.
-fn four_out(program: &Program) -> Vec<Client> {
+/// Four clients, whose requests to `/pay/0`, `/pay/1` and so on have all been forwarded.
+fn four_forwarded(program: &Program) -> Vec<Client> {
     let mut clients: Vec<_> = (0..4).map(|_| program.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&format!("/pay/{number}"), ID, "").unwrap();
@@ -80,7 +82,7 @@
     clients
 }
 
-/// A client whose call waits for a connection to this upstream.
+/// A client whose request waits for a connection to this upstream.
 fn connecting(program: &Program, upstream: SocketAddr) -> Client {
     let mut client = program.client();
     client.send("/pay", ID, "coins").unwrap();
@@ -88,8 +90,9 @@
     client
 }
 
-/// The next that reaches the upstream is a request that comes now: nothing of those that have left does.
-fn only_new_ones_come(program: &Program, upstream: &Upstream, what: &str) {
+/// The next request to reach the upstream is a new one: none of the clients that have
+/// disconnected does.
+fn expect_only_new_requests(program: &Program, upstream: &Upstream, what: &str) {
     assert_eq!(
         program.client().ask("/pay/last", ID, "").status(),
         200,
@@ -98,16 +101,15 @@
     assert_eq!(upstream.next().first, "POST /pay/last HTTP/1.1", "{what}");
 }
 
-/// Guards against a request that is sent on after its client has left while it was held, also where bytes behind it
-/// hide that.
+/// Bytes bytes_behind a queued request must not hide that its client has disconnected.
 #[test]
-fn a_held_request_whose_client_has_left_is_not_sent_on() {
-    for behind in BEHIND {
+fn a_queued_request_whose_client_has_disconnected_is_not_forwarded() {
+    for bytes_behind in BYTES_BEHIND {
         for reset in [false, true] {
             let upstream = Upstream::start(Reply::Hold);
             let (program, _discovery) = start(&[upstream.address], true);
-            let (mut running, waiting) = held(&program, &upstream, "/pay");
-            leave(waiting, behind, reset);
+            let (mut running, waiting) = one_queued(&program, &upstream, "/pay");
+            disconnect(waiting, bytes_behind, reset);
             let left = running.len() as u64;
             until("its end is seen", || program.figure("in_flight") == left);
             upstream.release();
@@ -115,22 +117,22 @@
                 assert_eq!(
                     client.receive().unwrap().unwrap().status(),
                     200,
-                    "{behind} {reset}"
+                    "{bytes_behind} {reset}"
                 );
             }
-            only_new_ones_come(&program, &upstream, &format!("{behind} {reset}"));
+            expect_only_new_requests(&program, &upstream, &format!("{bytes_behind} {reset}"));
         }
     }
 }
 
-/// The same for many that leave at once, each in a way of its own.
+/// The same for many clients that disconnect together, in different ways.
 #[test]
-fn held_requests_whose_clients_leave_together_are_not_sent_on() {
+fn queued_requests_whose_clients_disconnect_together_are_not_forwarded() {
     let upstream = Upstream::start(Reply::Hold);
     let (program, _discovery) = start(&[upstream.address], true);
-    let (mut running, leaving) = many_held(&program, &upstream, 12);
+    let (mut running, leaving) = many_queued(&program, &upstream, 12);
     for (number, client) in leaving.into_iter().enumerate() {
-        leave(client, BEHIND[number % 3], number % 2 == 0);
+        disconnect(client, BYTES_BEHIND[number % 3], number % 2 == 0);
     }
     until("their ends are seen", || {
         program.figure("in_flight") == running.len() as u64
@@ -138,48 +140,52 @@
     upstream.release();
     running
         .iter_mut()
-        .for_each(|client| drop(client.receive().unwrap().expect("an answer")));
-    only_new_ones_come(&program, &upstream, "they have left together");
+        .for_each(|client| drop(client.receive().unwrap().expect("a response")));
+    expect_only_new_requests(&program, &upstream, "they have left together");
 }
 
-/// Guards against a client that leaves between two attempts: turned away by one upstream, its request waits for the
-/// other, where all slots are taken.
+/// The client disconnects between two attempts: one upstream has rejected its request, which is
+/// queued for the other.
 #[test]
-fn a_request_whose_client_has_left_is_not_tried_again() {
-    for behind in BEHIND {
+fn a_request_whose_client_has_disconnected_is_not_retried() {
+    for bytes_behind in BYTES_BEHIND {
         let (full, busy) = (Upstream::start(Reply::Hold), Upstream::start(Reply::Hold));
         let (program, _discovery) = start(&[full.address, busy.address], true);
-        let mut clients = four_out(&program);
+        let mut clients = four_forwarded(&program);
         let leaving: usize = full.next().first["POST /pay/".len()..][..1]
             .parse()
             .unwrap();
         full.set(Reply::NotStarted);
         full.release();
-        leave(clients.remove(leaving), behind, behind > 0);
+        disconnect(clients.remove(leaving), bytes_behind, bytes_behind > 0);
         until("its end is seen", || program.figure("in_flight") == 3);
         busy.release();
         for client in &mut clients {
-            assert_eq!(client.receive().unwrap().unwrap().status(), 200, "{behind}");
+            assert_eq!(
+                client.receive().unwrap().unwrap().status(),
+                200,
+                "{bytes_behind}"
+            );
         }
         let left = format!("POST /pay/{leaving} HTTP/1.1");
         assert!(
             busy.seen.try_iter().all(|message| message.first != left),
-            "{behind}"
+            "{bytes_behind}"
         );
     }
 }
 
-/// Guards against a request that goes out once its connection comes up, though its client has left before, also where
-/// what is out may not be cancelled.
+/// A request must not be sent on a connection that comes up after its client has disconnected,
+/// also where requests in flight may not be cancelled.
 #[test]
-fn a_request_whose_client_has_left_waits_for_no_connection() {
+fn a_request_whose_client_has_disconnected_waits_for_no_connection() {
     for cancel in [true, false] {
-        for behind in BEHIND {
+        for bytes_behind in BYTES_BEHIND {
             let upstream = unreachable();
             let (program, _discovery) = start(&[upstream], cancel);
             let client = connecting(&program, upstream);
             let port = client.port();
-            leave(client, behind, false);
+            disconnect(client, bytes_behind, false);
             until("its connections are closed", || {
                 !is_awaited(upstream) && !program.holds(port)
             });
@@ -187,13 +193,13 @@
     }
 }
 
-/// Guards against a request whose client leaves while it is held in the middle of its body.
+/// The client disconnects while its request is queued and a part of its body is still to come.
 #[test]
-fn a_held_request_whose_client_leaves_in_the_middle_of_its_body_is_not_sent_on() {
+fn a_queued_request_whose_client_disconnects_in_the_middle_of_its_body_is_not_forwarded() {
     for reset in [false, true] {
         let upstream = Upstream::start(Reply::Hold);
         let (program, _discovery) = start(&[upstream.address], true);
-        let (mut running, waiting) = held(&program, &upstream, "/pay");
+        let (mut running, waiting) = one_queued(&program, &upstream, "/pay");
         let mut uploading = program.client();
         uploading.write(
             "POST /pay/half HTTP/1.1\r\nHost: b\r\nRequest-Id: c003\r\nContent-Length: 200000\r\n\r\n",
@@ -201,7 +207,7 @@
         uploading.write(&"x".repeat(100_000));
         let all = running.len() as u64 + 2;
         until("it is taken", || program.figure("in_flight") == all);
-        leave(uploading, 0, reset);
+        disconnect(uploading, 0, reset);
         until("its end is seen", || program.figure("in_flight") == all - 1);
         upstream.release();
         for client in running.iter_mut().chain([waiting].iter_mut()) {
@@ -215,15 +221,15 @@
     }
 }
 
-/// Guards against the order in which a program that was short of its core takes what has come meanwhile: many clients
-/// have left, each in a way of its own, and slots have become free, before or after that.
+/// A process that got no CPU time for a while may handle events in any order: clients have
+/// disconnected in different ways, and slots have become free, before or after that.
 #[test]
-fn held_requests_whose_clients_left_while_the_program_stood_still_are_not_sent_on() {
-    for behind in BEHIND_STILL {
+fn queued_requests_whose_clients_disconnected_while_the_process_was_stopped_are_not_forwarded() {
+    for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
         for free_first in [false, true] {
             let upstream = Upstream::start(Reply::Hold);
             let (program, _discovery) = start(&[upstream.address], true);
-            let (mut running, leaving) = many_held(&program, &upstream, 8);
+            let (mut running, leaving) = many_queued(&program, &upstream, 8);
             program.hold();
             let free = || {
                 upstream.release();
@@ -234,22 +240,22 @@
             };
             free_first.then(free);
             for (number, client) in leaving.into_iter().enumerate() {
-                leave_unseen(&program, client, behind, number % 2 == 1);
+                disconnect_while_stopped(&program, client, bytes_behind, number % 2 == 1);
             }
             (!free_first).then(free);
             program.go_on();
             running
                 .iter_mut()
-                .for_each(|client| drop(client.receive().unwrap().expect("an answer")));
-            only_new_ones_come(&program, &upstream, &format!("{behind} {free_first}"));
+                .for_each(|client| drop(client.receive().unwrap().expect("a response")));
+            expect_only_new_requests(&program, &upstream, &format!("{bytes_behind} {free_first}"));
         }
     }
 }
 
-/// The same for a client that left before its request was read.
+/// The same for a client that disconnected before its request was read.
 #[test]
-fn a_request_whose_client_left_before_it_was_read_is_not_sent_on() {
-    for behind in BEHIND_STILL {
+fn a_request_whose_client_disconnected_before_it_was_read_is_not_forwarded() {
+    for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
         let upstream = Upstream::start(Reply::Ok);
         let (program, _discovery) = start(&[upstream.address], true);
         for _ in 0..4 {
@@ -258,20 +264,21 @@
             upstream.next();
             program.hold();
             client.send("/pay", ID, "coins").unwrap();
-            leave_unseen(&program, client, behind, false);
+            disconnect_while_stopped(&program, client, bytes_behind, false);
             program.go_on();
-            only_new_ones_come(&program, &upstream, &behind.to_string());
+            expect_only_new_requests(&program, &upstream, &bytes_behind.to_string());
         }
     }
 }
 
-/// The same for one whose first attempt has been turned away meanwhile, while the other upstream's slots became free.
+/// The same for one whose first attempt was rejected meanwhile, while the other upstream's slots
+/// became free.
 #[test]
-fn a_request_whose_client_left_while_the_program_stood_still_is_not_tried_again() {
-    for behind in BEHIND_STILL {
+fn a_request_whose_client_disconnected_while_the_process_was_stopped_is_not_retried() {
+    for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
         let (full, busy) = (Upstream::start(Reply::Hold), Upstream::start(Reply::Hold));
         let (program, _discovery) = start(&[full.address, busy.address], true);
-        let clients = four_out(&program);
+        let clients = four_forwarded(&program);
         let gone = [full.next().first, full.next().first];
         program.hold();
         full.set(Reply::NotStarted);
@@ -283,7 +290,7 @@
         }
         for (number, client) in clients.into_iter().enumerate() {
             if gone.contains(&format!("POST /pay/{number} HTTP/1.1")) {
-                leave_unseen(&program, client, behind, false);
+                disconnect_while_stopped(&program, client, bytes_behind, false);
             }
         }
         program.go_on();
@@ -292,16 +299,16 @@
             busy.seen
                 .try_iter()
                 .all(|message| !gone.contains(&message.first)),
-            "{behind}"
+            "{bytes_behind}"
         );
     }
 }
 
-/// The same for one whose connection to its upstream came up meanwhile.
+/// The same for one whose connection to its upstream was established meanwhile.
 #[test]
-fn a_request_whose_client_left_while_the_program_stood_still_is_not_sent_on_a_new_connection() {
+fn a_request_is_not_sent_on_a_connection_that_came_up_after_its_client_disconnected() {
     for cancel in [true, false] {
-        for behind in BEHIND_STILL {
+        for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
             let door = Door::shut();
             let (program, discovery) = start(&[door.address], cancel);
             let _watch = discovery.next();
@@ -312,18 +319,18 @@
             until("its connection is up", || {
                 upstream.connections.load(Ordering::SeqCst) == all
             });
-            leave_unseen(&program, client, behind, false);
+            disconnect_while_stopped(&program, client, bytes_behind, false);
             program.go_on();
             until("its end is seen", || program.figure("in_flight") == 0);
-            only_new_ones_come(&program, &upstream, &format!("{cancel} {behind}"));
+            expect_only_new_requests(&program, &upstream, &format!("{cancel} {bytes_behind}"));
         }
     }
 }
 
-/// Guards against the last byte of a body, with which its upstream begins, that is passed on though its client has
-/// left behind it.
+/// The upstream begins with the last byte of a body, which must not be forwarded after the client
+/// has disconnected.
 #[test]
-fn a_streamed_body_whose_client_left_while_the_program_stood_still_stays_unfinished() {
+fn a_streamed_body_whose_client_disconnected_while_the_process_was_stopped_stays_incomplete() {
     for cancel in [true, false] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let (program, _discovery) = start(&[listener.local_addr().unwrap()], cancel);
@@ -335,14 +342,14 @@
             client.write("Content-Length: 150000\r\n\r\n");
             client.write(&"x".repeat(149_000));
             let (mut upstream, _) = listener.accept().unwrap();
-            // With the head before it, nearly all that has been written so far.
+            // Together with the head this is nearly all that has been sent so far.
             upstream.read_exact(&mut [0; 149_000]).unwrap();
             program.hold();
             client.write(&"x".repeat(1000));
-            leave_unseen(&program, client, 0, false);
+            disconnect_while_stopped(&program, client, 0, false);
             program.go_on();
             let mut rest = Vec::new();
-            // It may end in a reset.
+            // The connection may end in a reset.
             let _ = upstream.take(1000).read_to_end(&mut rest);
             assert!(rest.len() < 1000, "{cancel}");
         }
@@ -350,23 +357,23 @@
     }
 }
 
-/// A client that closes the half on which it sends counts as gone, as its end can't be told from a close: what it asked
-/// for is not sent on, and its connection ends without an answer.
+/// A half-close can't be told from a close, so such a client counts as disconnected: its request
+/// is not forwarded, and its connection closes without a response.
 #[test]
-fn a_client_that_half_closes_has_gone() {
-    for behind in BEHIND_STILL {
+fn a_client_that_half_closes_counts_as_disconnected() {
+    for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
         let upstream = Upstream::start(Reply::Hold);
         let (program, _discovery) = start(&[upstream.address], true);
-        let (mut running, mut waiting) = held(&program, &upstream, "/pay");
-        waiting.write(&"x".repeat(behind));
+        let (mut running, mut waiting) = one_queued(&program, &upstream, "/pay");
+        waiting.write(&"x".repeat(bytes_behind));
         waiting.half_close();
-        assert!(waiting.is_closed(), "{behind}");
+        assert!(waiting.is_closed(), "{bytes_behind}");
         let left = running.len() as u64;
         until("its end is seen", || program.figure("in_flight") == left);
         upstream.release();
         running
             .iter_mut()
-            .for_each(|client| drop(client.receive().unwrap().expect("an answer")));
+            .for_each(|client| drop(client.receive().unwrap().expect("a response")));
         program.hold();
         let mut early = program.client();
         early.send("/pay", ID, "coins").unwrap();
@@ -377,10 +384,10 @@
             early
                 .receive()
                 .unwrap()
-                .is_none_or(|answer| answer.status() == 502),
-            "{behind}"
+                .is_none_or(|response| response.status() == 502),
+            "{bytes_behind}"
         );
-        only_new_ones_come(&program, &upstream, &behind.to_string());
+        expect_only_new_requests(&program, &upstream, &bytes_behind.to_string());
         assert_eq!(program.figure("failed.pay"), 0);
     }
 }
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -1,4 +1,4 @@
-//! What clients get whose bytes lie unread when their connection is closed, or that send more than one request at once.
+//! Closing of connections on which bytes are unread, and of those that carry pipelined requests.
 
 mod peers;
 use peers::*;
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 const ID: &str = "Request-Id: {id}\r\n";
-/// Descriptors that a program with a console keeps for it.
-const FOR_OPERATORS: usize = 12;
+/// Descriptors that are reserved for the admin endpoint.
+const ADMIN_DESCRIPTORS: usize = 12;
 
-/// Guards against a close over unread bytes: it resets the connection, and what its client has not taken yet of its
-/// answer goes with it.
+/// A close over unread bytes would reset the connection, and with it what the client has not
+/// taken yet of its response.
 #[test]
-fn an_answer_is_whole_though_bytes_lie_behind_its_request_when_the_connection_ends() {
-    // More than the buffers on its way take.
+fn a_response_is_complete_though_bytes_behind_its_request_are_unread_at_the_close() {
+    // More than the buffers between the two hold.
     let size = 24 << 20;
     let text = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n{}",
@@ -29,12 +29,12 @@
     upstream.set(Reply::Raw(text.leak()));
     upstream.release();
     client.take(1);
-    // More than is read ahead.
+    // More than the read-ahead buffer holds.
     let behind = "x".repeat(200_000);
     client.write(&format!(
         "POST /pay HTTP/1.1\r\nRequest-Id: c101\r\nContent-Length: 200000\r\n\r\n{behind}"
     ));
-    // The end of it waits for its reader when the connection ends.
+    // The end of the response is still to be read when the connection closes.
     let left = 2 << 20;
     client.take(size - left);
     until("all of it is written", || program.figure("served.pay") == 1);
@@ -46,16 +46,17 @@
     );
 }
 
-/// Guards against a caller that is told nothing because its connection is reset while it still sends.
+/// A client that is still sending would get no response if its connection were reset.
 #[test]
-fn a_large_request_that_is_turned_away_unread_has_its_answer() {
+fn a_large_request_that_is_rejected_unread_gets_a_response() {
     let body = "x".repeat(3 << 20);
     let upstreams: Vec<_> = (0..12).map(|_| Upstream::start(Reply::Silent)).collect();
     let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
-    let (program, _discovery) = Program::with_console_and(&addresses, 64 + FOR_OPERATORS);
+    let (program, _discovery) = Program::with_console_and(&addresses, 64 + ADMIN_DESCRIPTORS);
     assert_eq!(program.client().ask("/nothing", ID, &body).status(), 400);
-    // There is room for no more than some refusals. Whoever has not asked yet may be shut for the sake of those that
-    // have: each comes once those before it have been taken or refused.
+    // Only some rejections are left to capacity. Connections without a request may be evicted for
+    // those with one, so each client connects once the requests before it have been accepted or
+    // rejected.
     let mut busy = Vec::new();
     for count in 1..=24 {
         let mut client = program.client();
@@ -68,9 +69,9 @@
     assert_eq!(program.client().ask("/pay", ID, &body).status(), 503);
 }
 
-/// Guards against requests that are dropped because too many came at once on one connection.
+/// None may be dropped because there are too many of them.
 #[test]
-fn many_requests_at_once_on_one_connection_have_an_answer_each() {
+fn many_pipelined_requests_get_a_response_each() {
     let upstream = Upstream::start(Reply::Hold);
     let (program, _discovery) = Program::with(&[upstream.address]);
     let mut client = program.client();
@@ -82,20 +83,20 @@
     sleep(Duration::from_millis(300));
     upstream.release();
     for n in 0..60 {
-        let answer = client
+        let response = client
             .receive()
             .unwrap()
-            .unwrap_or_else(|| panic!("an answer to {n}"));
+            .unwrap_or_else(|| panic!("a response to {n}"));
         assert!(
-            String::from_utf8_lossy(&answer.body).starts_with(&format!("GET /read/{n} ")),
-            "{answer:?}"
+            String::from_utf8_lossy(&response.body).starts_with(&format!("GET /read/{n} ")),
+            "{response:?}"
         );
     }
 }
 
-/// Guards against clients that send much at once, and nothing that anybody is to read, until there is no memory.
+/// Clients that send large amounts that nobody is to read would otherwise exhaust the memory.
 #[test]
-fn what_comes_behind_requests_that_wait_takes_little_memory() {
+fn bytes_behind_requests_that_await_a_response_take_little_memory() {
     let upstream = Upstream::start(Reply::Silent);
     let (program, _discovery) = Program::with_console(&[upstream.address]);
     let mut clients: Vec<_> = (0..60).map(|_| program.client()).collect();
@@ -107,10 +108,9 @@
     assert!(program.memory() < 40 << 20, "{}", program.memory());
 }
 
-/// Guards against a request that is read after its connection was shut and goes on to an upstream: its client sends it
-/// again elsewhere.
+/// The client retries such a request elsewhere, so it must not reach an upstream.
 #[test]
-fn what_comes_after_the_shutdown_of_a_resting_connection_is_not_sent_on() {
+fn a_request_that_arrives_after_the_close_of_an_idle_connection_is_not_forwarded() {
     let upstream = Upstream::start(Reply::Ok);
     let (mut program, _discovery) = Program::with(&[upstream.address]);
     let mut clients: Vec<_> = (0..8).map(|_| program.client()).collect();
@@ -121,33 +121,34 @@
     program.terminate();
     for client in &mut clients {
         assert!(client.is_closed());
-        // The program may have ended by now.
+        // The process may have exited by now.
         let _ = client.send("/pay", ID, "coins");
     }
     assert!(program.wait().success());
     assert!(upstream.seen.try_recv().is_err());
 }
 
-/// So many requests at once, each in the name of this tag.
-fn at_once(tag: &str, count: usize) -> String {
+/// Pipelined requests whose ids begin with this prefix.
+fn pipelined(id_prefix: &str, count: usize) -> String {
     let request = |number| {
-        format!("GET /read/{number} HTTP/1.1\r\nHost: b\r\nRequest-Id: {tag}{number}\r\n\r\n")
+        format!("GET /read/{number} HTTP/1.1\r\nHost: b\r\nRequest-Id: {id_prefix}{number}\r\n\r\n")
     };
     (0..count).map(request).collect()
 }
 
-/// A request that has been read is lost if its connection ends without an answer to it: what came at once before the
-/// process is told to end, or clients are sent away, is answered to the last one, and that ends the connection.
+/// A request that has been read is lost if its connection closes without a response to it. Those
+/// that were pipelined before a shutdown or a client drain all get one, and the last one closes
+/// the connection.
 #[test]
-fn what_came_at_once_is_answered_before_its_connection_ends() {
-    let each_is_answered = |client: &mut Client, what: &str| {
+fn pipelined_requests_get_responses_before_their_connection_closes() {
+    let expect_responses = |client: &mut Client, what: &str| {
         for number in 0..6 {
-            let answer = client
+            let response = client
                 .receive()
                 .unwrap()
                 .unwrap_or_else(|| panic!("{what}, {number}"));
             assert_eq!(
-                (answer.status(), answer.header("connection")),
+                (response.status(), response.header("connection")),
                 (200, (number == 5).then_some("close"))
             );
         }
@@ -157,7 +158,7 @@
         let upstream = Upstream::start(Reply::Hold);
         let (program, _discovery) = Program::with_console(&[upstream.address]);
         let mut client = program.client();
-        client.write(&at_once("a", 6));
+        client.write(&pipelined("a", 6));
         upstream.next();
         if ends {
             program.terminate();
@@ -166,10 +167,10 @@
             assert_eq!(program.call("POST /healthcheck/fail").0, 200);
         }
         upstream.release();
-        each_is_answered(&mut client, "those that waited");
+        expect_responses(&mut client, "those that waited");
         let mut new = program.client();
-        new.write(&at_once("b", 6));
-        each_is_answered(&mut new, "those on a new connection");
+        new.write(&pipelined("b", 6));
+        expect_responses(&mut new, "those on a new connection");
     }
     let upstream = Upstream::start(Reply::Ok);
     let (program, _discovery) = Program::with(&[upstream.address]);
@@ -179,8 +180,8 @@
         200
     );
     program.hold();
-    client.write(&at_once("c", 6));
+    client.write(&pipelined("c", 6));
     program.terminate();
     program.go_on();
-    each_is_answered(&mut client, "those that had not been read");
+    expect_responses(&mut client, "those that had not been read");
 }
--- a/tests/descriptor_limits.rs
+++ b/tests/descriptor_limits.rs
@@ -1,5 +1,5 @@
-//! Descriptors when idle clients take all that they can get: what is left for discovery, for operators and for proper
-//! requests.
+//! Descriptor limits under many idle clients: what is reserved for discovery, the admin endpoint
+//! and clients with requests.
 
 mod peers;
 use peers::*;
@@ -12,14 +12,14 @@
 use std::time::Duration;
 
 const ID: &str = "Request-Id: {id}\r\n";
-/// The least descriptors, and the most that are common.
-const LIMITS: [usize; 4] = [64, 128, 256, 1024];
+/// Descriptor limits: the smallest that is allowed, and larger ones.
+const DESCRIPTOR_LIMITS: [usize; 4] = [64, 128, 256, 1024];
 
-/// One test at a time. Guards against tests that together hold more descriptors than one process may.
-fn alone() -> MutexGuard<'static, ()> {
-    static ALONE: Mutex<()> = Mutex::new(());
-    // Whatever a test before has failed at, it has ended.
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+/// Runs one test at a time, as together they would hold more descriptors than a process may.
+fn run_exclusively() -> MutexGuard<'static, ()> {
+    static EXCLUSIVE: Mutex<()> = Mutex::new(());
+    // A test that has failed before this one has ended all the same.
+    EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn start(known: &str, discovery: SocketAddr, sockets: usize, mode: &str) -> Program {
@@ -28,85 +28,86 @@
     Program::start_with(&[("PROXY_CONSOLE", "127.0.0.1:0")], &config, "127.0.0.1:0")
 }
 
-/// So many connections on which nothing comes.
-fn idle(address: SocketAddr, count: usize) -> Vec<TcpStream> {
+/// This many connections on which nothing is sent.
+fn open_idle(address: SocketAddr, count: usize) -> Vec<TcpStream> {
     (0..count)
         .map(|_| TcpStream::connect(address).unwrap())
         .collect()
 }
 
-/// Idle clients that hold more connections than there are descriptors, and open new ones all the time.
-struct Crowd {
-    over: Arc<AtomicBool>,
+/// Idle clients that hold more connections than there are descriptors, and keep opening new ones.
+struct IdleClients {
+    stop: Arc<AtomicBool>,
     clients: Option<JoinHandle<()>>,
 }
 
-impl Crowd {
+impl IdleClients {
     fn at(address: SocketAddr, count: usize) -> Self {
-        let mut open: VecDeque<_> = idle(address, count).into();
-        let over = Arc::new(AtomicBool::new(false));
-        let ends = over.clone();
+        let mut open: VecDeque<_> = open_idle(address, count).into();
+        let stop = Arc::new(AtomicBool::new(false));
+        let stopped = stop.clone();
         let clients = thread::spawn(move || {
-            while !ends.load(Ordering::SeqCst) {
+            while !stopped.load(Ordering::SeqCst) {
                 open.pop_front();
-                open.extend(idle(address, 1));
+                open.extend(open_idle(address, 1));
                 sleep(Duration::from_millis(1));
             }
         });
-        Crowd {
-            over,
+        IdleClients {
+            stop,
             clients: Some(clients),
         }
     }
 }
 
-impl Drop for Crowd {
+impl Drop for IdleClients {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
-        // One that panicked has said so.
+        self.stop.store(true, Ordering::SeqCst);
+        // A panic has been reported already.
         let _ = self.clients.take().map(JoinHandle::join);
     }
 }
 
-/// Guards against a proper request that is shut unread because it comes in the midst of idle connections, all taken in
-/// one turn, and of others that have ended unnoticed: whoever has asked goes before whoever has not.
+/// A request may arrive among open_idle connections that are all accepted in one turn of the
+/// event loop, and among others whose close has not been noticed. Its connection is evicted after
+/// those without a request.
 #[test]
-fn a_request_among_idle_connections_is_the_last_to_be_shut() {
-    let _alone = alone();
-    for sockets in LIMITS {
+fn a_request_among_idle_connections_is_the_last_to_be_evicted() {
+    let _exclusive = run_exclusively();
+    for sockets in DESCRIPTOR_LIMITS {
         let upstream = Upstream::start(Reply::Ok);
         let (program, _discovery) = Program::with_sockets(&[upstream.address], sockets);
-        let ended = idle(program.address, sockets * 2 / 3);
+        let ended = open_idle(program.address, sockets * 2 / 3);
         until("they fill it", || program.descriptors() > sockets / 3);
         program.hold();
         drop(ended);
-        let mut open = idle(program.address, sockets * 2 / 3);
-        let mut proper: Vec<_> = (0..4)
+        let mut open = open_idle(program.address, sockets * 2 / 3);
+        let mut requesting: Vec<_> = (0..4)
             .map(|_| {
                 let mut client = program.client();
                 client.send("/pay", ID, "coins").unwrap();
-                open.extend(idle(program.address, sockets / 32));
+                open.extend(open_idle(program.address, sockets / 32));
                 client
             })
             .collect();
-        open.extend(idle(program.address, sockets / 16));
+        open.extend(open_idle(program.address, sockets / 16));
         program.go_on();
-        for client in &mut proper {
-            let answer = client
+        for client in &mut requesting {
+            let response = client
                 .receive()
                 .unwrap_or_default()
-                .map(|answer| answer.status());
-            assert_eq!(answer, Some(200), "{sockets}");
+                .map(|response| response.status());
+            assert_eq!(response, Some(200), "{sockets}");
         }
         assert!(program.descriptors() <= sockets);
     }
 }
 
-/// Guards against turning away a request for want of room that there was when its connection came, and that is free
-/// again when it asks.
+/// A request is not rejected for a lack of descriptors that has ended since its connection was
+/// accepted.
 #[test]
-fn whoever_found_no_room_is_served_if_there_is_room_when_it_asks() {
-    let _alone = alone();
+fn a_client_accepted_over_capacity_is_served_if_there_is_capacity_when_its_request_arrives() {
+    let _exclusive = run_exclusively();
     let upstream = Upstream::start(Reply::Hold);
     let discovery = DiscoveryPeer::start();
     let known = list(5, true, &[endpoint("u0", upstream.address, "in_service")]);
@@ -126,32 +127,40 @@
     upstream.release();
     program.go_on();
     assert_eq!(
-        late.receive().unwrap().map(|answer| answer.status()),
+        late.receive().unwrap().map(|response| response.status()),
         Some(200)
     );
 }
 
-/// The same where all come in one turn, wherever the request stands in the row.
+/// The same when all are accepted in one turn of the event loop, at whatever place the request
+/// comes.
 #[test]
-fn a_whole_request_has_room_behind_any_number_of_half_ones() {
-    let _alone = alone();
+fn a_complete_request_has_capacity_behind_any_number_of_partial_ones() {
+    let _exclusive = run_exclusively();
     for count in 18..36 {
         let upstream = Upstream::start(Reply::Ok);
         let (program, _discovery) = Program::with_sockets(&[upstream.address], 64);
         program.hold();
-        let mut crowd = idle(program.address, count);
-        crowd.iter_mut().for_each(|client| {
+        let mut idle_clients = open_idle(program.address, count);
+        idle_clients.iter_mut().for_each(|client| {
             client
                 .write_all(b"GET /read HTTP/1.1\r\nHost: b\r\nRequ")
                 .unwrap()
         });
-        let answer = ask_at_once(&program, "/read").receive().unwrap_or_default();
-        assert_eq!(answer.map(|answer| answer.status()), Some(200), "{count}");
+        let response = send_before_accept(&program, "/read")
+            .receive()
+            .unwrap_or_default();
+        assert_eq!(
+            response.map(|response| response.status()),
+            Some(200),
+            "{count}"
+        );
     }
 }
 
-/// Sends a request on a new connection, with all of it there before the program takes the connection.
-fn ask_at_once(program: &Program, path: &str) -> Client {
+/// Sends a request on a new connection, which is accepted only after all of the request has
+/// arrived.
+fn send_before_accept(program: &Program, path: &str) -> Client {
     program.hold();
     let mut client = program.client();
     client.send(path, ID, "").unwrap();
@@ -159,27 +168,29 @@
     client
 }
 
-/// Guards against whole requests that are shut for the sake of those that have half come, and against a crowd that asks for
-/// health and stays.
+/// Connections with partial requests, and those that sent only health checks and stay open, are
+/// evicted first.
 #[test]
-fn a_whole_request_goes_before_half_ones_and_before_those_that_asked_for_health() {
-    let _alone = alone();
-    for sockets in LIMITS {
+fn a_complete_request_goes_before_partial_ones_and_before_health_checks() {
+    let _exclusive = run_exclusively();
+    for sockets in DESCRIPTOR_LIMITS {
         let upstream = Upstream::start(Reply::Ok);
         let (program, _discovery) = Program::with_sockets(&[upstream.address], sockets);
         for text in [
             "GET /read HTTP/1.1\r\nHost: b\r\nRequ",
             "GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n",
         ] {
-            let mut crowd = idle(program.address, sockets * 2 / 3);
-            // Those that are shut already hear nothing of it.
-            crowd
+            let mut idle_clients = open_idle(program.address, sockets * 2 / 3);
+            // Some have been evicted already.
+            idle_clients
                 .iter_mut()
                 .for_each(|client| drop(client.write_all(text.as_bytes())));
             for _ in 0..4 {
-                let answer = ask_at_once(&program, "/read").receive().unwrap_or_default();
+                let response = send_before_accept(&program, "/read")
+                    .receive()
+                    .unwrap_or_default();
                 assert_eq!(
-                    answer.map(|answer| answer.status()),
+                    response.map(|response| response.status()),
                     Some(200),
                     "{sockets} {text}"
                 );
@@ -188,11 +199,12 @@
     }
 }
 
-/// Guards against a watch that finds no descriptor once discovery is back, an operator who finds nobody, and proper
-/// requests that are not served then. Nothing is known of upstreams, or only old news of one that is gone.
+/// A watch finds a descriptor once discovery is back, the admin endpoint responds, and requests
+/// are served then. The endpoint list at the start is empty, or holds only an upstream that is
+/// gone.
 #[test]
-fn behind_an_idle_crowd_requests_are_served_once_discovery_has_spoken() {
-    let _alone = alone();
+fn behind_many_idle_clients_requests_are_served_once_discovery_has_responded() {
+    let _exclusive = run_exclusively();
     for (sockets, mode, empty) in [
         (64, "ask", true),
         (128, "push", false),
@@ -208,8 +220,8 @@
             vec![endpoint("u0", gone.address, "in_service")]
         };
         let program = start(&list(5, true, &old), down.address, sockets, mode);
-        let crowd = Crowd::at(program.address, sockets * 2 / 3);
-        let mut early = ask_at_once(&program, "/read");
+        let idle_clients = IdleClients::at(program.address, sockets * 2 / 3);
+        let mut early = send_before_accept(&program, "/read");
         for _ in 0..10 {
             assert_eq!(
                 program.call("GET /healthcheck").0,
@@ -220,7 +232,7 @@
         }
         let discovery = down.discovery();
         let mut watch = discovery.next();
-        // It is silent at first, so that where lists are pushed another watch is opened beside it.
+        // It is silent at first, so that in push mode another watch is opened beside it.
         let other = (mode == "push").then(|| discovery.next());
         assert_eq!(program.call("GET /stats").0, 200);
         let new =
@@ -230,30 +242,31 @@
             program.figure("upstreams_known") == 2
         });
         for _ in 0..8 {
-            let mut client = ask_at_once(&program, "/read");
-            let answer = client
+            let mut client = send_before_accept(&program, "/read");
+            let response = client
                 .receive()
                 .unwrap_or_default()
-                .map(|answer| answer.status());
-            assert_eq!(answer, Some(200), "{sockets} {mode}");
+                .map(|response| response.status());
+            assert_eq!(response, Some(200), "{sockets} {mode}");
             assert!(program.descriptors() <= sockets, "{sockets}");
         }
         if empty {
-            // It has waited for that.
+            // This request has been queued meanwhile.
             assert_eq!(
-                early.receive().unwrap().map(|answer| answer.status()),
+                early.receive().unwrap().map(|response| response.status()),
                 Some(200)
             );
         }
-        drop((crowd, other));
+        drop((idle_clients, other));
     }
 }
 
-/// Guards against a watch that is lost while a new process has half of the descriptors, and clients with open requests
-/// hold more than the other half: they can't be closed, and discovery has a part of its own.
+/// A watch fails while a new process has half of the descriptors, and clients with requests in
+/// flight, which can't be evicted, hold more than the other half. Discovery has descriptors of
+/// its own.
 #[test]
-fn a_watch_comes_back_while_a_new_process_has_half_of_the_descriptors() {
-    let _alone = alone();
+fn a_watch_reconnects_while_a_new_process_has_half_of_the_descriptors() {
+    let _exclusive = run_exclusively();
     let upstreams: Vec<_> = (0..12).map(|_| Upstream::start(Reply::Hold)).collect();
     let entry = |(n, upstream): (usize, &Upstream)| {
         endpoint(&format!("u{n}"), upstream.address, "in_service")
@@ -291,16 +304,16 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// Guards against a limit of the system that is smaller than what the configuration promises: clients would take every
-/// descriptor there is, and leave none to discovery and operators.
+/// The system's limit may be smaller than the configured one. Clients must not take every
+/// descriptor then and leave none to discovery and the admin endpoint.
 #[test]
-fn no_more_is_promised_than_the_system_lets_a_process_hold() {
-    let _alone = alone();
+fn the_descriptor_limit_is_no_larger_than_that_of_the_system() {
+    let _exclusive = run_exclusively();
     let upstream = Upstream::start(Reply::Ok);
     let down = Refusing::new();
     let config = config(&list(5, true, &[]), down.address, 1024);
     let program = Program::start_limited(128, &[("PROXY_CONSOLE", "127.0.0.1:0")], &config);
-    let crowd = Crowd::at(program.address, 300);
+    let idle_clients = IdleClients::at(program.address, 300);
     for _ in 0..10 {
         assert_eq!(program.call("GET /stats").0, 200);
         assert!(program.descriptors() < 128 - 8, "some are kept free");
@@ -316,12 +329,12 @@
     });
     for _ in 0..8 {
         assert_eq!(
-            ask_at_once(&program, "/read")
+            send_before_accept(&program, "/read")
                 .receive()
                 .unwrap()
-                .map(|answer| answer.status()),
+                .map(|response| response.status()),
             Some(200)
         );
     }
-    drop(crowd);
+    drop(idle_clients);
 }
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -1,4 +1,4 @@
-//! Messages that come in pieces, in all forms, or not to their end.
+//! Framing of requests and responses: all forms, in pieces, and messages that never end.
 
 mod peers;
 use peers::*;
@@ -10,8 +10,8 @@
 
 const ID: &str = "Request-Id: {id}\r\n";
 
-/// An upstream that gives each connection's first request to this.
-fn upstream(answer: impl Fn(&mut TcpStream) + Send + 'static) -> SocketAddr {
+/// An upstream that responds to the first request on each connection by `response`.
+fn upstream(response: impl Fn(&mut TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     spawn(move || {
@@ -19,16 +19,17 @@
             stream.set_nodelay(true).unwrap();
             let request = Message::read(&mut BufReader::new(stream.try_clone().unwrap()));
             assert!(request.unwrap().is_some());
-            answer(&mut stream);
+            response(&mut stream);
         }
     });
     address
 }
 
-/// Guards against taking a reset for the end of an answer that has no length and so ends with its connection: also
-/// where nothing of it has come, all that there is, or a part that is being passed on already.
+/// A reset must not be taken for the end of a response that is delimited by the close of its
+/// connection: also when nothing of it has arrived, all of it, or a part that is being streamed
+/// already.
 #[test]
-fn an_answer_without_a_length_that_is_reset_is_not_whole() {
+fn a_response_without_a_length_that_is_reset_is_incomplete() {
     for (count, pause) in [
         (0, 0),
         (5, 0),
@@ -54,7 +55,7 @@
             .send("/pay", &format!("{ID}Connection: close\r\n"), "coins")
             .unwrap();
         let text = String::from_utf8(client.rest()).unwrap();
-        // Either it is told to have failed, or what it gets has no end.
+        // The client gets either an error or a response that is not terminated.
         let (failed, cut) = (
             text.starts_with("HTTP/1.1 502 "),
             !text.ends_with("0\r\n\r\n"),
@@ -69,10 +70,10 @@
     }
 }
 
-/// Guards against a form that HTTP/1.1 allows and that is taken for spoilt, or cut in the wrong place, when it comes
-/// byte by byte.
+/// No form that HTTP/1.1 allows counts as malformed, or is cut in the wrong place, when it
+/// arrives byte by byte.
 #[test]
-fn answers_are_read_in_all_forms_byte_by_byte() {
+fn responses_are_read_in_all_forms_byte_by_byte() {
     let forms = [
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ncoins",
         "HTTP/1.1 200\r\ncONTENT-lENGTH:\t 5 \t\r\nNews:\r\nServer-Load: TEXT inflight=7\r\n\r\ncoins",
@@ -90,27 +91,27 @@
             }
         });
         let (program, _discovery) = Program::with(&[address]);
-        let answer = program.client().ask("/pay", ID, "coins");
+        let response = program.client().ask("/pay", ID, "coins");
         assert_eq!(
-            (answer.status(), answer.body.as_slice()),
+            (response.status(), response.body.as_slice()),
             (200, &b"coins"[..]),
             "{form}"
         );
     }
 }
 
-/// Guards against a chunk of which the size has no end: it would be read until its client's time is up. It begins
-/// when the head before it has been read.
+/// A chunk size that never ends would otherwise be read until the request's deadline. It begins
+/// after the head has been read.
 #[test]
-fn the_size_of_a_chunk_that_never_comes_to_an_end_is_spoilt() {
-    let answers = [
+fn a_chunk_size_that_never_ends_is_malformed() {
+    let responses = [
         ("200 OK", "", "0"),
         ("200 OK", "5", " "),
         ("500 No", "", "0"),
         ("500 No", "5", " "),
         ("500 No", "2\r\nhi\r\n", "0"),
     ];
-    for (status, begin, again) in answers {
+    for (status, begin, again) in responses {
         let (listener, discovery) = (
             TcpListener::bind("127.0.0.1:0").unwrap(),
             DiscoveryPeer::start(),
@@ -131,19 +132,19 @@
             "HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n{begin}"
         )
         .unwrap();
-        // Whoever asks now is answered after that has been read.
+        // Later requests are responded to after that has been read.
         for _ in 0..2 {
             assert_eq!(program.client().ask("/healthz", "", "").status(), 200);
         }
-        // More than the buffers on its way take.
+        // More than the buffers between the two hold.
         let taken =
             (0..400).take_while(|_| stream.write_all(again.repeat(100_000).as_bytes()).is_ok());
         assert!(taken.count() < 400, "it is broken off: {status} {begin:?}");
-        assert_eq!(client.receive().unwrap().expect("an answer").status(), 502);
+        assert_eq!(client.receive().unwrap().expect("a response").status(), 502);
     }
 }
 
-/// Guards against the same in a request, and against passing it on changed.
+/// The same for requests, which are also forwarded unchanged.
 #[test]
 fn requests_are_read_in_all_forms_byte_by_byte() {
     let forms = [
@@ -160,7 +161,7 @@
             sleep(Duration::from_micros(300));
         }
         assert_eq!(
-            client.receive().unwrap().expect("an answer").status(),
+            client.receive().unwrap().expect("a response").status(),
             200,
             "{form}"
         );
@@ -176,9 +177,9 @@
     }
 }
 
-/// Guards against a spoilt answer that is read for as long as it comes.
+/// A malformed response is not read for as long as it goes on.
 #[test]
-fn an_answer_that_never_comes_to_an_end_is_spoilt() {
+fn a_response_that_never_ends_is_malformed() {
     let forms = [
         ("HTTP/1.1 102 Processing\r\n\r\n", ""),
         ("", "HTTP/1.1 200 OK\r\nNews: 1\r\n"),
@@ -200,7 +201,7 @@
         let again = if again.is_empty() { begin } else { again };
         let address = upstream(move |stream| {
             let _ = stream.write_all(begin.as_bytes());
-            // Until the connection is closed on it.
+            // Until the balancer closes the connection.
             while stream.write_all(again.repeat(100).as_bytes()).is_ok() {}
         });
         let (program, _discovery) = Program::with(&[address]);
