--- a/src/bin/load-balancer/server/raw_head.rs
+++ b/src/bin/load-balancer/server/raw_head.rs
@@ -46,3 +46,6 @@
         None => (line, &[]),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/bin/load-balancer/server/request_error.rs
+++ b/src/bin/load-balancer/server/request_error.rs
@@ -73,3 +73,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
