--- a/src/bin/load-balancer/server/eviction.rs
+++ b/src/bin/load-balancer/server/eviction.rs
@@ -26,7 +26,7 @@
     Idle,
     /// It has carried no valid request, and none is arriving.
     NoValidRequest,
-    /// Its first request is arriving. That of a later request never is a reason.
+    /// Its first request is arriving. Connections on which a further one is arriving are spared.
     FirstRequestArriving,
 }
 
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -19,8 +19,8 @@
 use tokio::task::spawn_local;
 
 impl Server {
-    /// Rejects a request for want of descriptors, and counts it as one of its class if it is
-    /// valid that far.
+    /// Rejects a request for lack of descriptors. It is counted if it names a known class and has a
+    /// request id, without further validation.
     pub(super) fn reject_over_capacity(&self, request: &Request<Incoming>) -> ClientResponse {
         if let Some(class) = self
             .class_index(request.uri().path())
@@ -72,20 +72,32 @@
         if upload.is_streamed() {
             discard_rest_of_body(client, upload.clone());
         }
+        self.client_response(final_response.ok(), in_flight, &upload, client)
+    }
+
+    /// Makes a final response into one for the client, and counts it. Without one the client has
+    /// disconnected.
+    fn client_response(
+        &self,
+        final_response: Option<FinalResponse>,
+        in_flight: InFlightRequest,
+        upload: &Upload,
+        client: &Rc<ClientConnection>,
+    ) -> ClientResponse {
         match final_response {
-            Ok(FinalResponse::Served(served)) => {
-                self.served_response(&served.headers, served.body, in_flight, &upload, client)
+            Some(FinalResponse::Served(served)) => {
+                self.served_response(&served.headers, served.body, in_flight, upload, client)
             }
-            Ok(FinalResponse::Rejected { retry_after }) => {
+            Some(FinalResponse::Rejected { retry_after }) => {
                 in_flight.end(RequestOutcome::Rejected);
                 rejected_response(retry_after)
             }
-            Ok(FinalResponse::Failed) => {
+            Some(FinalResponse::Failed) => {
                 in_flight.end(RequestOutcome::Failed);
                 text_response(StatusCode::BAD_GATEWAY, "failed")
             }
-            // The client has disconnected: nobody reads the response, and no outcome is counted.
-            Err(_) => {
+            // Nobody reads this response, and no outcome is counted.
+            None => {
                 let mut response = text_response(StatusCode::BAD_GATEWAY, "its client has left");
                 close_connection_after(&mut response);
                 response
