--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -19,8 +19,8 @@
 use tokio::task::spawn_local;
 
 impl Server {
-    /// Rejects a request for lack of descriptors. It is counted if it names a known class and has a
-    /// request id, without further validation.
+    /// Rejects a request for lack of descriptors. It is counted if it names a known class and has
+    /// a request id, without further validation.
     pub(super) fn reject_over_capacity(&self, request: &Request<Incoming>) -> ClientResponse {
         if let Some(class) = self
             .class_index(request.uri().path())
--- a/src/bin/load-balancer/server/request_error/tests.rs
+++ b/src/bin/load-balancer/server/request_error/tests.rs
@@ -1,77 +1,73 @@
+//! Clients see these statuses and texts.
+
 use super::*;
 
-/// Clients and the tests of other programs rely on these.
+fn check<const N: usize>(status: StatusCode, errors: [(RequestError, &str); N]) {
+    for (error, text) in errors {
+        assert_eq!(error.status(), status, "{error:?}");
+        assert_eq!(error.to_string(), text);
+    }
+}
+
 #[test]
-fn each_error_has_its_status_and_text() {
+fn an_invalid_request_is_a_bad_request() {
+    use RequestError as E;
+    check(
+        StatusCode::BAD_REQUEST,
+        [
+            (E::UnknownClass, "the path names no known class"),
+            (E::UnreadableHeader("tenant"), "tenant can't be read"),
+            (E::RepeatedHeader("tenant"), "tenant stands there twice"),
+            (E::NotANumber("work-hint"), "work-hint is not a number"),
+            (E::MissingIdempotencyKey, "Idempotency-Key is missing"),
+            (
+                E::UnexpectedIdempotencyKey,
+                "this class has no Idempotency-Key",
+            ),
+            (E::MissingRequestId, "Request-Id is missing"),
+            (E::MalformedRequestId, "Request-Id is malformed"),
+            (E::AmbiguousBodyLength, "the end of the body is unclear"),
+            (E::UnexpectedBody, "GET has no body"),
+            (E::MissingPath, "the path is missing"),
+            (E::Body(BodyError::Truncated), "the body is broken"),
+        ],
+    );
+}
+
+#[test]
+fn other_errors_have_statuses_of_their_own() {
     let expected = Method::GET;
-    for (error, status, text) in [
-        (
-            RequestError::UnknownClass,
-            400,
-            "the path names no known class",
-        ),
-        (
+    check(
+        StatusCode::METHOD_NOT_ALLOWED,
+        [(
             RequestError::MethodNotAllowed { expected },
-            405,
             "this class is asked for with GET",
-        ),
-        (
-            RequestError::UnreadableHeader("tenant"),
-            400,
-            "tenant can't be read",
-        ),
-        (
-            RequestError::RepeatedHeader("tenant"),
-            400,
-            "tenant stands there twice",
-        ),
-        (
-            RequestError::NotANumber("work-hint"),
-            400,
-            "work-hint is not a number",
-        ),
-        (
-            RequestError::MissingIdempotencyKey,
-            400,
-            "Idempotency-Key is missing",
-        ),
-        (
-            RequestError::UnexpectedIdempotencyKey,
-            400,
-            "this class has no Idempotency-Key",
-        ),
-        (RequestError::MissingRequestId, 400, "Request-Id is missing"),
-        (
-            RequestError::MalformedRequestId,
-            400,
-            "Request-Id is malformed",
-        ),
-        (
-            RequestError::AmbiguousBodyLength,
-            400,
-            "the end of the body is unclear",
-        ),
-        (RequestError::UnexpectedBody, 400, "GET has no body"),
-        (RequestError::MissingPath, 400, "the path is missing"),
-        (BodyError::Truncated.into(), 400, "the body is broken"),
-        (
-            BodyError::Stalled.into(),
-            408,
-            "the body did not come in time",
-        ),
-        (BodyError::TooLarge.into(), 413, "the body is too large"),
-        (
+        )],
+    );
+    check(
+        StatusCode::REQUEST_TIMEOUT,
+        [(BodyError::Stalled.into(), "the body did not come in time")],
+    );
+    check(
+        StatusCode::PAYLOAD_TOO_LARGE,
+        [(BodyError::TooLarge.into(), "the body is too large")],
+    );
+}
+
+#[test]
+fn rejections_by_the_dispatcher_have_statuses_of_their_own() {
+    check(
+        StatusCode::SERVICE_UNAVAILABLE,
+        [(
             RejectionReason::TooManyOpen.into(),
-            503,
             "too many requests are open",
-        ),
-        (
+        )],
+    );
+    check(
+        StatusCode::CONFLICT,
+        [(
             RejectionReason::DuplicateId.into(),
-            409,
             "Request-Id has been used before",
-        ),
-    ] {
-        assert_eq!(error.status().as_u16(), status, "{error:?}");
-        assert_eq!(error.to_string(), text, "{error:?}");
-    }
+        )],
+    );
 }
