--- a/src/bin/load-balancer/admin/mod.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -4,13 +4,13 @@
 mod request;
 mod response;
 
-use crate::admin::request::{AdminRequest, ClientDrain};
+use crate::admin::request::AdminRequest;
 use crate::admin::response::{text_response, AdminError, AdminResponse};
 use crate::dispatch::Dispatcher;
 use crate::handover::Handover;
 use crate::log;
 use crate::server::listener::{Listener, PendingConnection};
-use crate::server::Server;
+use crate::server::{ClientDrain, Server};
 use crate::socket::{DescriptorBudget, DescriptorPermit, Purpose, Socket};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -161,10 +161,12 @@
             }
             AdminRequest::Metrics => Ok(self.dispatcher.borrow().render_metrics()),
             AdminRequest::DrainClients(drain) => {
-                let is_begin = drain == ClientDrain::Begin;
-                let change = if is_begin { "started" } else { "ended" };
+                let change = match drain {
+                    ClientDrain::Begin => "began",
+                    ClientDrain::End => "ended",
+                };
                 log::line(format!("client drain {change}: by admin request"));
-                self.server.drain_clients(is_begin);
+                self.server.drain_clients(drain);
                 Ok("done".into())
             }
             AdminRequest::SetMaintenance { upstream, change } => {
--- a/src/bin/load-balancer/admin/request.rs
+++ b/src/bin/load-balancer/admin/request.rs
@@ -1,17 +1,9 @@
 //! What can be asked of the admin endpoint: paths and methods.
 
+use crate::server::ClientDrain;
 use hyper::Method;
 use load_balancer::Maintenance;
 
-/// Whether clients are drained: health checks fail and connections close after the next response.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClientDrain {
-    /// Clients are to connect to other balancers.
-    Begin,
-    /// Clients are welcome again.
-    End,
-}
-
 /// A request to the admin endpoint.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AdminRequest<'a> {
--- a/src/bin/load-balancer/process.rs
+++ b/src/bin/load-balancer/process.rs
@@ -6,7 +6,7 @@
 use crate::handover::Handover;
 use crate::log;
 use crate::reload::reload_on_signal;
-use crate::server::listener::Listener;
+use crate::server::listener::{Listener, PortSharing};
 use crate::server::Server;
 use crate::shutdown::{shut_down, DrainSchedule, Successor};
 use crate::signals::{Signal, SIGHUP, SIGINT, SIGTERM};
@@ -161,7 +161,7 @@
     /// Serves clients until a signal ends that, then shuts down gracefully.
     async fn serve(self, end: EndSignals) -> Result<(), StartError> {
         let address = self.address;
-        let listener = Listener::bind(address, true)
+        let listener = Listener::bind(address, PortSharing::Shared)
             .map_err(|source| StartError::ClientListener { address, source })?;
         let address = retry_transient_errors(|| listener.local_addr())?;
         self.server.open();
@@ -180,7 +180,8 @@
 }
 
 fn bind_admin(address: SocketAddr) -> Result<Listener, StartError> {
-    Listener::bind(address, false).map_err(|source| StartError::AdminListener { address, source })
+    Listener::bind(address, PortSharing::Exclusive)
+        .map_err(|source| StartError::AdminListener { address, source })
 }
 
 /// The longest deadline of a request class.
--- /dev/null
+++ b/src/bin/load-balancer/server/accept.rs
@@ -0,0 +1,139 @@
+//! The accept loop, with its backoff when the system is short of resources.
+
+use crate::log;
+use crate::server::connection::ClientConnection;
+use crate::server::listener::{Listener, PendingConnection};
+use crate::server::Server;
+use crate::socket::system_errors::{is_connection_error, is_descriptor_limit};
+use crate::socket::Socket;
+use std::future::Future;
+use std::io;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::{spawn_local, yield_now};
+use tokio::time::{sleep, Instant};
+
+/// The delay before the next accept after the second failure in a row and each further one.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
+/// With this many more failures than successes a shortage counts as persistent.
+const PERSISTENT_SHORTAGE_EXCESS: u32 = 10;
+/// Failed accepts are logged no more often than this.
+const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(10);
+
+/// Counts accepts that failed because this process or machine is short of a resource.
+#[derive(Default)]
+struct ResourceShortage {
+    consecutive_failures: u32,
+    /// Failures less successes, never below zero.
+    excess: u32,
+}
+
+impl ResourceShortage {
+    fn record_failure(&mut self) {
+        self.consecutive_failures += 1;
+        self.excess += 1;
+    }
+
+    fn record_success(&mut self) {
+        self.consecutive_failures = 0;
+        self.excess = self.excess.saturating_sub(1);
+    }
+
+    /// True if waiting has not helped, so that a descriptor has to be freed.
+    fn is_persistent(&self) -> bool {
+        self.excess >= PERSISTENT_SHORTAGE_EXCESS
+    }
+}
+
+impl Server {
+    /// Accepts connections until `stop` is ready. `stop` doesn't interrupt the admission of a
+    /// connection, so that none which has been accepted is dropped.
+    pub async fn accept(self: &Rc<Self>, listener: &Listener, stop: impl Future<Output = ()>) {
+        let mut stop = pin!(stop);
+        let mut shortage = ResourceShortage::default();
+        loop {
+            let accepted = tokio::select! {
+                biased;
+                () = &mut stop => return,
+                accepted = listener.accept() => accepted,
+            };
+            self.handle_accepted(accepted, &mut shortage).await;
+        }
+    }
+
+    /// Accepts all connections in the listener's queue, and closes the listener. The kernel
+    /// resets connections that are still in the queue then.
+    ///
+    /// # Errors
+    ///
+    /// Those of accept(2) that last until `deadline`.
+    pub async fn close(self: &Rc<Self>, listener: Listener, deadline: Instant) -> io::Result<()> {
+        let mut shortage = ResourceShortage::default();
+        loop {
+            match listener.accept_now() {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
+                Err(error) if Instant::now() >= deadline => return Err(error),
+                accepted => self.handle_accepted(accepted, &mut shortage).await,
+            }
+        }
+    }
+
+    async fn handle_accepted(
+        self: &Rc<Self>,
+        accepted: io::Result<PendingConnection>,
+        shortage: &mut ResourceShortage,
+    ) {
+        match accepted {
+            Ok(connection) => {
+                shortage.record_success();
+                self.admit_connection(connection).await;
+            }
+            Err(error) => self.back_off(shortage, &error).await,
+        }
+    }
+
+    /// Waits before the next accept if the error requires that. In a short shortage clients keep
+    /// their connections; if this process is at its descriptor limit for long, an idle one is
+    /// evicted.
+    async fn back_off(&self, shortage: &mut ResourceShortage, error: &io::Error) {
+        if is_connection_error(error) {
+            // Only this connection has failed; the next one may be sound.
+            return yield_now().await;
+        }
+        self.log_accept_error(error);
+        shortage.record_failure();
+        if shortage.is_persistent() && is_descriptor_limit(error) {
+            self.connections.evict_one().await;
+        }
+        if shortage.consecutive_failures == 1 {
+            yield_now().await;
+        } else {
+            sleep(ACCEPT_BACKOFF).await;
+        }
+    }
+
+    fn log_accept_error(&self, error: &io::Error) {
+        let logged_at = self.accept_error_logged_at.get();
+        if logged_at.is_none_or(|logged_at| logged_at.elapsed() > ACCEPT_ERROR_LOG_INTERVAL) {
+            self.accept_error_logged_at.set(Some(Instant::now()));
+            log::line(format!("accept failed: {error}"));
+        }
+    }
+
+    /// Starts serving a connection, or closes it if there is no descriptor for it.
+    async fn admit_connection(self: &Rc<Self>, accepted: PendingConnection) {
+        let stream = match accepted.register().await {
+            Ok(stream) => stream,
+            Err(error) => {
+                return log::line(format!("client connection dropped: {error}"));
+            }
+        };
+        let Some((permit, admission)) = self.acquire_permit().await else {
+            return;
+        };
+        let client = ClientConnection::new(Socket::for_client(stream, permit));
+        let id = self.connections.insert(client.clone());
+        spawn_local(self.clone().serve(id, client, admission));
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer/server/handler.rs
@@ -0,0 +1,172 @@
+//! Handles one request: has it dispatched, and makes its final response into one for the client.
+
+use crate::body::{ResponseBody, Upload};
+use crate::dispatch::{Dispatcher, FinalResponse, RejectionReason};
+use crate::metrics::{InFlightRequest, RequestOutcome};
+use crate::server::connection::{ClientConnection, Phase};
+use crate::server::response::{
+    close_connection_after, error_response, rejected_response, text_response, ClientResponse,
+    StreamingGuard,
+};
+use crate::server::Server;
+use crate::upstream::{end_to_end_headers, ResponseContent};
+use hyper::body::Incoming;
+use hyper::header::HeaderMap;
+use hyper::{Request, Response, StatusCode};
+use load_balancer::RequestId;
+use std::cell::RefCell;
+use std::rc::Rc;
+use tokio::task::spawn_local;
+
+impl Server {
+    /// Rejects a request for lack of descriptors. It is counted if it names a known class and has
+    /// a request id, without further validation.
+    pub(super) fn reject_over_capacity(&self, request: &Request<Incoming>) -> ClientResponse {
+        if let Some(class) = self
+            .class_index(request.uri().path())
+            .filter(|_| request.headers().contains_key("request-id"))
+        {
+            self.metrics
+                .begin_request(class)
+                .end(RequestOutcome::Rejected);
+        }
+        text_response(StatusCode::SERVICE_UNAVAILABLE, "no descriptor is free")
+    }
+
+    /// Handles a request, and returns once its response can begin.
+    pub(super) async fn handle_request(
+        &self,
+        request: Request<Incoming>,
+        client: &Rc<ClientConnection>,
+    ) -> ClientResponse {
+        if request.uri().path() == "/healthz" {
+            return self.health_response();
+        }
+        let accepted = match self.read_request(request, client).await {
+            Ok(accepted) => accepted,
+            Err(error) => return error_response(&error),
+        };
+        let upload = accepted.forward.upload.clone();
+        client.record_valid_request();
+        let in_flight = self.metrics.begin_request(accepted.class);
+        let dispatched = self.dispatcher.borrow_mut().accept(accepted);
+        let (id, final_response) = match dispatched {
+            Ok(dispatched) => dispatched,
+            Err(reason) => {
+                in_flight.end(match reason {
+                    RejectionReason::TooManyOpen => RequestOutcome::Rejected,
+                    RejectionReason::DuplicateId => RequestOutcome::Failed,
+                });
+                return error_response(&reason.into());
+            }
+        };
+        let _cancel_on_drop = CancelOnDrop {
+            dispatcher: &self.dispatcher,
+            id,
+        };
+        client.enter(Phase::AwaitingResponse);
+        // While a complete request awaits its response, nothing else reads the bytes behind it.
+        client.socket.set_read_ahead(!upload.is_streamed());
+        let final_response = final_response.await;
+        client.socket.set_read_ahead(false);
+        if upload.is_streamed() {
+            discard_rest_of_body(client, upload.clone());
+        }
+        self.client_response(final_response.ok(), in_flight, &upload, client)
+    }
+
+    /// Makes a final response into one for the client, and counts it. Without one the client has
+    /// disconnected.
+    fn client_response(
+        &self,
+        final_response: Option<FinalResponse>,
+        in_flight: InFlightRequest,
+        upload: &Upload,
+        client: &Rc<ClientConnection>,
+    ) -> ClientResponse {
+        match final_response {
+            Some(FinalResponse::Served(served)) => {
+                self.served_response(&served.headers, served.body, in_flight, upload, client)
+            }
+            Some(FinalResponse::Rejected { retry_after }) => {
+                in_flight.end(RequestOutcome::Rejected);
+                rejected_response(retry_after)
+            }
+            Some(FinalResponse::Failed) => {
+                in_flight.end(RequestOutcome::Failed);
+                text_response(StatusCode::BAD_GATEWAY, "failed")
+            }
+            // Nobody reads this response, and no outcome is counted.
+            None => {
+                let mut response = text_response(StatusCode::BAD_GATEWAY, "its client has left");
+                close_connection_after(&mut response);
+                response
+            }
+        }
+    }
+
+    fn health_response(&self) -> ClientResponse {
+        if self.is_ready() {
+            text_response(StatusCode::OK, "ready")
+        } else {
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        }
+    }
+
+    /// The response to a request that an upstream has served.
+    fn served_response(
+        &self,
+        upstream_headers: &HeaderMap,
+        content: ResponseContent,
+        in_flight: InFlightRequest,
+        upload: &Upload,
+        client: &Rc<ClientConnection>,
+    ) -> ClientResponse {
+        let body = match content {
+            ResponseContent::Complete(body) => {
+                in_flight.end(RequestOutcome::Served);
+                ResponseBody::whole(body)
+            }
+            // The process may be killed before a slow client has taken all of it.
+            ResponseContent::Streamed(_) if self.drain_state.is_late(upload) => {
+                in_flight.end(RequestOutcome::Failed);
+                return text_response(
+                    StatusCode::BAD_GATEWAY,
+                    "too long an answer for a process that ends",
+                );
+            }
+            ResponseContent::Streamed(download) => {
+                ResponseBody::streamed(download, in_flight, Box::new(StreamingGuard::begin(client)))
+            }
+        };
+        let mut response = Response::new(body);
+        *response.headers_mut() = end_to_end_headers(upstream_headers);
+        response
+    }
+}
+
+/// Reads the rest of a body whose request already has its response. The client may read no
+/// response before it has sent all of its request. The task doesn't keep the connection open.
+fn discard_rest_of_body(client: &Rc<ClientConnection>, upload: Rc<Upload>) {
+    client.begin_discarding_body();
+    let client = Rc::downgrade(client);
+    spawn_local(async move {
+        upload.discard().await;
+        if let Some(client) = client.upgrade() {
+            client.end_discarding_body();
+        }
+    });
+}
+
+/// Tells the dispatcher when a request's handler is dropped, as its client has disconnected.
+/// After the final response this has no effect.
+struct CancelOnDrop<'a> {
+    dispatcher: &'a RefCell<Dispatcher>,
+    id: RequestId,
+}
+
+impl Drop for CancelOnDrop<'_> {
+    fn drop(&mut self) {
+        self.dispatcher.borrow_mut().client_disconnected(self.id);
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer/server/request_error/tests.rs
@@ -0,0 +1,73 @@
+//! Clients see these statuses and texts.
+
+use super::*;
+
+fn check<const N: usize>(status: StatusCode, errors: [(RequestError, &str); N]) {
+    for (error, text) in errors {
+        assert_eq!(error.status(), status, "{error:?}");
+        assert_eq!(error.to_string(), text);
+    }
+}
+
+#[test]
+fn an_invalid_request_is_a_bad_request() {
+    use RequestError as E;
+    check(
+        StatusCode::BAD_REQUEST,
+        [
+            (E::UnknownClass, "the path names no known class"),
+            (E::UnreadableHeader("tenant"), "tenant can't be read"),
+            (E::RepeatedHeader("tenant"), "tenant stands there twice"),
+            (E::NotANumber("work-hint"), "work-hint is not a number"),
+            (E::MissingIdempotencyKey, "Idempotency-Key is missing"),
+            (
+                E::UnexpectedIdempotencyKey,
+                "this class has no Idempotency-Key",
+            ),
+            (E::MissingRequestId, "Request-Id is missing"),
+            (E::MalformedRequestId, "Request-Id is malformed"),
+            (E::AmbiguousBodyLength, "the end of the body is unclear"),
+            (E::UnexpectedBody, "GET has no body"),
+            (E::MissingPath, "the path is missing"),
+            (E::Body(BodyError::Truncated), "the body is broken"),
+        ],
+    );
+}
+
+#[test]
+fn other_errors_have_statuses_of_their_own() {
+    let expected = Method::GET;
+    check(
+        StatusCode::METHOD_NOT_ALLOWED,
+        [(
+            RequestError::MethodNotAllowed { expected },
+            "this class is asked for with GET",
+        )],
+    );
+    check(
+        StatusCode::REQUEST_TIMEOUT,
+        [(BodyError::Stalled.into(), "the body did not come in time")],
+    );
+    check(
+        StatusCode::PAYLOAD_TOO_LARGE,
+        [(BodyError::TooLarge.into(), "the body is too large")],
+    );
+}
+
+#[test]
+fn rejections_by_the_dispatcher_have_statuses_of_their_own() {
+    check(
+        StatusCode::SERVICE_UNAVAILABLE,
+        [(
+            RejectionReason::TooManyOpen.into(),
+            "too many requests are open",
+        )],
+    );
+    check(
+        StatusCode::CONFLICT,
+        [(
+            RejectionReason::DuplicateId.into(),
+            "Request-Id has been used before",
+        )],
+    );
+}
