--- a/src/bin/load-balancer/socket/mod.rs
+++ b/src/bin/load-balancer/socket/mod.rs
@@ -24,27 +24,27 @@
 use tokio::time::{sleep, timeout_at, Instant};
 
 /// Descriptors that are no sockets of ours: standard streams, the event loop, the listener, signals.
-const OTHER_FILES: usize = 16;
+const RESERVED_FOR_PROCESS: usize = 16;
 /// Kept free so that a client can still be told 503 when there is room for nothing else.
-const REFUSALS: usize = 8;
+const RESERVED_FOR_REJECTIONS: usize = 8;
 /// Kept free for discovery, which must get through when all else is crowded: the watches that are followed at a time, and
 /// one that takes the place of another.
-const DISCOVERY: usize = 5;
+const RESERVED_FOR_DISCOVERY: usize = 5;
 /// Kept free for the admin endpoint, where there is one: whatever the load is, operators get through.
-const ADMIN: usize = 12;
+const RESERVED_FOR_ADMIN: usize = 12;
 /// A connect that failed for want of something here is tried again this much later.
-const CONNECT_AGAIN: Duration = Duration::from_millis(5);
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// So much of what came last from a client is kept: a head as it came, as a rule.
-const RECENT: usize = 8 << 10;
+const MAX_RECENT_BYTES: usize = 8 << 10;
 /// So much is read ahead of one connection: clients may send many requests at once,
-const AHEAD: usize = 512 << 10;
+const MAX_READ_AHEAD: usize = 512 << 10;
 /// but only this much where all connections together hold more than the other: others send what nobody is to read.
-const LITTLE_AHEAD: usize = 16 << 10;
-const MOST_AHEAD: usize = 2 << 20;
+const MAX_READ_AHEAD_UNDER_PRESSURE: usize = 16 << 10;
+const READ_AHEAD_PRESSURE_THRESHOLD: usize = 2 << 20;
 /// and so many pieces of it at a time, so that others have their turn.
-const MOST_PIECES: usize = 64;
+const MAX_READS_PER_CHECK: usize = 64;
 /// This part of what is left is for upstreams alone.
-const UPSTREAM_PART: f64 = 0.4;
+const UPSTREAM_SHARE: f64 = 0.4;
 
 /// What a socket is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,29 +65,29 @@
 #[derive(Debug)]
 pub struct DescriptorBudget {
     clients: Cell<usize>,
-    others: Cell<usize>,
+    upstreams: Cell<usize>,
     discovery: Cell<usize>,
     admin: Cell<usize>,
-    most: Cell<usize>,
-    most_clients: Cell<usize>,
-    most_admin: usize,
+    limit: Cell<usize>,
+    client_limit: Cell<usize>,
+    admin_limit: usize,
     /// Bytes that were read ahead of all connections.
     ahead: Cell<usize>,
 }
 
 impl DescriptorBudget {
     pub fn new(descriptors: usize, admin: bool) -> Rc<Self> {
-        let (clients, others, discovery, admin_open, most, most_clients, ahead) =
+        let (clients, upstreams, discovery, admin_open, limit, client_limit, ahead) =
             Default::default();
-        let (most_admin, admin) = (if admin { ADMIN } else { 0 }, admin_open);
+        let (admin_limit, admin) = (if admin { RESERVED_FOR_ADMIN } else { 0 }, admin_open);
         let budget = DescriptorBudget {
             clients,
-            others,
+            upstreams,
             discovery,
             admin,
-            most,
-            most_clients,
-            most_admin,
+            limit,
+            client_limit,
+            admin_limit,
             ahead,
         };
         budget.set_limit(descriptors);
@@ -96,36 +96,41 @@
 
     /// From now on the process may hold so many descriptors; what is open beyond that stays open.
     pub fn set_limit(&self, descriptors: usize) {
-        self.most.set(descriptors.saturating_sub(self.kept()));
-        let shared = self.most.get().saturating_sub(REFUSALS) as f64;
-        self.most_clients
-            .set((shared * (1.0 - UPSTREAM_PART)) as usize);
+        self.limit.set(descriptors.saturating_sub(self.reserved()));
+        let shared = self.limit.get().saturating_sub(RESERVED_FOR_REJECTIONS) as f64;
+        self.client_limit
+            .set((shared * (1.0 - UPSTREAM_SHARE)) as usize);
     }
 
     /// Descriptors that the process holds now, with all that it keeps back.
     pub fn in_use(&self) -> usize {
-        self.clients.get() + self.others.get() + self.kept()
+        self.clients.get() + self.upstreams.get() + self.reserved()
     }
 
     /// Descriptors that neither clients nor upstreams may have.
-    fn kept(&self) -> usize {
-        OTHER_FILES + DISCOVERY + self.most_admin
+    fn reserved(&self) -> usize {
+        RESERVED_FOR_PROCESS + RESERVED_FOR_DISCOVERY + self.admin_limit
     }
 
     /// Room for one more, if there is.
     pub fn acquire(self: &Rc<Self>, purpose: Purpose) -> Option<DescriptorPermit> {
-        let (clients, open) = (self.clients.get(), self.clients.get() + self.others.get());
+        let (clients, open) = (
+            self.clients.get(),
+            self.clients.get() + self.upstreams.get(),
+        );
         let free = match purpose {
-            Purpose::Upstream => open + REFUSALS < self.most.get(),
+            Purpose::Upstream => open + RESERVED_FOR_REJECTIONS < self.limit.get(),
             Purpose::ClientConnection => {
-                clients < self.most_clients.get() && open + REFUSALS < self.most.get()
+                clients < self.client_limit.get()
+                    && open + RESERVED_FOR_REJECTIONS < self.limit.get()
             }
             Purpose::Rejection => {
-                clients < self.most_clients.get() + REFUSALS && open < self.most.get()
+                clients < self.client_limit.get() + RESERVED_FOR_REJECTIONS
+                    && open < self.limit.get()
             }
             // Also where the others hold more than their part, as that has just been made smaller.
-            Purpose::Discovery => self.discovery.get() < DISCOVERY,
-            Purpose::Admin => self.admin.get() < self.most_admin,
+            Purpose::Discovery => self.discovery.get() < RESERVED_FOR_DISCOVERY,
+            Purpose::Admin => self.admin.get() < self.admin_limit,
         };
         free.then(|| {
             let count = self.count(purpose);
@@ -139,14 +144,15 @@
 
     /// True while clients hold more than their part, so that one has come that was only to be refused.
     pub fn is_exceeded(&self) -> bool {
-        let open = self.clients.get() + self.others.get();
-        self.clients.get() > self.most_clients.get() || open + REFUSALS > self.most.get()
+        let open = self.clients.get() + self.upstreams.get();
+        self.clients.get() > self.client_limit.get()
+            || open + RESERVED_FOR_REJECTIONS > self.limit.get()
     }
 
     fn count(&self, purpose: Purpose) -> &Cell<usize> {
         match purpose {
             Purpose::ClientConnection | Purpose::Rejection => &self.clients,
-            Purpose::Upstream => &self.others,
+            Purpose::Upstream => &self.upstreams,
             Purpose::Discovery => &self.discovery,
             Purpose::Admin => &self.admin,
         }
@@ -177,7 +183,7 @@
     read: Cell<usize>,
     last_read: Cell<Instant>,
     /// Bytes that may be read in all; more breaks the connection.
-    most_read: Cell<usize>,
+    max_received: Cell<usize>,
     written: Cell<usize>,
     last_written: Cell<Instant>,
     /// The kernel takes no more for now, and something is still to be written.
@@ -186,19 +192,19 @@
     request_started_at: Cell<Option<Instant>>,
     /// The bytes that were read last from a client.
     recent: RefCell<Vec<u8>>,
-    keeps_recent: bool,
+    records_recent: bool,
     /// Bytes that were read ahead of whoever is to read them, and whether more came that were dropped.
     ahead: RefCell<VecDeque<u8>>,
-    cut: Cell<bool>,
+    truncated: Cell<bool>,
     /// Nobody reads what comes, so that it may be read ahead.
-    reads_ahead: Cell<bool>,
+    read_ahead_enabled: Cell<bool>,
     /// What is to be told once so many bytes are written.
-    whole: RefCell<Option<(usize, Rc<Metrics>)>>,
+    completion: RefCell<Option<(usize, Rc<Metrics>)>>,
     /// It has to be quiet when its next byte is written.
-    wants_quiet: Cell<bool>,
+    awaits_first_write: Cell<bool>,
     /// For whom it carries a request, and with how many bytes written in all that is whole.
     client: RefCell<PeerHandle>,
-    end: Cell<usize>,
+    request_end: Cell<usize>,
     permit: DescriptorPermit,
 }
 
@@ -222,9 +228,9 @@
             match timeout_at(until, TcpStream::connect(address)).await {
                 Ok(Ok(stream)) => return Ok(Self::new(stream, permit)),
                 Ok(Err(error))
-                    if is_local_error(&error) && Instant::now() + CONNECT_AGAIN < until =>
+                    if is_local_error(&error) && Instant::now() + CONNECT_RETRY_DELAY < until =>
                 {
-                    sleep(CONNECT_AGAIN).await;
+                    sleep(CONNECT_RETRY_DELAY).await;
                 }
                 Ok(Err(error)) => return Err(error),
                 Err(_) => return Err(io::ErrorKind::TimedOut.into()),
@@ -242,44 +248,45 @@
         Self::build(stream, permit, false)
     }
 
-    fn build(stream: TcpStream, permit: DescriptorPermit, keeps_recent: bool) -> Self {
+    fn build(stream: TcpStream, permit: DescriptorPermit, records_recent: bool) -> Self {
         // Without it the peer only hears later.
         let _ = stream.set_nodelay(true);
-        let (read, most_read) = (Cell::new(0), Cell::new(usize::MAX));
-        let (written, wants_quiet) = (Cell::new(0), Cell::new(false));
-        let (request_started_at, blocked, ahead, cut, reads_ahead) = Default::default();
-        let (client, end) = (RefCell::default(), Cell::new(usize::MAX));
+        let (read, max_received) = (Cell::new(0), Cell::new(usize::MAX));
+        let (written, awaits_first_write) = (Cell::new(0), Cell::new(false));
+        let (request_started_at, blocked, ahead, truncated, read_ahead_enabled) =
+            Default::default();
+        let (client, request_end) = (RefCell::default(), Cell::new(usize::MAX));
         let (last_read, last_written) = (Cell::new(Instant::now()), Cell::new(Instant::now()));
-        let (recent, whole) = Default::default();
+        let (recent, completion) = Default::default();
         Socket(Rc::new(Inner {
             stream,
             read,
             last_read,
-            most_read,
+            max_received,
             written,
             last_written,
             blocked,
             request_started_at,
             recent,
-            keeps_recent,
+            records_recent,
             ahead,
-            cut,
-            reads_ahead,
-            whole,
-            wants_quiet,
+            truncated,
+            read_ahead_enabled,
+            completion,
+            awaits_first_write,
             client,
-            end,
+            request_end,
             permit,
         }))
     }
 
-    fn keep_recent(&self, bytes: &[u8]) {
-        if !self.0.keeps_recent {
+    fn record_recent(&self, bytes: &[u8]) {
+        if !self.0.records_recent {
             return;
         }
         let mut recent = self.0.recent.borrow_mut();
-        let bytes = &bytes[bytes.len().saturating_sub(RECENT)..];
-        let old = (recent.len() + bytes.len()).saturating_sub(RECENT);
+        let bytes = &bytes[bytes.len().saturating_sub(MAX_RECENT_BYTES)..];
+        let old = (recent.len() + bytes.len()).saturating_sub(MAX_RECENT_BYTES);
         recent.drain(..old);
         recent.extend_from_slice(bytes);
     }
@@ -301,29 +308,29 @@
 
     /// A new exchange begins for this client: nothing may have come before its first byte is written, and so many
     /// bytes may come until more is allowed.
-    pub fn begin_exchange(&self, client: PeerHandle, most_read: usize) {
-        self.0.wants_quiet.set(true);
+    pub fn begin_exchange(&self, client: PeerHandle, max_received: usize) {
+        self.0.awaits_first_write.set(true);
         *self.0.client.borrow_mut() = client;
-        self.0.end.set(usize::MAX);
-        self.limit_read(most_read);
-        *self.0.whole.borrow_mut() = None;
+        self.0.request_end.set(usize::MAX);
+        self.limit_read(max_received);
+        *self.0.completion.borrow_mut() = None;
     }
 
     /// So many more bytes may come until more is allowed.
     pub fn limit_read(&self, more: usize) {
-        self.0.most_read.set(self.read().saturating_add(more));
+        self.0.max_received.set(self.read().saturating_add(more));
     }
 
     /// Whatever comes from now on may be read.
     pub fn unlimit_read(&self) {
-        self.0.most_read.set(usize::MAX);
+        self.0.max_received.set(usize::MAX);
     }
 
     /// An attempt is whole, and counted, once so many bytes are written in all.
     pub fn complete_at(&self, written: usize, metrics: Rc<Metrics>) {
-        self.0.end.set(written);
-        *self.0.whole.borrow_mut() = Some((written, metrics));
-        self.note_written(0);
+        self.0.request_end.set(written);
+        *self.0.completion.borrow_mut() = Some((written, metrics));
+        self.record_sent(0);
     }
 
     /// When bytes were last handed to the kernel.
@@ -356,11 +363,11 @@
         self.0.recent.borrow()
     }
 
-    fn note_written(&self, count: usize) {
+    fn record_sent(&self, count: usize) {
         self.0.written.set(self.written() + count);
         self.0.last_written.set(Instant::now());
-        let mut whole = self.0.whole.borrow_mut();
-        if let Some((_, metrics)) = whole.take_if(|(at, _)| self.written() >= *at) {
+        let mut completion = self.0.completion.borrow_mut();
+        if let Some((_, metrics)) = completion.take_if(|(at, _)| self.written() >= *at) {
             metrics.count_attempt();
         }
     }
@@ -382,7 +389,7 @@
 
     /// What comes may be read ahead, as nobody reads it, or may no more.
     pub fn set_read_ahead(&self, may: bool) {
-        self.0.reads_ahead.set(may);
+        self.0.read_ahead_enabled.set(may);
     }
 
     /// True if the peer has closed its connection, its half of it, or reset it, also with bytes unread before that.
@@ -393,14 +400,14 @@
             PollFlags::from_bits_retain(POLLRDHUP),
         )];
         retry_on_interrupt(|| Ok(poll(&mut asked, PollTimeout::ZERO)?)).is_ok_and(|ended| ended > 0)
-            || self.0.reads_ahead.get() && self.ends_behind()
+            || self.0.read_ahead_enabled.get() && self.read_ahead_to_end()
     }
 
     /// True if the end comes behind what there is to read. Too much of that keeps it from coming: it is read ahead, and
     /// what is too much for that too is dropped with all that follows.
-    fn ends_behind(&self) -> bool {
+    fn read_ahead_to_end(&self) -> bool {
         let mut bytes = [0; 8192];
-        for _ in 0..MOST_PIECES {
+        for _ in 0..MAX_READS_PER_CHECK {
             let read = match retry_on_interrupt(|| self.0.stream.try_read(&mut bytes)) {
                 // The event loop may not know of it yet.
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
@@ -414,15 +421,16 @@
                     self.0.last_read.set(Instant::now());
                     let mut ahead = self.0.ahead.borrow_mut();
                     let all = &self.0.permit.budget.ahead;
-                    let most = if all.get() < MOST_AHEAD {
-                        AHEAD
+                    let most = if all.get() < READ_AHEAD_PRESSURE_THRESHOLD {
+                        MAX_READ_AHEAD
                     } else {
-                        LITTLE_AHEAD
+                        MAX_READ_AHEAD_UNDER_PRESSURE
                     };
-                    let room = most.saturating_sub(ahead.len()) * usize::from(!self.0.cut.get());
+                    let room =
+                        most.saturating_sub(ahead.len()) * usize::from(!self.0.truncated.get());
                     ahead.extend(&bytes[..count.min(room)]);
                     all.set(all.get() + count.min(room));
-                    self.0.cut.set(self.0.cut.get() || count > room);
+                    self.0.truncated.set(self.0.truncated.get() || count > room);
                 }
                 Err(error) => {
                     return error.kind() != io::ErrorKind::WouldBlock
@@ -495,7 +503,7 @@
         let mut bytes = [0; 8192];
         let most = buffer.remaining().min(bytes.len());
         loop {
-            let count = match self.take_ahead(&mut bytes[..most]) {
+            let count = match self.take_read_ahead(&mut bytes[..most]) {
                 Some(count) => count,
                 None => {
                     ready!(self.0.stream.poll_read_ready(cx))?;
@@ -518,10 +526,10 @@
                 self.0.request_started_at.set(Some(Instant::now()));
             }
             // Guards against an answer that goes on for ever.
-            if self.read() > self.0.most_read.get() {
+            if self.read() > self.0.max_received.get() {
                 return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
             }
-            self.keep_recent(&bytes[..count]);
+            self.record_recent(&bytes[..count]);
             buffer.put_slice(&bytes[..count]);
             return Poll::Ready(Ok(()));
         }
@@ -530,10 +538,10 @@
 
 impl Socket {
     /// Takes from what was read ahead; `None` if the kernel is to be asked.
-    fn take_ahead(&self, bytes: &mut [u8]) -> Option<usize> {
+    fn take_read_ahead(&self, bytes: &mut [u8]) -> Option<usize> {
         let mut ahead = self.0.ahead.borrow_mut();
         if ahead.is_empty() {
-            return self.0.cut.get().then_some(0);
+            return self.0.truncated.get().then_some(0);
         }
         let count = ahead.len().min(bytes.len());
         let all = &self.0.permit.budget.ahead;
@@ -545,13 +553,13 @@
         Some(count)
     }
 
-    fn poll_try(
+    fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
         length: usize,
         write: impl Fn(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
-        let first = self.0.wants_quiet.replace(false);
+        let first = self.0.awaits_first_write.replace(false);
         // Guards against a request on a connection that has just been closed, and against what belongs to
         // the exchange before, come late, being taken for its answer.
         if first && !self.is_open_and_idle() {
@@ -559,7 +567,7 @@
         }
         // Guards against sending on what nobody wants any more, however long ago the event loop has looked at its
         // client: its upstream begins with the last byte.
-        let last = self.written().saturating_add(length) >= self.0.end.get();
+        let last = self.written().saturating_add(length) >= self.0.request_end.get();
         if (first || last) && self.0.client.borrow().is_disconnected() {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
@@ -575,7 +583,7 @@
                 }
                 Err(error) => return Poll::Ready(Err(error)),
                 Ok(count) => {
-                    self.note_written(count);
+                    self.record_sent(count);
                     return Poll::Ready(Ok(count));
                 }
             }
@@ -589,7 +597,7 @@
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.poll_try(cx, bytes.len(), |stream| stream.try_write(bytes))
+        self.poll_write_with(cx, bytes.len(), |stream| stream.try_write(bytes))
     }
 
     fn poll_write_vectored(
@@ -598,7 +606,7 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let length = slices.iter().map(|slice| slice.len()).sum();
-        self.poll_try(cx, length, |stream| stream.try_write_vectored(slices))
+        self.poll_write_with(cx, length, |stream| stream.try_write_vectored(slices))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/bin/load-balancer/socket/system_errors.rs
+++ b/src/bin/load-balancer/socket/system_errors.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 /// A passing shortage is waited out for this long at a start, and the call made again this often.
-const START_PATIENCE: Duration = Duration::from_secs(4);
-const START_AGAIN: Duration = Duration::from_millis(20);
+const STARTUP_RETRY_LIMIT: Duration = Duration::from_secs(4);
+const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// True for an error of the system that says that this process or machine is short of descriptors, buffers, memory, or
 /// places to watch descriptors (ENOSPC of epoll_ctl(2)).
@@ -45,11 +45,11 @@
 
 /// Makes a call of a start again while it fails for a moment. The thread sleeps between: nobody is served yet.
 pub fn retry_transient_errors<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let until = Instant::now() + START_PATIENCE;
+    let until = Instant::now() + STARTUP_RETRY_LIMIT;
     loop {
         match call() {
             Err(error) if is_transient(&error) && Instant::now() < until => {
-                thread::sleep(START_AGAIN)
+                thread::sleep(STARTUP_RETRY_DELAY)
             }
             result => return result,
         }
--- a/src/bin/load-balancer/socket/tests.rs
+++ b/src/bin/load-balancer/socket/tests.rs
@@ -14,11 +14,11 @@
     assert!(
         !take_all(Purpose::Rejection).is_empty() && budget.acquire(Purpose::Discovery).is_some()
     );
-    assert_eq!(take_all(Purpose::Admin).len(), ADMIN);
+    assert_eq!(take_all(Purpose::Admin).len(), RESERVED_FOR_ADMIN);
     assert!(budget.in_use() > 200);
     // A second process takes a half of them. Guards against a watch that waits until so many clients have left.
     budget.set_limit(128);
-    assert_eq!(take_all(Purpose::Discovery).len(), DISCOVERY);
+    assert_eq!(take_all(Purpose::Discovery).len(), RESERVED_FOR_DISCOVERY);
     drop((clients, upstreams));
     let (clients, upstreams) = (
         take_all(Purpose::ClientConnection),
