--- /dev/null
+++ b/src/bin/load-balancer/socket/connection.rs
@@ -0,0 +1,216 @@
+//! A TCP connection that counts its traffic, shared by its clones.
+
+use super::client_input::ClientInput;
+use super::exchange_limits::ExchangeLimits;
+use super::read_ahead::ReadAheadBuffer;
+use super::system_errors::is_local_error;
+use super::DescriptorPermit;
+use crate::metrics::Metrics;
+use std::cell::{Cell, Ref};
+use std::io;
+use std::net::SocketAddr;
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout_at, Instant};
+
+/// Delay before a connect is retried that failed for lack of a local resource.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
+
+/// A connection. Its clones share it; it is closed when the last of them is dropped.
+#[derive(Clone, Debug)]
+pub struct Socket(pub(super) Rc<Inner>);
+
+#[derive(Debug)]
+pub(super) struct Inner {
+    pub(super) stream: TcpStream,
+    pub(super) received: TrafficCounter,
+    pub(super) sent: TrafficCounter,
+    /// A write waits until the kernel takes more.
+    pub(super) write_blocked: Cell<bool>,
+    pub(super) client_input: ClientInput,
+    pub(super) read_ahead: ReadAheadBuffer,
+    pub(super) exchange: ExchangeLimits,
+    _permit: DescriptorPermit,
+}
+
+/// Bytes transferred in one direction, and when the kernel last transferred some.
+#[derive(Debug)]
+pub(super) struct TrafficCounter {
+    bytes: Cell<usize>,
+    last_progress: Cell<Instant>,
+}
+
+impl TrafficCounter {
+    fn new() -> Self {
+        TrafficCounter {
+            bytes: Cell::new(0),
+            last_progress: Cell::new(Instant::now()),
+        }
+    }
+
+    pub(super) fn add(&self, bytes: usize) {
+        self.bytes.set(self.bytes.get() + bytes);
+    }
+
+    pub(super) fn record_progress(&self) {
+        self.last_progress.set(Instant::now());
+    }
+}
+
+impl Socket {
+    /// Opens a connection. Errors of this machine, such as a lack of ports, are retried until the
+    /// timeout is over.
+    ///
+    /// # Errors
+    ///
+    /// `TimedOut` if the connection isn't established in time; else the error of the last call.
+    pub async fn connect(
+        address: SocketAddr,
+        permit: DescriptorPermit,
+        timeout: Duration,
+    ) -> io::Result<Self> {
+        let deadline = Instant::now() + timeout;
+        loop {
+            match timeout_at(deadline, TcpStream::connect(address)).await {
+                Ok(Ok(stream)) => return Ok(Self::new(stream, permit)),
+                Ok(Err(error))
+                    if is_local_error(&error)
+                        && Instant::now() + CONNECT_RETRY_DELAY < deadline =>
+                {
+                    sleep(CONNECT_RETRY_DELAY).await;
+                }
+                Ok(Err(error)) => return Err(error),
+                Err(_) => return Err(io::ErrorKind::TimedOut.into()),
+            }
+        }
+    }
+
+    /// A client's connection.
+    #[must_use]
+    pub fn for_client(stream: TcpStream, permit: DescriptorPermit) -> Self {
+        Self::new(stream, permit)
+    }
+
+    /// Wraps an established connection. That of a client records its recent bytes.
+    #[must_use]
+    pub fn new(stream: TcpStream, permit: DescriptorPermit) -> Self {
+        // Without the option small writes are only delayed.
+        let _ = stream.set_nodelay(true);
+        Socket(Rc::new(Inner {
+            stream,
+            received: TrafficCounter::new(),
+            sent: TrafficCounter::new(),
+            write_blocked: Cell::new(false),
+            client_input: ClientInput::new(permit.is_for_client()),
+            read_ahead: ReadAheadBuffer::new(permit.read_ahead_usage()),
+            exchange: ExchangeLimits::none(),
+            _permit: permit,
+        }))
+    }
+
+    /// Bytes that have been read. Those that were only read ahead don't count yet.
+    #[must_use]
+    pub fn read(&self) -> usize {
+        self.0.received.bytes.get()
+    }
+
+    /// Bytes that the kernel has accepted.
+    #[must_use]
+    pub fn written(&self) -> usize {
+        self.0.sent.bytes.get()
+    }
+
+    /// When the kernel last returned input, its end or an error.
+    #[must_use]
+    pub fn last_read(&self) -> Instant {
+        self.0.received.last_progress.get()
+    }
+
+    /// When the kernel last accepted bytes.
+    #[must_use]
+    pub fn last_written(&self) -> Instant {
+        self.0.sent.last_progress.get()
+    }
+
+    /// True if a write waits until the peer takes more.
+    #[must_use]
+    pub fn is_blocked(&self) -> bool {
+        self.0.write_blocked.get()
+    }
+
+    /// Marks a client's connection as idle: the next byte belongs to a new request.
+    pub fn mark_idle(&self) {
+        self.0.client_input.mark_idle();
+    }
+
+    /// When the first byte was read since the connection was last idle.
+    #[must_use]
+    pub fn request_started_at(&self) -> Option<Instant> {
+        self.0.client_input.request_started_at()
+    }
+
+    /// The latest bytes read from a client, up to a limit.
+    #[must_use]
+    pub fn recent_bytes(&self) -> Ref<'_, Vec<u8>> {
+        self.0.client_input.recent_bytes()
+    }
+
+    /// Forgets the recent bytes.
+    pub fn clear_recent_bytes(&self) {
+        self.0.client_input.clear_recent_bytes();
+    }
+
+    /// Begins an exchange with an upstream on behalf of this client. Its first write fails unless
+    /// the connection is idle, and reading more than `max_received` bytes fails.
+    pub fn begin_exchange(&self, client: PeerHandle, max_received: usize) {
+        let max_received = self.read().saturating_add(max_received);
+        self.0.exchange.begin(client, max_received);
+    }
+
+    /// Limits the exchange to `max_received` further bytes.
+    pub fn limit_read(&self, max_received: usize) {
+        let max_received = self.read().saturating_add(max_received);
+        self.0.exchange.set_max_received(max_received);
+    }
+
+    /// Removes the limit on received bytes.
+    pub fn unlimit_read(&self) {
+        self.0.exchange.set_max_received(usize::MAX);
+    }
+
+    /// Declares where the request of the exchange ends, as a value of [`Socket::written`]. The
+    /// attempt is counted once all of it is written.
+    pub fn complete_at(&self, written: usize, metrics: Rc<Metrics>) {
+        self.0.exchange.set_request_end(written, metrics);
+        self.0.exchange.record_sent(self.written());
+    }
+
+    /// Allows or forbids reading ahead. Allow it only while nobody reads the connection.
+    pub fn set_read_ahead(&self, enabled: bool) {
+        self.0.read_ahead.set_enabled(enabled);
+    }
+
+    /// A handle that tells whether the peer is connected and doesn't keep the connection open.
+    #[must_use]
+    pub fn peer(&self) -> PeerHandle {
+        PeerHandle(Some(Rc::downgrade(&self.0)))
+    }
+}
+
+/// The peer of a connection. The default handle has no connection and is never disconnected.
+#[derive(Clone, Debug, Default)]
+pub struct PeerHandle(Option<Weak<Inner>>);
+
+impl PeerHandle {
+    /// True if the peer has disconnected, or the connection has been closed on this side.
+    #[must_use]
+    pub fn is_disconnected(&self) -> bool {
+        let Some(connection) = &self.0 else {
+            return false;
+        };
+        connection
+            .upgrade()
+            .is_none_or(|inner| Socket(inner).is_disconnected())
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer/socket/read_ahead.rs
@@ -0,0 +1,109 @@
+//! Bytes read from a client before the server asks for them.
+//!
+//! A client's close is queued behind the bytes it sent before. While nobody reads a connection,
+//! these bytes are moved to a buffer, so that the close can be seen.
+
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::rc::Rc;
+
+/// Bytes that one connection may buffer, as clients may pipeline many requests.
+const MAX_READ_AHEAD: usize = 512 << 10;
+/// Bytes that one connection may buffer while all connections together exceed the threshold.
+const MAX_READ_AHEAD_UNDER_PRESSURE: usize = 16 << 10;
+/// Bytes buffered by all connections together above which the lower limit holds.
+const READ_AHEAD_PRESSURE_THRESHOLD: usize = 2 << 20;
+
+/// Bytes that all connections together have read ahead.
+#[derive(Debug, Default)]
+pub(super) struct ReadAheadUsage(Cell<usize>);
+
+impl ReadAheadUsage {
+    fn add(&self, bytes: usize) {
+        self.0.set(self.0.get() + bytes);
+    }
+
+    fn subtract(&self, bytes: usize) {
+        self.0.set(self.0.get() - bytes);
+    }
+
+    /// Bytes that one connection may buffer now.
+    fn connection_limit(&self) -> usize {
+        if self.0.get() < READ_AHEAD_PRESSURE_THRESHOLD {
+            MAX_READ_AHEAD
+        } else {
+            MAX_READ_AHEAD_UNDER_PRESSURE
+        }
+    }
+}
+
+/// The read-ahead buffer of one connection. Its bytes come before those still in the kernel.
+#[derive(Debug)]
+pub(super) struct ReadAheadBuffer {
+    bytes: RefCell<VecDeque<u8>>,
+    /// Bytes were dropped for lack of space, so the input ends after what is buffered.
+    truncated: Cell<bool>,
+    /// Nobody reads the connection now, so that its input may be read ahead.
+    enabled: Cell<bool>,
+    usage: Rc<ReadAheadUsage>,
+}
+
+impl ReadAheadBuffer {
+    pub(super) fn new(usage: Rc<ReadAheadUsage>) -> Self {
+        ReadAheadBuffer {
+            bytes: RefCell::default(),
+            truncated: Cell::new(false),
+            enabled: Cell::new(false),
+            usage,
+        }
+    }
+
+    pub(super) fn set_enabled(&self, enabled: bool) {
+        self.enabled.set(enabled);
+    }
+
+    pub(super) fn is_enabled(&self) -> bool {
+        self.enabled.get()
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.bytes.borrow().is_empty()
+    }
+
+    /// Appends input. What exceeds the limit is dropped, and so is all input after that.
+    pub(super) fn append(&self, input: &[u8]) {
+        let mut bytes = self.bytes.borrow_mut();
+        let free = if self.truncated.get() {
+            0
+        } else {
+            self.usage.connection_limit().saturating_sub(bytes.len())
+        };
+        let accepted = input.len().min(free);
+        bytes.extend(&input[..accepted]);
+        self.usage.add(accepted);
+        if accepted < input.len() {
+            self.truncated.set(true);
+        }
+    }
+
+    /// Moves buffered bytes to `target` and returns their number: 0 at the end of a truncated
+    /// input, `None` if the input goes on in the kernel.
+    pub(super) fn take(&self, target: &mut [u8]) -> Option<usize> {
+        let mut bytes = self.bytes.borrow_mut();
+        if bytes.is_empty() {
+            return self.truncated.get().then_some(0);
+        }
+        let count = bytes.len().min(target.len());
+        self.usage.subtract(count);
+        for (to, from) in target.iter_mut().zip(bytes.drain(..count)) {
+            *to = from;
+        }
+        Some(count)
+    }
+}
+
+impl Drop for ReadAheadBuffer {
+    fn drop(&mut self) {
+        self.usage.subtract(self.bytes.borrow().len());
+    }
+}
--- a/src/bin/load-balancer/socket/system_errors.rs
+++ b/src/bin/load-balancer/socket/system_errors.rs
@@ -1,30 +1,41 @@
-//! What errors of system calls say: of this machine, of one connection, or of nothing but the moment.
+//! Classes of errors of system calls: whether they concern this machine, one connection, or may be
+//! over at the next call.
 
 use nix::libc;
 use std::io;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A passing shortage is waited out for this long at a start, and the call made again this often.
+/// For how long a call at startup is retried.
 const STARTUP_RETRY_LIMIT: Duration = Duration::from_secs(4);
+/// Delay between two tries at startup.
 const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// True for an error of the system that says that this process or machine is short of descriptors, buffers, memory, or
-/// places to watch descriptors (ENOSPC of epoll_ctl(2)).
+fn is_one_of(error: &io::Error, numbers: &[i32]) -> bool {
+    error
+        .raw_os_error()
+        .is_some_and(|number| numbers.contains(&number))
+}
+
+/// True if this process or machine lacks descriptors, buffers, memory, or epoll watches (ENOSPC of
+/// `epoll_ctl(2)`).
+#[must_use]
 pub fn is_resource_exhaustion(error: &io::Error) -> bool {
-    const SHORTAGES: [i32; 5] = [
+    const EXHAUSTION: [i32; 5] = [
         libc::ENFILE,
         libc::EMFILE,
         libc::ENOBUFS,
         libc::ENOMEM,
         libc::ENOSPC,
     ];
-    error
-        .raw_os_error()
-        .is_some_and(|number| SHORTAGES.contains(&number))
+    is_one_of(error, &EXHAUSTION)
 }
 
-/// Makes a call again that was interrupted.
+/// Repeats a call until it isn't interrupted by a signal.
+///
+/// # Errors
+///
+/// Any error of the call but EINTR.
 pub fn retry_on_interrupt<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -34,30 +45,34 @@
     }
 }
 
-/// True for an error that may be over a moment later, whatever was called.
+/// True if the same call, whichever it was, may succeed a moment later.
+#[must_use]
 pub fn is_transient(error: &io::Error) -> bool {
-    const PASSING: [i32; 3] = [libc::EINTR, libc::EAGAIN, libc::EIO];
-    is_resource_exhaustion(error)
-        || error
-            .raw_os_error()
-            .is_some_and(|number| PASSING.contains(&number))
+    const TRANSIENT: [i32; 3] = [libc::EINTR, libc::EAGAIN, libc::EIO];
+    is_resource_exhaustion(error) || is_one_of(error, &TRANSIENT)
 }
 
-/// Makes a call of a start again while it fails for a moment. The thread sleeps between: nobody is served yet.
+/// Repeats a call at startup while it fails with a transient error, for a limited time. Blocks the
+/// thread between the tries, as no request is served yet.
+///
+/// # Errors
+///
+/// The first error that isn't transient, or the last one when the time is over.
 pub fn retry_transient_errors<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let until = Instant::now() + STARTUP_RETRY_LIMIT;
+    let deadline = Instant::now() + STARTUP_RETRY_LIMIT;
     loop {
         match call() {
-            Err(error) if is_transient(&error) && Instant::now() < until => {
-                thread::sleep(STARTUP_RETRY_DELAY)
+            Err(error) if is_transient(&error) && Instant::now() < deadline => {
+                thread::sleep(STARTUP_RETRY_DELAY);
             }
             result => return result,
         }
     }
 }
 
-/// True for an error of connect that says nothing of the other side: this machine lacks something for the moment, a
-/// local port or a route included, or the call was interrupted.
+/// True for an error of `connect(2)` that says nothing about the peer: this machine lacks a
+/// resource, a local port or a route for now, or the call was interrupted.
+#[must_use]
 pub fn is_local_error(error: &io::Error) -> bool {
     const LOCAL: [i32; 6] = [
         libc::EINTR,
@@ -67,16 +82,14 @@
         libc::ENETDOWN,
         libc::ENETUNREACH,
     ];
-    is_resource_exhaustion(error)
-        || error
-            .raw_os_error()
-            .is_some_and(|number| LOCAL.contains(&number))
+    is_resource_exhaustion(error) || is_one_of(error, &LOCAL)
 }
 
-/// True for an error of accept that is over with the call: it was interrupted, or the connection that was next in the
-/// queue has failed. See accept(2).
+/// True for an error of `accept(2)` that concerns this call only: it was interrupted, or the next
+/// connection in the queue has failed.
+#[must_use]
 pub fn is_connection_error(error: &io::Error) -> bool {
-    const OVER: [i32; 11] = [
+    const CONNECTION: [i32; 11] = [
         libc::EINTR,
         libc::ECONNABORTED,
         libc::EPERM,
@@ -89,12 +102,11 @@
         libc::EOPNOTSUPP,
         libc::ENETUNREACH,
     ];
-    error
-        .raw_os_error()
-        .is_some_and(|number| OVER.contains(&number))
+    is_one_of(error, &CONNECTION)
 }
 
-/// True for the error that says that this process holds as many descriptors as it may.
+/// True if this process has reached its own limit of descriptors.
+#[must_use]
 pub fn is_descriptor_limit(error: &io::Error) -> bool {
     error.raw_os_error() == Some(libc::EMFILE)
 }
--- a/src/bin/load-balancer/socket/tests.rs
+++ b/src/bin/load-balancer/socket/tests.rs
@@ -1,37 +1,45 @@
-//! Unit tests of the shares of the descriptors, and of blocked connections.
+//! Unit tests of the descriptor budget and of blocked writes.
 
+use super::descriptor_budget::{RESERVED_FOR_ADMIN, RESERVED_FOR_DISCOVERY};
 use super::*;
+use hyper::rt::Write;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+use std::time::Duration;
 
-/// Guards against either side starving the other.
+/// Neither clients nor upstreams can starve the other, and nothing can starve discovery.
 #[test]
-fn clients_leave_room_for_upstreams_and_all_leave_room_for_discovery() {
+fn clients_leave_descriptors_for_upstreams_and_all_leave_some_for_discovery() {
     let budget = DescriptorBudget::new(256, true);
-    let take_all = |purpose| std::iter::from_fn(|| budget.acquire(purpose)).collect::<Vec<_>>();
-    let clients = take_all(Purpose::ClientConnection);
-    let upstreams = take_all(Purpose::Upstream);
+    let acquire_all = |purpose| std::iter::from_fn(|| budget.acquire(purpose)).collect::<Vec<_>>();
+    let clients = acquire_all(Purpose::ClientConnection);
+    let upstreams = acquire_all(Purpose::Upstream);
     assert!(upstreams.len() > 256 / 3 && clients.len() > 256 / 3);
     assert!(budget.acquire(Purpose::ClientConnection).is_none());
     assert!(
-        !take_all(Purpose::Rejection).is_empty() && budget.acquire(Purpose::Discovery).is_some()
+        !acquire_all(Purpose::Rejection).is_empty() && budget.acquire(Purpose::Discovery).is_some()
     );
-    assert_eq!(take_all(Purpose::Admin).len(), RESERVED_FOR_ADMIN);
+    assert_eq!(acquire_all(Purpose::Admin).len(), RESERVED_FOR_ADMIN);
     assert!(budget.in_use() > 200);
-    // A second process takes a half of them. Guards against a watch that waits until so many clients have left.
+    // A second process gets half of them. A watch must not wait until enough clients have left.
     budget.set_limit(128);
-    assert_eq!(take_all(Purpose::Discovery).len(), RESERVED_FOR_DISCOVERY);
+    assert_eq!(
+        acquire_all(Purpose::Discovery).len(),
+        RESERVED_FOR_DISCOVERY
+    );
     drop((clients, upstreams));
     let (clients, upstreams) = (
-        take_all(Purpose::ClientConnection),
-        take_all(Purpose::Upstream),
+        acquire_all(Purpose::ClientConnection),
+        acquire_all(Purpose::Upstream),
     );
     assert!(clients.len() > 30 && upstreams.len() > 30 && budget.in_use() <= 128);
     drop(clients);
-    assert!(!take_all(Purpose::Upstream).is_empty());
+    assert!(!acquire_all(Purpose::Upstream).is_empty());
 }
 
-/// Guards against taking a connection for idle while the end of its answer is still to be written.
+/// A connection isn't idle while the end of a response is still to be written.
 #[test]
-fn a_connection_is_blocked_until_its_peer_takes_what_waits() {
+fn a_connection_is_blocked_until_its_peer_reads_the_pending_output() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -43,11 +51,11 @@
         let address = listener.local_addr().expect("bound");
         let permit = DescriptorBudget::new(64, false)
             .acquire(Purpose::Upstream)
-            .expect("room");
+            .expect("a free descriptor");
         let mut socket = Socket::connect(address, permit, Duration::from_secs(60))
             .await
             .expect("a connection");
-        let (peer, _) = listener.accept().await.expect("the same");
+        let (peer, _) = listener.accept().await.expect("the peer");
         let bytes = [0; 1 << 16];
         let mut write =
             |cx: &mut Context<'_>| Pin::new(&mut socket).poll_write(cx, &bytes).is_pending();
