--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -10,7 +10,7 @@
 use crate::server::listener::{Listener, PendingConnection};
 use crate::server::raw_head::RawHead;
 use crate::socket::system_errors::{is_connection_error, is_descriptor_limit};
-use crate::socket::{DescriptorBudget, Purpose, Socket};
+use crate::socket::{DescriptorBudget, Purpose, Socket, UnreadInput};
 use crate::upstream::{end_to_end_headers, ForwardedRequest, ResponseContent};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
@@ -461,7 +461,7 @@
         let Some(permit) = permit else { return };
         let number = self.accepted.get();
         self.accepted.set(number + 1);
-        let client = ClientConnection::new(Socket::for_client(stream, permit));
+        let client = ClientConnection::new(Socket::new(stream, permit));
         self.clients.borrow_mut().insert(number, client.clone());
         spawn_local(self.clone().serve(number, client, refused));
     }
@@ -596,8 +596,13 @@
             }
         }
         if client.over.get() {
+            let unread = if client.turned_away.get() {
+                UnreadInput::Discard
+            } else {
+                UnreadInput::Keep
+            };
             tokio::select! {
-                () = client.socket.linger(client.turned_away.get(), LOOK) => {}
+                () = client.socket.linger(unread, LOOK) => {}
                 () = client.evicted.notified() => {}
                 () = sleep(IDLE) => {}
             }
--- a/src/bin/load-balancer/socket/closing.rs
+++ b/src/bin/load-balancer/socket/closing.rs
@@ -20,6 +20,15 @@
 /// Calls to the kernel in one check, so that a fast sender doesn't occupy the thread.
 const MAX_READS_PER_CHECK: usize = 64;
 
+/// What becomes of input that nobody has read when a connection is closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UnreadInput {
+    /// It stays in the kernel: a request among it was not read, and its client may send it again.
+    Keep,
+    /// It is read and dropped without limit, as the rest of a rejected request.
+    Discard,
+}
+
 impl Socket {
     /// Waits until input, its end or an error can be read.
     pub async fn readable(&self) {
@@ -76,11 +85,12 @@
 
     /// Lingering close: ends the sending half, then waits until the peer has closed too if input
     /// is unread or is to be discarded. Closing over unread input would reset the connection, and
-    /// the peer would lose what it has not read yet. Without `discard` the peer is checked
+    /// the peer would lose what it has not read yet. With [`UnreadInput::Keep`] the peer is checked
     /// once per `check_interval`.
-    pub async fn linger(&self, discard: bool, check_interval: Duration) {
+    pub async fn linger(&self, unread: UnreadInput, check_interval: Duration) {
         // Fails if the connection is broken or already half-closed.
         let _ = SockRef::from(&self.0.stream).shutdown(Shutdown::Write);
+        let discard = unread == UnreadInput::Discard;
         self.set_read_ahead(discard);
         if !discard && !self.has_unread() {
             return;
--- a/src/bin/load-balancer/socket/connection.rs
+++ b/src/bin/load-balancer/socket/connection.rs
@@ -86,12 +86,6 @@
         }
     }
 
-    /// A client's connection.
-    #[must_use]
-    pub fn for_client(stream: TcpStream, permit: DescriptorPermit) -> Self {
-        Self::new(stream, permit)
-    }
-
     /// Wraps an established connection. That of a client records its recent bytes.
     #[must_use]
     pub fn new(stream: TcpStream, permit: DescriptorPermit) -> Self {
--- a/src/bin/load-balancer/socket/mod.rs
+++ b/src/bin/load-balancer/socket/mod.rs
@@ -18,6 +18,7 @@
 mod read_ahead;
 pub mod system_errors;
 
+pub use closing::UnreadInput;
 pub use connection::{PeerHandle, Socket};
 pub use descriptor_budget::{DescriptorBudget, DescriptorPermit, Purpose};
 
