--- a/src/bin/load-balancer/body/mod.rs
+++ b/src/bin/load-balancer/body/mod.rs
@@ -26,18 +26,18 @@
 /// An answer of unknown length is held back for no longer than this, lest its reader waits for it.
 pub const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
 /// The part of the memory that what is read ahead may take; as much again is for a second process.
-const MEMORY_PART: usize = 8;
+const MEMORY_DIVISOR: usize = 8;
 /// A body comes at this rate at the least, in bytes a second,
-const LEAST_RATE: f64 = 32_000.0;
+const MIN_BYTES_PER_SECOND: f64 = 32_000.0;
 /// but for so long.
-const HESITATION: Duration = Duration::from_millis(800);
+const MAX_SEND_PAUSE: Duration = Duration::from_millis(800);
 /// Of a body that is being streamed the next part comes within this time: its client has shown that it sends,
 pub const CLIENT_STALL: Duration = Duration::from_millis(2500);
 /// and an upstream that it answers: one may stand still for over twenty seconds and go on.
 const UPSTREAM_STALL: Duration = Duration::from_secs(30);
 
 /// Once its time is up, a part may come within so many turns of the other tasks.
-const TURNS: usize = 16;
+const MAX_TURNS_AFTER_DEADLINE: usize = 16;
 
 /// Why a body ends before its end.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
@@ -59,7 +59,7 @@
 
 impl MemoryBudget {
     pub fn new(limit: usize) -> Rc<Self> {
-        let most = (limit / MEMORY_PART).clamp(READ_AHEAD_BYTES, Semaphore::MAX_PERMITS);
+        let most = (limit / MEMORY_DIVISOR).clamp(READ_AHEAD_BYTES, Semaphore::MAX_PERMITS);
         Rc::new(MemoryBudget(Arc::new(Semaphore::new(most))))
     }
 
@@ -80,11 +80,11 @@
 
 /// The next part of a body, if it is there by then. Guards against a process that had no turn for long: what has come
 /// meanwhile is there only when its connection has been read.
-async fn frame_by(
+async fn frame_before(
     until: Instant,
     body: &mut Incoming,
 ) -> Result<Option<hyper::Result<Frame<Bytes>>>, BodyError> {
-    for _ in 0..TURNS {
+    for _ in 0..MAX_TURNS_AFTER_DEADLINE {
         if let Ok(frame) = timeout_at(until, body.frame()).await {
             return Ok(frame);
         }
@@ -96,20 +96,20 @@
 /// A request's body: what has been read ahead, and what is still to come from its client.
 #[derive(Debug)]
 pub struct Upload {
-    ahead: Bytes,
-    rest: RefCell<Option<Incoming>>,
+    read_ahead: Bytes,
+    remaining: RefCell<Option<Incoming>>,
     /// All of it, if that is known.
     length: Option<u64>,
     /// Read so far.
     read: Cell<u64>,
     /// When its client last sent a part of it.
-    moved: Cell<Instant>,
+    last_progress: Cell<Instant>,
     /// Some of what was not read ahead has gone to an upstream, and can go to no other.
-    spent: Cell<bool>,
-    broken: Cell<Option<BodyError>>,
+    is_consumed: Cell<bool>,
+    error: Cell<Option<BodyError>>,
     /// Told once all of it has been read.
-    whole: RefCell<Option<oneshot::Sender<()>>>,
-    _room: Option<MemoryPermit>,
+    completion: RefCell<Option<oneshot::Sender<()>>>,
+    _memory: Option<MemoryPermit>,
 }
 
 impl Upload {
@@ -119,24 +119,24 @@
     }
 
     fn new(
-        ahead: Bytes,
-        rest: Option<Incoming>,
+        read_ahead: Bytes,
+        remaining: Option<Incoming>,
         length: Option<u64>,
         room: Option<MemoryPermit>,
     ) -> Self {
-        let read = Cell::new(ahead.len() as u64);
-        let moved = Cell::new(Instant::now());
-        let (spent, broken, whole) = Default::default();
+        let read = Cell::new(read_ahead.len() as u64);
+        let last_progress = Cell::new(Instant::now());
+        let (is_consumed, error, completion) = Default::default();
         Upload {
-            ahead,
-            rest: RefCell::new(rest),
+            read_ahead,
+            remaining: RefCell::new(remaining),
             length,
             read,
-            moved,
-            spent,
-            broken,
-            whole,
-            _room: room,
+            last_progress,
+            is_consumed,
+            error,
+            completion,
+            _memory: room,
         }
     }
 
@@ -161,11 +161,12 @@
         let begun = Instant::now();
         let mut ahead = BytesMut::new();
         while ahead.len() < READ_AHEAD_BYTES {
-            let least =
-                begun + HESITATION + Duration::from_secs_f64(ahead.len() as f64 / LEAST_RATE);
+            let least = begun
+                + MAX_SEND_PAUSE
+                + Duration::from_secs_f64(ahead.len() as f64 / MIN_BYTES_PER_SECOND);
             let until = first.max(least);
             let until = settled.get().map_or(until, |settled| until.min(settled));
-            match frame_by(until, &mut body).await {
+            match frame_before(until, &mut body).await {
                 Ok(Some(Ok(frame))) => ahead.extend(frame.into_data().unwrap_or_default()),
                 Ok(Some(Err(_))) => return Err(BodyError::Truncated),
                 Ok(None) => {
@@ -193,43 +194,44 @@
 
     /// When its client last sent a part of it.
     pub fn last_progress(&self) -> Instant {
-        self.moved.get()
+        self.last_progress.get()
     }
 
     /// Its client had sent all that has come by then.
     pub fn set_last_progress(&self, moved: Instant) {
-        self.moved.set(moved);
+        self.last_progress.set(moved);
     }
 
     /// A part of it has yet to come.
     pub fn is_streamed(&self) -> bool {
-        self.rest.borrow().is_some()
+        self.remaining.borrow().is_some()
     }
 
     /// It can go to an upstream from its beginning.
     pub fn is_replayable(&self) -> bool {
-        !self.spent.get()
+        !self.is_consumed.get()
     }
 
     /// Why its client will never send all of it.
     pub fn error(&self) -> Option<BodyError> {
-        self.broken.get()
+        self.error.get()
     }
 
     /// Told once all of it has been read; in vain if that never happens.
     pub fn completed(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
-        *self.whole.borrow_mut() = Some(sender);
+        *self.completion.borrow_mut() = Some(sender);
         receiver
     }
 
     /// Reads what is left of it, to no end. Guards against a client that is still sending, and would not read its
     /// answer before that is done.
     pub async fn discard(&self) {
-        let Some(mut rest) = self.rest.borrow_mut().take() else {
+        let Some(mut rest) = self.remaining.borrow_mut().take() else {
             return;
         };
-        while let Ok(Some(Ok(frame))) = frame_by(Instant::now() + CLIENT_STALL, &mut rest).await {
+        while let Ok(Some(Ok(frame))) = frame_before(Instant::now() + CLIENT_STALL, &mut rest).await
+        {
             let count = frame.data_ref().map_or(0, |data| data.len() as u64);
             self.read.set(self.read.get() + count);
             if self.read.get() > MAX_BODY_BYTES {
@@ -239,7 +241,7 @@
     }
 
     fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
-        let mut rest = self.rest.borrow_mut();
+        let mut rest = self.remaining.borrow_mut();
         let Some(body) = rest.as_mut() else {
             return Poll::Ready(None);
         };
@@ -250,8 +252,8 @@
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    self.spent.set(true);
-                    self.moved.set(Instant::now());
+                    self.is_consumed.set(true);
+                    self.last_progress.set(Instant::now());
                     self.read.set(self.read.get() + data.len() as u64);
                     if self.read.get() > MAX_BODY_BYTES {
                         return Poll::Ready(Some(Err(BodyError::TooLarge)));
@@ -263,7 +265,7 @@
                 }
                 Some(Err(_)) => return Poll::Ready(Some(Err(BodyError::Truncated))),
                 None => {
-                    self.moved.set(Instant::now());
+                    self.last_progress.set(Instant::now());
                     self.end(&mut rest);
                     return Poll::Ready(None);
                 }
@@ -273,7 +275,7 @@
 
     fn end(&self, rest: &mut Option<Incoming>) {
         *rest = None;
-        if let Some(whole) = self.whole.borrow_mut().take() {
+        if let Some(whole) = self.completion.borrow_mut().take() {
             // Whoever asked may have gone.
             let _ = whole.send(());
         }
@@ -283,32 +285,32 @@
 /// A request's body on its way to one upstream.
 pub struct UploadBody {
     upload: Rc<Upload>,
-    begun: bool,
+    read_ahead_sent: bool,
     /// Told how many bytes there are once all of them are handed on.
-    at_end: Option<Box<dyn FnOnce(u64)>>,
+    on_complete: Option<Box<dyn FnOnce(u64)>>,
     stall: StallTimer,
 }
 
 impl UploadBody {
-    pub fn new(upload: Rc<Upload>, at_end: impl FnOnce(u64) + 'static) -> Self {
-        let at_end: Option<Box<dyn FnOnce(u64)>> = Some(Box::new(at_end));
+    pub fn new(upload: Rc<Upload>, on_complete: impl FnOnce(u64) + 'static) -> Self {
+        let on_complete: Option<Box<dyn FnOnce(u64)>> = Some(Box::new(on_complete));
         let mut sending = UploadBody {
             upload,
-            begun: false,
-            at_end,
+            read_ahead_sent: false,
+            on_complete,
             stall: StallTimer::new(CLIENT_STALL),
         };
-        sending.note_end();
+        sending.report_completion();
         sending
     }
 
-    fn note_end(&mut self) {
+    fn report_completion(&mut self) {
         if !self.upload.is_streamed() {
             let read = self.upload.read.get();
-            self.at_end
+            self.on_complete
                 .take()
                 .into_iter()
-                .for_each(|at_end| at_end(read));
+                .for_each(|on_complete| on_complete(read));
         }
     }
 }
@@ -321,30 +323,32 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        if !std::mem::replace(&mut self.begun, true) && !self.upload.ahead.is_empty() {
-            return Poll::Ready(Some(Ok(Frame::data(self.upload.ahead.clone()))));
+        if !std::mem::replace(&mut self.read_ahead_sent, true) && !self.upload.read_ahead.is_empty()
+        {
+            return Poll::Ready(Some(Ok(Frame::data(self.upload.read_ahead.clone()))));
         }
         let upload = self.upload.clone();
         let part = upload.poll_rest(cx);
-        let all = CLIENT_STALL + Duration::from_secs_f64(upload.read.get() as f64 / LEAST_RATE);
+        let all =
+            CLIENT_STALL + Duration::from_secs_f64(upload.read.get() as f64 / MIN_BYTES_PER_SECOND);
         match ready!(self.stall.poll(cx, part, all)) {
             Ok(Some(Ok(data))) => {
-                self.note_end();
+                self.report_completion();
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
             Ok(None) => {
-                self.note_end();
+                self.report_completion();
                 Poll::Ready(None)
             }
             Ok(Some(Err(why))) | Err(why) => {
-                upload.broken.set(Some(why));
+                upload.error.set(Some(why));
                 Poll::Ready(Some(Err(why)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        (self.begun || self.upload.ahead.is_empty()) && !self.upload.is_streamed()
+        (self.read_ahead_sent || self.upload.read_ahead.is_empty()) && !self.upload.is_streamed()
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -358,10 +362,10 @@
 /// How long a peer may take for the next part of a body, and for all of them. Time in which nobody asks for a part does
 /// not count.
 struct StallTimer {
-    most: Duration,
+    pause_limit: Duration,
     sleep: Pin<Box<Sleep>>,
     /// Since when the next part is waited for.
-    since: Option<Instant>,
+    waiting_since: Option<Instant>,
     /// For how long earlier ones were.
     waited: Duration,
 }
@@ -369,9 +373,9 @@
 impl StallTimer {
     fn new(most: Duration) -> Self {
         StallTimer {
-            most,
+            pause_limit: most,
             sleep: Box::pin(sleep(most)),
-            since: None,
+            waiting_since: None,
             waited: Duration::ZERO,
         }
     }
@@ -386,17 +390,17 @@
     ) -> Poll<Result<T, BodyError>> {
         if let Poll::Ready(part) = peer {
             self.waited += self
-                .since
+                .waiting_since
                 .take()
                 .map_or(Duration::ZERO, |since| since.elapsed());
             return Poll::Ready(Ok(part));
         }
-        if self.since.is_none() {
+        if self.waiting_since.is_none() {
             let now = Instant::now();
-            self.since = Some(now);
+            self.waiting_since = Some(now);
             self.sleep
                 .as_mut()
-                .reset(now + self.most.min(all.saturating_sub(self.waited)));
+                .reset(now + self.pause_limit.min(all.saturating_sub(self.waited)));
         }
         self.sleep
             .as_mut()
@@ -407,15 +411,15 @@
 
 /// An answer whose beginning is here: from its upstream, as its client takes it.
 pub struct Download {
-    ahead: VecDeque<Bytes>,
-    rest: Incoming,
+    read_ahead: VecDeque<Bytes>,
+    remaining: Incoming,
     length: Option<u64>,
     /// Read from the upstream so far.
     read: u64,
     /// Told once all of it has been read: its connection can be used again.
-    whole: Option<oneshot::Sender<()>>,
+    completion: Option<oneshot::Sender<()>>,
     stall: StallTimer,
-    _room: Option<MemoryPermit>,
+    _memory: Option<MemoryPermit>,
 }
 
 impl Download {
@@ -429,13 +433,13 @@
         let read = ahead.iter().map(|data| data.len() as u64).sum();
         let stall = StallTimer::new(UPSTREAM_STALL);
         let mut download = Download {
-            ahead,
-            rest,
+            read_ahead: ahead,
+            remaining: rest,
             length,
             read,
-            whole: Some(whole),
+            completion: Some(whole),
             stall,
-            _room: room,
+            _memory: room,
         };
         if length == Some(read) {
             download.end();
@@ -444,16 +448,16 @@
     }
 
     /// All of it has been passed on.
-    fn is_over(&self) -> bool {
-        self.ahead.is_empty() && self.whole.is_none()
+    fn is_passed_on(&self) -> bool {
+        self.read_ahead.is_empty() && self.completion.is_none()
     }
 
     fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
-        if let Some(data) = self.ahead.pop_front() {
+        if let Some(data) = self.read_ahead.pop_front() {
             return Poll::Ready(Some(Ok(data)));
         }
         loop {
-            let frame = Pin::new(&mut self.rest).poll_frame(cx);
+            let frame = Pin::new(&mut self.remaining).poll_frame(cx);
             let data = match ready!(self.stall.poll(cx, frame, Duration::MAX)) {
                 Ok(Some(Ok(frame))) => frame.into_data(),
                 Ok(Some(Err(_))) => return Poll::Ready(Some(Err(BodyError::Truncated))),
@@ -478,7 +482,7 @@
     }
 
     fn end(&mut self) {
-        if let Some(whole) = self.whole.take() {
+        if let Some(whole) = self.completion.take() {
             // The connection may have ended by itself.
             let _ = whole.send(());
         }
@@ -491,11 +495,11 @@
     streamed: Option<Streamed>,
 }
 
-/// It is counted at its end; `_kept` is dropped then too, or when its client goes first.
+/// It is counted at its end; `_resources` is dropped then too, or when its client goes first.
 struct Streamed {
     download: Box<Download>,
-    counted: InFlightRequest,
-    _kept: Box<dyn Any>,
+    in_flight: InFlightRequest,
+    _resources: Box<dyn Any>,
 }
 
 impl ResponseBody {
@@ -507,13 +511,17 @@
     }
 
     /// One that is passed on as it comes; `kept` is kept until it is over.
-    pub fn streamed(download: Box<Download>, counted: InFlightRequest, kept: Box<dyn Any>) -> Self {
+    pub fn streamed(
+        download: Box<Download>,
+        in_flight: InFlightRequest,
+        kept: Box<dyn Any>,
+    ) -> Self {
         ResponseBody {
             whole: None,
             streamed: Some(Streamed {
                 download,
-                counted,
-                _kept: kept,
+                in_flight,
+                _resources: kept,
             }),
         }
     }
@@ -532,9 +540,9 @@
         };
         let next = ready!(streamed.download.poll_data(cx));
         match next {
-            Some(Ok(_)) if !streamed.download.is_over() => {}
-            Some(Ok(_)) | None => streamed.counted.end(RequestOutcome::Served),
-            Some(Err(_)) => streamed.counted.end(RequestOutcome::Failed),
+            Some(Ok(_)) if !streamed.download.is_passed_on() => {}
+            Some(Ok(_)) | None => streamed.in_flight.end(RequestOutcome::Served),
+            Some(Err(_)) => streamed.in_flight.end(RequestOutcome::Failed),
         }
         if !matches!(next, Some(Ok(_))) {
             self.streamed = None;
@@ -547,7 +555,7 @@
             && self
                 .streamed
                 .as_ref()
-                .is_none_or(|streamed| streamed.download.is_over())
+                .is_none_or(|streamed| streamed.download.is_passed_on())
     }
 
     fn size_hint(&self) -> SizeHint {
--- a/src/bin/load-balancer/socket/closing.rs
+++ b/src/bin/load-balancer/socket/closing.rs
@@ -85,7 +85,7 @@
 
     /// Lingering close: ends the sending half, then waits until the peer has closed too if input
     /// is unread or is to be discarded. Closing over unread input would reset the connection, and
-    /// the peer would lose what it has not read yet. With [`UnreadInput::Keep`] the peer is checked
+    /// the peer would lose what it has not read. With [`UnreadInput::Keep`] the peer is checked
     /// once per `check_interval`.
     pub async fn linger(&self, unread: UnreadInput, check_interval: Duration) {
         // Fails if the connection is broken or already half-closed.
