--- /dev/null
+++ b/src/bin/load-balancer/body/response_body.rs
@@ -0,0 +1,102 @@
+//! The body of a response on its way to a client.
+
+use super::{BodyError, Download};
+use crate::metrics::{InFlightRequest, RequestOutcome};
+use bytes::Bytes;
+use hyper::body::{Body, Frame, SizeHint};
+use std::any::Any;
+use std::pin::Pin;
+use std::task::{ready, Context, Poll};
+
+/// A response's body on its way to a client.
+pub struct ResponseBody(Content);
+
+enum Content {
+    /// A body that is complete in memory; `None` once it has been passed on, or if it is empty.
+    Complete(Option<Bytes>),
+    Streamed(StreamedContent),
+}
+
+/// A body that is passed on as it comes.
+struct StreamedContent {
+    download: Box<Download>,
+    /// Ends with the body.
+    in_flight: InFlightRequest,
+    /// Dropped at the body's end, or when the client leaves before.
+    _resources: Box<dyn Any>,
+}
+
+impl ResponseBody {
+    /// A body that is complete in memory.
+    #[must_use]
+    pub fn whole(body: Bytes) -> Self {
+        ResponseBody(Content::Complete(
+            Some(body).filter(|body| !body.is_empty()),
+        ))
+    }
+
+    /// A body that is passed on as it comes. At its end the request is counted in the metrics, and
+    /// `resources` are dropped.
+    #[must_use]
+    pub fn streamed(
+        download: Box<Download>,
+        in_flight: InFlightRequest,
+        resources: Box<dyn Any>,
+    ) -> Self {
+        ResponseBody(Content::Streamed(StreamedContent {
+            download,
+            in_flight,
+            _resources: resources,
+        }))
+    }
+}
+
+impl StreamedContent {
+    fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
+        let next = ready!(self.download.poll_data(cx));
+        match next {
+            Some(Ok(_)) if !self.download.is_passed_on() => {}
+            Some(Ok(_)) | None => self.in_flight.end(RequestOutcome::Served),
+            Some(Err(_)) => self.in_flight.end(RequestOutcome::Failed),
+        }
+        Poll::Ready(next)
+    }
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = BodyError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        let next = match &mut self.0 {
+            Content::Complete(body) => body.take().map(Ok),
+            Content::Streamed(streamed) => {
+                let next = ready!(streamed.poll_data(cx));
+                if !matches!(next, Some(Ok(_))) {
+                    self.0 = Content::Complete(None);
+                }
+                next
+            }
+        };
+        Poll::Ready(next.map(|data| data.map(Frame::data)))
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match &self.0 {
+            Content::Complete(body) => body.is_none(),
+            Content::Streamed(streamed) => streamed.download.is_passed_on(),
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match &self.0 {
+            Content::Complete(body) => {
+                SizeHint::with_exact(body.as_ref().map_or(0, |body| body.len() as u64))
+            }
+            Content::Streamed(streamed) => streamed.download.size_hint(),
+        }
+    }
+}
