--- a/src/bin/load-balancer/body/response_body.rs
+++ b/src/bin/load-balancer/body/response_body.rs
@@ -29,7 +29,7 @@
 impl ResponseBody {
     /// A body that is complete in memory.
     #[must_use]
-    pub fn whole(body: Bytes) -> Self {
+    pub fn complete(body: Bytes) -> Self {
         ResponseBody(Content::Complete(
             Some(body).filter(|body| !body.is_empty()),
         ))
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -694,7 +694,7 @@
                 let body = match served.body {
                     ResponseContent::Complete(body) => {
                         request.end(RequestOutcome::Served);
-                        ResponseBody::whole(body)
+                        ResponseBody::complete(body)
                     }
                     // Guards against a long answer that the end of the process cuts off, though its request came
                     // when that was near: it could not be finished for a slow client.
@@ -917,7 +917,9 @@
 }
 
 fn plain(status: StatusCode, text: &str) -> Answer {
-    let mut response = Response::new(ResponseBody::whole(Bytes::copy_from_slice(text.as_bytes())));
+    let mut response = Response::new(ResponseBody::complete(Bytes::copy_from_slice(
+        text.as_bytes(),
+    )));
     *response.status_mut() = status;
     response
 }
