--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -9,7 +9,7 @@
 use crate::log;
 use crate::metrics::Metrics;
 use crate::socket::DescriptorBudget;
-use crate::upstream::{Answer, Attempt, AttemptEnd, ConnectionPool, ForwardedRequest};
+use crate::upstream::{Attempt, AttemptError, ConnectionPool, ForwardedRequest, UpstreamResponse};
 use load_balancer::{
     Action, AttemptOutcome, AttemptResult, Balancer, Class, DiscoveryMode, Event, LearnedState,
     ListScope, Maintenance, Request, RequestId, UpstreamEntry, UpstreamId, UpstreamState,
@@ -49,7 +49,7 @@
 
 /// The final answer to a request.
 pub enum FinalResponse {
-    Served(Answer),
+    Served(UpstreamResponse),
     Rejected { retry_after: Option<f64> },
     Failed,
 }
@@ -682,7 +682,7 @@
         stopped.sort();
         stopped
             .into_iter()
-            .for_each(|(id, number)| self.attempt_ended(id, number, Err(AttemptOutcome::Rejected)));
+            .for_each(|(id, number)| self.attempt_ended(id, number, Err(AttemptError::Rejected)));
     }
 
     /// Tells the module, and carries out what it says, until there is nothing more to tell.
@@ -758,8 +758,8 @@
             address,
             request: open.forward.clone(),
             write_deadline: write_within.and_then(after),
-            margin: MARGIN,
-            begun,
+            deadline_margin: MARGIN,
+            connection_idle: begun,
         });
         match (attempt, self.me.upgrade()) {
             (Some(attempt), Some(dispatcher)) => {
@@ -782,10 +782,15 @@
     }
 
     /// An attempt has ended by itself.
-    fn attempt_ended(&mut self, id: RequestId, number: usize, ended: AttemptEnd) {
+    fn attempt_ended(
+        &mut self,
+        id: RequestId,
+        number: usize,
+        ended: Result<UpstreamResponse, AttemptError>,
+    ) {
         let (outcome, answer) = match ended {
             Ok(answer) => (AttemptOutcome::Success, Some(answer)),
-            Err(outcome) => (outcome, None),
+            Err(error) => (error.into(), None),
         };
         let Some(open) = self.open.get_mut(&id) else {
             return;
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -61,8 +61,8 @@
         headers,
         upload,
         client,
-        wait,
-        settled,
+        timeout: wait,
+        drain_deadline: settled,
     };
     thread_local!(static LAST: Cell<u64> = const { Cell::new(0) });
     let name = LAST.with(|last| last.replace(last.get() + 1).to_string());
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -869,8 +869,8 @@
             headers,
             upload,
             client,
-            wait,
-            settled,
+            timeout: wait,
+            drain_deadline: settled,
         };
         Ok(AcceptedRequest {
             name,
--- a/src/bin/load-balancer/upstream/mod.rs
+++ b/src/bin/load-balancer/upstream/mod.rs
@@ -1,5 +1,9 @@
 //! Attempts at upstreams, and the idle connections that they leave behind.
 
+mod error;
+
+pub use error::AttemptError;
+
 use crate::body::{
     Download, MemoryBudget, Upload, UploadBody, MAX_BODY_BYTES, MAX_RESPONSE_DELAY,
     READ_AHEAD_BYTES,
@@ -16,7 +20,7 @@
 };
 use hyper::http::response::Parts;
 use hyper::{Method, Request, StatusCode, Uri, Version};
-use load_balancer::{AttemptOutcome, UpstreamId};
+use load_balancer::UpstreamId;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::future::pending;
@@ -69,23 +73,23 @@
     pub upload: Rc<Upload>,
     pub client: PeerHandle,
     /// Its client waits for so long from its last byte on.
-    pub wait: Duration,
+    pub timeout: Duration,
     /// It is to be settled by then in any case, if this is said of the process.
-    pub settled: Rc<Cell<Option<Instant>>>,
+    pub drain_deadline: Rc<Cell<Option<Instant>>>,
 }
 
 impl ForwardedRequest {
     /// When its client gives up, if it sends nothing more.
     pub fn deadline(&self) -> Instant {
-        let deadline = self.upload.last_progress() + self.wait;
-        self.settled
+        let deadline = self.upload.last_progress() + self.timeout;
+        self.drain_deadline
             .get()
-            .map_or(deadline, |settled| deadline.min(settled))
+            .map_or(deadline, |drain| deadline.min(drain))
     }
 }
 
 /// An answer.
-pub struct Answer {
+pub struct UpstreamResponse {
     pub headers: HeaderMap,
     pub body: ResponseContent,
 }
@@ -96,9 +100,6 @@
     Streamed(Box<Download>),
 }
 
-/// How an attempt ended; an answer comes with `Outcome::Ok` only.
-pub type AttemptEnd = Result<Answer, AttemptOutcome>;
-
 struct Idle {
     since: Instant,
     socket: Socket,
@@ -223,18 +224,18 @@
         }
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<Socket, AttemptOutcome> {
+    async fn connect(&self, address: SocketAddr) -> Result<Socket, AttemptError> {
         let permit = self.budget.acquire(Purpose::Upstream).or_else(|| {
             self.evict_oldest();
             self.budget.acquire(Purpose::Upstream)
         });
         // Guards against resting an upstream because we have no descriptor: that is no news of it.
-        let permit = permit.ok_or(AttemptOutcome::NotSent)?;
+        let permit = permit.ok_or(AttemptError::NotSent)?;
         Socket::connect(address, permit, self.connect_timeout)
             .await
             .map_err(|error| match is_resource_exhaustion(&error) {
-                true => AttemptOutcome::NotSent,
-                false => AttemptOutcome::ConnectFailed,
+                true => AttemptError::NotSent,
+                false => AttemptError::ConnectFailed,
             })
     }
 }
@@ -248,9 +249,9 @@
     /// Its last byte must be written by then, or never.
     pub write_deadline: Option<Instant>,
     /// What is held back of a deadline, so that its client hears in time.
-    pub margin: Duration,
+    pub deadline_margin: Duration,
     /// Set when the first byte is about to be written: for how long the connection had been idle.
-    pub begun: Rc<Cell<Option<Duration>>>,
+    pub connection_idle: Rc<Cell<Option<Duration>>>,
 }
 
 /// What becomes of the connection after an exchange.
@@ -266,7 +267,7 @@
 
 impl Attempt {
     fn deadline(&self) -> Instant {
-        self.request.deadline() - self.margin
+        self.request.deadline() - self.deadline_margin
     }
 
     /// Ends at the deadline, wherever that has moved meanwhile.
@@ -291,33 +292,31 @@
     }
 
     /// Runs it to its end. "Never ran" is said only where the last byte can't have been handed over.
-    pub async fn run(self) -> AttemptEnd {
+    pub async fn run(self) -> Result<UpstreamResponse, AttemptError> {
         loop {
             let kept = self.pool.take(self.upstream, self.address);
             let fresh = kept.is_none();
             let (socket, idle) = match kept {
                 Some(kept) => kept,
-                None if self.request.client.is_disconnected() => {
-                    return Err(AttemptOutcome::NotSent)
-                }
+                None if self.request.client.is_disconnected() => return Err(AttemptError::NotSent),
                 None => {
                     let socket = tokio::select! {
                         biased;
-                        () = self.too_late(|| false) => return Err(AttemptOutcome::NotSent),
+                        () = self.too_late(|| false) => return Err(AttemptError::NotSent),
                         socket = self.pool.connect(self.address) => socket?,
-                        () = self.expired() => return Err(AttemptOutcome::ConnectFailed),
+                        () = self.expired() => return Err(AttemptError::ConnectFailed),
                     };
                     (socket, Duration::ZERO)
                 }
             };
             let (written, read) = (socket.written(), socket.read());
-            self.begun.set(Some(idle));
+            self.connection_idle.set(Some(idle));
             // How many bytes the request has, once that is known.
             let whole = Rc::new(Cell::new(usize::MAX));
             let handed_over = || socket.written() - written >= whole.get();
             let ended = tokio::select! {
                 biased;
-                () = self.too_late(handed_over) => return Err(AttemptOutcome::NotSent),
+                () = self.too_late(handed_over) => return Err(AttemptError::NotSent),
                 ended = self.exchange(&socket, whole.clone()) => Some(ended),
                 () = self.expired() => None,
             };
@@ -330,26 +329,26 @@
                     answer
                 }
                 // Guards against blaming the upstream for a client that broke off.
-                Some(_) if self.request.upload.error().is_some() => Err(AttemptOutcome::NotSent),
+                Some(_) if self.request.upload.error().is_some() => Err(AttemptError::NotSent),
                 Some(_) if !handed_over && self.request.client.is_disconnected() => {
-                    Err(AttemptOutcome::NotSent)
+                    Err(AttemptError::NotSent)
                 }
                 // Guards against an answer that was there before its request.
-                Some(Ok((answer, _))) => answer.and(Err(AttemptOutcome::ConnectFailed)),
+                Some(Ok((answer, _))) => answer.and(Err(AttemptError::ConnectFailed)),
                 // A kept connection that was found dead in time tells nothing of the upstream.
                 Some(Err(_))
                     if !fresh
                         && socket.written() == written
                         && self.request.upload.is_replayable() =>
                 {
-                    self.begun.set(None);
+                    self.connection_idle.set(None);
                     continue;
                 }
-                _ if !handed_over => Err(AttemptOutcome::ConnectFailed),
+                _ if !handed_over => Err(AttemptError::ConnectFailed),
                 // Guards against resting an upstream that spoilt an answer or broke off: it is alive.
-                Some(Err(_)) if socket.read() > read => Err(AttemptOutcome::InvalidResponse),
-                Some(Err(_)) => Err(AttemptOutcome::Reset),
-                None => Err(AttemptOutcome::TimedOut),
+                Some(Err(_)) if socket.read() > read => Err(AttemptError::InvalidResponse),
+                Some(Err(_)) => Err(AttemptError::Reset),
+                None => Err(AttemptError::TimedOut),
             };
         }
     }
@@ -385,7 +384,7 @@
         &self,
         socket: &Socket,
         whole: Rc<Cell<usize>>,
-    ) -> hyper::Result<(AttemptEnd, bool)> {
+    ) -> hyper::Result<(Result<UpstreamResponse, AttemptError>, bool)> {
         socket.begin_exchange(self.request.client.clone(), LARGEST_PREFACE);
         let begin = socket.written();
         let message = self.message(|head| {
@@ -403,7 +402,7 @@
         let talk = async {
             let (head, body) = sender.send_request(message).await?.into_parts();
             if !is_sound(&head) {
-                return Ok((Err(AttemptOutcome::InvalidResponse), After::Close));
+                return Ok((Err(AttemptError::InvalidResponse), After::Close));
             }
             let kept =
                 head.version == Version::HTTP_11 && !names(&head.headers, CONNECTION, "close");
@@ -411,7 +410,7 @@
                 Ok(()) => {
                     let (content, after) = self.content(socket, body).await?;
                     (
-                        content.map(|body| Answer {
+                        content.map(|body| UpstreamResponse {
                             headers: head.headers,
                             body,
                         }),
@@ -466,10 +465,10 @@
         &self,
         socket: &Socket,
         mut body: Incoming,
-    ) -> hyper::Result<(Result<ResponseContent, AttemptOutcome>, After)> {
+    ) -> hyper::Result<(Result<ResponseContent, AttemptError>, After)> {
         let length = body.size_hint().exact();
         if length.is_some_and(|length| length > MAX_BODY_BYTES) {
-            return Ok((Err(AttemptOutcome::InvalidResponse), After::Close));
+            return Ok((Err(AttemptError::InvalidResponse), After::Close));
         }
         let room = self.pool.memory.try_take();
         let large = room.is_none() || length.is_some_and(|length| length > READ_AHEAD_BYTES as u64);
@@ -559,14 +558,14 @@
         .any(|item| item.trim().eq_ignore_ascii_case(word))
 }
 
-fn outcome(status: StatusCode, headers: &HeaderMap) -> Result<(), AttemptOutcome> {
+fn outcome(status: StatusCode, headers: &HeaderMap) -> Result<(), AttemptError> {
     let not_started = headers.get("not-started").is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Ok(()),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_started => {
-            Err(AttemptOutcome::Rejected)
+            Err(AttemptError::Rejected)
         }
-        _ => Err(AttemptOutcome::Error),
+        _ => Err(AttemptError::ErrorStatus),
     }
 }
 
