--- a/src/bin/load-balancer/upstream/mod.rs
+++ b/src/bin/load-balancer/upstream/mod.rs
@@ -32,19 +32,19 @@
 use tokio::time::{sleep_until, timeout_at, Instant};
 
 /// The head of an answer.
-const LARGEST_HEAD: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 /// All that may come ahead of a body, interim answers and the head, and before each further part of one: the size of a
 /// chunk, say, and what stands beside that.
-const LARGEST_PREFACE: usize = 4 * LARGEST_HEAD;
+const MAX_OVERHEAD_BYTES: usize = 4 * MAX_HEAD_BYTES;
 /// Idle connections are dropped this share of their time before the upstream would.
-const MARGIN: f64 = 0.1;
+const IDLE_TIMEOUT_MARGIN: f64 = 0.1;
 /// Idle connections that are kept to one upstream: it holds only so many, from all balancers.
-const MOST_IDLE: usize = 8;
+const MAX_IDLE_PER_UPSTREAM: usize = 8;
 
 /// The headers that go through a balancer: not those of one connection only, nor those that describe the body,
 /// which are set anew.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    const OURS: [&str; 10] = [
+    const HOP_BY_HOP: [&str; 10] = [
         "connection",
         "content-length",
         "expect",
@@ -57,7 +57,7 @@
         "upgrade",
     ];
     let ours = |name: &HeaderName| {
-        OURS.contains(&name.as_str()) || names(headers, CONNECTION, name.as_str())
+        HOP_BY_HOP.contains(&name.as_str()) || lists_token(headers, CONNECTION, name.as_str())
     };
     let kept = headers.iter().filter(|(name, _)| !ours(name));
     kept.map(|(name, value)| (name.clone(), value.clone()))
@@ -100,25 +100,25 @@
     Streamed(Box<Download>),
 }
 
-struct Idle {
+struct IdleConnection {
     since: Instant,
     socket: Socket,
 }
 
 /// A listed upstream: where it is, and the idle connections to it, the one used last at the end.
-struct Place {
+struct UpstreamConnections {
     address: SocketAddr,
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
 }
 
 /// Idle connections to upstreams, and the limits on all that go there.
 pub struct ConnectionPool {
-    places: RefCell<HashMap<UpstreamId, Place>>,
+    upstreams: RefCell<HashMap<UpstreamId, UpstreamConnections>>,
     budget: Rc<DescriptorBudget>,
     metrics: Rc<Metrics>,
     memory: Rc<MemoryBudget>,
     connect_timeout: Duration,
-    keep: Duration,
+    idle_timeout: Duration,
 }
 
 impl ConnectionPool {
@@ -126,28 +126,30 @@
         budget: Rc<DescriptorBudget>,
         metrics: Rc<Metrics>,
         memory: Rc<MemoryBudget>,
-        connect_timeout: f64,
-        idle_timeout: f64,
+        connect_timeout_seconds: f64,
+        idle_timeout_seconds: f64,
     ) -> Self {
         ConnectionPool {
-            places: RefCell::default(),
+            upstreams: RefCell::default(),
             budget,
             metrics,
             memory,
-            connect_timeout: Duration::from_secs_f64(connect_timeout.min(60.0)),
-            keep: Duration::from_secs_f64((idle_timeout * (1.0 - MARGIN)).min(3600.0)),
+            connect_timeout: Duration::from_secs_f64(connect_timeout_seconds.min(60.0)),
+            idle_timeout: Duration::from_secs_f64(
+                (idle_timeout_seconds * (1.0 - IDLE_TIMEOUT_MARGIN)).min(3600.0),
+            ),
         }
     }
 
     /// From now on connections to this upstream may be kept.
     pub fn allow(&self, upstream: UpstreamId, address: SocketAddr) {
-        let mut places = self.places.borrow_mut();
-        let place = places.entry(upstream).or_insert(Place {
+        let mut upstreams = self.upstreams.borrow_mut();
+        let entry = upstreams.entry(upstream).or_insert(UpstreamConnections {
             address,
             idle: Vec::new(),
         });
-        if place.address != address {
-            *place = Place {
+        if entry.address != address {
+            *entry = UpstreamConnections {
                 address,
                 idle: Vec::new(),
             };
@@ -156,50 +158,52 @@
 
     /// Shuts the idle connections to this upstream, and keeps no more of them.
     pub fn remove(&self, upstream: UpstreamId) {
-        self.places.borrow_mut().remove(&upstream);
+        self.upstreams.borrow_mut().remove(&upstream);
     }
 
     /// Shuts the idle connections to this upstream.
     pub fn close_idle(&self, upstream: UpstreamId) {
-        self.places
+        self.upstreams
             .borrow_mut()
             .get_mut(&upstream)
             .into_iter()
-            .for_each(|place| place.idle.clear());
+            .for_each(|entry| entry.idle.clear());
     }
 
     /// Shuts all idle connections, and keeps none any more.
     pub fn close_all(&self) {
-        self.places.borrow_mut().clear();
+        self.upstreams.borrow_mut().clear();
     }
 
     /// Shuts those that have been idle for too long or that the upstream has closed.
     pub fn close_expired(&self) {
-        for place in self.places.borrow_mut().values_mut() {
-            place
-                .idle
-                .retain(|idle| idle.since.elapsed() < self.keep && idle.socket.is_open_and_idle());
+        for entry in self.upstreams.borrow_mut().values_mut() {
+            entry.idle.retain(|idle| {
+                idle.since.elapsed() < self.idle_timeout && idle.socket.is_open_and_idle()
+            });
         }
     }
 
     /// Shuts the connection that has been idle for longest, if there is one.
     pub fn evict_oldest(&self) -> bool {
-        let mut places = self.places.borrow_mut();
-        let oldest = places.values_mut().filter(|place| !place.idle.is_empty());
-        let oldest = oldest.min_by_key(|place| place.idle[0].since);
-        oldest.map(|place| place.idle.remove(0)).is_some()
+        let mut upstreams = self.upstreams.borrow_mut();
+        let oldest = upstreams
+            .values_mut()
+            .filter(|entry| !entry.idle.is_empty());
+        let oldest = oldest.min_by_key(|entry| entry.idle[0].since);
+        oldest.map(|entry| entry.idle.remove(0)).is_some()
     }
 
     /// The connection that was used last: the others may grow old.
     fn take(&self, upstream: UpstreamId, address: SocketAddr) -> Option<(Socket, Duration)> {
-        let mut places = self.places.borrow_mut();
-        let place = places
+        let mut upstreams = self.upstreams.borrow_mut();
+        let entry = upstreams
             .get_mut(&upstream)
-            .filter(|place| place.address == address)?;
-        while let Some(Idle { since, socket }) = place.idle.pop() {
+            .filter(|entry| entry.address == address)?;
+        while let Some(IdleConnection { since, socket }) = entry.idle.pop() {
             // Guards against a request written to a connection that the upstream has closed, or is about
             // to: it would end as a reset, which may have run.
-            if since.elapsed() < self.keep && socket.is_open_and_idle() {
+            if since.elapsed() < self.idle_timeout && socket.is_open_and_idle() {
                 return Some((socket, since.elapsed()));
             }
         }
@@ -208,19 +212,19 @@
 
     /// Keeps a connection, unless its upstream has gone from the list or moved since.
     fn put(&self, upstream: UpstreamId, address: SocketAddr, socket: Socket) {
-        let mut places = self.places.borrow_mut();
-        let place = places
+        let mut upstreams = self.upstreams.borrow_mut();
+        let entry = upstreams
             .get_mut(&upstream)
-            .filter(|place| place.address == address);
-        let Some(place) = place.filter(|_| socket.is_open_and_idle()) else {
+            .filter(|entry| entry.address == address);
+        let Some(entry) = entry.filter(|_| socket.is_open_and_idle()) else {
             return;
         };
-        place.idle.push(Idle {
+        entry.idle.push(IdleConnection {
             since: Instant::now(),
             socket,
         });
-        if place.idle.len() > MOST_IDLE {
-            place.idle.remove(0);
+        if entry.idle.len() > MAX_IDLE_PER_UPSTREAM {
+            entry.idle.remove(0);
         }
     }
 
@@ -255,7 +259,7 @@
 }
 
 /// What becomes of the connection after an exchange.
-enum After {
+enum Disposition {
     Reuse,
     Close,
     /// It carries the rest of the answer, and can be used again once it is told so, if it is kept.
@@ -271,7 +275,7 @@
     }
 
     /// Ends at the deadline, wherever that has moved meanwhile.
-    async fn expired(&self) {
+    async fn deadline_passed(&self) {
         while self.deadline() > Instant::now() {
             sleep_until(self.deadline()).await;
         }
@@ -279,7 +283,7 @@
 
     /// Ends when it may not be written any more and has not been. Guards against a repeat on a connection that came up
     /// late, or that takes bytes slowly, when upstreams no more know it for one.
-    async fn too_late(&self, handed_over: impl Fn() -> bool) {
+    async fn write_deadline_passed(&self, handed_over: impl Fn() -> bool) {
         let Some(by) = self.write_deadline else {
             return pending().await;
         };
@@ -302,9 +306,9 @@
                 None => {
                     let socket = tokio::select! {
                         biased;
-                        () = self.too_late(|| false) => return Err(AttemptError::NotSent),
+                        () = self.write_deadline_passed(|| false) => return Err(AttemptError::NotSent),
                         socket = self.pool.connect(self.address) => socket?,
-                        () = self.expired() => return Err(AttemptError::ConnectFailed),
+                        () = self.deadline_passed() => return Err(AttemptError::ConnectFailed),
                     };
                     (socket, Duration::ZERO)
                 }
@@ -316,9 +320,9 @@
             let handed_over = || socket.written() - written >= whole.get();
             let ended = tokio::select! {
                 biased;
-                () = self.too_late(handed_over) => return Err(AttemptError::NotSent),
+                () = self.write_deadline_passed(handed_over) => return Err(AttemptError::NotSent),
                 ended = self.exchange(&socket, whole.clone()) => Some(ended),
-                () = self.expired() => None,
+                () = self.deadline_passed() => None,
             };
             let handed_over = handed_over();
             return match ended {
@@ -385,7 +389,7 @@
         socket: &Socket,
         whole: Rc<Cell<usize>>,
     ) -> hyper::Result<(Result<UpstreamResponse, AttemptError>, bool)> {
-        socket.begin_exchange(self.request.client.clone(), LARGEST_PREFACE);
+        socket.begin_exchange(self.request.client.clone(), MAX_OVERHEAD_BYTES);
         let begin = socket.written();
         let message = self.message(|head| {
             let (socket, metrics) = (socket.clone(), self.pool.metrics.clone());
@@ -396,17 +400,17 @@
         });
         let mut http = http1::Builder::new();
         let (mut sender, mut connection) = http
-            .max_buf_size(LARGEST_HEAD)
+            .max_buf_size(MAX_HEAD_BYTES)
             .handshake(socket.clone())
             .await?;
         let talk = async {
             let (head, body) = sender.send_request(message).await?.into_parts();
-            if !is_sound(&head) {
-                return Ok((Err(AttemptError::InvalidResponse), After::Close));
+            if !is_framed(&head) {
+                return Ok((Err(AttemptError::InvalidResponse), Disposition::Close));
             }
-            let kept =
-                head.version == Version::HTTP_11 && !names(&head.headers, CONNECTION, "close");
-            let (ended, after) = match outcome(head.status, &head.headers) {
+            let kept = head.version == Version::HTTP_11
+                && !lists_token(&head.headers, CONNECTION, "close");
+            let (ended, after) = match classify(head.status, &head.headers) {
                 Ok(()) => {
                     let (content, after) = self.content(socket, body).await?;
                     (
@@ -418,12 +422,12 @@
                     )
                 }
                 // What it says is of no use, but its connection may be.
-                Err(outcome) => (Err(outcome), pass_over(socket, body).await?),
+                Err(outcome) => (Err(outcome), discard_body(socket, body).await?),
             };
             let after = match after {
-                After::Stream { over, .. } => After::Stream { over, kept },
-                After::Reuse if kept => After::Reuse,
-                _ => After::Close,
+                Disposition::Stream { over, .. } => Disposition::Stream { over, kept },
+                Disposition::Reuse if kept => Disposition::Reuse,
+                _ => Disposition::Close,
             };
             Ok::<_, hyper::Error>((ended, after))
         };
@@ -433,13 +437,13 @@
                 biased;
                 done = &mut talk => done?,
                 // The connection has ended: what it read before that is still to be taken.
-                _ = &mut connection => (talk.await?.0, After::Close),
+                _ = &mut connection => (talk.await?.0, Disposition::Close),
             }
         };
         let reusable = match after {
-            After::Close => false,
-            After::Reuse => connection.into_parts().read_buf.is_empty(),
-            After::Stream { over, kept } => {
+            Disposition::Close => false,
+            Disposition::Reuse => connection.into_parts().read_buf.is_empty(),
+            Disposition::Stream { over, kept } => {
                 let (pool, upstream, address) = (self.pool.clone(), self.upstream, self.address);
                 let socket = socket.clone();
                 spawn_local(async move {
@@ -465,10 +469,10 @@
         &self,
         socket: &Socket,
         mut body: Incoming,
-    ) -> hyper::Result<(Result<ResponseContent, AttemptError>, After)> {
+    ) -> hyper::Result<(Result<ResponseContent, AttemptError>, Disposition)> {
         let length = body.size_hint().exact();
         if length.is_some_and(|length| length > MAX_BODY_BYTES) {
-            return Ok((Err(AttemptError::InvalidResponse), After::Close));
+            return Ok((Err(AttemptError::InvalidResponse), Disposition::Close));
         }
         let room = self.pool.memory.try_take();
         let large = room.is_none() || length.is_some_and(|length| length > READ_AHEAD_BYTES as u64);
@@ -476,11 +480,13 @@
         let (mut ahead, mut size) = (VecDeque::new(), 0);
         while size <= READ_AHEAD_BYTES && !(large && size > 0) {
             let frame = match length {
-                None if size > 0 => match timeout_at(held_back, part(socket, &mut body)).await {
-                    Ok(frame) => frame,
-                    Err(_) => break,
-                },
-                _ => part(socket, &mut body).await,
+                None if size > 0 => {
+                    match timeout_at(held_back, next_frame(socket, &mut body)).await {
+                        Ok(frame) => frame,
+                        Err(_) => break,
+                    }
+                }
+                _ => next_frame(socket, &mut body).await,
             };
             let Some(frame) = frame else {
                 let whole = ahead
@@ -489,7 +495,10 @@
                         whole.extend_from_slice(&data);
                         whole
                     });
-                return Ok((Ok(ResponseContent::Complete(whole.freeze())), After::Reuse));
+                return Ok((
+                    Ok(ResponseContent::Complete(whole.freeze())),
+                    Disposition::Reuse,
+                ));
             };
             if let Ok(data) = frame?.into_data() {
                 size += data.len();
@@ -502,33 +511,33 @@
         let download = Download::new(ahead, body, length, whole, room);
         Ok((
             Ok(ResponseContent::Streamed(Box::new(download))),
-            After::Stream { over, kept: true },
+            Disposition::Stream { over, kept: true },
         ))
     }
 }
 
 /// The next part of a body. Guards against what hyper reads for as long as it comes, and gives to nobody: the size of a
 /// chunk that has no end.
-async fn part(socket: &Socket, body: &mut Incoming) -> Option<hyper::Result<Frame<Bytes>>> {
-    socket.limit_read(LARGEST_PREFACE);
+async fn next_frame(socket: &Socket, body: &mut Incoming) -> Option<hyper::Result<Frame<Bytes>>> {
+    socket.limit_read(MAX_OVERHEAD_BYTES);
     body.frame().await
 }
 
 /// Reads a body that nobody wants, and says whether its connection can be used again: not after a large one.
-async fn pass_over(socket: &Socket, mut body: Incoming) -> hyper::Result<After> {
+async fn discard_body(socket: &Socket, mut body: Incoming) -> hyper::Result<Disposition> {
     let mut size = 0;
-    while let Some(frame) = part(socket, &mut body).await {
+    while let Some(frame) = next_frame(socket, &mut body).await {
         size += frame?.data_ref().map_or(0, Bytes::len);
         if size > READ_AHEAD_BYTES {
-            return Ok(After::Close);
+            return Ok(Disposition::Close);
         }
     }
-    Ok(After::Reuse)
+    Ok(Disposition::Reuse)
 }
 
 /// True if the head says once and plainly where its body ends. Guards against an answer that can't be told from
 /// a part of it, or from the one behind it.
-fn is_sound(head: &Parts) -> bool {
+fn is_framed(head: &Parts) -> bool {
     let mut lengths = head.headers.get_all(CONTENT_LENGTH).iter();
     let mut codings = head.headers.get_all(TRANSFER_ENCODING).iter();
     let digits = |value: &HeaderValue| value.as_bytes().iter().all(u8::is_ascii_digit);
@@ -542,13 +551,13 @@
             (Some(length), None, None, None) => digits(length),
             (None, None, Some(coding), None) => coding.as_bytes().eq_ignore_ascii_case(b"chunked"),
             // It ends with its connection, and says so.
-            (None, None, None, None) => names(&head.headers, CONNECTION, "close"),
+            (None, None, None, None) => lists_token(&head.headers, CONNECTION, "close"),
             _ => false,
         }
 }
 
 /// True if this header, a list, has this word.
-pub fn names(headers: &HeaderMap, list: HeaderName, word: &str) -> bool {
+pub fn lists_token(headers: &HeaderMap, list: HeaderName, word: &str) -> bool {
     let texts = headers
         .get_all(list)
         .into_iter()
@@ -558,7 +567,7 @@
         .any(|item| item.trim().eq_ignore_ascii_case(word))
 }
 
-fn outcome(status: StatusCode, headers: &HeaderMap) -> Result<(), AttemptError> {
+fn classify(status: StatusCode, headers: &HeaderMap) -> Result<(), AttemptError> {
     let not_started = headers.get("not-started").is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Ok(()),
--- a/src/bin/load-balancer/upstream/tests.rs
+++ b/src/bin/load-balancer/upstream/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use tokio::net::TcpListener;
 
-/// Guards against idle connections that take an upstream's places from the other balancers.
+/// Idle connections must not use up the connections that an upstream accepts from all balancers.
 #[test]
 fn few_idle_connections_to_an_upstream_are_kept() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -25,17 +25,20 @@
         let upstream = UpstreamId::of("u0");
         pool.allow(upstream, address);
         let mut peers = Vec::new();
-        for _ in 0..3 * MOST_IDLE {
+        for _ in 0..3 * MAX_IDLE_PER_UPSTREAM {
             let socket = pool.connect(address).await.expect("a connection");
             peers.push(listener.accept().await.expect("the same"));
             pool.put(upstream, address, socket);
         }
-        assert_eq!(pool.places.borrow()[&upstream].idle.len(), MOST_IDLE);
+        assert_eq!(
+            pool.upstreams.borrow()[&upstream].idle.len(),
+            MAX_IDLE_PER_UPSTREAM
+        );
         let held = budget.in_use();
         pool.remove(upstream);
         assert_eq!(
             held - budget.in_use(),
-            MOST_IDLE,
+            MAX_IDLE_PER_UPSTREAM,
             "the others have been closed"
         );
     });
