--- /dev/null
+++ b/src/bin/load-balancer/upstream/exchange.rs
@@ -0,0 +1,189 @@
+//! One request and its response on a connection to an upstream.
+
+use super::response::{
+    read_response, Disposition, ReceivedResponse, MAX_HEAD_BYTES, MAX_OVERHEAD_BYTES,
+};
+use super::{Attempt, AttemptError, UpstreamResponse};
+use crate::body::UploadBody;
+use crate::socket::Socket;
+use hyper::client::conn::http1::{Builder, Connection, SendRequest};
+use hyper::header::HeaderValue;
+use hyper::{HeaderMap, Method, Request, Uri};
+use std::cell::Cell;
+use std::pin::pin;
+use std::rc::Rc;
+use tokio::sync::oneshot;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+/// How far an exchange has come, from the counters of its socket.
+pub(super) struct ExchangeProgress<'a> {
+    socket: &'a Socket,
+    written_before: usize,
+    read_before: usize,
+    /// Bytes of the request on the wire, at least; `usize::MAX` while that is unknown.
+    request_length: Rc<Cell<usize>>,
+}
+
+impl<'a> ExchangeProgress<'a> {
+    /// The progress of an exchange that is about to begin.
+    pub(super) fn new(socket: &'a Socket) -> Self {
+        ExchangeProgress {
+            socket,
+            written_before: socket.written(),
+            read_before: socket.read(),
+            request_length: Rc::new(Cell::new(usize::MAX)),
+        }
+    }
+
+    /// True if nothing of the request has been written.
+    pub(super) fn is_unsent(&self) -> bool {
+        self.socket.written() == self.written_before
+    }
+
+    /// True if the whole request may have been written.
+    pub(super) fn is_request_sent(&self) -> bool {
+        self.socket.written() - self.written_before >= self.request_length.get()
+    }
+
+    /// True if something of the response has been read.
+    pub(super) fn has_response_begun(&self) -> bool {
+        self.socket.read() > self.read_before
+    }
+}
+
+/// A response, or the error that it stands for.
+pub(super) struct FinishedExchange {
+    pub(super) response: Result<UpstreamResponse, AttemptError>,
+    /// The connection can be put back into the pool at once.
+    pub(super) is_reusable: bool,
+}
+
+impl Attempt {
+    /// Sends the request and reads its response, or the beginning of a large one.
+    ///
+    /// Each exchange has an HTTP connection of its own on the socket. At its end the connection is
+    /// taken apart: bytes behind the response in its buffer would be taken for the beginning of
+    /// the next response, so that the socket is reused only if there are none.
+    ///
+    /// # Errors
+    ///
+    /// Those of the connection.
+    pub(super) async fn exchange(
+        &self,
+        progress: &ExchangeProgress<'_>,
+    ) -> hyper::Result<FinishedExchange> {
+        let socket = progress.socket;
+        socket.begin_exchange(self.request.client.clone(), MAX_OVERHEAD_BYTES);
+        let request = self.outgoing_request(progress);
+        let (mut sender, mut connection) = Builder::new()
+            .max_buf_size(MAX_HEAD_BYTES)
+            .handshake(socket.clone())
+            .await?;
+        let received = {
+            let mut receive = pin!(self.send_and_receive(&mut sender, socket, request));
+            tokio::select! {
+                biased;
+                received = &mut receive => received?,
+                // The connection has ended; what it has read before is still available.
+                _ = &mut connection => ReceivedResponse {
+                    disposition: Disposition::Close,
+                    ..receive.await?
+                },
+            }
+        };
+        let is_reusable = match received.disposition {
+            Disposition::Close => false,
+            Disposition::Reuse => connection.into_parts().read_buf.is_empty(),
+            Disposition::Streaming { completed, reuse } => {
+                let stream = StreamedExchange { sender, connection };
+                self.finish_in_background(stream, socket.clone(), completed, reuse);
+                false
+            }
+        };
+        Ok(FinishedExchange {
+            response: received.response,
+            is_reusable,
+        })
+    }
+
+    async fn send_and_receive(
+        &self,
+        sender: &mut SendRequest<UploadBody>,
+        socket: &Socket,
+        request: Request<UploadBody>,
+    ) -> hyper::Result<ReceivedResponse> {
+        let (head, body) = sender.send_request(request).await?.into_parts();
+        read_response(socket, &self.pool.memory, head, body).await
+    }
+
+    /// Drives the connection of a streamed response until `completed` is notified, then puts it
+    /// back into the pool if `reuse` is set.
+    fn finish_in_background(
+        &self,
+        exchange: StreamedExchange,
+        socket: Socket,
+        completed: oneshot::Receiver<()>,
+        reuse: bool,
+    ) {
+        let (pool, upstream, address) = (self.pool.clone(), self.upstream, self.address);
+        let StreamedExchange {
+            sender,
+            mut connection,
+        } = exchange;
+        spawn_local(async move {
+            let is_complete = tokio::select! {
+                biased;
+                completed = completed => completed.is_ok(),
+                _ = &mut connection => false,
+            };
+            // The connection ends when its sender is dropped.
+            drop(sender);
+            if is_complete && reuse && connection.into_parts().read_buf.is_empty() {
+                pool.put(upstream, address, socket);
+            }
+        });
+    }
+
+    /// The request with the time left. Once its length is known, it is noted in `progress` and
+    /// declared to the socket.
+    fn outgoing_request(&self, progress: &ExchangeProgress<'_>) -> Request<UploadBody> {
+        let (method, uri) = (self.request.method.clone(), self.request.uri.clone());
+        let mut headers = self.request.headers.clone();
+        let time_left = (self.deadline() - Instant::now()).as_secs_f64();
+        if let Ok(time_left) = HeaderValue::from_str(&format!("{time_left:.3}")) {
+            headers.insert("request-timeout", time_left);
+        }
+        let head_length = min_head_length(&method, &uri, &headers);
+        let (socket, metrics) = (progress.socket.clone(), self.pool.metrics.clone());
+        let request_length = progress.request_length.clone();
+        let written_before = progress.written_before;
+        let body = UploadBody::new(self.request.upload.clone(), move |body_length| {
+            request_length.set(head_length + body_length as usize);
+            socket.complete_at(written_before + request_length.get(), metrics);
+        });
+        let mut request = Request::new(body);
+        *request.method_mut() = method;
+        *request.uri_mut() = uri;
+        *request.headers_mut() = headers;
+        request
+    }
+}
+
+/// A connection that carries the rest of a response.
+struct StreamedExchange {
+    sender: SendRequest<UploadBody>,
+    connection: Connection<Socket, UploadBody>,
+}
+
+/// Bytes that a head has on the wire at least: hyper writes these headers as they are, and may add
+/// some. A connection that broke before as many were written has not carried the whole request.
+fn min_head_length(method: &Method, uri: &Uri, headers: &HeaderMap) -> usize {
+    let request_line =
+        method.as_str().len() + " ".len() + uri.to_string().len() + " HTTP/1.1\r\n".len();
+    let header_lines: usize = headers
+        .iter()
+        .map(|(name, value)| name.as_str().len() + ": ".len() + value.len() + "\r\n".len())
+        .sum();
+    request_line + header_lines + "\r\n".len()
+}
--- a/src/bin/load-balancer/upstream/tests.rs
+++ b/src/bin/load-balancer/upstream/tests.rs
@@ -1,6 +1,11 @@
-//! The idle connections to upstreams.
+//! Unit tests of the connection pool.
 
+use super::pool::MAX_IDLE_PER_UPSTREAM;
 use super::*;
+use crate::body::MemoryBudget;
+use crate::metrics::Metrics;
+use crate::socket::DescriptorBudget;
+use load_balancer::UpstreamId;
 use tokio::net::TcpListener;
 
 /// Idle connections must not use up the connections that an upstream accepts from all balancers.
@@ -27,17 +32,17 @@
         let mut peers = Vec::new();
         for _ in 0..3 * MAX_IDLE_PER_UPSTREAM {
             let socket = pool.connect(address).await.expect("a connection");
-            peers.push(listener.accept().await.expect("the same"));
+            peers.push(listener.accept().await.expect("the peer"));
             pool.put(upstream, address, socket);
         }
         assert_eq!(
             pool.upstreams.borrow()[&upstream].idle.len(),
             MAX_IDLE_PER_UPSTREAM
         );
-        let held = budget.in_use();
+        let used_before = budget.in_use();
         pool.remove(upstream);
         assert_eq!(
-            held - budget.in_use(),
+            used_before - budget.in_use(),
             MAX_IDLE_PER_UPSTREAM,
             "the others have been closed"
         );
