--- a/src/bin/load-balancer/upstream/exchange.rs
+++ b/src/bin/load-balancer/upstream/exchange.rs
@@ -81,7 +81,10 @@
             .handshake(socket.clone())
             .await?;
         let received = {
-            let mut receive = pin!(self.send_and_receive(&mut sender, socket, request));
+            let mut receive = pin!(async {
+                let response = sender.send_request(request).await?;
+                read_response(socket, &self.pool.memory, response).await
+            });
             tokio::select! {
                 biased;
                 received = &mut receive => received?,
@@ -107,16 +110,6 @@
         })
     }
 
-    async fn send_and_receive(
-        &self,
-        sender: &mut SendRequest<UploadBody>,
-        socket: &Socket,
-        request: Request<UploadBody>,
-    ) -> hyper::Result<ReceivedResponse> {
-        let (head, body) = sender.send_request(request).await?.into_parts();
-        read_response(socket, &self.pool.memory, head, body).await
-    }
-
     /// Drives the connection of a streamed response until `completed` is notified, then puts it
     /// back into the pool if `reuse` is set.
     fn finish_in_background(
--- a/src/bin/load-balancer/upstream/response.rs
+++ b/src/bin/load-balancer/upstream/response.rs
@@ -9,7 +9,7 @@
 use hyper::body::{Body, Frame, Incoming};
 use hyper::header::{HeaderMap, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::response::Parts;
-use hyper::{StatusCode, Version};
+use hyper::{Response, StatusCode, Version};
 use std::collections::VecDeque;
 use tokio::sync::oneshot;
 use tokio::time::{timeout_at, Instant};
@@ -78,9 +78,9 @@
 pub(super) async fn read_response(
     socket: &Socket,
     memory: &MemoryBudget,
-    head: Parts,
-    body: Incoming,
+    response: Response<Incoming>,
 ) -> hyper::Result<ReceivedResponse> {
+    let (head, mut body) = response.into_parts();
     if !is_framed(&head) {
         return Ok(ReceivedResponse {
             response: Err(AttemptError::InvalidResponse),
@@ -89,16 +89,20 @@
     }
     let keep_alive =
         head.version == Version::HTTP_11 && !lists_token(&head.headers, CONNECTION, "close");
-    let received = match classify(head.status, &head.headers) {
-        Ok(()) => read_success(socket, memory, head.headers, body).await?,
-        Err(error) => ReceivedResponse {
-            response: Err(error),
-            disposition: discard_body(socket, body).await?,
-        },
+    let (response, disposition) = match classify(head.status, &head.headers) {
+        Ok(()) => {
+            let received = read_content(socket, memory, body).await?;
+            let response = received.content.map(|body| UpstreamResponse {
+                headers: head.headers,
+                body,
+            });
+            (response, received.disposition)
+        }
+        Err(error) => (Err(error), discard_body(socket, &mut body).await?),
     };
     Ok(ReceivedResponse {
-        disposition: received.disposition.with_keep_alive(keep_alive),
-        ..received
+        response,
+        disposition: disposition.with_keep_alive(keep_alive),
     })
 }
 
@@ -137,18 +141,23 @@
     }
 }
 
+/// The body of a successful response, and what becomes of its connection.
+struct ReceivedContent {
+    content: Result<ResponseContent, AttemptError>,
+    disposition: Disposition,
+}
+
 /// Reads the body of a successful response, or the beginning of a large one, as its client is
 /// waiting for that.
-async fn read_success(
+async fn read_content(
     socket: &Socket,
     memory: &MemoryBudget,
-    headers: HeaderMap,
     mut body: Incoming,
-) -> hyper::Result<ReceivedResponse> {
+) -> hyper::Result<ReceivedContent> {
     let length = body.size_hint().exact();
     if length.is_some_and(|length| length > MAX_BODY_BYTES) {
-        return Ok(ReceivedResponse {
-            response: Err(AttemptError::InvalidResponse),
+        return Ok(ReceivedContent {
+            content: Err(AttemptError::InvalidResponse),
             disposition: Disposition::Close,
         });
     }
@@ -156,21 +165,22 @@
     let is_large =
         permit.is_none() || length.is_some_and(|length| length > READ_AHEAD_BYTES as u64);
     let beginning = read_beginning(socket, &mut body, length, is_large).await?;
-    let (body, disposition) = if beginning.is_complete {
-        let body = ResponseContent::Complete(concatenate(beginning.parts));
-        (body, Disposition::Reuse)
-    } else {
-        // From here on the stall timer limits the rest of the body.
-        socket.unlimit_read();
-        let (completion, completed) = oneshot::channel();
-        let download = Download::new(beginning.parts, body, length, completion, permit);
-        let reuse = true;
-        let disposition = Disposition::Streaming { completed, reuse };
-        (ResponseContent::Streamed(Box::new(download)), disposition)
-    };
-    Ok(ReceivedResponse {
-        response: Ok(UpstreamResponse { headers, body }),
-        disposition,
+    if beginning.is_complete {
+        return Ok(ReceivedContent {
+            content: Ok(ResponseContent::Complete(concatenate(beginning.parts))),
+            disposition: Disposition::Reuse,
+        });
+    }
+    // From here on the stall timer limits the rest of the body.
+    socket.unlimit_read();
+    let (completion, completed) = oneshot::channel();
+    let download = Download::new(beginning.parts, body, length, completion, permit);
+    Ok(ReceivedContent {
+        content: Ok(ResponseContent::Streamed(Box::new(download))),
+        disposition: Disposition::Streaming {
+            completed,
+            reuse: true,
+        },
     })
 }
 
@@ -221,9 +231,9 @@
 }
 
 /// Reads the body of an error, so that the connection can be reused; a large one is not read.
-async fn discard_body(socket: &Socket, mut body: Incoming) -> hyper::Result<Disposition> {
+async fn discard_body(socket: &Socket, body: &mut Incoming) -> hyper::Result<Disposition> {
     let mut size = 0;
-    while let Some(frame) = next_frame(socket, &mut body).await {
+    while let Some(frame) = next_frame(socket, body).await {
         size += frame?.data_ref().map_or(0, Bytes::len);
         if size > READ_AHEAD_BYTES {
             return Ok(Disposition::Close);
