--- a/tests/faults/faults.c
+++ b/tests/faults/faults.c
@@ -1,13 +1,19 @@
 /*
- * Makes system calls of a program under test fail, and its wall clock differ. Loaded with LD_PRELOAD.
+ * Makes system calls of a program under test fail, and shifts its wall clock. Loaded with
+ * LD_PRELOAD.
  *
- * FAULTS       comma-separated `call:error:first:every:times`: of the calls of this name the one numbered `first`, and
- *              then each `every`-th, fail with the error number `error`, `times` times in all. A negative `error` delays
- *              the call by so many milliseconds in place of failing it. `write` counts for regular files only, `socket` and
- *              `connect` for IPv4 only, `socket_unix` and `connect_unix` for local ones, `open` for the configuration and
- *              what lies in $TMPDIR, `epoll_ctl` for what is added,
- *              `epoll_ctl_accepted` for connections of clients that are.
- * FAULTS_WALL  seconds by which the wall clock is ahead.
+ * FAULTS       Comma-separated `call:error:first:every:times`: of the calls with this name, the
+ *              one numbered `first` and then every `every`-th one fail with the error `error`,
+ *              `times` times in all. A negative `error` delays the call by that many milliseconds
+ *              instead. Calls that count:
+ *                write                 for regular files only
+ *                socket, connect       for IPv4 only
+ *                socket_unix, connect_unix
+ *                                      for local sockets
+ *                open                  for the configuration and for paths in $TMPDIR
+ *                epoll_ctl             for descriptors that are added
+ *                epoll_ctl_accepted    for clients' connections that are added
+ * FAULTS_WALL  Seconds by which the wall clock is ahead.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -27,38 +33,38 @@
 #include <time.h>
 #include <unistd.h>
 
-enum { MOST_FAULTS = 16 };
+enum { MAX_FAULTS = 16, MAX_ACCEPTED = 256 };
 
 static struct fault {
     char call[32];
     long error, first, every, times;
-    long seen, done;
-} faults[MOST_FAULTS];
-static int count;
+    long calls, failures;
+} faults[MAX_FAULTS];
+static int fault_count;
 
-__attribute__((constructor)) static void read_faults(void) {
+__attribute__((constructor)) static void parse_faults(void) {
     const char *text = getenv("FAULTS");
-    for (; text && *text && count < MOST_FAULTS; count++) {
-        struct fault *f = &faults[count];
-        if (sscanf(text, "%31[^:]:%ld:%ld:%ld:%ld", f->call, &f->error, &f->first, &f->every, &f->times) != 5)
+    for (; text && *text && fault_count < MAX_FAULTS; fault_count++) {
+        struct fault *fault = &faults[fault_count];
+        if (sscanf(text, "%31[^:]:%ld:%ld:%ld:%ld", fault->call, &fault->error, &fault->first, &fault->every, &fault->times) != 5)
             abort();
         text = strchr(text, ',');
         text = text ? text + 1 : NULL;
     }
 }
 
-/* Whether this call is to fail; sets errno, or delays the call. */
-static int fails(const char *call) {
+/* Whether this call has to fail, with errno set; delays the call instead if so configured. */
+static int must_fail(const char *call) {
     long error = 0;
-    for (int i = 0; i < count; i++) {
-        struct fault *f = &faults[i];
-        if (strcmp(f->call, call) != 0)
+    for (int i = 0; i < fault_count; i++) {
+        struct fault *fault = &faults[i];
+        if (strcmp(fault->call, call) != 0)
             continue;
-        long number = __atomic_add_fetch(&f->seen, 1, __ATOMIC_SEQ_CST);
-        if (number < f->first || (number - f->first) % f->every != 0 || f->done >= f->times)
+        long number = __atomic_add_fetch(&fault->calls, 1, __ATOMIC_SEQ_CST);
+        if (number < fault->first || (number - fault->first) % fault->every != 0 || fault->failures >= fault->times)
             continue;
-        f->done++;
-        error = f->error;
+        fault->failures++;
+        error = fault->error;
     }
     if (error < 0) {
         struct timespec delay = {-error / 1000, -error % 1000 * 1000000};
@@ -69,9 +75,9 @@
     return error > 0;
 }
 
-static int is_file(int fd) {
-    struct stat about;
-    return fstat(fd, &about) == 0 && S_ISREG(about.st_mode);
+static int is_regular_file(int fd) {
+    struct stat status;
+    return fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
 #define WRAP(type, name, parameters, arguments, counts)     \
@@ -79,7 +85,7 @@
         static type(*real) parameters;                      \
         if (!real)                                          \
             real = (type(*) parameters)dlsym(RTLD_NEXT, #name); \
-        if ((counts) && fails(#name))                       \
+        if ((counts) && must_fail(#name))                   \
             return -1;                                      \
         return real arguments;                              \
     }
@@ -96,14 +102,14 @@
 WRAP(ssize_t, recv, (int fd, void *bytes, size_t size, int flags), (fd, bytes, size, flags), 1)
 WRAP(ssize_t, send, (int fd, const void *bytes, size_t size, int flags), (fd, bytes, size, flags), 1)
 WRAP(ssize_t, writev, (int fd, const struct iovec *parts, int number), (fd, parts, number), 1)
-WRAP(ssize_t, write, (int fd, const void *bytes, size_t size), (fd, bytes, size), is_file(fd))
+WRAP(ssize_t, write, (int fd, const void *bytes, size_t size), (fd, bytes, size), is_regular_file(fd))
 WRAP(int, rename, (const char *from, const char *to), (from, to), 1)
 
 int connect(int fd, const struct sockaddr *to, socklen_t size) {
     static int (*real)(int, const struct sockaddr *, socklen_t);
     if (!real)
         real = (int (*)(int, const struct sockaddr *, socklen_t))dlsym(RTLD_NEXT, "connect");
-    if (fails(to->sa_family == AF_UNIX ? "connect_unix" : to->sa_family == AF_INET ? "connect" : ""))
+    if (must_fail(to->sa_family == AF_UNIX ? "connect_unix" : to->sa_family == AF_INET ? "connect" : ""))
         return -1;
     return real(fd, to, size);
 }
@@ -112,7 +118,7 @@
     static int (*real)(int, int, int);
     if (!real)
         real = (int (*)(int, int, int))dlsym(RTLD_NEXT, "socket");
-    if (fails(domain == AF_UNIX ? "socket_unix" : domain == AF_INET ? "socket" : ""))
+    if (must_fail(domain == AF_UNIX ? "socket_unix" : domain == AF_INET ? "socket" : ""))
         return -1;
     return real(domain, type, protocol);
 }
@@ -121,33 +127,33 @@
     static int (*real)(pthread_t *, const pthread_attr_t *, void *(*)(void *), void *);
     if (!real)
         real = (int (*)(pthread_t *, const pthread_attr_t *, void *(*)(void *), void *))dlsym(RTLD_NEXT, "pthread_create");
-    return fails("pthread_create") ? errno : real(thread, with, run, value);
+    return must_fail("pthread_create") ? errno : real(thread, with, run, value);
 }
 
-/* The sockets accepted last, known by their inodes, as a duplicate has the same. */
-static ino_t accepted[256];
+/* Inodes of the latest accepted sockets: a duplicated descriptor has the same inode. */
+static ino_t accepted_inodes[MAX_ACCEPTED];
 static unsigned accepted_count;
 
 static ino_t inode(int fd) {
-    struct stat about;
-    return fstat(fd, &about) == 0 ? about.st_ino : 0;
+    struct stat status;
+    return fstat(fd, &status) == 0 ? status.st_ino : 0;
 }
 
 int accept4(int fd, struct sockaddr *to, socklen_t *size, int flags) {
     static int (*real)(int, struct sockaddr *, socklen_t *, int);
     if (!real)
         real = (int (*)(int, struct sockaddr *, socklen_t *, int))dlsym(RTLD_NEXT, "accept4");
-    if (fails("accept4"))
+    if (must_fail("accept4"))
         return -1;
     int stream = real(fd, to, size, flags);
     if (stream >= 0)
-        accepted[accepted_count++ % 256] = inode(stream);
+        accepted_inodes[accepted_count++ % MAX_ACCEPTED] = inode(stream);
     return stream;
 }
 
 static int is_accepted(int fd) {
-    for (int i = 0; i < 256; i++)
-        if (accepted[i] && accepted[i] == inode(fd))
+    for (int i = 0; i < MAX_ACCEPTED; i++)
+        if (accepted_inodes[i] && accepted_inodes[i] == inode(fd))
             return 1;
     return 0;
 }
@@ -156,12 +162,12 @@
     static int (*real)(int, int, int, struct epoll_event *);
     if (!real)
         real = (int (*)(int, int, int, struct epoll_event *))dlsym(RTLD_NEXT, "epoll_ctl");
-    if (op == EPOLL_CTL_ADD && (fails("epoll_ctl") || (is_accepted(on) && fails("epoll_ctl_accepted"))))
+    if (op == EPOLL_CTL_ADD && (must_fail("epoll_ctl") || (is_accepted(on) && must_fail("epoll_ctl_accepted"))))
         return -1;
     return real(fd, op, on, event);
 }
 
-static int is_ours(const char *path) {
+static int is_path_of_test(const char *path) {
     const char *config = getenv("PROXY_CONFIG"), *folder = getenv("TMPDIR");
     return (config && strcmp(path, config) == 0) || (folder && strncmp(path, folder, strlen(folder)) == 0);
 }
@@ -174,7 +180,7 @@
     va_start(rest, flags);
     mode_t mode = flags & O_CREAT ? va_arg(rest, mode_t) : 0;
     va_end(rest);
-    if (is_ours(path) && fails("open"))
+    if (is_path_of_test(path) && must_fail("open"))
         return -1;
     return real(path, flags, mode);
 }
@@ -184,8 +190,8 @@
     if (!real)
         real = (int (*)(clockid_t, struct timespec *))dlsym(RTLD_NEXT, "clock_gettime");
     int result = real(clock, now);
-    const char *ahead = getenv("FAULTS_WALL");
-    if (ahead && clock == CLOCK_REALTIME)
-        now->tv_sec += atol(ahead);
+    const char *offset_seconds = getenv("FAULTS_WALL");
+    if (offset_seconds && clock == CLOCK_REALTIME)
+        now->tv_sec += atol(offset_seconds);
     return result;
 }
