--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Large, slow and oddly framed bodies through the real program.
+//! Bodies through the real program: large, slow, streamed, and with unusual framing.
 
 mod peers;
 use peers::*;
@@ -8,14 +8,14 @@
 
 const ID: &str = "Request-Id: {id}\r\n";
 
-/// Bytes that differ from place to place.
-fn bytes(count: usize) -> String {
-    (0..count)
-        .map(|n| char::from(b'a' + (n * 7 + n / 1009) as u8 % 26))
+/// A body in which a shifted or repeated part would show.
+fn body_of(length: usize) -> String {
+    (0..length)
+        .map(|index| char::from(b'a' + (index * 7 + index / 1009) as u8 % 26))
         .collect()
 }
 
-fn chunked(body: &str, size: usize) -> String {
+fn chunked(body: &str, chunk_size: usize) -> String {
     let chunk = |part: &[u8]| {
         format!(
             "{:x};news=1\r\n{}\r\n",
@@ -23,12 +23,16 @@
             std::str::from_utf8(part).unwrap()
         )
     };
-    body.as_bytes().chunks(size).map(chunk).collect::<String>() + "0\r\nTrailer: t\r\n\r\n"
+    body.as_bytes()
+        .chunks(chunk_size)
+        .map(chunk)
+        .collect::<String>()
+        + "0\r\nTrailer: t\r\n\r\n"
 }
 
 #[test]
-fn a_large_answer_reaches_its_client_as_it_was_whatever_its_framing() {
-    let body = bytes(3 << 20);
+fn a_large_response_is_forwarded_unchanged_with_any_framing() {
+    let body = body_of(3 << 20);
     let framings = [
         format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -39,8 +43,8 @@
             chunked(&body, 50_000)
         ),
     ];
-    for answer in framings {
-        let upstream = Upstream::raw(&answer);
+    for response in framings {
+        let upstream = Upstream::raw(&response);
         let (program, _discovery) = Program::with_console(&[upstream.address]);
         let mut client = program.client();
         for _ in 0..3 {
@@ -57,11 +61,11 @@
     }
 }
 
-/// Guards against an answer taken for spoilt though it says that it ends with its connection.
+/// A response without a length is valid if it declares that its connection closes at its end.
 #[test]
-fn an_answer_may_end_with_its_connection_if_it_says_so() {
-    for count in [3, 1 << 20] {
-        let body = bytes(count);
+fn a_response_may_be_delimited_by_a_declared_close() {
+    for length in [3, 1 << 20] {
+        let body = body_of(length);
         let upstream = Upstream::start(Reply::Once(
             format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}").leak(),
         ));
@@ -71,15 +75,15 @@
             let answer = client.ask("/read", ID, "");
             assert!(
                 answer.status() == 200 && answer.body == body.as_bytes(),
-                "{count}"
+                "{length}"
             );
         }
     }
 }
 
-/// Guards against a part of an answer that is taken for all of it.
+/// A client must not take a part of a response for all of it.
 #[test]
-fn a_large_answer_that_breaks_off_ends_so_that_its_client_can_tell() {
+fn a_client_can_detect_a_truncated_large_response() {
     let upstream = Upstream::start(Reply::CutOffLarge);
     let (program, _discovery) = Program::with_console(&[upstream.address]);
     let mut client = program.client();
@@ -95,21 +99,21 @@
 }
 
 #[test]
-fn a_body_in_chunks_or_announced_first_goes_on_as_it_was() {
+fn a_chunked_body_or_one_after_100_continue_is_forwarded_unchanged() {
     let upstream = Upstream::start(Reply::Ok);
     let (program, _discovery) = Program::with(&[upstream.address]);
     let mut client = program.client();
-    let tell = "Transfer-Encoding:   chunked \r\nExpect: 100-continue\r\n";
-    for (count, size) in [(0, 1), (10, 1), (40_000, 999), (2 << 20, 60_000)] {
-        let body = bytes(count);
-        client.send("/pay", &format!("{ID}{tell}"), "").unwrap();
+    let framing = "Transfer-Encoding:   chunked \r\nExpect: 100-continue\r\n";
+    for (length, chunk_size) in [(0, 1), (10, 1), (40_000, 999), (2 << 20, 60_000)] {
+        let body = body_of(length);
+        client.send("/pay", &format!("{ID}{framing}"), "").unwrap();
         let interim = client.receive().unwrap().unwrap();
         assert_eq!(interim.status(), 100);
-        client.write(&chunked(&body, size));
-        assert_eq!(client.receive().unwrap().unwrap().status(), 200, "{count}");
-        assert!(upstream.next().body == body.as_bytes(), "{count}");
+        client.write(&chunked(&body, chunk_size));
+        assert_eq!(client.receive().unwrap().unwrap().status(), 200, "{length}");
+        assert!(upstream.next().body == body.as_bytes(), "{length}");
     }
-    // Nothing comes, and it says so at its end.
+    // A chunked body without bytes.
     client
         .send("/read", &format!("{ID}Transfer-Encoding: chunked\r\n"), "")
         .unwrap();
@@ -118,77 +122,77 @@
 }
 
 #[test]
-fn a_large_body_goes_elsewhere_while_none_of_the_rest_is_read() {
+fn a_large_request_is_retried_while_its_streamed_part_is_unread() {
     let refusing = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let upstream = Upstream::start(Reply::Ok);
     let (program, _discovery) = Program::with(&[refusing, upstream.address]);
-    let body = bytes(1 << 20);
+    let body = body_of(1 << 20);
     for _ in 0..4 {
         assert_eq!(program.client().ask("/pay", ID, &body).status(), 200);
         assert!(upstream.next().body == body.as_bytes());
     }
 }
 
-/// Guards against a client that is told nothing because it is still sending, and against sending half of a body
-/// somewhere else.
+/// A rejected client gets its response while it is still sending, and a body of which a part was
+/// streamed to one upstream goes to no other.
 #[test]
-fn a_large_body_that_is_turned_away_has_its_answer() {
+fn a_rejected_large_request_is_answered_and_not_retried() {
     let upstream = Upstream::start(Reply::NotStarted);
     let (program, _discovery) = Program::with_console(&[upstream.address]);
-    let answer = program.client().ask("/pay", ID, &bytes(4 << 20));
+    let answer = program.client().ask("/pay", ID, &body_of(4 << 20));
     assert_eq!(answer.status(), 503);
     assert_eq!(program.figure("refused.pay"), 1);
     assert_eq!(upstream.seen.try_iter().count(), 1);
 }
 
-/// Guards against cutting off a client that still sends when it has its answer: that may take longer than a head may.
+/// A client may go on sending its body after the response, for longer than a head may take.
 #[test]
-fn the_rest_of_a_body_may_come_long_after_its_answer() {
-    let nobody = Refusing::new();
-    let (program, _discovery) = Program::with(&[nobody.address]);
+fn a_client_may_send_the_rest_of_its_body_long_after_the_response() {
+    let refusing = Refusing::new();
+    let (program, _discovery) = Program::with(&[refusing.address]);
     for _ in 0..10 {
-        let mut last = Instant::now();
+        let mut last_write = Instant::now();
         let mut client = program.client();
         client
             .write("POST /pay HTTP/1.1\r\nRequest-Id: ee03\r\nTransfer-Encoding: chunked\r\n\r\n");
-        client.write(&format!("30d40\r\n{}\r\n", bytes(200_000)));
+        client.write(&format!("30d40\r\n{}\r\n", body_of(200_000)));
         let (mut write, (stop, stopped)) = (client.writer(), channel());
         let sending = thread::spawn(move || {
-            let mut longest = last.elapsed();
+            let mut longest_pause = last_write.elapsed();
             while stopped.recv_timeout(Duration::from_millis(20)) == Err(RecvTimeoutError::Timeout)
             {
-                // Where the connection has ended, the next request shows it.
+                // If the connection has been closed, the next request shows that.
                 let _ = write("1\r\nx\r\n");
-                longest = longest.max(last.elapsed());
-                last = Instant::now();
+                longest_pause = longest_pause.max(last_write.elapsed());
+                last_write = Instant::now();
             }
             let _ = write("0\r\n\r\n");
-            longest.max(last.elapsed())
+            longest_pause.max(last_write.elapsed())
         });
         let answer = client.receive();
-        // Longer than a head may take.
+        // Longer than the time limit for a head.
         sleep(Duration::from_secs(4));
         stop.send(()).unwrap();
-        // Where the machine has kept the client from sending, it may be cut off: that shows nothing.
+        // If the machine paused the client for too long, closing its connection is correct.
         if sending.join().unwrap() < Duration::from_secs(2) {
             assert_eq!(answer.unwrap().expect("an answer").status(), 503);
             assert_eq!(client.ask("/pay", ID, "coins").status(), 503);
             return;
         }
     }
-    panic!("the machine let the client send at no time");
+    panic!("the machine paused the client in each try");
 }
 
-/// Guards against cutting off a client that sends slowly but keeps sending, longer than a first request may take.
+/// A client that sends slowly but steadily may take longer than a first request may.
 #[test]
-fn a_slow_body_is_waited_for() {
+fn a_slow_but_steady_body_is_accepted() {
     let upstream = Upstream::start(Reply::Ok);
     let (program, _discovery) = Program::with(&[upstream.address]);
     let mut client = program.client();
-    let body = bytes(300_000);
+    let body = body_of(300_000);
     let head = format!(
         "POST /pay HTTP/1.1\r\nRequest-Id: ee01\r\nContent-Length: {}\r\n\r\n",
         body.len()
@@ -202,32 +206,32 @@
     assert!(upstream.next().body == body.as_bytes());
 }
 
-/// Guards against calling a body late that was there in time, while the program had no turn to read it.
+/// A body that arrived in time isn't late because the process was paused before it could read it.
 #[test]
-fn a_body_that_came_while_the_program_stood_still_is_in_time() {
+fn a_body_that_arrives_while_the_process_is_paused_is_in_time() {
     let upstream = Upstream::start(Reply::Ok);
     let (program, _discovery) = Program::with(&[upstream.address]);
-    let (mut client, body) = (program.client(), bytes(60_000));
+    let (mut client, body) = (program.client(), body_of(60_000));
     client.write("POST /pay HTTP/1.1\r\nRequest-Id: ee04\r\nContent-Length: 60000\r\n");
     client.write("Expect: 100-continue\r\n\r\n");
     assert_eq!(client.receive().unwrap().unwrap().status(), 100);
     program.hold();
     client.write(&body);
-    // Longer than a body of this size may take; more does no harm.
+    // Longer than a body of this size may take.
     sleep(Duration::from_secs(4));
     program.go_on();
     assert_eq!(client.receive().unwrap().unwrap().status(), 200);
     assert!(upstream.next().body == body.as_bytes());
 }
 
-/// Guards against a client that stops in the middle of a streamed body: its upstream is not to blame, and not to wait.
+/// If a client stops in the middle of a streamed body, the upstream is released and not blamed.
 #[test]
-fn a_streamed_body_that_stops_frees_its_upstream() {
+fn a_stalled_upload_releases_its_upstream() {
     let upstream = Upstream::start(Reply::Ok);
     let (program, _discovery) = Program::with_console(&[upstream.address]);
     let mut client = program.client();
     client.write("POST /pay HTTP/1.1\r\nRequest-Id: ee02\r\nContent-Length: 900000\r\n\r\n");
-    client.write(&bytes(500_000));
+    client.write(&body_of(500_000));
     upstream
         .closed
         .recv_timeout(PATIENCE)
@@ -237,19 +241,19 @@
     assert_eq!(program.figure("upstreams_excluded"), 0);
 }
 
-/// Nor does one that sends a streamed body byte by byte for ever: a body comes with 32 kB/s on the mean.
+/// The same for a client that sends far below the mean rate of 32 kB/s.
 #[test]
-fn a_streamed_body_that_comes_byte_by_byte_frees_its_upstream() {
+fn an_upload_below_the_minimum_rate_releases_its_upstream() {
     let upstream = Upstream::start(Reply::Ok);
     let (program, _discovery) = Program::with_console(&[upstream.address]);
     let mut client = program.client();
     client.write("POST /pay HTTP/1.1\r\nRequest-Id: ee03\r\nContent-Length: 900000\r\n\r\n");
-    client.write(&bytes(80_000));
+    client.write(&body_of(80_000));
     let mut write = client.writer();
-    // It fails once the program has closed the connection.
+    // Writing fails once the program has closed the connection.
     thread::spawn(move || {
         while write("x").is_ok() {
-            thread::sleep(Duration::from_millis(50))
+            thread::sleep(Duration::from_millis(50));
         }
     });
     upstream
@@ -261,10 +265,10 @@
     assert_eq!(program.figure("upstreams_excluded"), 0);
 }
 
-/// Guards against bodies that pile up in memory because one side is slower than the other.
+/// Bodies don't pile up in memory if one side is slower than the other.
 #[test]
-fn many_large_bodies_at_a_time_take_little_memory() {
-    let body = bytes(8 << 20);
+fn many_concurrent_large_bodies_take_little_memory() {
+    let body = body_of(8 << 20);
     let upstreams: Vec<_> = (0..4)
         .map(|_| {
             Upstream::raw(&format!(
@@ -275,7 +279,7 @@
         .collect();
     let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
     let (program, _discovery) = Program::with(&addresses);
-    // They ask, and take their time.
+    // All send their requests before the first one reads its response.
     let mut clients: Vec<_> = (0..40).map(|_| program.client()).collect();
     for client in &mut clients {
         client.send("/read", ID, "").unwrap();
@@ -288,7 +292,7 @@
             answer.first
         );
     }
-    // And some send.
+    // Large requests.
     for _ in 0..8 {
         assert_eq!(program.client().ask("/pay", ID, &body).status(), 200);
     }
--- a/tests/failing_system_calls.rs
+++ b/tests/failing_system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment, in all the ways that Linux documents.
+//! System calls that fail with transient errors, in all the ways that Linux documents.
 
 mod peers;
 use peers::*;
@@ -22,10 +22,10 @@
 const ETIMEDOUT: i32 = 110;
 const EHOSTUNREACH: i32 = 113;
 
-/// More than any test makes.
+/// More calls than any test makes.
 const ALWAYS: u32 = 1_000_000;
 
-/// A program with these upstreams, of whose calls some fail.
+/// A program with these upstreams, some of whose system calls fail.
 fn start(faults: &str, upstreams: &[SocketAddr], sockets: usize) -> (Program, DiscoveryPeer) {
     let discovery = DiscoveryPeer::start();
     let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", faults)];
@@ -39,9 +39,9 @@
     )
 }
 
-/// Clients that have connected and not asked yet are not closed because the next one could not be taken at once.
+/// Idle clients are not disconnected because the next connection can't be accepted at once.
 #[test]
-fn an_accept_that_fails_for_a_moment_closes_no_other_connection() {
+fn a_transient_accept_error_closes_no_other_connection() {
     for error in [ECONNABORTED, ENOBUFS, EINTR, ENFILE, EMFILE] {
         let upstream = Upstream::start(Reply::Ok);
         let (program, _discovery) = start(
@@ -53,7 +53,9 @@
         let mut clients = Vec::new();
         for number in 1..=12 {
             let client = program.client();
-            until("it is taken", || program.descriptors() >= before + number);
+            until("it is accepted", || {
+                program.descriptors() >= before + number
+            });
             clients.push(client);
         }
         for client in &mut clients {
@@ -68,12 +70,13 @@
     }
 }
 
-/// A connection that has been taken is served though the runtime can't watch it at once, also if SIGTERM comes meanwhile.
+/// An accepted connection is served though it can't be registered with epoll at once, even if
+/// SIGTERM arrives meanwhile.
 #[test]
-fn a_connection_that_can_not_be_watched_at_once_is_served() {
+fn a_connection_is_served_after_transient_registration_errors() {
     for error in [ENOMEM, ENOSPC] {
         let upstream = Upstream::start(Reply::Ok);
-        // The first connection, and then one of those beside SIGTERM, for some 0.2 s each.
+        // The first connection, and one of those around SIGTERM, for some 0.2 s each.
         let faults =
             format!("epoll_ctl_accepted:{error}:1:1:20,epoll_ctl_accepted:{error}:25:1:20");
         let (mut program, _discovery) = start(&faults, &[upstream.address], 256);
@@ -85,9 +88,9 @@
             "error {error}"
         );
         let mut clients: Vec<_> = (0..8).map(|_| program.client()).collect();
-        clients
-            .iter_mut()
-            .for_each(|client| client.send("/pay", ID, "coins").unwrap());
+        for client in &mut clients {
+            client.send("/pay", ID, "coins").unwrap();
+        }
         program.terminate();
         for client in &mut clients {
             let status = client
@@ -101,9 +104,9 @@
     }
 }
 
-/// Whoever connected before the listener closed has an answer, though the last calls to accept fail.
+/// Clients that connected before the listener closes are answered though the last accepts fail.
 #[test]
-fn connections_that_wait_when_the_listener_closes_are_taken_though_accept_fails() {
+fn queued_connections_are_accepted_at_shutdown_after_transient_accept_errors() {
     for (error, times) in [(ECONNABORTED, 300), (ENOBUFS, 95), (EMFILE, 95)] {
         let upstream = Upstream::start(Reply::Ok);
         let (mut program, _discovery) = start(
@@ -112,9 +115,9 @@
             256,
         );
         let mut clients: Vec<_> = (0..8).map(|_| program.client()).collect();
-        clients
-            .iter_mut()
-            .for_each(|client| client.send("/pay", ID, "coins").unwrap());
+        for client in &mut clients {
+            client.send("/pay", ID, "coins").unwrap();
+        }
         program.terminate();
         for client in &mut clients {
             let status = client
@@ -128,10 +131,10 @@
     }
 }
 
-/// Nor does a shortage at each second call keep many so long that the listener closes first: with deadlines of 0.5 s that
-/// is 0.95 s after SIGTERM.
+/// If every second accept fails, many connections are still accepted before the listener closes,
+/// which is 0.95 s after SIGTERM with deadlines of 0.5 s.
 #[test]
-fn many_connections_are_taken_in_time_though_each_second_accept_fails() {
+fn many_connections_are_accepted_in_time_though_every_second_accept_fails() {
     for error in [ENOBUFS, ENFILE, EMFILE] {
         let (upstream, discovery) = (Upstream::start(Reply::Ok), DiscoveryPeer::start());
         let config = config_of(&[upstream.address], discovery.address, 1024).replace(
@@ -143,9 +146,9 @@
         let program = Program::start_with(&variables, &config, "127.0.0.1:0");
         program.hold();
         let mut clients: Vec<_> = (0..200).map(|_| program.client()).collect();
-        clients
-            .iter_mut()
-            .for_each(|client| client.send("/read", ID, "").unwrap());
+        for client in &mut clients {
+            client.send("/read", ID, "").unwrap();
+        }
         program.terminate();
         program.go_on();
         for client in &mut clients {
@@ -157,16 +160,16 @@
     }
 }
 
-/// How long it takes to answer many that had connected before SIGTERM.
-fn time_of_many(faults: &str) -> Duration {
+/// How long it takes to answer many clients that connected before SIGTERM.
+fn time_to_answer_many(faults: &str) -> Duration {
     let upstream = Upstream::start(Reply::Ok);
     let (program, _discovery) = start(faults, &[upstream.address], 1024);
     program.hold();
     let mut clients: Vec<_> = (0..300).map(|_| program.client()).collect();
-    clients
-        .iter_mut()
-        .for_each(|client| client.send("/read", ID, "").unwrap());
-    let begin = Instant::now();
+    for client in &mut clients {
+        client.send("/read", ID, "").unwrap();
+    }
+    let started = Instant::now();
     program.terminate();
     program.go_on();
     for client in &mut clients {
@@ -175,25 +178,26 @@
             "{faults}"
         );
     }
-    begin.elapsed()
+    started.elapsed()
 }
 
-/// Connections that can't be watched at once keep those behind them for a moment only: SIGKILL may be close.
+/// Connections that can't be registered at once delay those behind them only briefly, as SIGKILL
+/// may come soon.
 #[test]
-fn many_connections_are_served_soon_though_each_second_can_not_be_watched() {
-    let usual = time_of_many("");
+fn registration_errors_hardly_delay_other_connections() {
+    let without_faults = time_to_answer_many("");
     for error in [ENOMEM, ENOSPC] {
-        let time = time_of_many(&format!("epoll_ctl_accepted:{error}:1:2:{ALWAYS}"));
+        let with_faults = time_to_answer_many(&format!("epoll_ctl_accepted:{error}:1:2:{ALWAYS}"));
         assert!(
-            time < 3 * usual + Duration::from_millis(500),
-            "{time:?}, else {usual:?}, error {error}"
+            with_faults < 3 * without_faults + Duration::from_millis(500),
+            "{with_faults:?}, without faults {without_faults:?}, error {error}"
         );
     }
 }
 
-/// Errors of connect that speak of this machine cost no request its answer, and no upstream its turns.
+/// Local errors of connect fail no request, and count against no upstream.
 #[test]
-fn a_connect_that_fails_for_a_moment_costs_no_answer_and_no_upstream_its_turns() {
+fn local_connect_errors_fail_no_request_and_count_against_no_upstream() {
     let calls = [
         ("connect", EINTR),
         ("connect", EADDRNOTAVAIL),
@@ -205,12 +209,12 @@
             .into_iter()
             .chain([("connect", ENOMEM), ("socket", ENOBUFS), ("socket", ENFILE)]);
     for (call, error) in calls {
-        // Each request on a connection of its own.
+        // With one connection per request.
         let upstreams: Vec<_> = (0..3)
             .map(|_| Upstream::start(Reply::OkThenClose))
             .collect();
         let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
-        // Two of three fail, but for the first ones, which are those of the start.
+        // Two of three calls fail, except for the first ones, which are made at startup.
         let faults = format!("{call}:{error}:5:3:{ALWAYS},{call}:{error}:6:3:{ALWAYS}");
         let (program, _discovery) = start(&faults, &addresses, 256);
         let mut client = program.client();
@@ -223,7 +227,8 @@
         }
         for upstream in &upstreams {
             let seen = upstream.seen.try_iter().count();
-            // Turns are even in the time that calls take, which differs on a busy machine. One that is ejected gets few.
+            // The rotation evens out the time that calls take, which varies on a busy machine. An
+            // ejected upstream would get few calls.
             assert!(
                 (12..=30).contains(&seen),
                 "{seen} calls of 60 at one of three, {call}, error {error}"
@@ -232,9 +237,9 @@
     }
 }
 
-/// A socket that can't be had for a moment keeps no process from starting.
+/// Transient errors of socket don't keep the process from starting.
 #[test]
-fn a_start_outlasts_sockets_that_fail_for_a_moment() {
+fn startup_retries_transient_socket_errors() {
     for error in [ENFILE, EMFILE, ENOBUFS, ENOMEM] {
         let upstream = Upstream::start(Reply::Ok);
         let (program, _discovery) =
@@ -247,10 +252,10 @@
     }
 }
 
-/// Nor does any other call that it makes before it listens end it, if that fails for a moment: not the first one of its
-/// kind, nor a later one, nor each second one for as long as it runs.
+/// Nor do those of any other call before the process listens: the first one of its kind, a later
+/// one, or every second one.
 #[test]
-fn a_start_outlasts_every_call_that_fails_for_a_moment() {
+fn startup_retries_transient_errors_of_every_call() {
     let calls = [
         ("open", ENFILE, 1),
         ("open", EMFILE, 1),
@@ -267,9 +272,9 @@
         ("bind", ENOMEM, 1),
     ];
     for (call, error, last) in calls {
-        let now_and_then = (1..=last).map(|first| format!("{call}:{error}:{first}:1:2"));
-        let each_second = (1..=2).map(|first| format!("{call}:{error}:{first}:2:{ALWAYS}"));
-        for faults in now_and_then.chain(each_second) {
+        let temporary = (1..=last).map(|first| format!("{call}:{error}:{first}:1:2"));
+        let every_second = (1..=2).map(|first| format!("{call}:{error}:{first}:2:{ALWAYS}"));
+        for faults in temporary.chain(every_second) {
             let upstream = Upstream::start(Reply::Ok);
             let discovery = DiscoveryPeer::start();
             let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", &faults)];
@@ -284,9 +289,9 @@
     }
 }
 
-/// A new configuration counts though it can't be read at once.
+/// A new configuration is applied though its file can't be opened at once.
 #[test]
-fn a_new_configuration_is_read_though_its_file_can_not_be_opened_at_once() {
+fn a_reload_retries_opening_the_configuration() {
     for error in [ENFILE, EMFILE, ENOMEM, EIO] {
         let (upstream, old, new) = (
             Upstream::start(Reply::Ok),
@@ -295,7 +300,7 @@
         );
         let config =
             |discovery: &DiscoveryPeer| config_of(&[upstream.address], discovery.address, 256);
-        // The first one is read at the start.
+        // The first open is made at startup.
         let faults = format!("open:{error}:2:1:3");
         let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", &faults)];
         let program = Program::start_with(&variables, &config(&old), "127.0.0.1:0");
@@ -305,12 +310,12 @@
     }
 }
 
-/// A call that is interrupted, or short of memory for a moment, is made again.
+/// Calls that are interrupted, or fail for a temporary lack of buffers, are retried.
 #[test]
-fn interrupted_reads_and_writes_cut_no_request() {
+fn interrupted_reads_and_writes_fail_no_request() {
     let interrupted = ["recv", "send", "writev", "poll", "epoll_wait"].map(|call| (call, EINTR));
-    let short = ["recv", "send", "writev"].map(|call| (call, ENOBUFS));
-    for (call, error) in interrupted.into_iter().chain(short) {
+    let exhausted = ["recv", "send", "writev"].map(|call| (call, ENOBUFS));
+    for (call, error) in interrupted.into_iter().chain(exhausted) {
         let upstreams: Vec<_> = (0..2).map(|_| Upstream::start(Reply::Ok)).collect();
         let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
         let (program, _discovery) = start(&format!("{call}:{error}:7:5:{ALWAYS}"), &addresses, 256);
@@ -327,18 +332,19 @@
     }
 }
 
-/// A connection that breaks in whatever way the system says so is a reset: nothing that may have run goes out again, and
-/// whoever is told that nothing has run can rely on it.
+/// A connection that breaks counts as reset whichever error reports it: a request that may have
+/// run is not retried, and a 503 means that the request did not run.
 ///
-/// A request with a fault takes nine calls of recv, so that each ninth one may hit the same call of every request, also the
-/// one that reads the answer of a request that has run. How many are served is asked where it can't.
+/// A request with a fault makes nine calls of recv, so that every ninth call may be the same one
+/// of each request, even the one that reads the response to a request that has run. In that case
+/// no minimum of served requests is asserted.
 #[test]
-fn a_broken_connection_runs_no_request_twice_whatever_the_system_calls_it() {
+fn a_broken_connection_runs_no_request_twice_whatever_the_error() {
     for error in [ETIMEDOUT, EHOSTUNREACH, ECONNRESET] {
-        let often =
+        let frequent =
             ["recv", "send", "writev"].map(|call| (call, 9, if call == "recv" { 0 } else { 40 }));
-        let seldom = ["recv", "send", "writev"].map(|call| (call, 31, 45));
-        for (call, every, least) in often.into_iter().chain(seldom) {
+        let rare = ["recv", "send", "writev"].map(|call| (call, 31, 45));
+        for (call, every, min_served) in frequent.into_iter().chain(rare) {
             let upstreams: Vec<_> = (0..3).map(|_| Upstream::start(Reply::Ok)).collect();
             let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
             let (program, _discovery) = start(
@@ -349,7 +355,7 @@
             let statuses: Vec<_> = (0..60)
                 .map(|number| {
                     let mut client = program.client();
-                    // The path tells which request it is.
+                    // The path identifies the request at the upstream.
                     let sent = client.send(&format!("/pay/{number}"), ID, "coins");
                     sent.ok()
                         .and_then(|()| client.receive().ok().flatten())
@@ -375,17 +381,16 @@
                 .filter(|status| **status == Some(200))
                 .count();
             assert!(
-                served > least,
+                served > min_served,
                 "{served} of 60 served, {call} {every}, error {error}"
             );
         }
     }
 }
 
-/// A signal is heard, and ends nothing that it should not, though the calls that tell of it inside the process are
-/// interrupted.
+/// Signals are handled though the calls that pass them on inside the process are interrupted.
 #[test]
-fn signals_are_heard_though_the_calls_that_tell_of_them_are_interrupted() {
+fn signals_are_handled_though_their_notification_is_interrupted() {
     for call in ["recv", "send"] {
         let upstream = Upstream::start(Reply::Ok);
         let known = list(5, true, &[endpoint("u0", upstream.address, "in_service")]);
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,4 +1,5 @@
-//! Repeats through the real program: when they may still be written, and what time they tell their upstream.
+//! Retries through the real program: until when they may be written, and the remaining time that
+//! they declare.
 
 mod peers;
 use peers::*;
@@ -7,39 +8,39 @@
 
 const ID: &str = "Request-Id: {id}\r\nIdempotency-Key: k\r\n";
 
-/// Guards against a repeat that is decided inside the window and written when it is over, because its connection came
-/// up late: its upstream would take it for a new request.
+/// A retry that is decided within the deduplication window isn't written after it, even if its
+/// connection is established late: the upstream would take it for a new request.
 #[test]
-fn a_repeat_on_a_connection_that_comes_up_after_the_window_is_not_written() {
+fn a_retry_is_not_written_after_the_deduplication_window() {
     for (scope, status) in [("all", 503), ("zone", 502), ("cell", 502)] {
-        let (first, door, discovery) = (
+        let (first, slow_accept, discovery) = (
             Upstream::start(Reply::Hold),
             Door::shut(),
             DiscoveryPeer::start(),
         );
         let known = list(5, true, &[endpoint("u0", first.address, "in_service")]);
-        let short = format!("\"dedupScope\":\"{scope}\",\"dedupWindow\":1.5");
+        let deduplication = format!("\"dedupScope\":\"{scope}\",\"dedupWindow\":1.5");
         let config = config(&known, discovery.address, 256)
-            .replace("\"dedupScope\":\"all\",\"dedupWindow\":8.0", &short)
+            .replace("\"dedupScope\":\"all\",\"dedupWindow\":8.0", &deduplication)
             .replace("Timeout\":1.0", "Timeout\":60.0");
         let program =
             Program::start_with(&[("PROXY_CONSOLE", "127.0.0.1:0")], &config, "127.0.0.1:0");
         let mut client = program.client();
         client.send("/hold", ID, "coins").unwrap();
         first.next();
-        let begun = Instant::now();
+        let started = Instant::now();
         discovery.next().line(&list(
             6,
             false,
-            &[endpoint("u1", door.address, "in_service")],
+            &[endpoint("u1", slow_accept.address, "in_service")],
         ));
         while program.figure("upstreams_known") < 2 {
-            assert!(begun.elapsed() < PATIENCE, "it is listed");
+            assert!(started.elapsed() < PATIENCE, "it is listed");
         }
         first.set(Reply::Status(500));
         first.release();
-        sleep(Duration::from_millis(1700).saturating_sub(begun.elapsed()));
-        let late = door.open(Reply::Ok);
+        sleep(Duration::from_millis(1700).saturating_sub(started.elapsed()));
+        let late = slow_accept.open(Reply::Ok);
         assert_eq!(
             client.receive().unwrap().expect("an answer").status(),
             status,
@@ -49,8 +50,8 @@
     }
 }
 
-/// What the next request at this upstream was told to have left.
-fn told(upstream: &Upstream) -> f64 {
+/// The remaining time in seconds that the next request at this upstream declares.
+fn next_remaining_time(upstream: &Upstream) -> f64 {
     upstream
         .next()
         .header("request-timeout")
@@ -59,11 +60,11 @@
         .unwrap()
 }
 
-/// Guards against an attempt that tells its upstream the time that its client had at first: what an earlier attempt, a
-/// hold, or a request ahead on the same connection has taken is not left.
+/// An attempt declares the time that its client has left, without what an earlier attempt, the
+/// queue, or an earlier request on the same connection has taken.
 #[test]
-fn an_attempt_tells_its_upstream_no_more_than_what_is_left_to_the_client() {
-    let half = Duration::from_millis(500);
+fn an_attempt_declares_no_more_than_the_time_left_to_the_client() {
+    let half_a_second = Duration::from_millis(500);
     let headers = "Request-Id: {id}\r\nRequest-Timeout: 5.0\r\n";
     let (one, two) = (Upstream::start(Reply::Hold), Upstream::start(Reply::Hold));
     let (program, _discovery) = Program::with_console(&[one.address, two.address]);
@@ -72,10 +73,10 @@
         client.send("/pay", headers, "coins").unwrap();
     }
     while program.figure("in_flight") < 12 {}
-    sleep(half);
-    // Some go on to the other one, and those that are held come after them.
+    sleep(half_a_second);
+    // The rejected requests are retried at the other upstream, and the queued ones follow them.
     let early = one.seen.try_iter().count() + two.seen.try_iter().count();
-    assert!((2..12).contains(&early), "some are held");
+    assert!((2..12).contains(&early), "some are queued");
     one.set(Reply::NotStarted);
     two.set(Reply::Ok);
     one.release();
@@ -83,7 +84,7 @@
     for client in &mut clients {
         assert!(client.receive().unwrap().is_some());
     }
-    // All that were held, and most of what the first one turned away.
+    // All that were queued, and most of those that the first upstream rejected.
     let late: Vec<_> = one.seen.try_iter().chain(two.seen.try_iter()).collect();
     assert!(late.len() > 12 - early, "{}", late.len());
     for request in late {
@@ -98,9 +99,9 @@
     }
 }
 
-/// Guards against the same where requests come at once on one connection, and the later ones wait for the first.
+/// The time of pipelined requests counts from their arrival, while they wait for the first one.
 #[test]
-fn requests_that_come_at_once_on_one_connection_wait_from_then_on() {
+fn the_time_of_pipelined_requests_counts_from_their_arrival() {
     let upstream = Upstream::start(Reply::Hold);
     let (program, _discovery) = Program::with(&[upstream.address]);
     let mut client = program.client();
@@ -113,8 +114,8 @@
     upstream.next();
     sleep(Duration::from_millis(500));
     upstream.release();
-    assert!(told(&upstream) <= 4.5);
-    assert!(told(&upstream) <= 4.5);
+    assert!(next_remaining_time(&upstream) <= 4.5);
+    assert!(next_remaining_time(&upstream) <= 4.5);
     for _ in 0..3 {
         assert_eq!(client.receive().unwrap().expect("an answer").status(), 200);
     }
