--- a/src/bin/load-balancer/dispatch/request.rs
+++ b/src/bin/load-balancer/dispatch/request.rs
@@ -1,6 +1,6 @@
 //! What the dispatcher accepts, and what it answers.
 
-use crate::upstream::{Answer, ForwardedRequest};
+use crate::upstream::{ForwardedRequest, UpstreamResponse};
 use thiserror::Error;
 
 /// A request that has come in.
@@ -31,7 +31,7 @@
 /// The final answer to a request.
 pub enum FinalResponse {
     /// The response of an upstream.
-    Served(Answer),
+    Served(UpstreamResponse),
     /// The request never ran or is idempotent, so the client may retry it.
     Rejected {
         /// How long the client should wait before a retry, in seconds.
--- a/src/bin/load-balancer/dispatch/request_table/tests.rs
+++ b/src/bin/load-balancer/dispatch/request_table/tests.rs
@@ -40,8 +40,8 @@
         headers: HeaderMap::new(),
         upload: Rc::new(Upload::empty()),
         client: Default::default(),
-        wait: Duration::from_secs(1),
-        settled: Rc::default(),
+        timeout: Duration::from_secs(1),
+        drain_deadline: Rc::default(),
     })
 }
 
--- a/src/bin/load-balancer/dispatch/requests.rs
+++ b/src/bin/load-balancer/dispatch/requests.rs
@@ -6,7 +6,7 @@
     duration_from_secs, AcceptedRequest, Dispatcher, FinalResponse, RejectionReason,
 };
 use crate::log;
-use crate::upstream::{Attempt, AttemptEnd};
+use crate::upstream::{Attempt, AttemptError, UpstreamResponse};
 use load_balancer::{AttemptOutcome, AttemptResult, Event, Request, RequestId, UpstreamId};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -83,8 +83,8 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let begun = Rc::new(Cell::new(None));
-        let number = request.add_attempt(upstream, address, sent_at, begun.clone());
+        let connection_idle = Rc::new(Cell::new(None));
+        let number = request.add_attempt(upstream, address, sent_at, connection_idle.clone());
         let address = address.filter(|_| request.can_be_sent());
         let (Some(address), Some(dispatcher)) = (address, self.this.upgrade()) else {
             self.events.push_back(not_sent(id, number));
@@ -97,8 +97,8 @@
             request: request.forward().clone(),
             write_deadline: write_within
                 .and_then(|seconds| sent_at.checked_add(duration_from_secs(seconds))),
-            margin: DEADLINE_MARGIN,
-            begun,
+            deadline_margin: DEADLINE_MARGIN,
+            connection_idle,
         };
         let attempt_id = AttemptId {
             request: id,
@@ -112,20 +112,24 @@
     }
 
     /// An attempt has ended by itself, or in place of one that must not start any more.
-    pub(super) fn attempt_ended(&mut self, attempt: AttemptId, end: AttemptEnd) {
+    pub(super) fn attempt_ended(
+        &mut self,
+        attempt: AttemptId,
+        end: Result<UpstreamResponse, AttemptError>,
+    ) {
         if !self.requests.is_running(attempt) {
             return;
         }
         let id = attempt.request;
-        let (outcome, answer) = match end {
-            Ok(answer) => (AttemptOutcome::Success, Some(answer)),
-            Err(outcome) => (outcome, None),
+        let (outcome, response) = match end {
+            Ok(response) => (AttemptOutcome::Success, Some(response)),
+            Err(error) => (error.into(), None),
         };
         let is_abandoned = outcome == AttemptOutcome::NotSent
             && self.is_client_disconnected(id)
             && self.requests.conclude(id, &mut self.events).is_some();
-        if let Some(answer) = answer {
-            self.respond(id, FinalResponse::Served(answer));
+        if let Some(response) = response {
+            self.respond(id, FinalResponse::Served(response));
         }
         if let Some(result) = self.requests.end_attempt(attempt, outcome) {
             self.handle(Event::AttemptEnded(result));
@@ -155,7 +159,7 @@
     pub(super) fn reject_misdirected_attempts(&mut self) {
         let address_of = |upstream| self.upstreams.available_address(upstream);
         for attempt in self.requests.unstarted_and_misdirected(address_of) {
-            self.attempt_ended(attempt, Err(AttemptOutcome::Rejected));
+            self.attempt_ended(attempt, Err(AttemptError::Rejected));
         }
     }
 
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -62,8 +62,8 @@
         headers,
         upload,
         client,
-        wait,
-        settled,
+        timeout: wait,
+        drain_deadline: settled,
     };
     thread_local!(static LAST_ID: Cell<u64> = const { Cell::new(0) });
     let client_request_id = LAST_ID.with(|last| last.replace(last.get() + 1).to_string());
--- a/src/bin/load-balancer/server/accept.rs
+++ b/src/bin/load-balancer/server/accept.rs
@@ -132,7 +132,7 @@
         let Some((permit, admission)) = self.acquire_permit().await else {
             return;
         };
-        let client = ClientConnection::new(Socket::for_client(stream, permit));
+        let client = ClientConnection::new(Socket::new(stream, permit));
         let id = self.connections.insert(client.clone());
         spawn_local(self.clone().serve(id, client, admission));
     }
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -125,7 +125,7 @@
         let body = match content {
             ResponseContent::Complete(body) => {
                 in_flight.end(RequestOutcome::Served);
-                ResponseBody::whole(body)
+                ResponseBody::complete(body)
             }
             // The process may be killed before a slow client has taken all of it.
             ResponseContent::Streamed(_) if self.drain_state.is_late(upload) => {
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -144,8 +144,8 @@
             headers,
             upload: Rc::new(upload),
             client: client.socket.peer(),
-            wait: timeout,
-            settled: self.drain_state.shutdown_deadline().clone(),
+            timeout,
+            drain_deadline: self.drain_state.shutdown_deadline().clone(),
         })
     }
 }
--- a/src/bin/load-balancer/server/response.rs
+++ b/src/bin/load-balancer/server/response.rs
@@ -29,7 +29,9 @@
 
 /// A response with a text as its body.
 pub(super) fn text_response(status: StatusCode, text: &str) -> ClientResponse {
-    let mut response = Response::new(ResponseBody::whole(Bytes::copy_from_slice(text.as_bytes())));
+    let mut response = Response::new(ResponseBody::complete(Bytes::copy_from_slice(
+        text.as_bytes(),
+    )));
     *response.status_mut() = status;
     response
 }
--- a/src/bin/load-balancer/server/serve.rs
+++ b/src/bin/load-balancer/server/serve.rs
@@ -6,7 +6,7 @@
 use crate::server::connection_table::ConnectionId;
 use crate::server::response::{close_connection_after, ClientResponse};
 use crate::server::{Server, DISCONNECT_POLL_INTERVAL, IDLE_TIMEOUT};
-use crate::socket::Socket;
+use crate::socket::{Socket, UnreadInput};
 use hyper::body::{Body, Incoming};
 use hyper::server::conn::http1;
 use hyper::service::{service_fn, HttpService};
@@ -120,9 +120,13 @@
 /// too long.
 async fn linger(client: &ClientConnection) {
     client.begin_lingering();
-    let discard_unread = client.is_rejected_incomplete();
+    let unread = if client.is_rejected_incomplete() {
+        UnreadInput::Discard
+    } else {
+        UnreadInput::Keep
+    };
     tokio::select! {
-        () = client.socket.linger(discard_unread, DISCONNECT_POLL_INTERVAL) => {}
+        () = client.socket.linger(unread, DISCONNECT_POLL_INTERVAL) => {}
         () = client.eviction.requested() => {}
         () = sleep(IDLE_TIMEOUT) => {}
     }
--- a/src/bin/load-balancer/upstream/tests.rs
+++ b/src/bin/load-balancer/upstream/tests.rs
@@ -1,9 +1,14 @@
-//! The idle connections to upstreams.
+//! Unit tests of the connection pool.
 
+use super::pool::MAX_IDLE_PER_UPSTREAM;
 use super::*;
+use crate::body::MemoryBudget;
+use crate::metrics::Metrics;
+use crate::socket::DescriptorBudget;
+use load_balancer::UpstreamId;
 use tokio::net::TcpListener;
 
-/// Guards against idle connections that take an upstream's places from the other balancers.
+/// Idle connections must not use up the connections that an upstream accepts from all balancers.
 #[test]
 fn few_idle_connections_to_an_upstream_are_kept() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -25,17 +30,20 @@
         let upstream = UpstreamId::of("u0");
         pool.allow(upstream, address);
         let mut peers = Vec::new();
-        for _ in 0..3 * MOST_IDLE {
+        for _ in 0..3 * MAX_IDLE_PER_UPSTREAM {
             let socket = pool.connect(address).await.expect("a connection");
-            peers.push(listener.accept().await.expect("the same"));
+            peers.push(listener.accept().await.expect("the peer"));
             pool.put(upstream, address, socket);
         }
-        assert_eq!(pool.places.borrow()[&upstream].idle.len(), MOST_IDLE);
-        let held = budget.in_use();
+        assert_eq!(
+            pool.upstreams.borrow()[&upstream].idle.len(),
+            MAX_IDLE_PER_UPSTREAM
+        );
+        let used_before = budget.in_use();
         pool.remove(upstream);
         assert_eq!(
-            held - budget.in_use(),
-            MOST_IDLE,
+            used_before - budget.in_use(),
+            MAX_IDLE_PER_UPSTREAM,
             "the others have been closed"
         );
     });
