--- a/src/bin/load-balancer/socket/connection.rs
+++ b/src/bin/load-balancer/socket/connection.rs
@@ -175,7 +175,7 @@
 
     /// Declares where the request of the exchange ends, as a value of [`Socket::written`]. The
     /// attempt is counted once all of it is written.
-    pub fn complete_at(&self, written: usize, metrics: Rc<Metrics>) {
+    pub fn set_request_end(&self, written: usize, metrics: Rc<Metrics>) {
         self.0.exchange.set_request_end(written, metrics);
         self.0.exchange.record_sent(self.written());
     }
--- a/src/bin/load-balancer/upstream/exchange.rs
+++ b/src/bin/load-balancer/upstream/exchange.rs
@@ -153,7 +153,7 @@
         let written_before = progress.written_before;
         let body = UploadBody::new(self.request.upload.clone(), move |body_length| {
             request_length.set(head_length + body_length as usize);
-            socket.complete_at(written_before + request_length.get(), metrics);
+            socket.set_request_end(written_before + request_length.get(), metrics);
         });
         let mut request = Request::new(body);
         *request.method_mut() = method;
--- a/src/bin/load-balancer/upstream/response.rs
+++ b/src/bin/load-balancer/upstream/response.rs
@@ -210,16 +210,20 @@
             next_frame(socket, body).await
         };
         let Some(frame) = frame else {
-            let is_complete = true;
-            return Ok(Beginning { parts, is_complete });
+            return Ok(Beginning {
+                parts,
+                is_complete: true,
+            });
         };
         if let Ok(data) = frame?.into_data() {
             size += data.len();
             parts.push_back(data);
         }
     }
-    let is_complete = false;
-    Ok(Beginning { parts, is_complete })
+    Ok(Beginning {
+        parts,
+        is_complete: false,
+    })
 }
 
 fn concatenate(parts: VecDeque<Bytes>) -> Bytes {
