--- a/src/bin/load-balancer/body/upload.rs
+++ b/src/bin/load-balancer/body/upload.rs
@@ -3,6 +3,7 @@
 use super::memory_budget::{MemoryBudget, MemoryPermit};
 use super::stall_timer::{frame_before, StallTimer};
 use super::{BodyError, CLIENT_STALL, MAX_BODY_BYTES, READ_AHEAD_BYTES};
+use crate::shutdown_deadline::ShutdownDeadline;
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -64,7 +65,7 @@
     }
 
     /// Reads up to [`READ_AHEAD_BYTES`]. The client has to keep up the mean rate, but has at least
-    /// until `earliest_deadline`, and in any case at most until `drain_deadline`, if that is set.
+    /// until `earliest_deadline`, and in any case at most until `shutdown_deadline`.
     ///
     /// # Errors
     ///
@@ -74,7 +75,7 @@
         mut body: Incoming,
         memory: &MemoryBudget,
         earliest_deadline: Instant,
-        drain_deadline: &Cell<Option<Instant>>,
+        shutdown_deadline: &ShutdownDeadline,
     ) -> Result<Self, BodyError> {
         let length = body.size_hint().exact();
         if body.size_hint().lower() > MAX_BODY_BYTES {
@@ -93,7 +94,7 @@
             let pace_deadline =
                 started + MAX_SEND_PAUSE + time_at_min_rate(read_ahead.len() as u64);
             let deadline = pace_deadline.max(earliest_deadline);
-            let deadline = earlier(deadline, drain_deadline.get());
+            let deadline = shutdown_deadline.limit(deadline);
             let Some(frame) = frame_before(deadline, &mut body).await? else {
                 let unused = reserved.saturating_sub(read_ahead.len());
                 drop(memory.as_mut().and_then(|permit| permit.split(unused)));
@@ -215,10 +216,6 @@
     }
 }
 
-fn earlier(deadline: Instant, limit: Option<Instant>) -> Instant {
-    limit.map_or(deadline, |limit| deadline.min(limit))
-}
-
 /// How long this many bytes take at the lowest rate.
 fn time_at_min_rate(bytes: u64) -> Duration {
     Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_SECOND)
--- a/src/bin/load-balancer/dispatch/request_table/tests.rs
+++ b/src/bin/load-balancer/dispatch/request_table/tests.rs
@@ -41,7 +41,7 @@
         upload: Rc::new(Upload::empty()),
         client: Default::default(),
         timeout: Duration::from_secs(1),
-        drain_deadline: Rc::default(),
+        shutdown_deadline: Default::default(),
     })
 }
 
--- a/src/bin/load-balancer/dispatch/requests.rs
+++ b/src/bin/load-balancer/dispatch/requests.rs
@@ -174,7 +174,7 @@
     }
 
     /// The process is going to exit: each open request has its response by `deadline`.
-    pub fn set_drain_deadline(&mut self, deadline: Instant) {
+    pub fn set_shutdown_deadline(&mut self, deadline: Instant) {
         for id in self.requests.ids() {
             self.timers
                 .set(deadline - DEADLINE_BACKSTOP, Timer::DeadlineBackstop(id));
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -55,15 +55,14 @@
 fn request_with_deadline(wait: Duration) -> AcceptedRequest {
     let (method, uri, headers) = (Method::GET, Uri::from_static("/call"), HeaderMap::new());
     let upload = Rc::new(Upload::empty());
-    let (client, settled) = Default::default();
     let forward = ForwardedRequest {
         method,
         uri,
         headers,
         upload,
-        client,
+        client: Default::default(),
         timeout: wait,
-        drain_deadline: settled,
+        shutdown_deadline: Default::default(),
     };
     thread_local!(static LAST_ID: Cell<u64> = const { Cell::new(0) });
     let client_request_id = LAST_ID.with(|last| last.replace(last.get() + 1).to_string());
--- a/src/bin/load-balancer/main.rs
+++ b/src/bin/load-balancer/main.rs
@@ -14,6 +14,7 @@
 mod retry;
 mod server;
 mod shutdown;
+mod shutdown_deadline;
 mod signals;
 mod socket;
 mod upstream;
--- a/src/bin/load-balancer/process.rs
+++ b/src/bin/load-balancer/process.rs
@@ -8,7 +8,7 @@
 use crate::reload::reload_on_signal;
 use crate::server::listener::{Listener, PortSharing};
 use crate::server::Server;
-use crate::shutdown::{shut_down, DrainSchedule, Successor};
+use crate::shutdown::{shut_down, ShutdownSchedule, Successor};
 use crate::signals::{Signal, SIGHUP, SIGINT, SIGTERM};
 use crate::socket::system_errors::retry_transient_errors;
 use crate::socket::DescriptorBudget;
@@ -59,15 +59,15 @@
     },
 }
 
-/// The signals that end the process.
-struct EndSignals {
+/// The signals that begin a graceful shutdown.
+struct ShutdownSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
-impl EndSignals {
+impl ShutdownSignals {
     fn listen() -> io::Result<Self> {
-        Ok(EndSignals {
+        Ok(ShutdownSignals {
             terminate: Signal::listen(SIGTERM)?,
             interrupt: Signal::listen(SIGINT)?,
         })
@@ -87,7 +87,7 @@
     name: String,
     /// Where clients connect, as configured.
     address: SocketAddr,
-    drain_schedule: DrainSchedule,
+    shutdown_schedule: ShutdownSchedule,
     dispatcher: Rc<RefCell<Dispatcher>>,
     server: Rc<Server>,
     handover: Rc<Handover>,
@@ -99,7 +99,7 @@
 ///
 /// If it can't start; see [`StartError`].
 pub async fn run() -> Result<(), StartError> {
-    let end = EndSignals::listen()?;
+    let end = ShutdownSignals::listen()?;
     // Before the configuration is read: an early SIGHUP would end the process.
     let hangup = Signal::listen(SIGHUP)?;
     let process = Process::start(Config::load()?)?;
@@ -119,7 +119,7 @@
         let max_descriptors = config.max_descriptors;
         let budget = DescriptorBudget::new(max_descriptors, config.admin.is_some());
         let admin = config.admin.map(bind_admin).transpose()?;
-        let drain_schedule = DrainSchedule::new(longest_deadline(&config));
+        let shutdown_schedule = ShutdownSchedule::new(longest_deadline(&config));
         let dispatcher = Dispatcher::start(config, budget.clone())?;
         let server = Server::new(dispatcher.clone(), budget.clone());
         let handover = Handover::new(
@@ -142,7 +142,7 @@
         Ok(Process {
             name,
             address,
-            drain_schedule,
+            shutdown_schedule,
             dispatcher,
             server,
             handover,
@@ -159,7 +159,7 @@
     }
 
     /// Serves clients until a signal ends that, then shuts down gracefully.
-    async fn serve(self, end: EndSignals) -> Result<(), StartError> {
+    async fn serve(self, end: ShutdownSignals) -> Result<(), StartError> {
         let address = self.address;
         let listener = Listener::bind(address, PortSharing::Shared)
             .map_err(|source| StartError::ClientListener { address, source })?;
@@ -174,7 +174,14 @@
         } else {
             Successor::Absent
         };
-        shut_down(name, &self.server, listener, successor, self.drain_schedule).await;
+        shut_down(
+            name,
+            &self.server,
+            listener,
+            successor,
+            self.shutdown_schedule,
+        )
+        .await;
         Ok(())
     }
 }
--- a/src/bin/load-balancer/server/drain.rs
+++ b/src/bin/load-balancer/server/drain.rs
@@ -5,6 +5,7 @@
 use crate::body::Upload;
 use crate::server::connection::{ClientConnection, RequestHistory};
 use crate::server::Server;
+use crate::shutdown_deadline::ShutdownDeadline;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -30,10 +31,10 @@
 /// Whether the process shuts down, and whether clients are drained.
 #[derive(Default)]
 pub(super) struct DrainState {
-    /// When all requests have to have their responses; `None` until the shutdown begins. Shared
-    /// with the requests in flight, whose deadlines it limits.
-    shutdown_deadline: Rc<Cell<Option<Instant>>>,
-    /// Requests that arrive after this may be unfinished when the process is killed.
+    /// Shared with the requests in flight, whose deadlines it limits.
+    shutdown_deadline: ShutdownDeadline,
+    /// Set during a shutdown. Requests that arrive after this may be unfinished when the process
+    /// is killed.
     late_request_cutoff: Cell<Option<Instant>>,
     /// The number of the client drain that is going on, if there is one.
     client_drain: Cell<Option<u64>>,
@@ -43,19 +44,19 @@
 }
 
 impl DrainState {
-    /// When all requests have to have their responses; `None` unless the process shuts down.
-    pub(super) fn shutdown_deadline(&self) -> &Rc<Cell<Option<Instant>>> {
+    /// When all requests have to have their responses.
+    pub(super) fn shutdown_deadline(&self) -> &ShutdownDeadline {
         &self.shutdown_deadline
     }
 
     /// True if connections close after the response that they carry.
     pub(super) fn is_active(&self) -> bool {
-        self.shutdown_deadline.get().is_some() || self.client_drain.get().is_some()
+        self.shutdown_deadline.is_set() || self.client_drain.get().is_some()
     }
 
     /// True if this request arrived so late during a shutdown that a streamed response might not
     /// be complete when the process is killed.
-    pub(super) fn is_late(&self, upload: &Upload) -> bool {
+    pub(super) fn arrived_late(&self, upload: &Upload) -> bool {
         self.late_request_cutoff
             .get()
             .is_some_and(|cutoff| upload.last_progress() > cutoff)
@@ -72,7 +73,7 @@
     }
 
     fn begin_shutdown(&self, deadline: Instant) {
-        self.shutdown_deadline.set(Some(deadline));
+        self.shutdown_deadline.set(deadline);
         self.late_request_cutoff
             .set(Some(Instant::now() + LATE_REQUEST_DELAY));
         self.pipelined_served_until
@@ -98,16 +99,17 @@
     /// connections are closed, those to upstreams too. Connections that have carried no request
     /// yet stay open, as their first one is on its way. All requests get their responses by
     /// `deadline`.
-    pub fn drain(&self, deadline: Instant) {
+    pub fn begin_shutdown(&self, deadline: Instant) {
         self.drain_state.begin_shutdown(deadline);
-        self.dispatcher.borrow_mut().set_drain_deadline(deadline);
+        self.dispatcher.borrow_mut().set_shutdown_deadline(deadline);
         self.connections
             .request_close_where(|client| client.history() != RequestHistory::Empty);
         self.dispatcher.borrow().pool().close_all();
     }
 
-    /// Closes also the connections that have carried no request yet.
-    pub fn drain_new_connections(&self) {
+    /// Closes also the connections that [`Server::begin_shutdown`] leaves open: those that have
+    /// carried no request yet.
+    pub fn close_unused_connections(&self) {
         self.connections.request_close_where(|_| true);
     }
 
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -128,7 +128,7 @@
                 ResponseBody::complete(body)
             }
             // The process may be killed before a slow client has taken all of it.
-            ResponseContent::Streamed(_) if self.drain_state.is_late(upload) => {
+            ResponseContent::Streamed(_) if self.drain_state.arrived_late(upload) => {
                 in_flight.end(RequestOutcome::Failed);
                 return text_response(
                     StatusCode::BAD_GATEWAY,
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -145,7 +145,7 @@
             upload: Rc::new(upload),
             client: client.socket.peer(),
             timeout,
-            drain_deadline: self.drain_state.shutdown_deadline().clone(),
+            shutdown_deadline: self.drain_state.shutdown_deadline().clone(),
         })
     }
 }
--- a/src/bin/load-balancer/shutdown/mod.rs
+++ b/src/bin/load-balancer/shutdown/mod.rs
@@ -17,9 +17,9 @@
 const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
 /// and this much more.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// Requests are settled this long before SIGKILL: the process may be paused for 0.15 s just then.
+/// All requests have their responses this long before SIGKILL: the process may be paused for 0.15 s just then.
 const KILL_MARGIN: Duration = Duration::from_millis(250);
-/// The listener closes this long before requests are settled.
+/// The listener closes this long before that.
 const LAST_REQUEST_MARGIN: Duration = Duration::from_millis(100);
 /// Once the listener is closed, connections have the longest deadline and this to end.
 const CONNECTION_GRACE: Duration = Duration::from_secs(1);
@@ -35,26 +35,26 @@
     Accepting,
 }
 
-/// The schedule of a shutdown, as spans of time from SIGTERM.
+/// The schedule of a graceful shutdown, as spans of time from SIGTERM unless said otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DrainSchedule {
-    /// Connections are accepted for so long.
-    pub accept: Duration,
-    /// All requests are settled by then.
-    pub settle: Duration,
-    /// Once the listener is closed, connections have so long to end.
-    pub connections: Duration,
+pub struct ShutdownSchedule {
+    /// Connections are accepted for this long.
+    pub accept_window: Duration,
+    /// All requests have their responses within this time.
+    pub response_timeout: Duration,
+    /// Connections have this long to end, counted from when the listener is closed.
+    pub connection_timeout: Duration,
 }
 
-impl DrainSchedule {
+impl ShutdownSchedule {
     /// The schedule where this is the longest deadline of a request class.
     pub fn new(longest_deadline: Duration) -> Self {
-        let settle = longest_deadline.min(MAX_KILL_DEADLINE) + KILL_DELAY - KILL_MARGIN;
-        DrainSchedule {
-            // A request that is accepted later could not be settled any more.
-            accept: ACCEPT_WINDOW.min(settle - LAST_REQUEST_MARGIN),
-            settle,
-            connections: longest_deadline.saturating_add(CONNECTION_GRACE),
+        let response_timeout = longest_deadline.min(MAX_KILL_DEADLINE) + KILL_DELAY - KILL_MARGIN;
+        ShutdownSchedule {
+            // A request that is accepted later could not have its response in time.
+            accept_window: ACCEPT_WINDOW.min(response_timeout - LAST_REQUEST_MARGIN),
+            response_timeout,
+            connection_timeout: longest_deadline.saturating_add(CONNECTION_GRACE),
         }
     }
 }
@@ -66,16 +66,16 @@
     server: &Rc<Server>,
     listener: Listener,
     successor: Successor,
-    schedule: DrainSchedule,
+    schedule: ShutdownSchedule,
 ) {
     log::line(format!("graceful shutdown started: {name}"));
-    drain(server, listener, successor, schedule).await;
+    stop_accepting(server, listener, successor, schedule).await;
     let connections_ended = async {
         while server.connections() > 0 {
             sleep(CONNECTION_CHECK_INTERVAL).await;
         }
     };
-    if timeout(schedule.connections, connections_ended)
+    if timeout(schedule.connection_timeout, connections_ended)
         .await
         .is_err()
     {
@@ -86,26 +86,28 @@
     }
 }
 
-/// Accepts for a while, unless a successor does, then what the kernel still holds, and closes the
-/// listener.
-async fn drain(
+/// Begins the shutdown, accepts connections for the accept window unless a successor does, then
+/// those in the kernel's queue, and closes the listener.
+async fn stop_accepting(
     server: &Rc<Server>,
     listener: Listener,
     successor: Successor,
-    schedule: DrainSchedule,
+    schedule: ShutdownSchedule,
 ) {
-    let settle_by = Instant::now() + schedule.settle;
-    server.drain(settle_by);
+    let deadline = Instant::now() + schedule.response_timeout;
+    server.begin_shutdown(deadline);
     if successor == Successor::Absent {
-        server.accept(&listener, sleep(schedule.accept)).await;
+        server
+            .accept(&listener, sleep(schedule.accept_window))
+            .await;
     }
-    if let Err(error) = server.close(listener, settle_by).await {
+    if let Err(error) = server.close(listener, deadline).await {
         log::line(format!("closing the listener failed: {error}"));
     }
     if successor == Successor::Accepting {
-        sleep(schedule.accept).await;
+        sleep(schedule.accept_window).await;
     }
-    server.drain_new_connections();
+    server.close_unused_connections();
 }
 
 #[cfg(test)]
--- a/src/bin/load-balancer/upstream/request.rs
+++ b/src/bin/load-balancer/upstream/request.rs
@@ -1,9 +1,9 @@
 //! A request as it is forwarded to upstreams.
 
 use crate::body::Upload;
+use crate::shutdown_deadline::ShutdownDeadline;
 use crate::socket::PeerHandle;
 use hyper::{HeaderMap, Method, Uri};
-use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -23,17 +23,15 @@
     pub client: PeerHandle,
     /// How long the client waits after it has sent its last byte.
     pub timeout: Duration,
-    /// Set while the process drains: the request ends by then in any case.
-    pub drain_deadline: Rc<Cell<Option<Instant>>>,
+    /// The request ends by then in any case.
+    pub shutdown_deadline: ShutdownDeadline,
 }
 
 impl ForwardedRequest {
     /// When the client gives up, unless it sends more of its body.
     #[must_use]
     pub fn deadline(&self) -> Instant {
-        let deadline = self.upload.last_progress() + self.timeout;
-        self.drain_deadline
-            .get()
-            .map_or(deadline, |drain| deadline.min(drain))
+        self.shutdown_deadline
+            .limit(self.upload.last_progress() + self.timeout)
     }
 }
