--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -15,7 +15,6 @@
 
 pub use request::{AcceptedRequest, FinalResponse, RejectionReason};
 
-use crate::body::MemoryBudget;
 use crate::config::{Config, NameTables};
 use crate::discovery::{DiscoveryService, EndpointList, WatchSet};
 use crate::dispatch::clock::MonotonicUnixClock;
@@ -23,9 +22,7 @@
 use crate::dispatch::timers::{Timer, TimerQueue};
 use crate::dispatch::upstream_directory::UpstreamDirectory;
 use crate::log;
-use crate::metrics::Metrics;
-use crate::socket::DescriptorBudget;
-use crate::upstream::ConnectionPool;
+use crate::resources::Resources;
 use load_balancer::{
     Action, Balancer, Class, DiscoveryMode, Event, LearnedState, ListScope, SettingsError,
     UpstreamId,
@@ -47,10 +44,7 @@
     clock: MonotonicUnixClock,
     names: NameTables,
     classes: Vec<Class>,
-    budget: Rc<DescriptorBudget>,
-    memory: Rc<MemoryBudget>,
-    metrics: Rc<Metrics>,
-    pool: Rc<ConnectionPool>,
+    resources: Resources,
     /// Events that the decision module has not handled yet.
     events: VecDeque<Event>,
     /// Kept to reuse its allocation; empty between events.
@@ -62,7 +56,8 @@
 }
 
 impl Dispatcher {
-    /// Starts a dispatcher whose decision module knows the endpoint list of the configuration.
+    /// Starts a dispatcher whose decision module knows the endpoint list of the configuration. Its
+    /// attempts and watches use `resources`.
     /// Where lists are pushed, a watch on discovery is opened at once.
     ///
     /// # Errors
@@ -70,14 +65,14 @@
     /// If the settings are invalid.
     pub fn start(
         mut config: Config,
-        budget: Rc<DescriptorBudget>,
+        resources: Resources,
     ) -> Result<Rc<RefCell<Dispatcher>>, SettingsError> {
         let mode = config.settings.discovery_mode;
         let known_endpoints = EndpointList {
             snapshot: true,
             ..mem::take(&mut config.known_endpoints)
         };
-        let dispatcher = Self::new(config, budget, known_endpoints.version)?;
+        let dispatcher = Self::new(config, resources, known_endpoints.version)?;
         dispatcher
             .borrow_mut()
             .apply_list(ListScope::Cached, known_endpoints);
@@ -90,21 +85,12 @@
 
     fn new(
         config: Config,
-        budget: Rc<DescriptorBudget>,
+        resources: Resources,
         known_version: u64,
     ) -> Result<Rc<RefCell<Dispatcher>>, SettingsError> {
         let clock = MonotonicUnixClock::new();
-        let limits = &config.settings.limits;
-        let metrics = Metrics::new(&config.names.classes);
-        let memory = MemoryBudget::new(config.memory_bytes);
-        let pool = Rc::new(ConnectionPool::new(
-            budget.clone(),
-            metrics.clone(),
-            memory.clone(),
-            limits.connect_timeout,
-            limits.connection_idle_timeout,
-        ));
-        let max_open = limits.max_open_requests.min(config.max_descriptors);
+        let max_open = config.settings.limits.max_open_requests;
+        let max_open = max_open.min(config.max_descriptors);
         let classes = config.settings.classes.clone();
         let requests = RequestTable::new(max_open, longest_deadline(&classes));
         let discovery = DiscoveryService {
@@ -120,11 +106,8 @@
                 clock,
                 names: config.names,
                 classes,
-                budget,
-                memory,
-                metrics,
-                upstreams: UpstreamDirectory::new(pool.clone()),
-                pool,
+                upstreams: UpstreamDirectory::new(resources.pool.clone()),
+                resources,
                 events: VecDeque::new(),
                 actions: Vec::new(),
                 timers: TimerQueue::default(),
@@ -149,24 +132,10 @@
         &self.classes
     }
 
-    /// The idle connections to upstreams.
-    pub fn pool(&self) -> &Rc<ConnectionPool> {
-        &self.pool
-    }
-
-    /// The memory for what is read ahead of bodies.
-    pub fn memory(&self) -> Rc<MemoryBudget> {
-        self.memory.clone()
-    }
-
-    /// Where the outcomes of requests are counted.
-    pub fn metrics(&self) -> &Rc<Metrics> {
-        &self.metrics
-    }
-
     /// The metrics, as the admin endpoint shows them.
     pub fn render_metrics(&self) -> String {
-        self.metrics
+        self.resources
+            .metrics
             .render(self.upstreams.count(), self.balancer.excluded_upstreams())
     }
 
@@ -211,7 +180,7 @@
                 request: id,
                 number: attempt,
             }),
-            Action::CloseIdleConnections { upstream } => self.pool.close_idle(upstream),
+            Action::CloseIdleConnections { upstream } => self.resources.pool.close_idle(upstream),
             Action::SetTimer { after, token } => {
                 let at = Instant::now() + duration_from_secs(after);
                 self.timers.set(at, Timer::Decision(token));
--- a/src/bin/load-balancer/dispatch/requests.rs
+++ b/src/bin/load-balancer/dispatch/requests.rs
@@ -91,7 +91,7 @@
             return;
         };
         let attempt = Attempt {
-            pool: self.pool.clone(),
+            pool: self.resources.pool.clone(),
             upstream,
             address,
             request: request.forward().clone(),
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -49,7 +49,8 @@
         },
         names: NameTables::default(),
     };
-    Dispatcher::start(config, DescriptorBudget::new(1024, false)).expect("good settings")
+    let resources = Resources::new(&config);
+    Dispatcher::start(config, resources).expect("good settings")
 }
 
 fn request_with_deadline(wait: Duration) -> AcceptedRequest {
--- a/src/bin/load-balancer/dispatch/tests/notification.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification.rs
@@ -219,7 +219,8 @@
         settings,
         names: NameTables::default(),
     };
-    Dispatcher::start(config, DescriptorBudget::new(1024, false)).expect("good settings")
+    let resources = Resources::new(&config);
+    Dispatcher::start(config, resources).expect("good settings")
 }
 
 /// The time from now until the change of this discovery is known.
@@ -575,7 +576,7 @@
         for mode in ALL_MODES {
             let discovery = FakeDiscovery::listening(&[Reset, Unanswered, Unanswered]);
             let dispatcher = start(discovery.address, mode, 1);
-            let budget = dispatcher.borrow().budget.clone();
+            let budget = dispatcher.borrow().resources.descriptors.clone();
             let taken: Vec<_> =
                 std::iter::from_fn(|| budget.acquire(crate::socket::Purpose::Rejection)).collect();
             // Another process takes a half of them.
--- a/src/bin/load-balancer/main.rs
+++ b/src/bin/load-balancer/main.rs
@@ -11,6 +11,7 @@
 mod metrics;
 mod process;
 mod reload;
+mod resources;
 mod retry;
 mod server;
 mod shutdown;
--- a/src/bin/load-balancer/process.rs
+++ b/src/bin/load-balancer/process.rs
@@ -6,12 +6,12 @@
 use crate::handover::Handover;
 use crate::log;
 use crate::reload::reload_on_signal;
+use crate::resources::Resources;
 use crate::server::listener::{Listener, PortSharing};
 use crate::server::Server;
 use crate::shutdown::{shut_down, ShutdownSchedule, Successor};
 use crate::signals::{Signal, SIGHUP, SIGINT, SIGTERM};
 use crate::socket::system_errors::retry_transient_errors;
-use crate::socket::DescriptorBudget;
 use crate::upstream::ConnectionPool;
 use load_balancer::SettingsError;
 use std::cell::RefCell;
@@ -117,28 +117,31 @@
         let name = config.name.clone();
         let address = config.listen;
         let max_descriptors = config.max_descriptors;
-        let budget = DescriptorBudget::new(max_descriptors, config.admin.is_some());
         let admin = config.admin.map(bind_admin).transpose()?;
         let shutdown_schedule = ShutdownSchedule::new(longest_deadline(&config));
-        let dispatcher = Dispatcher::start(config, budget.clone())?;
-        let server = Server::new(dispatcher.clone(), budget.clone());
+        let resources = Resources::new(&config);
+        let dispatcher = Dispatcher::start(config, resources.clone())?;
+        let server = Server::new(dispatcher.clone(), resources.clone());
         let handover = Handover::new(
             std::env::var_os("TMPDIR").map(PathBuf::from),
             address,
             dispatcher.clone(),
             server.clone(),
-            budget.clone(),
+            resources.descriptors.clone(),
             max_descriptors,
         );
         if let Some(listener) = admin {
             let address = retry_transient_errors(|| listener.local_addr())?;
             log::line(format!("listening for admin requests: {name} at {address}"));
-            let admin = Admin::new(dispatcher.clone(), server.clone(), handover.clone(), budget);
+            let admin = Admin::new(
+                dispatcher.clone(),
+                server.clone(),
+                handover.clone(),
+                resources.descriptors,
+            );
             spawn_local(admin.accept(listener));
         }
-        spawn_local(close_expired_connections(
-            dispatcher.borrow().pool().clone(),
-        ));
+        spawn_local(close_expired_connections(resources.pool));
         Ok(Process {
             name,
             address,
--- a/src/bin/load-balancer/server/capacity.rs
+++ b/src/bin/load-balancer/server/capacity.rs
@@ -24,9 +24,8 @@
     /// Closes idle connections, those to upstreams first, until the process holds no more than
     /// this many descriptors or there is nothing left to close.
     pub async fn evict_down_to(&self, descriptors: usize) {
-        let pool = self.dispatcher.borrow().pool().clone();
-        while self.budget.in_use() > descriptors
-            && (pool.evict_oldest() || self.connections.evict_one().await)
+        while self.resources.descriptors.in_use() > descriptors
+            && (self.resources.pool.evict_oldest() || self.connections.evict_one().await)
         {}
     }
 
@@ -34,16 +33,24 @@
     /// necessary; `None` if not even a rejection can be sent. Never waits for a client, as silent
     /// clients would then block all connections behind them.
     pub(super) async fn acquire_permit(&self) -> Option<(DescriptorPermit, Admission)> {
-        if let Some(permit) = self.budget.acquire(Purpose::ClientConnection) {
+        if let Some(permit) = self
+            .resources
+            .descriptors
+            .acquire(Purpose::ClientConnection)
+        {
             return Some((permit, Admission::WithinCapacity));
         }
         for _ in 0..MAX_PERMIT_ATTEMPTS {
             if self.connections.evict_one().await {
-                if let Some(permit) = self.budget.acquire(Purpose::ClientConnection) {
+                if let Some(permit) = self
+                    .resources
+                    .descriptors
+                    .acquire(Purpose::ClientConnection)
+                {
                     return Some((permit, Admission::WithinCapacity));
                 }
             }
-            if let Some(permit) = self.budget.acquire(Purpose::Rejection) {
+            if let Some(permit) = self.resources.descriptors.acquire(Purpose::Rejection) {
                 return Some((permit, Admission::OverCapacity));
             }
             yield_now().await;
@@ -56,7 +63,7 @@
     pub(super) async fn wait_for_capacity(&self, client: &ClientConnection) -> bool {
         // Keeps the connection itself from being evicted.
         client.enter(Phase::AwaitingCapacity);
-        while self.budget.is_exceeded() {
+        while self.resources.descriptors.is_exceeded() {
             if !self.connections.evict_one().await {
                 return false;
             }
--- a/src/bin/load-balancer/server/drain.rs
+++ b/src/bin/load-balancer/server/drain.rs
@@ -104,7 +104,7 @@
         self.dispatcher.borrow_mut().set_shutdown_deadline(deadline);
         self.connections
             .request_close_where(|client| client.history() != RequestHistory::Empty);
-        self.dispatcher.borrow().pool().close_all();
+        self.resources.pool.close_all();
     }
 
     /// Closes also the connections that [`Server::begin_shutdown`] leaves open: those that have
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -26,7 +26,8 @@
             .class_index(request.uri().path())
             .filter(|_| request.headers().contains_key("request-id"))
         {
-            self.metrics
+            self.resources
+                .metrics
                 .begin_request(class)
                 .end(RequestOutcome::Rejected);
         }
@@ -48,7 +49,7 @@
         };
         let upload = accepted.forward.upload.clone();
         client.record_valid_request();
-        let in_flight = self.metrics.begin_request(accepted.class);
+        let in_flight = self.resources.metrics.begin_request(accepted.class);
         let dispatched = self.dispatcher.borrow_mut().accept(accepted);
         let (id, final_response) = match dispatched {
             Ok(dispatched) => dispatched,
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -21,12 +21,10 @@
 
 pub use drain::ClientDrain;
 
-use crate::body::MemoryBudget;
 use crate::dispatch::Dispatcher;
-use crate::metrics::Metrics;
+use crate::resources::Resources;
 use crate::server::connection_table::ConnectionTable;
 use crate::server::drain::DrainState;
-use crate::socket::DescriptorBudget;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -47,9 +45,7 @@
 /// Serves clients. Owns their connections and the state of the drain.
 pub struct Server {
     dispatcher: Rc<RefCell<Dispatcher>>,
-    budget: Rc<DescriptorBudget>,
-    metrics: Rc<Metrics>,
-    memory: Rc<MemoryBudget>,
+    resources: Resources,
     connections: ConnectionTable,
     drain_state: DrainState,
     listening: Cell<bool>,
@@ -58,15 +54,11 @@
 }
 
 impl Server {
-    /// A server that doesn't listen yet, with the dispatcher's metrics and memory budget.
-    pub fn new(dispatcher: Rc<RefCell<Dispatcher>>, budget: Rc<DescriptorBudget>) -> Rc<Self> {
-        let metrics = dispatcher.borrow().metrics().clone();
-        let memory = dispatcher.borrow().memory();
+    /// A server that doesn't listen yet.
+    pub fn new(dispatcher: Rc<RefCell<Dispatcher>>, resources: Resources) -> Rc<Self> {
         Rc::new(Server {
             dispatcher,
-            budget,
-            metrics,
-            memory,
+            resources,
             connections: ConnectionTable::default(),
             drain_state: DrainState::default(),
             listening: Cell::new(false),
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -115,7 +115,7 @@
         client.enter(Phase::ReceivingBody);
         let upload = Upload::read(
             body,
-            &self.memory,
+            &self.resources.memory,
             deadline,
             self.drain_state.shutdown_deadline(),
         )
