--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -1,5 +1,5 @@
-//! Runs the decision module: feeds it events, carries out its actions, and keeps its clock and its
-//! timers.
+//! Runs the decision module: passes events to it, carries out its actions, and runs its clock and
+//! its timers.
 //!
 //! Each accepted request gets one final response, and the module gets one result for each attempt
 //! that it starts. No decision is made here.
@@ -13,7 +13,7 @@
 mod timers;
 mod upstream_directory;
 
-pub use request::{AcceptedRequest, FinalResponse, RejectionReason};
+pub use request::{AcceptedRequest, DispatchedRequest, FinalResponse, RejectionReason};
 
 use crate::config::{Config, NameTables};
 use crate::discovery::{DiscoveryService, EndpointList, WatchSet};
@@ -47,7 +47,7 @@
     resources: Resources,
     /// Events that the decision module has not handled yet.
     events: VecDeque<Event>,
-    /// Kept to reuse its allocation; empty between events.
+    /// Empty between events; a field only to reuse its allocation.
     actions: Vec<Action>,
     timers: TimerQueue,
     requests: RequestTable,
@@ -92,7 +92,9 @@
         let max_open = config.settings.limits.max_open_requests;
         let max_open = max_open.min(config.max_descriptors);
         let classes = config.settings.classes.clone();
-        let requests = RequestTable::new(max_open, longest_deadline(&classes));
+        // As good as endless without one; twice the retention has to fit into a `Duration`, too.
+        let id_retention = longest_deadline(&classes).unwrap_or(Duration::MAX / 4);
+        let requests = RequestTable::new(max_open, id_retention);
         let discovery = DiscoveryService {
             address: config.discovery,
             mode: config.settings.discovery_mode,
@@ -203,7 +205,7 @@
         while let Some(timer) = self.timers.pop_due() {
             match timer {
                 Timer::Decision(token) => self.handle(Event::TimerFired(token)),
-                Timer::DeadlineBackstop(id) => self.answer_overdue(id),
+                Timer::DeadlineBackstop(id) => self.conclude_overdue(id),
                 Timer::ReopenWatch => self.ensure_watch(),
             }
         }
@@ -225,12 +227,12 @@
     }
 }
 
-/// The longest deadline of these classes; as good as endless if no `Duration` can hold it.
-fn longest_deadline(classes: &[Class]) -> Duration {
+/// The longest deadline of these classes; `None` if no `Duration` can hold it.
+pub fn longest_deadline(classes: &[Class]) -> Option<Duration> {
     let longest = classes
         .iter()
         .fold(0.0, |longest: f64, class| longest.max(class.deadline));
-    Duration::try_from_secs_f64(longest).unwrap_or(Duration::MAX / 4)
+    Duration::try_from_secs_f64(longest).ok()
 }
 
 /// The seconds of an action as a `Duration`; zero for a value that none can hold, such as a
--- a/src/bin/load-balancer/dispatch/request.rs
+++ b/src/bin/load-balancer/dispatch/request.rs
@@ -1,7 +1,9 @@
-//! What the dispatcher accepts, and what it answers.
+//! The requests that the dispatcher accepts, and their final responses.
 
 use crate::upstream::{ForwardedRequest, UpstreamResponse};
+use load_balancer::RequestId;
 use thiserror::Error;
+use tokio::sync::oneshot;
 
 /// A request that has come in.
 pub struct AcceptedRequest {
@@ -17,6 +19,14 @@
     pub forward: ForwardedRequest,
 }
 
+/// A request that the dispatcher has accepted.
+pub struct DispatchedRequest {
+    /// The dispatcher's id of the request.
+    pub id: RequestId,
+    /// Where its final response comes; fails if the request is cancelled before.
+    pub response: oneshot::Receiver<FinalResponse>,
+}
+
 /// Why a request is not accepted.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum RejectionReason {
@@ -28,7 +38,7 @@
     DuplicateId,
 }
 
-/// The final answer to a request.
+/// The final response to a request.
 pub enum FinalResponse {
     /// The response of an upstream.
     Served(UpstreamResponse),
--- a/src/bin/load-balancer/dispatch/request_table/mod.rs
+++ b/src/bin/load-balancer/dispatch/request_table/mod.rs
@@ -2,9 +2,8 @@
 
 use crate::dispatch::recent_request_ids::RecentRequestIds;
 use crate::dispatch::request::{FinalResponse, RejectionReason};
-use crate::upstream::ForwardedRequest;
+use crate::upstream::{ConnectionIdle, ForwardedRequest};
 use load_balancer::{AttemptOutcome, AttemptResult, Event, RequestId, UpstreamId};
-use std::cell::Cell;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -41,10 +40,6 @@
     task: Option<AbortHandle>,
 }
 
-/// For how long the connection of an attempt had been idle; set when the first byte is about to be
-/// written.
-pub type ConnectionIdle = Rc<Cell<Option<Duration>>>;
-
 /// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
@@ -59,8 +54,8 @@
         self.task.is_some()
     }
 
-    /// True once the first byte was about to be written.
-    fn has_started(&self) -> bool {
+    /// True if the attempt may have written something.
+    fn has_written(&self) -> bool {
         self.connection_idle.get().is_some()
     }
 
@@ -130,7 +125,7 @@
         attempt.is_some_and(AttemptRecord::is_running)
     }
 
-    fn is_settled(&self) -> bool {
+    fn is_finished(&self) -> bool {
         !self.is_pending() && !self.attempts.iter().any(AttemptRecord::is_running)
     }
 }
@@ -223,7 +218,7 @@
         let request_concluded = !request.is_pending();
         let record = request.attempts.get_mut(attempt.number as usize)?;
         let result = record.end(attempt, outcome, request_concluded)?;
-        self.remove_if_settled(attempt.request);
+        self.remove_if_finished(attempt.request);
         Some(result)
     }
 
@@ -240,7 +235,7 @@
         let response = request.response.take()?;
         let events_before = events.len();
         for (number, attempt) in (0..).zip(&mut request.attempts) {
-            if !attempt.has_started() {
+            if !attempt.has_written() {
                 let attempt_id = AttemptId {
                     request: id,
                     number,
@@ -250,21 +245,21 @@
             }
         }
         if events.len() > events_before {
-            self.remove_if_settled(id);
+            self.remove_if_finished(id);
         }
         Some(response)
     }
 
     /// Removes a request that has its final response and no running attempt.
-    pub fn remove_if_settled(&mut self, id: RequestId) {
-        if self.get(id).is_some_and(OpenRequest::is_settled) {
+    pub fn remove_if_finished(&mut self, id: RequestId) {
+        if self.get(id).is_some_and(OpenRequest::is_finished) {
             self.requests.remove(&id);
         }
     }
 
     /// The attempts, in order, that run and have not written anything, and whose upstream is no
     /// longer available at the address that they were sent to.
-    pub fn unstarted_and_misdirected(
+    pub fn misdirected_attempts(
         &self,
         address_of: impl Fn(UpstreamId) -> Option<SocketAddr>,
     ) -> Vec<AttemptId> {
@@ -273,7 +268,7 @@
             for (number, attempt) in (0..).zip(&request.attempts) {
                 let address = address_of(attempt.upstream);
                 let is_misdirected = address.is_none() || address != attempt.address;
-                if is_misdirected && attempt.is_running() && !attempt.has_started() {
+                if is_misdirected && attempt.is_running() && !attempt.has_written() {
                     misdirected.push(AttemptId {
                         request: *id,
                         number,
--- a/src/bin/load-balancer/dispatch/request_table/tests.rs
+++ b/src/bin/load-balancer/dispatch/request_table/tests.rs
@@ -81,7 +81,7 @@
         Err(RejectionReason::TooManyOpen)
     );
     assert!(table.conclude(id, &mut VecDeque::new()).is_some());
-    table.remove_if_settled(id);
+    table.remove_if_finished(id);
     assert_eq!(
         table.allocate_id("a".into()),
         Err(RejectionReason::DuplicateId)
@@ -95,13 +95,13 @@
         let (mut table, id, _response) = table_with_a_request();
         let (first, _) = add_running_attempt(&mut table, id);
         let (second, idle) = add_running_attempt(&mut table, id);
-        idle.set(Some(Duration::ZERO));
+        idle.set(Duration::ZERO);
         let result = table.end_attempt(first, AttemptOutcome::Reset);
         assert!(result.is_some_and(|result| !result.request_concluded));
         assert_eq!(table.end_attempt(first, AttemptOutcome::Reset), None);
         assert!(table.conclude(id, &mut VecDeque::new()).is_some());
         assert!(table.conclude(id, &mut VecDeque::new()).is_none());
-        table.remove_if_settled(id);
+        table.remove_if_finished(id);
         assert!(table.is_running(second) && table.len() == 1);
         let result = table.end_attempt(second, AttemptOutcome::Success);
         assert!(result.is_some_and(|result| result.request_concluded));
@@ -113,30 +113,30 @@
 fn a_concluded_request_ends_the_attempts_that_have_not_written_anything() {
     run(|| {
         let (mut table, id, _response) = table_with_a_request();
-        let (unstarted, _) = add_running_attempt(&mut table, id);
-        let (started, idle) = add_running_attempt(&mut table, id);
-        idle.set(Some(Duration::ZERO));
+        let (unwritten, _) = add_running_attempt(&mut table, id);
+        let (written, idle) = add_running_attempt(&mut table, id);
+        idle.set(Duration::ZERO);
         let mut events = VecDeque::new();
         assert!(table.conclude(id, &mut events).is_some());
         let ended: Vec<_> = events.into_iter().collect();
         assert!(matches!(&ended[..], [Event::AttemptEnded(result)]
-            if result.attempt == unstarted.number && result.outcome == AttemptOutcome::NotSent));
-        assert!(!table.is_running(unstarted) && table.is_running(started));
+            if result.attempt == unwritten.number && result.outcome == AttemptOutcome::NotSent));
+        assert!(!table.is_running(unwritten) && table.is_running(written));
     });
 }
 
 #[test]
-fn an_attempt_is_misdirected_if_it_is_unstarted_and_its_upstream_is_not_where_it_was() {
+fn an_attempt_is_misdirected_if_it_has_written_nothing_and_its_upstream_is_not_where_it_was() {
     run(|| {
         let (mut table, id, _response) = table_with_a_request();
-        let (unstarted, _) = add_running_attempt(&mut table, id);
+        let (unwritten, _) = add_running_attempt(&mut table, id);
         let (_, idle) = add_running_attempt(&mut table, id);
-        idle.set(Some(Duration::ZERO));
+        idle.set(Duration::ZERO);
         let at = |address| move |_| address;
-        let same = table.unstarted_and_misdirected(at(Some(address(1))));
-        let moved = table.unstarted_and_misdirected(at(Some(address(2))));
-        let gone = table.unstarted_and_misdirected(at(None));
-        assert_eq!((same, moved), (vec![], vec![unstarted]));
-        assert_eq!(gone, [unstarted]);
+        let same = table.misdirected_attempts(at(Some(address(1))));
+        let moved = table.misdirected_attempts(at(Some(address(2))));
+        let removed = table.misdirected_attempts(at(None));
+        assert_eq!((same, moved), (vec![], vec![unwritten]));
+        assert_eq!(removed, [unwritten]);
     });
 }
--- a/src/bin/load-balancer/dispatch/requests.rs
+++ b/src/bin/load-balancer/dispatch/requests.rs
@@ -3,27 +3,26 @@
 use crate::dispatch::request_table::AttemptId;
 use crate::dispatch::timers::Timer;
 use crate::dispatch::{
-    duration_from_secs, AcceptedRequest, Dispatcher, FinalResponse, RejectionReason,
+    duration_from_secs, AcceptedRequest, DispatchedRequest, Dispatcher, FinalResponse,
+    RejectionReason,
 };
 use crate::log;
-use crate::upstream::{Attempt, AttemptError, UpstreamResponse};
+use crate::upstream::{Attempt, AttemptError, ConnectionIdle, UpstreamResponse};
 use load_balancer::{AttemptOutcome, AttemptResult, Event, Request, RequestId, UpstreamId};
-use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
 /// Subtracted from a deadline for the decision module and for attempts, so that the response
 /// reaches the client in time.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(12);
-/// A request that has no response this much before its deadline is answered without the decision
+/// A request that has no response this much before its deadline is concluded without the decision
 /// module.
 const DEADLINE_BACKSTOP: Duration = Duration::from_millis(5);
 
 impl Dispatcher {
-    /// Accepts a request; its final response comes on the channel.
+    /// Accepts a request.
     ///
     /// # Errors
     ///
@@ -31,7 +30,7 @@
     pub fn accept(
         &mut self,
         request: AcceptedRequest,
-    ) -> Result<(RequestId, oneshot::Receiver<FinalResponse>), RejectionReason> {
+    ) -> Result<DispatchedRequest, RejectionReason> {
         let id = self.requests.allocate_id(request.client_request_id)?;
         let forward = Rc::new(request.forward);
         let (deadline, streamed) = (forward.deadline(), forward.upload.is_streamed());
@@ -54,7 +53,7 @@
             cost_hint: request.cost_hint,
             streamed,
         }));
-        Ok((id, response))
+        Ok(DispatchedRequest { id, response })
     }
 
     fn upload_completed(&mut self, id: RequestId) {
@@ -67,7 +66,7 @@
     pub fn client_disconnected(&mut self, id: RequestId) {
         if self.requests.conclude(id, &mut self.events).is_some() {
             self.handle(Event::ClientDisconnected(id));
-            self.requests.remove_if_settled(id);
+            self.requests.remove_if_finished(id);
         }
     }
 
@@ -83,7 +82,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let connection_idle = Rc::new(Cell::new(None));
+        let connection_idle = ConnectionIdle::default();
         let number = request.add_attempt(upstream, address, sent_at, connection_idle.clone());
         let address = address.filter(|_| request.can_be_sent());
         let (Some(address), Some(dispatcher)) = (address, self.this.upgrade()) else {
@@ -136,7 +135,7 @@
         }
         if is_abandoned {
             self.handle(Event::ClientDisconnected(id));
-            self.requests.remove_if_settled(id);
+            self.requests.remove_if_finished(id);
         }
     }
 
@@ -158,7 +157,7 @@
     /// decided before it was known that the upstream drains, and would start after that.
     pub(super) fn reject_misdirected_attempts(&mut self) {
         let address_of = |upstream| self.upstreams.available_address(upstream);
-        for attempt in self.requests.unstarted_and_misdirected(address_of) {
+        for attempt in self.requests.misdirected_attempts(address_of) {
             self.attempt_ended(attempt, Err(AttemptError::Rejected));
         }
     }
@@ -170,7 +169,7 @@
         };
         // Fails if the client has just disconnected, and needs no response then.
         let _ = sender.send(response);
-        self.requests.remove_if_settled(id);
+        self.requests.remove_if_finished(id);
     }
 
     /// The process is going to exit: each open request has its response by `deadline`.
@@ -181,8 +180,8 @@
         }
     }
 
-    /// Answers a request that the decision module has not answered in time.
-    pub(super) fn answer_overdue(&mut self, id: RequestId) {
+    /// Concludes a request for which the decision module has no response in time.
+    pub(super) fn conclude_overdue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -76,8 +76,8 @@
     }
 }
 
-/// An upstream that answers each request with this text, or never.
-async fn spawn_upstream(answer: Option<&'static str>) -> SocketAddr {
+/// An upstream that responds to each request with this text, or never.
+async fn spawn_upstream(response: Option<&'static str>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     spawn_local(async move {
@@ -85,7 +85,7 @@
             spawn_local(async move {
                 let mut bytes = [0; 4096];
                 while stream.read(&mut bytes).await.is_ok_and(|count| count > 0) {
-                    if let Some(text) = answer {
+                    if let Some(text) = response {
                         let _ = stream.write_all(text.as_bytes()).await;
                     }
                 }
@@ -121,20 +121,20 @@
         let dispatcher = start(endpoints);
         let mut pending = Vec::new();
         for number in 0..60 {
-            let (id, answer) = dispatcher
+            let DispatchedRequest { id, response } = dispatcher
                 .borrow_mut()
                 .accept(request_with_deadline(Duration::from_secs(1)))
                 .expect("accepted");
             match number % 5 {
                 0 => dispatcher.borrow_mut().client_disconnected(id),
-                _ => pending.push((id, answer)),
+                _ => pending.push((id, response)),
             }
             sleep(Duration::from_millis(2)).await;
         }
         let mut bodies = 0;
-        for (id, answer) in pending {
-            if let FinalResponse::Served(answer) = answer.await.expect("a final answer") {
-                assert!(matches!(answer.body, ResponseContent::Complete(body) if body == "hi"));
+        for (id, response) in pending {
+            if let FinalResponse::Served(served) = response.await.expect("a final response") {
+                assert!(matches!(served.body, ResponseContent::Complete(body) if body == "hi"));
                 bodies += 1;
             }
             // The client has its response, so its disconnection changes nothing.
@@ -159,11 +159,11 @@
 }
 
 #[test]
-fn a_request_without_a_decision_is_answered_before_its_deadline() {
+fn a_request_without_a_decision_is_concluded_before_its_deadline() {
     run(async {
         let dispatcher = start(vec![endpoint("silent", spawn_upstream(None).await)]);
         let deadline = Duration::from_millis(400);
-        let (_, answer) = dispatcher
+        let DispatchedRequest { response, .. } = dispatcher
             .borrow_mut()
             .accept(request_with_deadline(deadline))
             .expect("accepted");
@@ -173,11 +173,11 @@
             .timers
             .retain(|timer| matches!(timer, Timer::DeadlineBackstop(_)));
         dispatcher.borrow_mut().requests.abort_tasks();
-        let answer = timeout(Duration::from_secs(20), answer)
+        let response = timeout(Duration::from_secs(20), response)
             .await
             .expect("in time")
             .expect("one");
-        assert!(matches!(answer, FinalResponse::Failed));
+        assert!(matches!(response, FinalResponse::Failed));
         assert_eq!(
             dispatcher.borrow().balancer.load().open_requests,
             dispatcher.borrow().requests.len()
--- a/src/bin/load-balancer/dispatch/timers/mod.rs
+++ b/src/bin/load-balancer/dispatch/timers/mod.rs
@@ -10,9 +10,9 @@
 /// What a timer is for. Timers of the same moment fire in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// The decision module asked for it; the token goes back to it.
+    /// One of the decision module, which gets this token back.
     Decision(u64),
-    /// A request is answered if it has no response by then.
+    /// A request is concluded if it has no response by then.
     DeadlineBackstop(RequestId),
     /// A watch on discovery is reopened.
     ReopenWatch,
--- a/src/bin/load-balancer/process.rs
+++ b/src/bin/load-balancer/process.rs
@@ -2,7 +2,7 @@
 
 use crate::admin::Admin;
 use crate::config::{Config, ConfigError};
-use crate::dispatch::Dispatcher;
+use crate::dispatch::{longest_deadline, Dispatcher};
 use crate::handover::Handover;
 use crate::log;
 use crate::reload::reload_on_signal;
@@ -118,7 +118,9 @@
         let address = config.listen;
         let max_descriptors = config.max_descriptors;
         let admin = config.admin.map(bind_admin).transpose()?;
-        let shutdown_schedule = ShutdownSchedule::new(longest_deadline(&config));
+        // Valid settings hold finite deadlines; one that no `Duration` holds counts as none.
+        let longest_deadline = longest_deadline(&config.settings.classes).unwrap_or(Duration::ZERO);
+        let shutdown_schedule = ShutdownSchedule::new(longest_deadline);
         let resources = Resources::new(&config);
         let dispatcher = Dispatcher::start(config, resources.clone())?;
         let server = Server::new(dispatcher.clone(), resources.clone());
@@ -194,14 +196,6 @@
         .map_err(|source| StartError::AdminListener { address, source })
 }
 
-/// The longest deadline of a request class.
-fn longest_deadline(config: &Config) -> Duration {
-    let classes = config.settings.classes.iter();
-    let seconds = classes.fold(0.0, |longest: f64, class| longest.max(class.deadline));
-    // Valid settings hold finite deadlines; one that no `Duration` holds counts as none.
-    Duration::try_from_secs_f64(seconds).unwrap_or(Duration::ZERO)
-}
-
 async fn close_expired_connections(pool: Rc<ConnectionPool>) {
     loop {
         sleep(EXPIRY_INTERVAL).await;
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -1,7 +1,7 @@
 //! Handles one request: has it dispatched, and makes its final response into one for the client.
 
 use crate::body::{ResponseBody, Upload};
-use crate::dispatch::{Dispatcher, FinalResponse, RejectionReason};
+use crate::dispatch::{DispatchedRequest, Dispatcher, FinalResponse, RejectionReason};
 use crate::metrics::{InFlightRequest, RequestOutcome};
 use crate::server::connection::{ClientConnection, Phase};
 use crate::server::response::{
@@ -51,7 +51,7 @@
         client.record_valid_request();
         let in_flight = self.resources.metrics.begin_request(accepted.class);
         let dispatched = self.dispatcher.borrow_mut().accept(accepted);
-        let (id, final_response) = match dispatched {
+        let DispatchedRequest { id, response } = match dispatched {
             Ok(dispatched) => dispatched,
             Err(reason) => {
                 in_flight.end(match reason {
@@ -68,7 +68,7 @@
         client.enter(Phase::AwaitingResponse);
         // While a complete request awaits its response, nothing else reads the bytes behind it.
         client.socket.set_read_ahead(!upload.is_streamed());
-        let final_response = final_response.await;
+        let final_response = response.await;
         client.socket.set_read_ahead(false);
         if upload.is_streamed() {
             discard_rest_of_body(client, upload.clone());
@@ -159,7 +159,7 @@
     });
 }
 
-/// Tells the dispatcher when a request's handler is dropped, as its client has disconnected.
+/// Notifies the dispatcher when a request's handler is dropped, as its client has disconnected.
 /// After the final response this has no effect.
 struct CancelOnDrop<'a> {
     dispatcher: &'a RefCell<Dispatcher>,
--- a/src/bin/load-balancer/upstream/attempt.rs
+++ b/src/bin/load-balancer/upstream/attempt.rs
@@ -11,6 +11,29 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
+/// For how long the connection of an attempt had been idle before; `None` until the attempt is about
+/// to write its first byte. Clones share it.
+#[derive(Clone, Debug, Default)]
+pub struct ConnectionIdle(Rc<Cell<Option<Duration>>>);
+
+impl ConnectionIdle {
+    /// The attempt is about to write its first byte on a connection that had been idle for `idle`.
+    pub fn set(&self, idle: Duration) {
+        self.0.set(Some(idle));
+    }
+
+    /// The attempt has written nothing, and goes on with another connection.
+    fn clear(&self) {
+        self.0.set(None);
+    }
+
+    /// The time, once the first byte was about to be written.
+    #[must_use]
+    pub fn get(&self) -> Option<Duration> {
+        self.0.get()
+    }
+}
+
 /// One attempt to have an upstream serve a request. It ends at the request's deadline at the
 /// latest; dropping its future closes the connection.
 pub struct Attempt {
@@ -24,11 +47,11 @@
     pub request: Rc<ForwardedRequest>,
     /// If set, the request must be written completely by then, or not be sent at all.
     pub write_deadline: Option<Instant>,
-    /// How long before the request's deadline the attempt ends, so that the client can be answered
-    /// in time.
+    /// How long before the request's deadline the attempt ends, so that the response reaches the
+    /// client in time.
     pub deadline_margin: Duration,
-    /// Set right before the first byte is written: how long the connection had been idle.
-    pub connection_idle: Rc<Cell<Option<Duration>>>,
+    /// Set right before the first byte is written.
+    pub connection_idle: ConnectionIdle,
 }
 
 /// The connection of an attempt.
@@ -78,7 +101,7 @@
             let connection = self.connect().await?;
             let progress = ExchangeProgress::new(&connection.socket);
             let idle_for = connection.idle_for.unwrap_or(Duration::ZERO);
-            self.connection_idle.set(Some(idle_for));
+            self.connection_idle.set(idle_for);
             let end = self.exchange_in_time(&progress).await?;
             let is_sent = progress.is_request_sent();
             match end {
@@ -91,7 +114,7 @@
                     return Err(AttemptError::NotSent);
                 }
                 ExchangeEnd::Broken if self.can_reconnect(&connection, &progress) => {
-                    self.connection_idle.set(None);
+                    self.connection_idle.clear();
                 }
                 end => return Err(end.error(is_sent, &progress)),
             }
