--- a/src/bin/load-balancer/body/download.rs
+++ b/src/bin/load-balancer/body/download.rs
@@ -20,8 +20,7 @@
     read_ahead: VecDeque<Bytes>,
     remaining: Incoming,
     length: Option<u64>,
-    /// Bytes read from the upstream so far.
-    read: u64,
+    bytes_read: u64,
     /// Notified once the whole body has been read; `None` from then on.
     completion: Option<oneshot::Sender<()>>,
     stall: StallTimer,
@@ -39,17 +38,17 @@
         completion: oneshot::Sender<()>,
         memory: Option<MemoryPermit>,
     ) -> Self {
-        let read = read_ahead.iter().map(|data| data.len() as u64).sum();
+        let bytes_read = read_ahead.iter().map(|data| data.len() as u64).sum();
         let mut download = Download {
             read_ahead,
             remaining,
             length,
-            read,
+            bytes_read,
             completion: Some(completion),
             stall: StallTimer::new(UPSTREAM_STALL),
             _memory: memory,
         };
-        if length == Some(read) {
+        if length == Some(bytes_read) {
             download.complete_reading();
         }
         download
@@ -82,12 +81,12 @@
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            self.read += data.len() as u64;
-            if self.read > MAX_BODY_BYTES {
+            self.bytes_read += data.len() as u64;
+            if self.bytes_read > MAX_BODY_BYTES {
                 return Poll::Ready(Some(Err(BodyError::TooLarge)));
             }
             // With a known length hyper doesn't poll for the end.
-            if self.length == Some(self.read) {
+            if self.length == Some(self.bytes_read) {
                 self.complete_reading();
             }
             return Poll::Ready(Some(Ok(data)));
--- a/src/bin/load-balancer/body/memory_budget.rs
+++ b/src/bin/load-balancer/body/memory_budget.rs
@@ -27,13 +27,13 @@
 
     /// Waits until this many bytes are available. `None` would mean that the semaphore is closed,
     /// which never happens.
-    pub(super) async fn take(&self, bytes: usize) -> Option<MemoryPermit> {
+    pub(super) async fn acquire(&self, bytes: usize) -> Option<MemoryPermit> {
         self.0.clone().acquire_many_owned(bytes as u32).await.ok()
     }
 
     /// Reserves what one body may read ahead, if it is available now.
     #[must_use]
-    pub fn try_take(&self) -> Option<MemoryPermit> {
+    pub fn try_acquire(&self) -> Option<MemoryPermit> {
         self.0
             .clone()
             .try_acquire_many_owned(READ_AHEAD_BYTES as u32)
--- a/src/bin/load-balancer/body/upload.rs
+++ b/src/bin/load-balancer/body/upload.rs
@@ -27,8 +27,7 @@
     /// The connection's body while a part of it is unread.
     remaining: RefCell<Option<Incoming>>,
     length: Option<u64>,
-    /// Bytes read so far.
-    read: Cell<u64>,
+    bytes_read: Cell<u64>,
     last_progress: Cell<Instant>,
     /// Bytes beyond those read ahead have gone to an upstream.
     is_consumed: Cell<bool>,
@@ -52,7 +51,7 @@
         memory: Option<MemoryPermit>,
     ) -> Self {
         Upload {
-            read: Cell::new(read_ahead.len() as u64),
+            bytes_read: Cell::new(read_ahead.len() as u64),
             read_ahead,
             remaining: RefCell::new(remaining),
             length,
@@ -87,7 +86,7 @@
         let reserved = length.map_or(READ_AHEAD_BYTES, |length| {
             (length as usize).min(READ_AHEAD_BYTES)
         });
-        let mut memory = memory.take(reserved).await;
+        let mut memory = memory.acquire(reserved).await;
         let started = Instant::now();
         let mut read_ahead = BytesMut::new();
         while read_ahead.len() < READ_AHEAD_BYTES {
@@ -168,8 +167,8 @@
         let next_deadline = || Instant::now() + CLIENT_STALL;
         while let Ok(Some(Ok(frame))) = frame_before(next_deadline(), &mut remaining).await {
             let length = frame.data_ref().map_or(0, |data| data.len() as u64);
-            self.read.set(self.read.get() + length);
-            if self.read.get() > MAX_BODY_BYTES {
+            self.bytes_read.set(self.bytes_read.get() + length);
+            if self.bytes_read.get() > MAX_BODY_BYTES {
                 return;
             }
         }
@@ -196,8 +195,9 @@
             };
             self.is_consumed.set(true);
             self.last_progress.set(Instant::now());
-            self.read.set(self.read.get() + data.len() as u64);
-            if self.read.get() > MAX_BODY_BYTES {
+            self.bytes_read
+                .set(self.bytes_read.get() + data.len() as u64);
+            if self.bytes_read.get() > MAX_BODY_BYTES {
                 return Poll::Ready(Some(Err(BodyError::TooLarge)));
             }
             if body.is_end_stream() {
@@ -249,7 +249,7 @@
             return;
         }
         if let Some(on_complete) = self.on_complete.take() {
-            on_complete(self.upload.read.get());
+            on_complete(self.upload.bytes_read.get());
         }
     }
 }
@@ -267,7 +267,7 @@
         }
         let upload = self.upload.clone();
         let part = upload.poll_remaining(cx);
-        let total_limit = CLIENT_STALL + time_at_min_rate(upload.read.get());
+        let total_limit = CLIENT_STALL + time_at_min_rate(upload.bytes_read.get());
         match ready!(self.stall.poll(cx, part, total_limit)) {
             Ok(Some(Ok(data))) => {
                 self.report_completion();
--- a/src/bin/load-balancer/handover/peer_connection.rs
+++ b/src/bin/load-balancer/handover/peer_connection.rs
@@ -1,7 +1,7 @@
 //! The connection between the two processes of an upgrade.
 
 use crate::handover::message::PeerMessage;
-use crate::handover::retry_stream::RetryOnInterrupt;
+use crate::handover::retry_stream::RetryStream;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
 use tokio::net::unix::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::UnixStream;
@@ -19,7 +19,7 @@
         let (input, output) = stream.into_split();
         let (outgoing, queue) = unbounded_channel();
         spawn_local(write_messages(queue, output));
-        let lines = BufReader::new(RetryOnInterrupt(input)).lines();
+        let lines = BufReader::new(RetryStream(input)).lines();
         (PeerConnection { outgoing }, IncomingMessages { lines })
     }
 
@@ -31,7 +31,7 @@
 }
 
 async fn write_messages(mut queue: UnboundedReceiver<PeerMessage>, output: OwnedWriteHalf) {
-    let mut output = RetryOnInterrupt(output);
+    let mut output = RetryStream(output);
     while let Some(message) = queue.recv().await {
         let Ok(line) = message.to_line() else {
             continue;
@@ -43,7 +43,7 @@
 
 /// The receiving side.
 pub struct IncomingMessages {
-    lines: Lines<BufReader<RetryOnInterrupt<OwnedReadHalf>>>,
+    lines: Lines<BufReader<RetryStream<OwnedReadHalf>>>,
 }
 
 impl IncomingMessages {
--- a/src/bin/load-balancer/handover/retry_stream.rs
+++ b/src/bin/load-balancer/handover/retry_stream.rs
@@ -8,7 +8,7 @@
 
 /// Wraps a stream: an interrupted call is made again at once, one that failed for want of a
 /// resource in a later turn of the event loop.
-pub struct RetryOnInterrupt<T>(pub T);
+pub struct RetryStream<T>(pub T);
 
 /// The final result of a call, or `None` if it has to be made again at once.
 fn final_result<T>(result: Poll<io::Result<T>>, context: &Context) -> Option<Poll<io::Result<T>>> {
@@ -22,7 +22,7 @@
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for RetryOnInterrupt<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for RetryStream<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context,
@@ -37,7 +37,7 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for RetryOnInterrupt<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for RetryStream<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context,
--- a/src/bin/load-balancer/server/accept.rs
+++ b/src/bin/load-balancer/server/accept.rs
@@ -62,13 +62,17 @@
         }
     }
 
-    /// Accepts all connections in the listener's queue, and closes the listener. The kernel
-    /// resets connections that are still in the queue then.
+    /// Accepts all connections in the listener's queue, and closes the listener. Without that the
+    /// kernel would reset them.
     ///
     /// # Errors
     ///
     /// Those of accept(2) that last until `deadline`.
-    pub async fn close(self: &Rc<Self>, listener: Listener, deadline: Instant) -> io::Result<()> {
+    pub async fn close_listener(
+        self: &Rc<Self>,
+        listener: Listener,
+        deadline: Instant,
+    ) -> io::Result<()> {
         let mut shortage = ResourceShortage::default();
         loop {
             match listener.accept_now() {
--- a/src/bin/load-balancer/server/connection/mod.rs
+++ b/src/bin/load-balancer/server/connection/mod.rs
@@ -5,7 +5,7 @@
 mod stall;
 
 use crate::server::connection::signals::{CloseSignal, EvictionSignal};
-use crate::server::FIRST_REQUEST_TIMEOUT;
+use crate::server::REQUEST_ARRIVAL_TIMEOUT;
 use crate::socket::Socket;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -179,7 +179,7 @@
         });
         self.socket.mark_idle();
         // The bytes of the next head are searched for in these, so the fewer remain the better.
-        if self.request.end_offset.get() == Some(self.socket.read()) {
+        if self.request.end_offset.get() == Some(self.socket.bytes_read()) {
             self.socket.clear_recent_bytes();
         }
     }
@@ -195,7 +195,7 @@
         self.request
             .end_offset
             .get()
-            .is_some_and(|end| self.socket.read() > end || self.socket.has_unread())
+            .is_some_and(|end| self.socket.bytes_read() > end || self.socket.has_unread())
     }
 
     /// True if a requested close can begin now. It waits for a request of which any byte has
@@ -215,6 +215,6 @@
 
     /// When the first request has to be complete; `None` once there has been one.
     pub(super) fn first_request_deadline(&self) -> Option<Instant> {
-        (self.history.get() == RequestHistory::Empty).then(|| self.opened + FIRST_REQUEST_TIMEOUT)
+        (self.history.get() == RequestHistory::Empty).then(|| self.opened + REQUEST_ARRIVAL_TIMEOUT)
     }
 }
--- a/src/bin/load-balancer/server/connection/stall.rs
+++ b/src/bin/load-balancer/server/connection/stall.rs
@@ -3,7 +3,7 @@
 use super::{ClientConnection, Phase};
 use crate::body::CLIENT_STALL;
 use crate::server::{
-    DISCONNECT_POLL_INTERVAL, FIRST_REQUEST_TIMEOUT, IDLE_TIMEOUT, TIMEOUT_RESPONSE_GRACE,
+    DISCONNECT_POLL_INTERVAL, IDLE_TIMEOUT, REQUEST_ARRIVAL_TIMEOUT, TIMEOUT_RESPONSE_GRACE,
 };
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
@@ -52,7 +52,7 @@
     /// When the client counts as stalled on a connection that awaits a request since then.
     fn idle_deadline(&self, since: Instant) -> Instant {
         // The end of the last response is still to be sent.
-        if self.socket.is_blocked() {
+        if self.socket.is_write_blocked() {
             return self.socket.last_written() + WRITE_STALL_TIMEOUT;
         }
         // The rest of a body may take long and is no head, to which a stricter limit applies.
@@ -63,7 +63,7 @@
         if let Some(request_started_at) = self.socket.request_started_at() {
             return self
                 .first_request_deadline()
-                .unwrap_or(request_started_at + FIRST_REQUEST_TIMEOUT)
+                .unwrap_or(request_started_at + REQUEST_ARRIVAL_TIMEOUT)
                 + TIMEOUT_RESPONSE_GRACE;
         }
         // A client that takes the bytes of its response is not idle.
--- a/src/bin/load-balancer/server/eviction.rs
+++ b/src/bin/load-balancer/server/eviction.rs
@@ -40,7 +40,7 @@
 impl ClientConnection {
     /// The connection's place in the order of eviction; `None` if it is not to be evicted.
     pub(super) fn eviction_priority(&self) -> Option<EvictionPriority> {
-        if self.eviction.is_pending() || self.socket.is_blocked() {
+        if self.eviction.is_pending() || self.socket.is_write_blocked() {
             return None;
         }
         let idle_since = self.phase().idle_since()?;
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -32,8 +32,8 @@
 
 /// The time for a request to arrive: for the first one since the connection was opened, for a
 /// further one since its first byte. Of a body that takes longer only the beginning counts.
-pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The time after [`FIRST_REQUEST_TIMEOUT`] in which the client can be sent an error response
+pub const REQUEST_ARRIVAL_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The time after [`REQUEST_ARRIVAL_TIMEOUT`] in which the client can be sent an error response
 /// before its connection is closed.
 pub const TIMEOUT_RESPONSE_GRACE: Duration = Duration::from_millis(200);
 /// A connection is closed if its next request doesn't begin within this time, or if its client
@@ -48,7 +48,7 @@
     resources: Resources,
     connections: ConnectionTable,
     drain_state: DrainState,
-    listening: Cell<bool>,
+    is_listening: Cell<bool>,
     /// When a failed accept was last logged.
     accept_error_logged_at: Cell<Option<Instant>>,
 }
@@ -61,7 +61,7 @@
             resources,
             connections: ConnectionTable::default(),
             drain_state: DrainState::default(),
-            listening: Cell::new(false),
+            is_listening: Cell::new(false),
             accept_error_logged_at: Cell::new(None),
         })
     }
@@ -69,16 +69,18 @@
     /// True while new clients can be served: the server listens, has an endpoint list and is not
     /// draining.
     pub fn is_ready(&self) -> bool {
-        self.listening.get() && !self.drain_state.is_active() && self.dispatcher.borrow().is_ready()
+        self.is_listening.get()
+            && !self.drain_state.is_active()
+            && self.dispatcher.borrow().is_ready()
     }
 
-    /// The listener is open, so that the server can become ready.
-    pub fn open(&self) {
-        self.listening.set(true);
+    /// Notes that the listener is open, so that the server can become ready.
+    pub fn set_listening(&self) {
+        self.is_listening.set(true);
     }
 
     /// The number of open client connections.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 }
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -5,7 +5,7 @@
 use crate::server::connection::{ClientConnection, Phase};
 use crate::server::raw_head::RawHead;
 use crate::server::request_error::RequestError;
-use crate::server::{Server, FIRST_REQUEST_TIMEOUT};
+use crate::server::{Server, REQUEST_ARRIVAL_TIMEOUT};
 use crate::socket::Socket;
 use crate::upstream::{end_to_end_headers, ForwardedRequest};
 use hyper::body::Incoming;
@@ -111,7 +111,7 @@
         let request_started_at = client.socket.request_started_at().unwrap_or(received_at);
         let deadline = client
             .first_request_deadline()
-            .unwrap_or(request_started_at + FIRST_REQUEST_TIMEOUT);
+            .unwrap_or(request_started_at + REQUEST_ARRIVAL_TIMEOUT);
         client.enter(Phase::ReceivingBody);
         let upload = Upload::read(
             body,
@@ -162,7 +162,7 @@
             return Err(RequestError::AmbiguousBodyLength);
         }
         Ok(BodyFraming {
-            start_offset: raw_head.map(|raw| socket.read() - raw.trailing_bytes),
+            start_offset: raw_head.map(|raw| socket.bytes_read() - raw.trailing_bytes),
             chunked,
         })
     }
--- a/src/bin/load-balancer/shutdown/mod.rs
+++ b/src/bin/load-balancer/shutdown/mod.rs
@@ -71,7 +71,7 @@
     log::line(format!("graceful shutdown started: {name}"));
     stop_accepting(server, listener, successor, schedule).await;
     let connections_ended = async {
-        while server.connections() > 0 {
+        while server.connection_count() > 0 {
             sleep(CONNECTION_CHECK_INTERVAL).await;
         }
     };
@@ -79,7 +79,7 @@
         .await
         .is_err()
     {
-        let open = server.connections();
+        let open = server.connection_count();
         log::line(format!(
             "graceful shutdown incomplete: {name} ({open} connections open)"
         ));
@@ -101,7 +101,7 @@
             .accept(&listener, sleep(schedule.accept_window))
             .await;
     }
-    if let Err(error) = server.close(listener, deadline).await {
+    if let Err(error) = server.close_listener(listener, deadline).await {
         log::line(format!("closing the listener failed: {error}"));
     }
     if successor == Successor::Accepting {
--- a/src/bin/load-balancer/socket/connection.rs
+++ b/src/bin/load-balancer/socket/connection.rs
@@ -105,13 +105,13 @@
 
     /// Bytes that have been read. Those that were only read ahead don't count yet.
     #[must_use]
-    pub fn read(&self) -> usize {
+    pub fn bytes_read(&self) -> usize {
         self.0.received.bytes.get()
     }
 
     /// Bytes that the kernel has accepted.
     #[must_use]
-    pub fn written(&self) -> usize {
+    pub fn bytes_written(&self) -> usize {
         self.0.sent.bytes.get()
     }
 
@@ -129,7 +129,7 @@
 
     /// True if a write waits until the peer takes more.
     #[must_use]
-    pub fn is_blocked(&self) -> bool {
+    pub fn is_write_blocked(&self) -> bool {
         self.0.write_blocked.get()
     }
 
@@ -158,13 +158,13 @@
     /// Begins an exchange with an upstream on behalf of this client. Its first write fails unless
     /// the connection is idle, and reading more than `max_received` bytes fails.
     pub fn begin_exchange(&self, client: PeerHandle, max_received: usize) {
-        let max_received = self.read().saturating_add(max_received);
+        let max_received = self.bytes_read().saturating_add(max_received);
         self.0.exchange.begin(client, max_received);
     }
 
     /// Limits the exchange to `max_received` further bytes.
     pub fn limit_read(&self, max_received: usize) {
-        let max_received = self.read().saturating_add(max_received);
+        let max_received = self.bytes_read().saturating_add(max_received);
         self.0.exchange.set_max_received(max_received);
     }
 
@@ -173,11 +173,11 @@
         self.0.exchange.set_max_received(usize::MAX);
     }
 
-    /// Declares where the request of the exchange ends, as a value of [`Socket::written`]. The
+    /// Declares where the request of the exchange ends, as a value of [`Self::bytes_written`]. The
     /// attempt is counted once all of it is written.
-    pub fn complete_at(&self, written: usize, metrics: Rc<Metrics>) {
-        self.0.exchange.set_request_end(written, metrics);
-        self.0.exchange.record_sent(self.written());
+    pub fn set_request_end(&self, position: usize, metrics: Rc<Metrics>) {
+        self.0.exchange.set_request_end(position, metrics);
+        self.0.exchange.record_sent(self.bytes_written());
     }
 
     /// Allows or forbids reading ahead. Allow it only while nobody reads the connection.
--- a/src/bin/load-balancer/socket/exchange_limits.rs
+++ b/src/bin/load-balancer/socket/exchange_limits.rs
@@ -78,7 +78,7 @@
         if is_first && !socket.is_open_and_idle() {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
-        let is_last = socket.written().saturating_add(length) >= self.request_end.get();
+        let is_last = socket.bytes_written().saturating_add(length) >= self.request_end.get();
         if (is_first || is_last) && self.client.borrow().is_disconnected() {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
--- a/src/bin/load-balancer/socket/io.rs
+++ b/src/bin/load-balancer/socket/io.rs
@@ -24,7 +24,7 @@
         let count = ready!(self.poll_input(cx, &mut bytes[..capacity]))?;
         self.0.received.add(count);
         self.0.client_input.record_read(count);
-        self.0.exchange.check_received(self.read())?;
+        self.0.exchange.check_received(self.bytes_read())?;
         self.0.client_input.record_bytes(&bytes[..count]);
         buffer.put_slice(&bytes[..count]);
         Poll::Ready(Ok(()))
@@ -115,6 +115,6 @@
     fn record_sent(&self, count: usize) {
         self.0.sent.add(count);
         self.0.sent.record_progress();
-        self.0.exchange.record_sent(self.written());
+        self.0.exchange.record_sent(self.bytes_written());
     }
 }
--- a/src/bin/load-balancer/socket/system_errors.rs
+++ b/src/bin/load-balancer/socket/system_errors.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 /// For how long a call at startup is retried.
-const STARTUP_RETRY_LIMIT: Duration = Duration::from_secs(4);
+const STARTUP_RETRY_TIMEOUT: Duration = Duration::from_secs(4);
 /// Delay between two tries at startup.
-const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(20);
+const STARTUP_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 fn is_one_of(error: &io::Error, numbers: &[i32]) -> bool {
     error
@@ -59,11 +59,11 @@
 ///
 /// The first error that isn't transient, or the last one when the time is over.
 pub fn retry_transient_errors<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let deadline = Instant::now() + STARTUP_RETRY_LIMIT;
+    let deadline = Instant::now() + STARTUP_RETRY_TIMEOUT;
     loop {
         match call() {
             Err(error) if is_transient(&error) && Instant::now() < deadline => {
-                thread::sleep(STARTUP_RETRY_DELAY);
+                thread::sleep(STARTUP_RETRY_INTERVAL);
             }
             result => return result,
         }
--- a/src/bin/load-balancer/socket/tests.rs
+++ b/src/bin/load-balancer/socket/tests.rs
@@ -64,9 +64,9 @@
             Poll::Ready(())
         })
         .await;
-        assert!(socket.is_blocked());
+        assert!(socket.is_write_blocked());
         let mut read = vec![0; 1 << 20];
-        while socket.is_blocked() {
+        while socket.is_write_blocked() {
             peer.readable().await.expect("open");
             let _ = peer.try_read(&mut read);
             tokio::task::yield_now().await;
--- a/src/bin/load-balancer/upstream/exchange.rs
+++ b/src/bin/load-balancer/upstream/exchange.rs
@@ -30,25 +30,25 @@
     pub(super) fn new(socket: &'a Socket) -> Self {
         ExchangeProgress {
             socket,
-            written_before: socket.written(),
-            read_before: socket.read(),
+            written_before: socket.bytes_written(),
+            read_before: socket.bytes_read(),
             request_length: Rc::new(Cell::new(usize::MAX)),
         }
     }
 
     /// True if nothing of the request has been written.
     pub(super) fn is_unsent(&self) -> bool {
-        self.socket.written() == self.written_before
+        self.socket.bytes_written() == self.written_before
     }
 
     /// True if the whole request may have been written.
     pub(super) fn is_request_sent(&self) -> bool {
-        self.socket.written() - self.written_before >= self.request_length.get()
+        self.socket.bytes_written() - self.written_before >= self.request_length.get()
     }
 
     /// True if something of the response has been read.
     pub(super) fn has_response_begun(&self) -> bool {
-        self.socket.read() > self.read_before
+        self.socket.bytes_read() > self.read_before
     }
 }
 
@@ -153,7 +153,7 @@
         let written_before = progress.written_before;
         let body = UploadBody::new(self.request.upload.clone(), move |body_length| {
             request_length.set(head_length + body_length as usize);
-            socket.complete_at(written_before + request_length.get(), metrics);
+            socket.set_request_end(written_before + request_length.get(), metrics);
         });
         let mut request = Request::new(body);
         *request.method_mut() = method;
--- a/src/bin/load-balancer/upstream/response.rs
+++ b/src/bin/load-balancer/upstream/response.rs
@@ -161,7 +161,7 @@
             disposition: Disposition::Close,
         });
     }
-    let permit = memory.try_take();
+    let permit = memory.try_acquire();
     let is_large =
         permit.is_none() || length.is_some_and(|length| length > READ_AHEAD_BYTES as u64);
     let beginning = read_beginning(socket, &mut body, length, is_large).await?;
