--- a/src/bin/load-balancer/admin/mod.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -27,7 +27,7 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
-/// A connection is closed after this time, whether or not its response has been taken.
+/// A connection is closed after this time, whether or not its client has read the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_HEAD_BYTES: usize = 8 << 10;
 const MAX_HEADERS: usize = 64;
@@ -42,9 +42,9 @@
     server: Rc<Server>,
     handover: Rc<Handover>,
     budget: Rc<DescriptorBudget>,
-    /// Connections whose request has not been answered, by their numbers: the oldest comes first.
-    /// Notified, they close.
-    unanswered: RefCell<BTreeMap<u64, Rc<Notify>>>,
+    /// Connections that have no response yet, by their numbers: the oldest comes first. Notified,
+    /// they close.
+    awaiting_response: RefCell<BTreeMap<u64, Rc<Notify>>>,
     next_connection: Cell<u64>,
 }
 
@@ -61,7 +61,7 @@
             server,
             handover,
             budget,
-            unanswered: RefCell::default(),
+            awaiting_response: RefCell::default(),
             next_connection: Cell::new(0),
         })
     }
@@ -96,13 +96,13 @@
         }
     }
 
-    /// A permit for one connection. Without a free one the oldest unanswered connection is
-    /// closed, so that silent callers can't lock out the others.
+    /// A permit for one connection. Without a free one the oldest connection that has no response
+    /// yet is closed, so that silent clients can't lock out the others.
     async fn acquire_permit(&self) -> Option<DescriptorPermit> {
         if let Some(permit) = self.budget.acquire(Purpose::Admin) {
             return Some(permit);
         }
-        if let Some(oldest) = self.unanswered.borrow().values().next() {
+        if let Some(oldest) = self.awaiting_response.borrow().values().next() {
             oldest.notify_one();
         }
         // Lets the task of that connection close it.
@@ -115,10 +115,12 @@
         let number = self.next_connection.get();
         self.next_connection.set(number + 1);
         let evicted = Rc::new(Notify::new());
-        self.unanswered.borrow_mut().insert(number, evicted.clone());
+        self.awaiting_response
+            .borrow_mut()
+            .insert(number, evicted.clone());
         let service = service_fn(|request| async {
             let response = self.respond(request).await;
-            self.unanswered.borrow_mut().remove(&number);
+            self.awaiting_response.borrow_mut().remove(&number);
             Ok::<_, Infallible>(response)
         });
         let mut http = http1::Builder::new();
@@ -126,11 +128,11 @@
             .max_buf_size(MAX_HEAD_BYTES)
             .max_headers(MAX_HEADERS);
         tokio::select! {
-            // hyper itself answers malformed requests.
+            // hyper itself rejects malformed requests.
             _ = timeout(CONNECTION_TIMEOUT, http.serve_connection(socket, service)) => {}
             () = evicted.notified() => {}
         }
-        self.unanswered.borrow_mut().remove(&number);
+        self.awaiting_response.borrow_mut().remove(&number);
     }
 
     async fn respond(&self, request: Request<Incoming>) -> AdminResponse {
@@ -142,10 +144,9 @@
 
     async fn handle(&self, request: Request<Incoming>) -> Result<String, AdminError> {
         let (head, body) = request.into_parts();
-        let (method, request) =
-            AdminRequest::at_path(head.uri.path()).ok_or(AdminError::UnknownPath)?;
-        if head.method != method {
-            return Err(AdminError::WrongMethod(method));
+        let request = AdminRequest::at_path(head.uri.path()).ok_or(AdminError::UnknownPath)?;
+        if head.method != request.method() {
+            return Err(AdminError::WrongMethod(request.method()));
         }
         discard_body(body).await?;
         self.carry_out(request)
--- a/src/bin/load-balancer/admin/request.rs
+++ b/src/bin/load-balancer/admin/request.rs
@@ -1,4 +1,4 @@
-//! What can be asked of the admin endpoint: paths and methods.
+//! The requests that the admin endpoint accepts, by path and method.
 
 use crate::server::ClientDrain;
 use hyper::Method;
@@ -23,32 +23,31 @@
 }
 
 impl<'a> AdminRequest<'a> {
-    /// The request at this path, and the method that belongs to it; `None` if there is no such
-    /// path.
-    pub fn at_path(path: &'a str) -> Option<(Method, Self)> {
+    /// The request at this path; `None` if there is no such path.
+    pub fn at_path(path: &'a str) -> Option<Self> {
         let segments: Vec<_> = path.strip_prefix('/')?.split('/').collect();
         Some(match segments[..] {
-            ["healthcheck"] => (Method::GET, AdminRequest::Health),
-            ["stats"] => (Method::GET, AdminRequest::Metrics),
-            ["healthcheck", "fail"] => {
-                (Method::POST, AdminRequest::DrainClients(ClientDrain::Begin))
-            }
-            ["healthcheck", "ok"] => (Method::POST, AdminRequest::DrainClients(ClientDrain::End)),
-            ["upstreams", upstream, "maint"] => {
-                let change = Maintenance::Begin;
-                (
-                    Method::POST,
-                    AdminRequest::SetMaintenance { upstream, change },
-                )
-            }
-            ["upstreams", upstream, "ready"] => {
-                let change = Maintenance::End;
-                (
-                    Method::POST,
-                    AdminRequest::SetMaintenance { upstream, change },
-                )
-            }
+            ["healthcheck"] => AdminRequest::Health,
+            ["stats"] => AdminRequest::Metrics,
+            ["healthcheck", "fail"] => AdminRequest::DrainClients(ClientDrain::Begin),
+            ["healthcheck", "ok"] => AdminRequest::DrainClients(ClientDrain::End),
+            ["upstreams", upstream, "maint"] => AdminRequest::SetMaintenance {
+                upstream,
+                change: Maintenance::Begin,
+            },
+            ["upstreams", upstream, "ready"] => AdminRequest::SetMaintenance {
+                upstream,
+                change: Maintenance::End,
+            },
             _ => return None,
         })
     }
+
+    /// The method that belongs to the request's path.
+    pub fn method(&self) -> Method {
+        match self {
+            AdminRequest::Health | AdminRequest::Metrics => Method::GET,
+            AdminRequest::DrainClients(_) | AdminRequest::SetMaintenance { .. } => Method::POST,
+        }
+    }
 }
--- a/src/bin/load-balancer/admin/tests.rs
+++ b/src/bin/load-balancer/admin/tests.rs
@@ -37,7 +37,8 @@
             },
         ),
     ] {
-        assert_eq!(AdminRequest::at_path(path), Some((method, request)));
+        assert_eq!(request.method(), method, "{path}");
+        assert_eq!(AdminRequest::at_path(path), Some(request));
     }
     for path in [
         "/",
--- a/src/bin/load-balancer/dispatch/upstream_directory/tests.rs
+++ b/src/bin/load-balancer/dispatch/upstream_directory/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::body::MemoryBudget;
 use crate::metrics::Metrics;
-use crate::socket::DescriptorBudget;
+use crate::socket::{AdminEndpoint, DescriptorBudget};
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -11,7 +11,7 @@
 
 fn directory() -> UpstreamDirectory {
     let (budget, memory) = (
-        DescriptorBudget::new(1024, false),
+        DescriptorBudget::new(1024, AdminEndpoint::Absent),
         MemoryBudget::new(1 << 20),
     );
     let pool = ConnectionPool::new(budget, Metrics::new(&[]), memory, 0.1, 1.0);
--- a/src/bin/load-balancer/handover/state_store.rs
+++ b/src/bin/load-balancer/handover/state_store.rs
@@ -106,7 +106,7 @@
         match self.read_maintenance_with_retries().await? {
             Ok(state) => Some(state),
             Err(error) => {
-                log::line(format!("no state restored: {error}"));
+                log::line(format!("state not restored: {error}"));
                 None
             }
         }
--- a/src/bin/load-balancer/resources.rs
+++ b/src/bin/load-balancer/resources.rs
@@ -4,7 +4,7 @@
 use crate::body::MemoryBudget;
 use crate::config::Config;
 use crate::metrics::Metrics;
-use crate::socket::DescriptorBudget;
+use crate::socket::{AdminEndpoint, DescriptorBudget};
 use crate::upstream::ConnectionPool;
 use std::rc::Rc;
 
@@ -25,7 +25,11 @@
     /// The resources of a process with this configuration, none of them in use.
     #[must_use]
     pub fn new(config: &Config) -> Self {
-        let descriptors = DescriptorBudget::new(config.max_descriptors, config.admin.is_some());
+        let admin = match config.admin {
+            Some(_) => AdminEndpoint::Present,
+            None => AdminEndpoint::Absent,
+        };
+        let descriptors = DescriptorBudget::new(config.max_descriptors, admin);
         let memory = MemoryBudget::new(config.memory_bytes);
         let metrics = Metrics::new(&config.names.classes);
         let limits = &config.settings.limits;
--- a/src/bin/load-balancer/server/accept.rs
+++ b/src/bin/load-balancer/server/accept.rs
@@ -102,7 +102,7 @@
     /// evicted.
     async fn back_off(&self, shortage: &mut ResourceShortage, error: &io::Error) {
         if is_connection_error(error) {
-            // Only this connection has failed; the next one may be sound.
+            // Only this connection has failed; the next one may succeed.
             return yield_now().await;
         }
         self.log_accept_error(error);
@@ -121,7 +121,7 @@
         let logged_at = self.accept_error_logged_at.get();
         if logged_at.is_none_or(|logged_at| logged_at.elapsed() > ACCEPT_ERROR_LOG_INTERVAL) {
             self.accept_error_logged_at.set(Some(Instant::now()));
-            log::line(format!("accept failed: {error}"));
+            log::line(format!("client accept failed: {error}"));
         }
     }
 
@@ -130,14 +130,16 @@
         let stream = match accepted.register().await {
             Ok(stream) => stream,
             Err(error) => {
-                return log::line(format!("client connection dropped: {error}"));
+                return log::line(format!(
+                    "client connection not registered: {error}; closing it"
+                ));
             }
         };
-        let Some((permit, admission)) = self.acquire_permit().await else {
+        let Some(permit) = self.acquire_permit().await else {
             return;
         };
-        let client = ClientConnection::new(Socket::new(stream, permit));
+        let client = ClientConnection::new(Socket::new(stream, permit.descriptor));
         let id = self.connections.insert(client.clone());
-        spawn_local(self.clone().serve(id, client, admission));
+        spawn_local(self.clone().serve(id, client, permit.admission));
     }
 }
--- a/src/bin/load-balancer/server/capacity.rs
+++ b/src/bin/load-balancer/server/capacity.rs
@@ -20,6 +20,12 @@
     OverCapacity,
 }
 
+/// The descriptor of a new connection.
+pub(super) struct ConnectionPermit {
+    pub(super) descriptor: DescriptorPermit,
+    pub(super) admission: Admission,
+}
+
 impl Server {
     /// Closes idle connections, those to upstreams first, until the process holds no more than
     /// this many descriptors or there is nothing left to close.
@@ -32,34 +38,39 @@
     /// Takes a descriptor from the budget for a new connection, evicting an idle one if
     /// necessary; `None` if not even a rejection can be sent. Never waits for a client, as silent
     /// clients would then block all connections behind them.
-    pub(super) async fn acquire_permit(&self) -> Option<(DescriptorPermit, Admission)> {
-        if let Some(permit) = self
-            .resources
-            .descriptors
-            .acquire(Purpose::ClientConnection)
-        {
-            return Some((permit, Admission::WithinCapacity));
+    pub(super) async fn acquire_permit(&self) -> Option<ConnectionPermit> {
+        if let Some(permit) = self.try_acquire_permit(Admission::WithinCapacity) {
+            return Some(permit);
         }
         for _ in 0..MAX_PERMIT_ATTEMPTS {
             if self.connections.evict_one().await {
-                if let Some(permit) = self
-                    .resources
-                    .descriptors
-                    .acquire(Purpose::ClientConnection)
-                {
-                    return Some((permit, Admission::WithinCapacity));
+                if let Some(permit) = self.try_acquire_permit(Admission::WithinCapacity) {
+                    return Some(permit);
                 }
             }
-            if let Some(permit) = self.resources.descriptors.acquire(Purpose::Rejection) {
-                return Some((permit, Admission::OverCapacity));
+            if let Some(permit) = self.try_acquire_permit(Admission::OverCapacity) {
+                return Some(permit);
             }
             yield_now().await;
         }
         None
     }
 
+    fn try_acquire_permit(&self, admission: Admission) -> Option<ConnectionPermit> {
+        let purpose = match admission {
+            Admission::WithinCapacity => Purpose::ClientConnection,
+            Admission::OverCapacity => Purpose::Rejection,
+        };
+        let descriptor = self.resources.descriptors.acquire(purpose)?;
+        Some(ConnectionPermit {
+            descriptor,
+            admission,
+        })
+    }
+
     /// Evicts idle connections for one that was accepted over capacity and has sent a request;
-    /// true if there is capacity for it now. A client with a request goes before those without.
+    /// true if there is capacity for it now. A client with a request has
+    /// priority over those without.
     pub(super) async fn wait_for_capacity(&self, client: &ClientConnection) -> bool {
         // Keeps the connection itself from being evicted.
         client.enter(Phase::AwaitingCapacity);
--- a/src/bin/load-balancer/shutdown/mod.rs
+++ b/src/bin/load-balancer/shutdown/mod.rs
@@ -13,9 +13,9 @@
 /// Connections are accepted for up to this long after SIGTERM: clients' health checks have to
 /// notice it first.
 const ACCEPT_WINDOW: Duration = Duration::from_millis(800);
-/// SIGKILL follows SIGTERM after the longest deadline, of which no more than this counts,
-const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
-/// and this much more.
+/// SIGKILL follows SIGTERM after the longest deadline, but at most this time, and [`KILL_DELAY`].
+const MAX_DEADLINE_UNTIL_KILL: Duration = Duration::from_secs(3);
+/// The constant part of the time from SIGTERM to SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// All requests have their responses this long before SIGKILL: the process may be paused for 0.15 s just then.
 const KILL_MARGIN: Duration = Duration::from_millis(250);
@@ -49,7 +49,8 @@
 impl ShutdownSchedule {
     /// The schedule where this is the longest deadline of a request class.
     pub fn new(longest_deadline: Duration) -> Self {
-        let response_timeout = longest_deadline.min(MAX_KILL_DEADLINE) + KILL_DELAY - KILL_MARGIN;
+        let response_timeout =
+            longest_deadline.min(MAX_DEADLINE_UNTIL_KILL) + KILL_DELAY - KILL_MARGIN;
         ShutdownSchedule {
             // A request that is accepted later could not have its response in time.
             accept_window: ACCEPT_WINDOW.min(response_timeout - LAST_REQUEST_MARGIN),
@@ -102,7 +103,7 @@
             .await;
     }
     if let Err(error) = server.close_listener(listener, deadline).await {
-        log::line(format!("closing the listener failed: {error}"));
+        log::line(format!("queued connections not accepted: {error}"));
     }
     if successor == Successor::Accepting {
         sleep(schedule.accept_window).await;
--- a/src/bin/load-balancer/socket/descriptor_budget.rs
+++ b/src/bin/load-balancer/socket/descriptor_budget.rs
@@ -6,7 +6,7 @@
 
 /// Descriptors that are not counted one by one: standard streams, event loop, listeners, signals.
 const RESERVED_FOR_PROCESS: usize = 16;
-/// Descriptors reserved for clients that are only answered 503.
+/// Descriptors reserved for clients whose requests are rejected.
 const RESERVED_FOR_REJECTIONS: usize = 8;
 /// Descriptors reserved for discovery: the watches that are followed at a time, and one that
 /// replaces another.
@@ -23,7 +23,7 @@
     Upstream,
     /// A client's connection.
     ClientConnection,
-    /// A client's connection beyond the clients' share, accepted only to be answered 503.
+    /// A client's connection beyond the clients' quota, accepted only to reject its request.
     Rejection,
     /// A connection to discovery.
     Discovery,
@@ -31,9 +31,18 @@
     Admin,
 }
 
+/// Whether the process has an admin endpoint, so that descriptors are reserved for it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AdminEndpoint {
+    /// It has one.
+    Present,
+    /// It has none.
+    Absent,
+}
+
 /// Counts the open sockets against the process's limit of descriptors.
 ///
-/// Each purpose has a share of its own: if clients could use every descriptor, none would be left
+/// Each purpose has a quota of its own: if clients could use every descriptor, none would be left
 /// for the upstreams that their requests need.
 #[derive(Debug)]
 pub struct DescriptorBudget {
@@ -50,9 +59,9 @@
 }
 
 impl DescriptorBudget {
-    /// A budget of this many descriptors; `admin` reserves some for an admin endpoint.
+    /// A budget of this many descriptors.
     #[must_use]
-    pub fn new(descriptors: usize, admin: bool) -> Rc<Self> {
+    pub fn new(descriptors: usize, admin: AdminEndpoint) -> Rc<Self> {
         let budget = DescriptorBudget {
             clients: Cell::new(0),
             upstreams: Cell::new(0),
@@ -60,7 +69,10 @@
             admin: Cell::new(0),
             shared_limit: Cell::new(0),
             client_limit: Cell::new(0),
-            admin_limit: if admin { RESERVED_FOR_ADMIN } else { 0 },
+            admin_limit: match admin {
+                AdminEndpoint::Present => RESERVED_FOR_ADMIN,
+                AdminEndpoint::Absent => 0,
+            },
             read_ahead_usage: Rc::default(),
         };
         budget.set_limit(descriptors);
@@ -91,7 +103,7 @@
         self.clients.get() + self.upstreams.get()
     }
 
-    /// Reserves one descriptor, if the purpose's share allows it.
+    /// Reserves one descriptor, if the purpose's quota allows it.
     #[must_use]
     pub fn acquire(self: &Rc<Self>, purpose: Purpose) -> Option<DescriptorPermit> {
         if !self.is_available(purpose) {
@@ -123,7 +135,7 @@
         }
     }
 
-    /// True while clients hold more than their share, that is, while some use descriptors that are
+    /// True while clients hold more than their quota, that is, while some use descriptors that are
     /// reserved for rejections.
     #[must_use]
     pub fn is_exceeded(&self) -> bool {
--- a/src/bin/load-balancer/socket/mod.rs
+++ b/src/bin/load-balancer/socket/mod.rs
@@ -4,7 +4,7 @@
 //!   and the admin endpoint.
 //! - [`Socket`] is a connection with counters, with hyper's I/O traits in `io`.
 //! - Of clients' connections, `client_input` holds the latest bytes and the start of a request,
-//!   and `read_ahead` the bytes that were read before the server asked for them.
+//!   and `read_ahead` the bytes that were read before the server reads them.
 //! - Of upstreams' connections, `exchange_limits` holds what an attempt requires.
 //! - `closing` detects disconnects and implements the lingering close.
 //! - [`system_errors`] classifies errors of system calls.
@@ -20,7 +20,7 @@
 
 pub use closing::UnreadInput;
 pub use connection::{PeerHandle, Socket};
-pub use descriptor_budget::{DescriptorBudget, DescriptorPermit, Purpose};
+pub use descriptor_budget::{AdminEndpoint, DescriptorBudget, DescriptorPermit, Purpose};
 
 #[cfg(test)]
 mod tests;
--- a/src/bin/load-balancer/socket/tests.rs
+++ b/src/bin/load-balancer/socket/tests.rs
@@ -10,7 +10,7 @@
 /// Neither clients nor upstreams can starve the other, and nothing can starve discovery.
 #[test]
 fn clients_leave_descriptors_for_upstreams_and_all_leave_some_for_discovery() {
-    let budget = DescriptorBudget::new(256, true);
+    let budget = DescriptorBudget::new(256, AdminEndpoint::Present);
     let acquire_all = |purpose| std::iter::from_fn(|| budget.acquire(purpose)).collect::<Vec<_>>();
     let clients = acquire_all(Purpose::ClientConnection);
     let upstreams = acquire_all(Purpose::Upstream);
@@ -49,7 +49,7 @@
             .await
             .expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let permit = DescriptorBudget::new(64, false)
+        let permit = DescriptorBudget::new(64, AdminEndpoint::Absent)
             .acquire(Purpose::Upstream)
             .expect("a free descriptor");
         let mut socket = Socket::connect(address, permit, Duration::from_secs(60))
--- a/src/bin/load-balancer/upstream/tests.rs
+++ b/src/bin/load-balancer/upstream/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::body::MemoryBudget;
 use crate::metrics::Metrics;
-use crate::socket::DescriptorBudget;
+use crate::socket::{AdminEndpoint, DescriptorBudget};
 use load_balancer::UpstreamId;
 use tokio::net::TcpListener;
 
@@ -18,7 +18,7 @@
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let budget = DescriptorBudget::new(256, false);
+        let budget = DescriptorBudget::new(256, AdminEndpoint::Absent);
         let classes = ["read".to_string()];
         let pool = ConnectionPool::new(
             budget.clone(),
