--- a/src/bin/load-balancer/body/download.rs
+++ b/src/bin/load-balancer/body/download.rs
@@ -21,7 +21,7 @@
     remaining: Incoming,
     length: Option<u64>,
     bytes_read: u64,
-    /// Notified once the whole body has been read; `None` from then on.
+    /// Notified once the complete body has been read; `None` from then on.
     completion: Option<oneshot::Sender<()>>,
     stall: StallTimer,
     _memory: Option<MemoryPermit>,
@@ -54,7 +54,7 @@
         download
     }
 
-    /// True once the whole body has been passed on.
+    /// True once the complete body has been passed on.
     pub(super) fn is_passed_on(&self) -> bool {
         self.read_ahead.is_empty() && self.completion.is_none()
     }
--- a/src/bin/load-balancer/body/upload.rs
+++ b/src/bin/load-balancer/body/upload.rs
@@ -32,7 +32,7 @@
     /// Bytes beyond those read ahead have gone to an upstream.
     is_consumed: Cell<bool>,
     error: Cell<Option<BodyError>>,
-    /// Notified once the whole body has been read.
+    /// Notified once the complete body has been read.
     completion: RefCell<Option<oneshot::Sender<()>>>,
     _memory: Option<MemoryPermit>,
 }
@@ -115,7 +115,7 @@
         Self::new(read_ahead.freeze(), None, Some(length), memory)
     }
 
-    /// Length of the whole body in bytes, if known.
+    /// Length of the complete body in bytes, if known.
     #[must_use]
     pub fn length(&self) -> Option<u64> {
         self.length
@@ -150,7 +150,7 @@
         self.error.get()
     }
 
-    /// Notified once the whole body has been read; fails if that never happens.
+    /// Notified once the complete body has been read; fails if that never happens.
     #[must_use]
     pub fn completed(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
--- a/src/bin/load-balancer/discovery/watch.rs
+++ b/src/bin/load-balancer/discovery/watch.rs
@@ -25,9 +25,9 @@
 /// Where lists are polled, discovery may queue calls: beside one with no response after this time
 /// another one is made. A change has to be known 6 s after discovery has it, whatever became of
 /// the call before: this, a call that is queued for 2 s and refused then, and the backoff after
-/// that have to fit in there, and so have two calls that are never answered.
+/// that have to fit in there, and so have two calls that get no response.
 const POLL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2600);
-/// Where lists are pushed, a local agent answers at once. The same holds for a discovery address
+/// Where lists are pushed, a local agent responds at once. The same holds for a discovery address
 /// of which nothing is known yet, in either mode: its list is needed soon.
 const PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Discovery sends a line every 2 s, an empty one if nothing changed. What a broken watch misses
--- a/src/bin/load-balancer/discovery/watch_set/mod.rs
+++ b/src/bin/load-balancer/discovery/watch_set/mod.rs
@@ -174,8 +174,8 @@
             task: None,
         });
         if self.watches.len() > MAX_WATCHES {
-            // The first is authoritative, possibly on the old address, and the second is the next
-            // to be answered where discovery queues calls; closing either would lose its place.
+            // The first is authoritative, possibly on the old address, and the second has
+            // waited longest where discovery queues calls; closing either would lose its place.
             self.watches.remove(2);
         }
         WatchRequest {
--- a/src/bin/load-balancer/dispatch/clock/mod.rs
+++ b/src/bin/load-balancer/dispatch/clock/mod.rs
@@ -12,7 +12,8 @@
 }
 
 impl MonotonicUnixClock {
-    /// A clock that is right now. A wall clock before 1970 counts as 1970.
+    /// A clock that agrees with the wall clock now. A wall clock before 1970 is taken to be at
+    /// 1970.
     pub fn new() -> Self {
         let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         MonotonicUnixClock {
--- a/src/bin/load-balancer/dispatch/endpoints.rs
+++ b/src/bin/load-balancer/dispatch/endpoints.rs
@@ -1,5 +1,4 @@
-//! The way of a change of the endpoint list, and of maintenance by operators, through the
-//! dispatcher.
+//! How changes of the endpoint list, and of maintenance by operators, pass through the dispatcher.
 
 use crate::discovery::{
     run_watch, EndpointList, Reconnect, WatchError, WatchId, WatchObserver, WatchRequest,
--- a/src/bin/load-balancer/dispatch/recent_request_ids/mod.rs
+++ b/src/bin/load-balancer/dispatch/recent_request_ids/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The ids of recent requests. An id is kept for `retention` at the least and twice that at the
+/// The ids of recent requests. An id is retained for `retention` at the least and twice that at the
 /// most: ids are dropped a generation at a time.
 pub struct RecentRequestIds {
     retention: Duration,
--- a/src/bin/load-balancer/dispatch/request.rs
+++ b/src/bin/load-balancer/dispatch/request.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// A request that has come in.
+/// A valid request of a client.
 pub struct AcceptedRequest {
     /// The id that its client gave it, which no other request has.
     pub client_request_id: String,
--- a/src/bin/load-balancer/dispatch/requests.rs
+++ b/src/bin/load-balancer/dispatch/requests.rs
@@ -1,4 +1,4 @@
-//! The way of a request through the dispatcher, from its acceptance to its final response.
+//! How a request passes through the dispatcher, from its acceptance to its final response.
 
 use crate::dispatch::request_table::AttemptId;
 use crate::dispatch::timers::Timer;
--- a/src/bin/load-balancer/dispatch/upstream_directory/mod.rs
+++ b/src/bin/load-balancer/dispatch/upstream_directory/mod.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The listed upstreams, and those that operators have taken out of service. Keeps the connection
-/// pool in step: connections are pooled for available upstreams only.
+/// The listed upstreams, and those that operators have taken out of service. Updates the connection
+/// pool: connections are pooled for available upstreams only.
 pub struct UpstreamDirectory {
     upstreams: HashMap<UpstreamId, ListedUpstream>,
     /// The names of the upstreams in maintenance; they need not be listed.
@@ -62,7 +62,7 @@
         is_available.then_some(listed.address)
     }
 
-    /// Applies an endpoint list. Upstreams that are gone stay in the directory until
+    /// Applies an endpoint list. Removed upstreams stay in the directory until
     /// `purge_removed`.
     pub fn apply(&mut self, list: EndpointList, names: &NameTables) -> Vec<UpstreamEntry> {
         self.has_had_endpoints |= !list.endpoints.is_empty();
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Forgets the upstreams that are gone.
+    /// Drops the removed upstreams.
     pub fn purge_removed(&mut self) {
         self.upstreams
             .retain(|_, listed| listed.state != UpstreamState::Removed);
--- a/src/bin/load-balancer/handover/message.rs
+++ b/src/bin/load-balancer/handover/message.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What one process tells its peer.
+/// A message from one process to its peer.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// A successor has started and needs a part of the descriptors.
--- a/src/bin/load-balancer/handover/mod.rs
+++ b/src/bin/load-balancer/handover/mod.rs
@@ -2,7 +2,7 @@
 //! from it.
 //!
 //! The two processes meet at a Unix socket in `$TMPDIR` and share the limits of one balancer.
-//! Maintenance and learned state outlast a process in a file beside the socket.
+//! Maintenance and learned state are stored in a file beside the socket.
 
 mod folder;
 mod message;
@@ -207,7 +207,8 @@
             return true;
         }
         log::line(format!(
-            "peer process did not report its descriptors: balancer at {address} (descriptor limit {half})"
+            "peer process did not report its descriptors: balancer at {address} \
+             (descriptor limit {half})"
         ));
         self.has_peer()
     }
--- a/src/bin/load-balancer/handover/retry_stream.rs
+++ b/src/bin/load-balancer/handover/retry_stream.rs
@@ -1,4 +1,4 @@
-//! A stream whose reads and writes outlast interrupts and resource exhaustion.
+//! A stream that retries reads and writes after interrupts and resource exhaustion.
 
 use crate::socket::system_errors::is_resource_exhaustion;
 use std::io;
@@ -6,7 +6,7 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Wraps a stream: an interrupted call is made again at once, one that failed for want of a
+/// Wraps a stream: an interrupted call is made again at once, one that failed for lack of a
 /// resource in a later turn of the event loop.
 pub struct RetryStream<T>(pub T);
 
--- a/src/bin/load-balancer/handover/state_file.rs
+++ b/src/bin/load-balancer/handover/state_file.rs
@@ -1,4 +1,4 @@
-//! The file in which a process leaves its successor what has to outlast it.
+//! The state file: what a process stores for its successor.
 //!
 //! Versions up to 47c951f read and write the same fields, so their names on disk may not change.
 
--- a/src/bin/load-balancer/handover/state_store.rs
+++ b/src/bin/load-balancer/handover/state_store.rs
@@ -13,6 +13,11 @@
 /// A failed write is retried at this interval.
 pub const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
+/// True for a failed read that may succeed a moment later.
+fn is_transient_failure(result: &Option<Result<StoredState, StateError>>) -> bool {
+    matches!(result, Some(Err(error)) if error.is_transient())
+}
+
 /// Owns the state file of this process's balancer.
 pub struct StateStore {
     folder: Rc<HandoverFolder>,
@@ -93,15 +98,14 @@
         Some(state)
     }
 
-    /// The same; transient errors are retried for a while.
+    /// Like [`Self::read_maintenance`]; transient errors are retried for a while.
     pub async fn read_maintenance_with_retries(&self) -> Option<Result<StoredState, StateError>> {
-        let is_transient = |result: &Option<Result<StoredState, StateError>>| matches!(result, Some(Err(error)) if error.is_transient());
         FOLDER_RETRY
-            .run(is_transient, || async { self.read_maintenance() })
+            .run(is_transient_failure, || async { self.read_maintenance() })
             .await
     }
 
-    /// The same; a failure is logged.
+    /// Like [`Self::read_maintenance_with_retries`]; a failure is logged.
     pub async fn restore_maintenance(&self) -> Option<StoredState> {
         match self.read_maintenance_with_retries().await? {
             Ok(state) => Some(state),
--- a/src/bin/load-balancer/metrics/mod.rs
+++ b/src/bin/load-balancer/metrics/mod.rs
@@ -9,9 +9,9 @@
 pub enum RequestOutcome {
     /// With the response of an upstream.
     Served,
-    /// Rejected; a retry does no harm.
+    /// Rejected: it never ran or is idempotent, so that a retry is safe.
     Rejected,
-    /// Failed; it may have run.
+    /// Failed: it may have run.
     Failed,
 }
 
--- a/src/bin/load-balancer/process.rs
+++ b/src/bin/load-balancer/process.rs
@@ -32,7 +32,7 @@
 /// Why the process ended without having served.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A call of the system failed for longer than a moment.
+    /// A system call failed, and went on to fail when it was retried.
     #[error("{0}")]
     System(#[from] io::Error),
     /// The configuration is invalid.
--- a/src/bin/load-balancer/reload.rs
+++ b/src/bin/load-balancer/reload.rs
@@ -23,8 +23,8 @@
     }
 }
 
-/// Reads the whole configuration again. An invalid one changes nothing; of a valid one, the
-/// address of discovery is what takes effect without a restart.
+/// Reads the configuration again. An invalid one changes nothing. Of a valid one only the address
+/// of discovery takes effect; all else needs a restart.
 async fn reload(dispatcher: &RefCell<Dispatcher>) {
     let is_unreadable = |result: &Result<Config, ConfigError>| {
         matches!(result, Err(ConfigError::Unreadable { .. }))
--- a/src/bin/load-balancer/retry.rs
+++ b/src/bin/load-balancer/retry.rs
@@ -14,8 +14,8 @@
 }
 
 impl RetrySchedule {
-    /// Makes a call, again as long as its result asks for that and the schedule allows it;
-    /// returns the last result.
+    /// Makes a call, and repeats it while `should_retry` holds for its result and the timeout has
+    /// not passed; the last result.
     pub async fn run<T, F: Future<Output = T>>(
         self,
         should_retry: impl Fn(&T) -> bool,
--- a/src/bin/load-balancer/server/connection/mod.rs
+++ b/src/bin/load-balancer/server/connection/mod.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// No request is in progress, or only its head has arrived. `Socket::request_started_at`
-    /// tells the two apart.
+    /// distinguishes the two.
     AwaitingRequest {
         /// When the last response ended or the last head arrived; before the first request has
         /// ended, when the connection was opened.
@@ -60,7 +60,7 @@
 pub(super) enum RequestHistory {
     /// No complete request.
     Empty,
-    /// Only requests that were no use of the service: health checks, invalid or rejected ones.
+    /// Only health checks and requests that were invalid or rejected for lack of capacity.
     NoneValid,
     /// At least one request that passed validation.
     SomeValid,
@@ -190,7 +190,7 @@
         self.enter(Phase::Lingering { idle_since });
     }
 
-    /// True if bytes have arrived behind the current request. Asks the kernel if need be.
+    /// True if bytes have arrived behind the current request. Queries the kernel if necessary.
     pub(super) fn has_pipelined_bytes(&self) -> bool {
         self.request
             .end_offset
--- a/src/bin/load-balancer/server/connection/signals.rs
+++ b/src/bin/load-balancer/server/connection/signals.rs
@@ -18,9 +18,9 @@
         self.notify.notify_one();
     }
 
-    /// Notes that the connection closes after its first request, before its task waits for a
-    /// signal.
-    pub(in crate::server) fn set(&self) {
+    /// Asks for the close before the connection's task waits for it, so that nothing has to be
+    /// woken: the connection closes after its first request.
+    pub(in crate::server) fn request_initially(&self) {
         self.requested.set(true);
     }
 
--- a/src/bin/load-balancer/server/listener.rs
+++ b/src/bin/load-balancer/server/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket that keeps connections when the calls that prepare them fail for a moment.
+//! A listening socket that loses no connection when the calls that prepare it fail transiently.
 
 use crate::socket::system_errors::{is_transient, retry_transient_errors};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
@@ -97,7 +97,7 @@
 
 impl PendingConnection {
     /// Registers the connection with the event loop. Tokio closes the socket if that fails, so a
-    /// second descriptor, if there is one to be had, keeps the connection open for a retry.
+    /// second descriptor, if one is free, keeps the connection open for a retry.
     ///
     /// # Errors
     ///
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -151,10 +151,13 @@
 }
 
 impl BodyFraming {
+    /// Finds where the body begins, and whether it is chunked.
+    ///
     /// # Errors
     ///
-    /// The request has both a transfer coding and a length, or it can't be told. Recipients
-    /// disagree on which of the two holds, so that one request could hide another.
+    /// The request has both a transfer coding and a length, or the bytes that would show it are
+    /// no longer stored. Recipients disagree on which of the two holds, so that one request could
+    /// hide another.
     fn find(headers: &HeaderMap, socket: &Socket, request_id: &str) -> Result<Self, RequestError> {
         let raw_head = RawHead::find(&socket.recent_bytes(), request_id);
         let chunked = headers.contains_key(TRANSFER_ENCODING);
--- a/src/bin/load-balancer/server/serve.rs
+++ b/src/bin/load-balancer/server/serve.rs
@@ -37,7 +37,7 @@
         admission: Admission,
     ) {
         if admission == Admission::OverCapacity || self.drain_state.is_active() {
-            client.close.set();
+            client.close.request_initially();
         }
         let service = service_fn(|request| self.serve_request(request, &client, admission));
         let connection = http_builder(admission).serve_connection(client.socket.clone(), service);
--- a/src/bin/load-balancer/shutdown/mod.rs
+++ b/src/bin/load-balancer/shutdown/mod.rs
@@ -17,7 +17,8 @@
 const MAX_DEADLINE_UNTIL_KILL: Duration = Duration::from_secs(3);
 /// The constant part of the time from SIGTERM to SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// All requests have their responses this long before SIGKILL: the process may be paused for 0.15 s just then.
+/// All requests have their responses this long before SIGKILL: the process may be paused for
+/// 0.15 s just then.
 const KILL_MARGIN: Duration = Duration::from_millis(250);
 /// The listener closes this long before that.
 const LAST_REQUEST_MARGIN: Duration = Duration::from_millis(100);
--- a/src/bin/load-balancer/socket/client_input.rs
+++ b/src/bin/load-balancer/socket/client_input.rs
@@ -1,9 +1,9 @@
-//! What is remembered of the input of a client's connection.
+//! The latest input of a client's connection.
 
 use std::cell::{Cell, Ref, RefCell};
 use tokio::time::Instant;
 
-/// Bytes of the latest input that are remembered; a request's head usually fits.
+/// Bytes of the latest input that are stored; a request's head usually fits.
 const MAX_RECENT_BYTES: usize = 8 << 10;
 
 /// Input of a client's connection; empty on connections of other kinds.
--- a/src/bin/load-balancer/socket/io.rs
+++ b/src/bin/load-balancer/socket/io.rs
@@ -73,7 +73,7 @@
             match retry_on_interrupt(|| self.0.stream.try_read(bytes)) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) if is_resource_exhaustion(&error) => {
-                    // The bytes stay in the kernel; other tasks run before the next try.
+                    // The bytes stay in the kernel; other tasks run before the next read.
                     cx.waker().wake_by_ref();
                     return Poll::Pending;
                 }
--- a/src/bin/load-balancer/socket/system_errors.rs
+++ b/src/bin/load-balancer/socket/system_errors.rs
@@ -8,7 +8,7 @@
 
 /// For how long a call at startup is retried.
 const STARTUP_RETRY_TIMEOUT: Duration = Duration::from_secs(4);
-/// Delay between two tries at startup.
+/// Interval between two such calls.
 const STARTUP_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 fn is_one_of(error: &io::Error, numbers: &[i32]) -> bool {
@@ -53,7 +53,7 @@
 }
 
 /// Repeats a call at startup while it fails with a transient error, for a limited time. Blocks the
-/// thread between the tries, as no request is served yet.
+/// thread between the calls, as no request is served yet.
 ///
 /// # Errors
 ///
--- a/src/bin/load-balancer/upstream/attempt.rs
+++ b/src/bin/load-balancer/upstream/attempt.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// For how long the connection of an attempt had been idle before; `None` until the attempt is about
-/// to write its first byte. Clones share it.
+/// For how long the connection of an attempt had been idle before; `None` until the attempt is
+/// about to write its first byte. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionIdle(Rc<Cell<Option<Duration>>>);
 
--- a/src/bin/load-balancer/upstream/error.rs
+++ b/src/bin/load-balancer/upstream/error.rs
@@ -15,8 +15,8 @@
     /// The upstream rejected the request without starting it.
     #[error("the upstream rejected the request")]
     Rejected,
-    /// The upstream answered with an error status.
-    #[error("the upstream answered with an error status")]
+    /// The upstream responded with an error status.
+    #[error("the upstream responded with an error status")]
     ErrorStatus,
     /// What the upstream sent can't be used as a response, or ends early.
     #[error("the response is invalid")]
--- a/src/bin/load-balancer/upstream/exchange.rs
+++ b/src/bin/load-balancer/upstream/exchange.rs
@@ -41,7 +41,7 @@
         self.socket.bytes_written() == self.written_before
     }
 
-    /// True if the whole request may have been written.
+    /// True if the complete request may have been written.
     pub(super) fn is_request_sent(&self) -> bool {
         self.socket.bytes_written() - self.written_before >= self.request_length.get()
     }
@@ -170,7 +170,7 @@
 }
 
 /// Bytes that a head has on the wire at least: hyper writes these headers as they are, and may add
-/// some. A connection that broke before as many were written has not carried the whole request.
+/// some. A connection that broke before as many were written has not carried the complete request.
 fn min_head_length(method: &Method, uri: &Uri, headers: &HeaderMap) -> usize {
     let request_line =
         method.as_str().len() + " ".len() + uri.to_string().len() + " HTTP/1.1\r\n".len();
--- a/src/bin/load-balancer/upstream/pool.rs
+++ b/src/bin/load-balancer/upstream/pool.rs
@@ -15,7 +15,8 @@
 
 /// Idle connections are closed this share of the idle timeout before the upstream would.
 const IDLE_TIMEOUT_MARGIN: f64 = 0.1;
-/// Idle connections kept to one upstream, which limits the connections of all balancers together.
+/// The most idle connections to one upstream, which limits the connections of all balancers
+/// together.
 pub(super) const MAX_IDLE_PER_UPSTREAM: usize = 8;
 /// Longest timeouts in effect, in seconds.
 const MAX_CONNECT_TIMEOUT_SECONDS: f64 = 60.0;
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Keeps idle connections to this upstream from now on, and closes those to another address.
+    /// Pools idle connections to this upstream from now on, and closes those to another address.
     pub fn allow(&self, upstream: UpstreamId, address: SocketAddr) {
         let mut upstreams = self.upstreams.borrow_mut();
         let entry = upstreams
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Closes the idle connections to this upstream, and keeps no more of them.
+    /// Closes the idle connections to this upstream, and pools no more of them.
     pub fn remove(&self, upstream: UpstreamId) {
         self.upstreams.borrow_mut().remove(&upstream);
     }
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Closes all idle connections, and keeps no more of them.
+    /// Closes all idle connections, and pools no more of them.
     pub fn close_all(&self) {
         self.upstreams.borrow_mut().clear();
     }
@@ -151,12 +152,12 @@
     }
 
     /// False if the upstream has closed the connection or is about to: a request sent on it would
-    /// be answered by a reset, after which it is unknown whether the request has run.
+    /// meet a reset, after which it is unknown whether the request has run.
     fn is_usable(&self, idle: &IdleConnection) -> bool {
         idle.since.elapsed() < self.idle_timeout && idle.socket.is_open_and_idle()
     }
 
-    /// Keeps a connection, unless its upstream has been removed or has another address.
+    /// Adds an idle connection, unless its upstream has been removed or has another address.
     pub(super) fn put(&self, upstream: UpstreamId, address: SocketAddr, socket: Socket) {
         let mut upstreams = self.upstreams.borrow_mut();
         let Some(entry) = upstreams
--- a/src/bin/load-balancer/upstream/request.rs
+++ b/src/bin/load-balancer/upstream/request.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request as each attempt forwards it, but for the header with the time left.
+/// A request as each attempt forwards it, except for the header with the time left.
 #[derive(Debug)]
 pub struct ForwardedRequest {
     /// The client's method.
