--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -5,11 +5,11 @@
 //! that it starts. No decision is made here.
 
 mod clock;
-mod endpoints;
+mod endpoint_updates;
 mod recent_request_ids;
 mod request;
+mod request_lifecycle;
 mod request_table;
-mod requests;
 mod timers;
 mod upstream_directory;
 
