--- a/src/bin/load-balancer/admin/mod.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -41,7 +41,7 @@
     dispatcher: Rc<RefCell<Dispatcher>>,
     server: Rc<Server>,
     handover: Rc<Handover>,
-    budget: Rc<DescriptorBudget>,
+    descriptors: Rc<DescriptorBudget>,
     /// Connections that have no response yet, by their numbers: the oldest comes first. Notified,
     /// they close.
     awaiting_response: RefCell<BTreeMap<u64, Rc<Notify>>>,
@@ -54,13 +54,13 @@
         dispatcher: Rc<RefCell<Dispatcher>>,
         server: Rc<Server>,
         handover: Rc<Handover>,
-        budget: Rc<DescriptorBudget>,
+        descriptors: Rc<DescriptorBudget>,
     ) -> Rc<Self> {
         Rc::new(Admin {
             dispatcher,
             server,
             handover,
-            budget,
+            descriptors,
             awaiting_response: RefCell::default(),
             next_connection: Cell::new(0),
         })
@@ -99,7 +99,7 @@
     /// A permit for one connection. Without a free one the oldest connection that has no response
     /// yet is closed, so that silent clients can't lock out the others.
     async fn acquire_permit(&self) -> Option<DescriptorPermit> {
-        if let Some(permit) = self.budget.acquire(Purpose::Admin) {
+        if let Some(permit) = self.descriptors.acquire(Purpose::Admin) {
             return Some(permit);
         }
         if let Some(oldest) = self.awaiting_response.borrow().values().next() {
@@ -108,7 +108,7 @@
         // Lets the task of that connection close it.
         yield_now().await;
         yield_now().await;
-        self.budget.acquire(Purpose::Admin)
+        self.descriptors.acquire(Purpose::Admin)
     }
 
     async fn serve(self: Rc<Self>, socket: Socket) {
--- a/src/bin/load-balancer/discovery/mod.rs
+++ b/src/bin/load-balancer/discovery/mod.rs
@@ -7,5 +7,5 @@
 pub mod watch_set;
 
 pub use endpoint::{Endpoint, EndpointList, EndpointStatus};
-pub use watch::{run as run_watch, WatchError, WatchId, WatchObserver, WatchRequest};
+pub use watch::{run_watch, WatchError, WatchId, WatchObserver, WatchRequest};
 pub use watch_set::{DiscoveryService, Reconnect, WatchSet};
--- a/src/bin/load-balancer/discovery/watch.rs
+++ b/src/bin/load-balancer/discovery/watch.rs
@@ -122,21 +122,21 @@
 }
 
 /// Follows the endpoint list until the watch fails, also after it has fallen silent.
-pub async fn run(
+pub async fn run_watch(
     observer: Rc<impl WatchObserver>,
-    budget: Rc<DescriptorBudget>,
+    descriptors: Rc<DescriptorBudget>,
     request: WatchRequest,
 ) {
-    let Err(error) = follow(&*observer, &budget, &request).await;
+    let Err(error) = follow(&*observer, &descriptors, &request).await;
     observer.watch_failed(request.id, &error);
 }
 
 async fn follow(
     observer: &impl WatchObserver,
-    budget: &Rc<DescriptorBudget>,
+    descriptors: &Rc<DescriptorBudget>,
     watch: &WatchRequest,
 ) -> Result<Infallible, WatchError> {
-    let permit = budget
+    let permit = descriptors
         .acquire(Purpose::Discovery)
         .ok_or(WatchError::NoDescriptor)?;
     let socket = Socket::connect(watch.address, permit, CONNECT_TIMEOUT)
--- a/src/bin/load-balancer/dispatch/endpoint_updates.rs
+++ b/src/bin/load-balancer/dispatch/endpoint_updates.rs
@@ -58,7 +58,7 @@
     }
 
     fn open_watch(&mut self, request: Option<WatchRequest>) {
-        if let (Some(request), Some(dispatcher)) = (request, self.this.upgrade()) {
+        if let (Some(request), Some(dispatcher)) = (request, self.weak_self.upgrade()) {
             let watch = run_watch(dispatcher, self.resources.descriptors.clone(), request);
             let task = spawn_local(watch).abort_handle();
             self.watches.set_task(request.id, task);
--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -39,7 +39,7 @@
 /// attempts, upstreams, timers and the watches on discovery.
 pub struct Dispatcher {
     /// For the tasks that report back.
-    this: Weak<RefCell<Dispatcher>>,
+    weak_self: Weak<RefCell<Dispatcher>>,
     balancer: Balancer,
     clock: MonotonicUnixClock,
     names: NameTables,
@@ -101,9 +101,9 @@
         };
         let watches = WatchSet::new(discovery, known_version, config.seed);
         let balancer = Balancer::new(config.settings, config.seed, clock.seconds_now())?;
-        Ok(Rc::new_cyclic(|this| {
+        Ok(Rc::new_cyclic(|weak_self| {
             RefCell::new(Dispatcher {
-                this: this.clone(),
+                weak_self: weak_self.clone(),
                 balancer,
                 clock,
                 names: config.names,
--- a/src/bin/load-balancer/dispatch/request_lifecycle.rs
+++ b/src/bin/load-balancer/dispatch/request_lifecycle.rs
@@ -34,7 +34,7 @@
         let id = self.requests.allocate_id(request.client_request_id)?;
         let forward = Rc::new(request.forward);
         let (deadline, streamed) = (forward.deadline(), forward.upload.is_streamed());
-        if let Some(dispatcher) = self.this.upgrade().filter(|_| streamed) {
+        if let Some(dispatcher) = self.weak_self.upgrade().filter(|_| streamed) {
             let completed = forward.upload.completed();
             spawn_local(async move {
                 if completed.await.is_ok() {
@@ -85,7 +85,7 @@
         let connection_idle = ConnectionIdle::default();
         let number = request.add_attempt(upstream, address, sent_at, connection_idle.clone());
         let address = address.filter(|_| request.can_be_sent());
-        let (Some(address), Some(dispatcher)) = (address, self.this.upgrade()) else {
+        let (Some(address), Some(dispatcher)) = (address, self.weak_self.upgrade()) else {
             self.events.push_back(not_sent(id, number));
             return;
         };
--- a/src/bin/load-balancer/handover/mod.rs
+++ b/src/bin/load-balancer/handover/mod.rs
@@ -83,7 +83,7 @@
     folder: Rc<HandoverFolder>,
     store: StateStore,
     server: Rc<Server>,
-    budget: Rc<DescriptorBudget>,
+    descriptors: Rc<DescriptorBudget>,
     /// The most descriptors that both processes may hold together.
     max_descriptors: usize,
     peer: RefCell<Peer>,
@@ -96,7 +96,7 @@
         address: SocketAddr,
         dispatcher: Rc<RefCell<Dispatcher>>,
         server: Rc<Server>,
-        budget: Rc<DescriptorBudget>,
+        descriptors: Rc<DescriptorBudget>,
         max_descriptors: usize,
     ) -> Rc<Self> {
         let folder = Rc::new(HandoverFolder::new(folder, address));
@@ -104,7 +104,7 @@
             store: StateStore::new(folder.clone(), dispatcher),
             folder,
             server,
-            budget,
+            descriptors,
             max_descriptors,
             peer: RefCell::new(Peer::Absent),
         })
@@ -196,7 +196,7 @@
             "peer process found: balancer at {address} (descriptor limit {half})"
         ));
         // Until the predecessor has reported.
-        self.budget.set_limit(half);
+        self.descriptors.set_limit(half);
         let descriptors_reported = Rc::new(Notify::new());
         self.attach(stream, descriptors_reported.clone());
         self.send(PeerMessage::Hello);
@@ -215,7 +215,7 @@
 
     /// To be called once this process listens for clients on `address`: notifies the predecessor
     /// and awaits a successor.
-    pub fn listening(self: &Rc<Self>, address: SocketAddr) {
+    pub fn announce_listening(self: &Rc<Self>, address: SocketAddr) {
         self.folder.set_address(address);
         self.send(PeerMessage::Ready);
         let Some(socket) = self.folder.socket() else {
@@ -225,7 +225,7 @@
         // listen.
         match listen_for_successor(&socket) {
             Ok(listener) => {
-                spawn_local(self.clone().accept(listener));
+                spawn_local(self.clone().accept_successors(listener));
             }
             Err(error) => {
                 let path = socket.display();
@@ -233,22 +233,22 @@
                 log::line(format!(
                     "handover socket not created: {path}: {error}; retrying every {interval} s"
                 ));
-                spawn_local(self.clone().accept_later(socket));
+                spawn_local(self.clone().accept_successors_later(socket));
             }
         }
     }
 
     /// Awaits a successor once the socket can be created.
-    async fn accept_later(self: Rc<Self>, socket: PathBuf) {
+    async fn accept_successors_later(self: Rc<Self>, socket: PathBuf) {
         loop {
             sleep(SOCKET_RETRY_INTERVAL).await;
             if let Ok(listener) = listen_for_successor(&socket) {
-                return self.accept(listener).await;
+                return self.accept_successors(listener).await;
             }
         }
     }
 
-    async fn accept(self: Rc<Self>, listener: UnixListener) {
+    async fn accept_successors(self: Rc<Self>, listener: UnixListener) {
         loop {
             match listener.accept().await {
                 // One upgrade at a time: a further process is disconnected and goes without a
@@ -282,10 +282,10 @@
             "peer process disconnected: balancer at {address} (descriptor limit {limit})"
         ));
         let peer = self.peer.replace(Peer::Absent);
-        self.budget.set_limit(limit);
+        self.descriptors.set_limit(limit);
         if matches!(peer, Peer::Accepting(_)) {
             // The successor has taken over the socket, so it has to be created again.
-            self.listening(address);
+            self.announce_listening(address);
         }
     }
 
@@ -312,7 +312,7 @@
             PeerMessage::Hello => self.yield_descriptors().await,
             PeerMessage::DescriptorsInUse(count) => {
                 let rest = self.max_descriptors.saturating_sub(count);
-                self.budget.set_limit(rest);
+                self.descriptors.set_limit(rest);
                 descriptors_reported.notify_one();
             }
             PeerMessage::Ready => self.peer_accepts(),
@@ -329,9 +329,9 @@
         // A failed write is retried; the successor is notified then.
         let _ = self.publish_state();
         let half = self.max_descriptors / 2;
-        self.budget.set_limit(half);
+        self.descriptors.set_limit(half);
         self.server.evict_down_to(half).await;
-        let in_use = self.budget.in_use().max(half);
+        let in_use = self.descriptors.in_use().max(half);
         self.send(PeerMessage::DescriptorsInUse(in_use));
     }
 
--- a/src/bin/load-balancer/process.rs
+++ b/src/bin/load-balancer/process.rs
@@ -170,7 +170,7 @@
             .map_err(|source| StartError::ClientListener { address, source })?;
         let address = retry_transient_errors(|| listener.local_addr())?;
         self.server.set_listening();
-        self.handover.listening(address);
+        self.handover.announce_listening(address);
         let name = &self.name;
         log::line(format!("listening for clients: {name} at {address}"));
         self.server.accept(&listener, end.received()).await;
--- a/src/bin/load-balancer/upstream/pool.rs
+++ b/src/bin/load-balancer/upstream/pool.rs
@@ -25,7 +25,7 @@
 /// Idle connections to upstreams, and the resources that all attempts share.
 pub struct ConnectionPool {
     pub(super) upstreams: RefCell<HashMap<UpstreamId, UpstreamConnections>>,
-    budget: Rc<DescriptorBudget>,
+    descriptors: Rc<DescriptorBudget>,
     pub(super) metrics: Rc<Metrics>,
     pub(super) memory: Rc<MemoryBudget>,
     connect_timeout: Duration,
@@ -63,7 +63,7 @@
     /// connections. Bodies of responses are read ahead within `memory`.
     #[must_use]
     pub fn new(
-        budget: Rc<DescriptorBudget>,
+        descriptors: Rc<DescriptorBudget>,
         metrics: Rc<Metrics>,
         memory: Rc<MemoryBudget>,
         connect_timeout_seconds: f64,
@@ -73,7 +73,7 @@
         let idle_timeout = idle_timeout_seconds * (1.0 - IDLE_TIMEOUT_MARGIN);
         ConnectionPool {
             upstreams: RefCell::default(),
-            budget,
+            descriptors,
             metrics,
             memory,
             connect_timeout: Duration::from_secs_f64(connect_timeout),
@@ -182,9 +182,9 @@
     /// [`AttemptError::NotSent`] if this process lacks descriptors or memory, which says nothing
     /// about the upstream, else [`AttemptError::ConnectFailed`].
     pub(super) async fn connect(&self, address: SocketAddr) -> Result<Socket, AttemptError> {
-        let permit = self.budget.acquire(Purpose::Upstream).or_else(|| {
+        let permit = self.descriptors.acquire(Purpose::Upstream).or_else(|| {
             self.evict_oldest();
-            self.budget.acquire(Purpose::Upstream)
+            self.descriptors.acquire(Purpose::Upstream)
         });
         let permit = permit.ok_or(AttemptError::NotSent)?;
         Socket::connect(address, permit, self.connect_timeout)
