--- a/src/bin/load-balancer/body/download.rs
+++ b/src/bin/load-balancer/body/download.rs
@@ -13,7 +13,7 @@
 
 /// An upstream that has begun a response may pause for this long: pauses of over twenty seconds
 /// are possible.
-const UPSTREAM_STALL: Duration = Duration::from_secs(30);
+const UPSTREAM_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A response's body whose beginning has been read, on its way from the upstream.
 pub struct Download {
@@ -45,7 +45,7 @@
             length,
             bytes_read,
             completion: Some(completion),
-            stall: StallTimer::new(UPSTREAM_STALL),
+            stall: StallTimer::new(UPSTREAM_STALL_TIMEOUT),
             _memory: memory,
         };
         if length == Some(bytes_read) {
--- a/src/bin/load-balancer/body/mod.rs
+++ b/src/bin/load-balancer/body/mod.rs
@@ -27,7 +27,7 @@
 /// How long a response of unknown length is held back, as its client may wait for the beginning.
 pub const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
 /// How long a client that sends a streamed body may pause.
-pub const CLIENT_STALL: Duration = Duration::from_millis(2500);
+pub const CLIENT_STALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Why a body ends early.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
--- a/src/bin/load-balancer/body/upload.rs
+++ b/src/bin/load-balancer/body/upload.rs
@@ -2,7 +2,7 @@
 
 use super::memory_budget::{MemoryBudget, MemoryPermit};
 use super::stall_timer::{frame_before, StallTimer};
-use super::{BodyError, CLIENT_STALL, MAX_BODY_BYTES, READ_AHEAD_BYTES};
+use super::{BodyError, CLIENT_STALL_TIMEOUT, MAX_BODY_BYTES, READ_AHEAD_BYTES};
 use crate::shutdown_deadline::ShutdownDeadline;
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -164,7 +164,7 @@
         let Some(mut remaining) = self.remaining.borrow_mut().take() else {
             return;
         };
-        let next_deadline = || Instant::now() + CLIENT_STALL;
+        let next_deadline = || Instant::now() + CLIENT_STALL_TIMEOUT;
         while let Ok(Some(Ok(frame))) = frame_before(next_deadline(), &mut remaining).await {
             let length = frame.data_ref().map_or(0, |data| data.len() as u64);
             self.bytes_read.set(self.bytes_read.get() + length);
@@ -238,7 +238,7 @@
             upload,
             read_ahead_sent: false,
             on_complete: Some(Box::new(on_complete)),
-            stall: StallTimer::new(CLIENT_STALL),
+            stall: StallTimer::new(CLIENT_STALL_TIMEOUT),
         };
         body.report_completion();
         body
@@ -267,7 +267,7 @@
         }
         let upload = self.upload.clone();
         let part = upload.poll_remaining(cx);
-        let total_limit = CLIENT_STALL + time_at_min_rate(upload.bytes_read.get());
+        let total_limit = CLIENT_STALL_TIMEOUT + time_at_min_rate(upload.bytes_read.get());
         match ready!(self.stall.poll(cx, part, total_limit)) {
             Ok(Some(Ok(data))) => {
                 self.report_completion();
--- a/src/bin/load-balancer/discovery/watch_set/mod.rs
+++ b/src/bin/load-balancer/discovery/watch_set/mod.rs
@@ -198,9 +198,9 @@
         self.watches.iter().position(|open| open.id == watch)
     }
 
-    /// Something complete has come on this watch: the older ones are closed, so that none of their
-    /// lists is accepted after those of a newer watch.
-    pub fn alive(&mut self, watch: WatchId) {
+    /// Notes that something complete has come on this watch: the older ones are closed, so that
+    /// none of their lists is accepted after those of a newer watch.
+    pub fn mark_alive(&mut self, watch: WatchId) {
         if let Some(position) = self.position(watch) {
             self.watches[position].is_alive = true;
             self.watches.drain(..position);
@@ -213,7 +213,7 @@
         let is_first = self
             .position(watch)
             .is_some_and(|position| !self.watches[position].is_alive);
-        self.alive(watch);
+        self.mark_alive(watch);
         let Some(open) = self.watches.first_mut().filter(|first| first.id == watch) else {
             return false;
         };
@@ -244,10 +244,10 @@
         true
     }
 
-    /// This watch has been silent for too long. It stays open until a newer one is alive, as
-    /// changes may still come on it.
+    /// Notes that this watch has been silent for too long. It stays open until a newer one is
+    /// alive, as changes may still come on it.
     #[must_use]
-    pub fn silent(&mut self, watch: WatchId) -> Reconnect {
+    pub fn mark_silent(&mut self, watch: WatchId) -> Reconnect {
         let Some(position) = self.position(watch) else {
             return Reconnect::Superseded;
         };
@@ -267,9 +267,9 @@
         reconnect
     }
 
-    /// This watch has ended.
+    /// Removes a watch that has ended.
     #[must_use]
-    pub fn failed(&mut self, watch: WatchId, error: &WatchError) -> Reconnect {
+    pub fn remove_failed(&mut self, watch: WatchId, error: &WatchError) -> Reconnect {
         let Some(position) = self.position(watch) else {
             return Reconnect::Superseded;
         };
--- a/src/bin/load-balancer/discovery/watch_set/tests.rs
+++ b/src/bin/load-balancer/discovery/watch_set/tests.rs
@@ -54,7 +54,7 @@
     let request = open(&mut watches);
     assert_eq!((request.address, request.since), (address(1), Some(5)));
     assert_eq!(watches.ensure_watch(), None);
-    assert_eq!(watches.silent(request.id), Reconnect::Now);
+    assert_eq!(watches.mark_silent(request.id), Reconnect::Now);
     assert_ne!(open(&mut watches).id, request.id);
     assert_eq!(watches.len(), 2);
 }
@@ -63,14 +63,14 @@
 fn a_newer_watch_that_is_alive_closes_the_older_ones() {
     let mut watches = watch_set(DiscoveryMode::Push);
     let old = open(&mut watches).id;
-    watches.alive(old);
-    assert_eq!(watches.silent(old), Reconnect::Now);
+    watches.mark_alive(old);
+    assert_eq!(watches.mark_silent(old), Reconnect::Now);
     let new = open(&mut watches).id;
     assert!(watches.accept_list(old, &list(6, true)), "still followed");
-    watches.alive(new);
+    watches.mark_alive(new);
     assert_eq!(watches.ids(), [new.0]);
     assert!(!watches.accept_list(old, &list(7, true)));
-    assert_eq!(watches.silent(old), Reconnect::Superseded);
+    assert_eq!(watches.mark_silent(old), Reconnect::Superseded);
 }
 
 /// The first response holds all changes since the version that was asked for, however late it
@@ -79,7 +79,7 @@
 fn the_first_list_of_a_silent_watch_closes_those_that_were_opened_beside_it() {
     let mut watches = watch_set(DiscoveryMode::Poll);
     let first = open(&mut watches).id;
-    assert!(matches!(watches.silent(first), Reconnect::After(_)));
+    assert!(matches!(watches.mark_silent(first), Reconnect::After(_)));
     let second = open(&mut watches).id;
     assert!(watches.accept_list(first, &list(6, false)));
     assert_eq!((watches.ids(), watches.is_broken()), (vec![first.0], false));
@@ -103,7 +103,7 @@
     let mut watches = watch_set(DiscoveryMode::Push);
     let watch = open(&mut watches).id;
     assert!(watches.accept_list(watch, &list(6, false)));
-    assert_eq!(watches.silent(watch), Reconnect::Now);
+    assert_eq!(watches.mark_silent(watch), Reconnect::Now);
     assert!(watches.accept_list(watch, &list(8, false)));
     assert_eq!(watches.known().version, 6);
     assert!(watches.accept_list(watch, &list(9, true)));
@@ -115,7 +115,7 @@
     let mut watches = watch_set(DiscoveryMode::Push);
     for _ in 0..10 {
         let watch = open(&mut watches).id;
-        assert_eq!(watches.silent(watch), Reconnect::Now);
+        assert_eq!(watches.mark_silent(watch), Reconnect::Now);
         assert!(watches.len() <= MAX_WATCHES);
     }
     assert_eq!(watches.ids(), [1, 2, 9, 10]);
@@ -144,17 +144,17 @@
         let watch = open(&mut watches).id;
         let delay = if failure < 10 { 20 } else { 250 };
         assert_eq!(
-            watches.failed(watch, &WatchError::Ended),
+            watches.remove_failed(watch, &WatchError::Ended),
             Reconnect::After(Duration::from_millis(delay)),
             "{failure}"
         );
     }
     // One that was alive for long enough ends the series.
     let watch = open(&mut watches).id;
-    watches.alive(watch);
+    watches.mark_alive(watch);
     tokio::time::advance(MIN_HEALTHY_WATCH).await;
     assert_eq!(
-        watches.failed(watch, &WatchError::Ended),
+        watches.remove_failed(watch, &WatchError::Ended),
         Reconnect::After(RECONNECT_DELAY)
     );
 }
@@ -163,10 +163,10 @@
 fn a_polled_watch_that_fails_is_reopened_by_the_poll_schedule() {
     let mut watches = watch_set(DiscoveryMode::Poll);
     let watch = open(&mut watches).id;
-    let jitter = watches.silent(watch);
+    let jitter = watches.mark_silent(watch);
     assert!(matches!(jitter, Reconnect::After(delay) if delay < MAX_POLL_JITTER));
     assert_eq!(
-        watches.failed(watch, &WatchError::Ended),
+        watches.remove_failed(watch, &WatchError::Ended),
         Reconnect::ByPollSchedule
     );
 }
@@ -178,10 +178,10 @@
         let old = open(&mut watches).id;
         let new = watches.set_address(address(2)).expect("another").id;
         assert_eq!(
-            watches.failed(old, &WatchError::Ended),
+            watches.remove_failed(old, &WatchError::Ended),
             Reconnect::Superseded
         );
-        let delay = watches.failed(new, &WatchError::Ended);
+        let delay = watches.remove_failed(new, &WatchError::Ended);
         assert!(
             matches!(delay, Reconnect::After(delay)
                 if (MAX_MOVE_DELAY / 4..MAX_MOVE_DELAY).contains(&delay)),
--- a/src/bin/load-balancer/dispatch/endpoint_updates.rs
+++ b/src/bin/load-balancer/dispatch/endpoint_updates.rs
@@ -27,18 +27,18 @@
     }
 
     fn watch_alive(&self, watch: WatchId) {
-        self.borrow_mut().watches.alive(watch);
+        self.borrow_mut().watches.mark_alive(watch);
     }
 
     fn watch_silent(&self, watch: WatchId) {
         let mut dispatcher = self.borrow_mut();
-        let reconnect = dispatcher.watches.silent(watch);
+        let reconnect = dispatcher.watches.mark_silent(watch);
         dispatcher.reconnect(reconnect);
     }
 
     fn watch_failed(&self, watch: WatchId, error: &WatchError) {
         let mut dispatcher = self.borrow_mut();
-        let reconnect = dispatcher.watches.failed(watch, error);
+        let reconnect = dispatcher.watches.remove_failed(watch, error);
         dispatcher.reconnect(reconnect);
     }
 }
--- a/src/bin/load-balancer/dispatch/recent_request_ids/mod.rs
+++ b/src/bin/load-balancer/dispatch/recent_request_ids/mod.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The ids of recent requests. An id is retained for `retention` at the least and twice that at the
-/// most: ids are dropped a generation at a time.
+/// The ids of recent requests. An id is retained for `retention` at the least and twice that at
+/// the most: ids are dropped a generation at a time.
 pub struct RecentRequestIds {
     retention: Duration,
     generation_began_at: Instant,
--- a/src/bin/load-balancer/dispatch/request_lifecycle.rs
+++ b/src/bin/load-balancer/dispatch/request_lifecycle.rs
@@ -77,13 +77,13 @@
         upstream: UpstreamId,
         write_within: Option<f64>,
     ) {
-        let sent_at = Instant::now();
+        let started_at = Instant::now();
         let address = self.upstreams.available_address(upstream);
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
         let connection_idle = ConnectionIdle::default();
-        let number = request.add_attempt(upstream, address, sent_at, connection_idle.clone());
+        let number = request.add_attempt(upstream, address, started_at, connection_idle.clone());
         let address = address.filter(|_| request.can_be_sent());
         let (Some(address), Some(dispatcher)) = (address, self.weak_self.upgrade()) else {
             self.events.push_back(not_sent(id, number));
@@ -95,7 +95,7 @@
             address,
             request: request.forward().clone(),
             write_deadline: write_within
-                .and_then(|seconds| sent_at.checked_add(duration_from_secs(seconds))),
+                .and_then(|seconds| started_at.checked_add(duration_from_secs(seconds))),
             deadline_margin: DEADLINE_MARGIN,
             connection_idle,
         };
--- a/src/bin/load-balancer/dispatch/request_table/mod.rs
+++ b/src/bin/load-balancer/dispatch/request_table/mod.rs
@@ -34,7 +34,9 @@
     upstream: UpstreamId,
     /// Where it was sent; `None` if the upstream was not available.
     address: Option<SocketAddr>,
-    sent_at: Instant,
+    /// Its duration counts from here: from the decision to start it, or from the last byte of a
+    /// streamed body.
+    measured_from: Instant,
     connection_idle: ConnectionIdle,
     /// `None` if it never ran or has ended.
     task: Option<AbortHandle>,
@@ -71,7 +73,7 @@
             id: id.request,
             attempt: id.number,
             outcome,
-            elapsed: self.sent_at.elapsed().as_secs_f64(),
+            elapsed: self.measured_from.elapsed().as_secs_f64(),
             connection_idle: self.connection_idle.get().map(|idle| idle.as_secs_f64()),
             request_concluded,
         })
@@ -100,13 +102,13 @@
         &mut self,
         upstream: UpstreamId,
         address: Option<SocketAddr>,
-        sent_at: Instant,
+        started_at: Instant,
         connection_idle: ConnectionIdle,
     ) -> u32 {
         self.attempts.push(AttemptRecord {
             upstream,
             address,
-            sent_at,
+            measured_from: started_at,
             connection_idle,
             task: None,
         });
@@ -204,7 +206,7 @@
         let Some(attempt) = attempt.filter(|attempt| attempt.is_running()) else {
             return false;
         };
-        attempt.sent_at = Instant::now();
+        attempt.measured_from = Instant::now();
         true
     }
 
--- a/src/bin/load-balancer/dispatch/upstream_directory/mod.rs
+++ b/src/bin/load-balancer/dispatch/upstream_directory/mod.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The listed upstreams, and those that operators have taken out of service. Updates the connection
-/// pool: connections are pooled for available upstreams only.
+/// The listed upstreams, and those that operators have taken out of service. Updates the
+/// connection pool: connections are pooled for available upstreams only.
 pub struct UpstreamDirectory {
     upstreams: HashMap<UpstreamId, ListedUpstream>,
     /// The names of the upstreams in maintenance; they need not be listed.
--- a/src/bin/load-balancer/server/accept.rs
+++ b/src/bin/load-balancer/server/accept.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, Instant};
 
 /// The delay before the next accept after the second failure in a row and each further one.
-const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// With this many more failures than successes a shortage counts as persistent.
 const PERSISTENT_SHORTAGE_EXCESS: u32 = 10;
 /// Failed accepts are logged no more often than this.
@@ -113,7 +113,7 @@
         if shortage.consecutive_failures == 1 {
             yield_now().await;
         } else {
-            sleep(ACCEPT_BACKOFF).await;
+            sleep(ACCEPT_RETRY_INTERVAL).await;
         }
     }
 
--- a/src/bin/load-balancer/server/connection/stall.rs
+++ b/src/bin/load-balancer/server/connection/stall.rs
@@ -1,9 +1,9 @@
 //! When a client counts as stalled or disconnected, so that its connection is closed.
 
 use super::{ClientConnection, Phase};
-use crate::body::CLIENT_STALL;
+use crate::body::CLIENT_STALL_TIMEOUT;
 use crate::server::{
-    DISCONNECT_POLL_INTERVAL, IDLE_TIMEOUT, REQUEST_ARRIVAL_TIMEOUT, TIMEOUT_RESPONSE_GRACE,
+    DISCONNECT_CHECK_INTERVAL, IDLE_TIMEOUT, REQUEST_ARRIVAL_TIMEOUT, TIMEOUT_RESPONSE_GRACE,
 };
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
@@ -28,7 +28,7 @@
             if deadline <= now && self.request.discarding_body.get() && self.socket.has_unread() {
                 // The rest of the body has arrived, and is unread only because this process had
                 // no time for it.
-                sleep(DISCONNECT_POLL_INTERVAL).await;
+                sleep(DISCONNECT_CHECK_INTERVAL).await;
             } else if deadline <= now {
                 return;
             }
@@ -57,7 +57,7 @@
         }
         // The rest of a body may take long and is no head, to which a stricter limit applies.
         if self.request.discarding_body.get() {
-            return since.max(self.socket.last_read()) + CLIENT_STALL;
+            return since.max(self.socket.last_read()) + CLIENT_STALL_TIMEOUT;
         }
         // A head that has begun to arrive has its full time, also during a shutdown.
         if let Some(request_started_at) = self.socket.request_started_at() {
@@ -73,9 +73,11 @@
         } else {
             IDLE_TIMEOUT
         };
-        self.first_request_deadline()
-            .map_or(since + IDLE_TIMEOUT, |first| first + TIMEOUT_RESPONSE_GRACE)
-            .min(since + idle_timeout)
+        let idle_deadline = since + idle_timeout;
+        match self.first_request_deadline() {
+            Some(first) => idle_deadline.min(first + TIMEOUT_RESPONSE_GRACE),
+            None => idle_deadline,
+        }
     }
 
     /// Returns when the client has disconnected while its request awaits a response. The HTTP
@@ -86,7 +88,7 @@
             if self.phase() == Phase::AwaitingResponse && self.socket.is_disconnected() {
                 return;
             }
-            sleep(DISCONNECT_POLL_INTERVAL).await;
+            sleep(DISCONNECT_CHECK_INTERVAL).await;
         }
     }
 }
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -40,7 +40,7 @@
 /// takes longer than this for the end of the last response.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How often a connection is checked for a client that has disconnected.
-const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Serves clients. Owns their connections and the state of the drain.
 pub struct Server {
--- a/src/bin/load-balancer/server/serve.rs
+++ b/src/bin/load-balancer/server/serve.rs
@@ -5,7 +5,7 @@
 use crate::server::connection::{ClientConnection, Phase};
 use crate::server::connection_table::ConnectionId;
 use crate::server::response::{close_connection_after, ClientResponse};
-use crate::server::{Server, DISCONNECT_POLL_INTERVAL, IDLE_TIMEOUT};
+use crate::server::{Server, DISCONNECT_CHECK_INTERVAL, IDLE_TIMEOUT};
 use crate::socket::{Socket, UnreadInput};
 use hyper::body::{Body, Incoming};
 use hyper::server::conn::http1;
@@ -55,10 +55,10 @@
         admission: Admission,
     ) -> Result<ClientResponse, Infallible> {
         client.begin_request();
-        let incomplete = !request.body().is_end_stream();
-        let over_capacity =
+        let is_incomplete = !request.body().is_end_stream();
+        let is_over_capacity =
             admission == Admission::OverCapacity && !self.wait_for_capacity(client).await;
-        let mut response = if over_capacity {
+        let mut response = if is_over_capacity {
             self.reject_over_capacity(&request)
         } else {
             self.handle_request(request, client).await
@@ -66,9 +66,9 @@
         client.record_response();
         // After an invalid request the remaining bytes may be no request, so the connection is
         // closed.
-        let rejected = over_capacity || response.status().is_client_error();
-        client.set_rejected_incomplete(rejected && incomplete);
-        if rejected || self.drain_state.closes_after_response(client) {
+        let is_rejected = is_over_capacity || response.status().is_client_error();
+        client.set_rejected_incomplete(is_rejected && is_incomplete);
+        if is_rejected || self.drain_state.closes_after_response(client) {
             close_connection_after(&mut response);
         }
         if client.phase() != Phase::StreamingResponse {
@@ -126,7 +126,7 @@
         UnreadInput::Keep
     };
     tokio::select! {
-        () = client.socket.linger(unread, DISCONNECT_POLL_INTERVAL) => {}
+        () = client.socket.linger(unread, DISCONNECT_CHECK_INTERVAL) => {}
         () = client.eviction.requested() => {}
         () = sleep(IDLE_TIMEOUT) => {}
     }
--- a/src/bin/load-balancer/signals.rs
+++ b/src/bin/load-balancer/signals.rs
@@ -17,7 +17,7 @@
 pub use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
 /// Interval at which the flag is polled, in case the wake-up was lost.
-const POLL_INTERVAL: Duration = Duration::from_millis(200);
+const FLAG_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A pipe from the signal handler to the waiting task.
 struct WakePipe {
@@ -65,7 +65,7 @@
             tokio::select! {
                 // Bytes that can't be read now are read with those of the next signal.
                 _ = self.wake_reader.readable() => drop(self.wake_reader.try_read(&mut [0; 64])),
-                () = sleep(POLL_INTERVAL) => {}
+                () = sleep(FLAG_CHECK_INTERVAL) => {}
             }
         }
     }
--- a/src/bin/load-balancer/socket/closing.rs
+++ b/src/bin/load-balancer/socket/closing.rs
@@ -2,7 +2,7 @@
 //!
 //! The checks ask the kernel: the event loop only knows what had happened when it last polled.
 
-use super::io::READ_SIZE;
+use super::io::MAX_READ_BYTES;
 use super::system_errors::{is_resource_exhaustion, retry_on_interrupt};
 use super::Socket;
 use nix::libc::POLLRDHUP;
@@ -56,7 +56,7 @@
     /// Reads ahead all input that has arrived; true if its end or an error comes behind it. Unread
     /// input could otherwise fill the receive window and keep the peer's FIN from arriving.
     fn read_ahead_to_end(&self) -> bool {
-        let mut bytes = [0; READ_SIZE];
+        let mut bytes = [0; MAX_READ_BYTES];
         for _ in 0..MAX_READS_PER_CHECK {
             match self.read_from_kernel(&mut bytes) {
                 Ok(0) => return true,
--- a/src/bin/load-balancer/socket/connection.rs
+++ b/src/bin/load-balancer/socket/connection.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout_at, Instant};
 
 /// Delay before a connect is retried that failed for lack of a local resource.
-const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
+const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A connection. Its clones share it; it is closed when the last of them is dropped.
 #[derive(Clone, Debug)]
@@ -76,9 +76,9 @@
                 Ok(Ok(stream)) => return Ok(Self::new(stream, permit)),
                 Ok(Err(error))
                     if is_local_error(&error)
-                        && Instant::now() + CONNECT_RETRY_DELAY < deadline =>
+                        && Instant::now() + CONNECT_RETRY_INTERVAL < deadline =>
                 {
-                    sleep(CONNECT_RETRY_DELAY).await;
+                    sleep(CONNECT_RETRY_INTERVAL).await;
                 }
                 Ok(Err(error)) => return Err(error),
                 Err(_) => return Err(io::ErrorKind::TimedOut.into()),
--- a/src/bin/load-balancer/socket/exchange_limits.rs
+++ b/src/bin/load-balancer/socket/exchange_limits.rs
@@ -18,8 +18,8 @@
     max_received: Cell<usize>,
     /// Position behind the last byte of the request; `usize::MAX` while it is not known.
     request_end: Cell<usize>,
-    /// Counts the attempt once its request is written completely.
-    completion: RefCell<Option<Rc<Metrics>>>,
+    /// Where the attempt is counted once its request is written completely; `None` from then on.
+    attempt_metrics: RefCell<Option<Rc<Metrics>>>,
 }
 
 impl ExchangeLimits {
@@ -29,7 +29,7 @@
             client: RefCell::default(),
             max_received: Cell::new(usize::MAX),
             request_end: Cell::new(usize::MAX),
-            completion: RefCell::default(),
+            attempt_metrics: RefCell::default(),
         }
     }
 
@@ -39,7 +39,7 @@
         *self.client.borrow_mut() = client;
         self.request_end.set(usize::MAX);
         self.set_max_received(max_received);
-        *self.completion.borrow_mut() = None;
+        *self.attempt_metrics.borrow_mut() = None;
     }
 
     pub(super) fn set_max_received(&self, position: usize) {
@@ -49,13 +49,13 @@
     /// The request ends at this position.
     pub(super) fn set_request_end(&self, position: usize, metrics: Rc<Metrics>) {
         self.request_end.set(position);
-        *self.completion.borrow_mut() = Some(metrics);
+        *self.attempt_metrics.borrow_mut() = Some(metrics);
     }
 
     /// Counts the attempt when everything up to the request's end has been written.
     pub(super) fn record_sent(&self, position: usize) {
         let is_complete = position >= self.request_end.get();
-        if let Some(metrics) = self.completion.borrow_mut().take_if(|_| is_complete) {
+        if let Some(metrics) = self.attempt_metrics.borrow_mut().take_if(|_| is_complete) {
             metrics.count_attempt();
         }
     }
--- a/src/bin/load-balancer/socket/io.rs
+++ b/src/bin/load-balancer/socket/io.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 /// Bytes that one call reads at most.
-pub(super) const READ_SIZE: usize = 8 << 10;
+pub(super) const MAX_READ_BYTES: usize = 8 << 10;
 
 impl Read for Socket {
     fn poll_read(
@@ -19,7 +19,7 @@
         cx: &mut Context<'_>,
         mut buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut bytes = [0; READ_SIZE];
+        let mut bytes = [0; MAX_READ_BYTES];
         let capacity = buffer.remaining().min(bytes.len());
         let count = ready!(self.poll_input(cx, &mut bytes[..capacity]))?;
         self.0.received.add(count);
--- a/src/bin/load-balancer/socket/read_ahead.rs
+++ b/src/bin/load-balancer/socket/read_ahead.rs
@@ -8,11 +8,11 @@
 use std::rc::Rc;
 
 /// Bytes that one connection may buffer, as clients may pipeline many requests.
-const MAX_READ_AHEAD: usize = 512 << 10;
+const MAX_READ_AHEAD_BYTES: usize = 512 << 10;
 /// Bytes that one connection may buffer while all connections together exceed the threshold.
-const MAX_READ_AHEAD_UNDER_PRESSURE: usize = 16 << 10;
+const MAX_READ_AHEAD_BYTES_UNDER_PRESSURE: usize = 16 << 10;
 /// Bytes buffered by all connections together above which the lower limit holds.
-const READ_AHEAD_PRESSURE_THRESHOLD: usize = 2 << 20;
+const READ_AHEAD_PRESSURE_BYTES: usize = 2 << 20;
 
 /// Bytes that all connections together have read ahead.
 #[derive(Debug, Default)]
@@ -29,10 +29,10 @@
 
     /// Bytes that one connection may buffer now.
     fn connection_limit(&self) -> usize {
-        if self.0.get() < READ_AHEAD_PRESSURE_THRESHOLD {
-            MAX_READ_AHEAD
+        if self.0.get() < READ_AHEAD_PRESSURE_BYTES {
+            MAX_READ_AHEAD_BYTES
         } else {
-            MAX_READ_AHEAD_UNDER_PRESSURE
+            MAX_READ_AHEAD_BYTES_UNDER_PRESSURE
         }
     }
 }
--- a/src/bin/load-balancer/tests.rs
+++ b/src/bin/load-balancer/tests.rs
@@ -9,5 +9,5 @@
 fn a_client_that_stops_in_the_middle_of_a_request_is_rejected_in_time() {
     let latest = Duration::from_millis(3000 - 150);
     assert!(server::REQUEST_ARRIVAL_TIMEOUT + server::TIMEOUT_RESPONSE_GRACE < latest);
-    assert!(body::CLIENT_STALL < latest);
+    assert!(body::CLIENT_STALL_TIMEOUT < latest);
 }
