--- a/src/bin/load-balancer/server/connection/mod.rs
+++ b/src/bin/load-balancer/server/connection/mod.rs
@@ -5,7 +5,7 @@
 mod stall;
 
 use crate::server::connection::signals::{CloseSignal, EvictionSignal};
-use crate::server::REQUEST_ARRIVAL_TIMEOUT;
+use crate::server::timeouts::REQUEST_ARRIVAL_TIMEOUT;
 use crate::socket::Socket;
 use std::cell::Cell;
 use std::rc::Rc;
--- a/src/bin/load-balancer/server/connection/stall.rs
+++ b/src/bin/load-balancer/server/connection/stall.rs
@@ -2,7 +2,7 @@
 
 use super::{ClientConnection, Phase};
 use crate::body::CLIENT_STALL_TIMEOUT;
-use crate::server::{
+use crate::server::timeouts::{
     DISCONNECT_CHECK_INTERVAL, IDLE_TIMEOUT, REQUEST_ARRIVAL_TIMEOUT, TIMEOUT_RESPONSE_GRACE,
 };
 use std::time::Duration;
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -18,6 +18,7 @@
 mod request_error;
 mod response;
 mod serve;
+pub mod timeouts;
 
 pub use drain::ClientDrain;
 
@@ -27,21 +28,8 @@
 use crate::server::drain::DrainState;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time for a request to arrive: for the first one since the connection was opened, for a
-/// further one since its first byte. Of a body that takes longer only the beginning counts.
-pub const REQUEST_ARRIVAL_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The time after [`REQUEST_ARRIVAL_TIMEOUT`] in which the client can be sent an error response
-/// before its connection is closed.
-pub const TIMEOUT_RESPONSE_GRACE: Duration = Duration::from_millis(200);
-/// A connection is closed if its next request doesn't begin within this time, or if its client
-/// takes longer than this for the end of the last response.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a connection is checked for a client that has disconnected.
-const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-
 /// Serves clients. Owns their connections and the state of the drain.
 pub struct Server {
     dispatcher: Rc<RefCell<Dispatcher>>,
--- a/src/bin/load-balancer/tests.rs
+++ b/src/bin/load-balancer/tests.rs
@@ -1,6 +1,7 @@
 //! Unit tests of how the time limits of several modules fit together.
 
 use super::*;
+use crate::server::timeouts;
 use std::time::Duration;
 
 /// A client that sends no complete request gets an error or a close within 3 s, also by a
@@ -8,6 +9,6 @@
 #[test]
 fn a_client_that_stops_in_the_middle_of_a_request_is_rejected_in_time() {
     let latest = Duration::from_millis(3000 - 150);
-    assert!(server::REQUEST_ARRIVAL_TIMEOUT + server::TIMEOUT_RESPONSE_GRACE < latest);
+    assert!(timeouts::REQUEST_ARRIVAL_TIMEOUT + timeouts::TIMEOUT_RESPONSE_GRACE < latest);
     assert!(body::CLIENT_STALL_TIMEOUT < latest);
 }
