--- a/src/bin/load-balancer/body/download.rs
+++ b/src/bin/load-balancer/body/download.rs
@@ -13,16 +13,15 @@
 
 /// An upstream that has begun a response may pause for this long: pauses of over twenty seconds
 /// are possible.
-const UPSTREAM_STALL: Duration = Duration::from_secs(30);
+const UPSTREAM_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A response's body whose beginning has been read, on its way from the upstream.
 pub struct Download {
     read_ahead: VecDeque<Bytes>,
     remaining: Incoming,
     length: Option<u64>,
-    /// Bytes read from the upstream so far.
-    read: u64,
-    /// Notified once the whole body has been read; `None` from then on.
+    bytes_read: u64,
+    /// Notified once the complete body has been read; `None` from then on.
     completion: Option<oneshot::Sender<()>>,
     stall: StallTimer,
     _memory: Option<MemoryPermit>,
@@ -39,23 +38,23 @@
         completion: oneshot::Sender<()>,
         memory: Option<MemoryPermit>,
     ) -> Self {
-        let read = read_ahead.iter().map(|data| data.len() as u64).sum();
+        let bytes_read = read_ahead.iter().map(|data| data.len() as u64).sum();
         let mut download = Download {
             read_ahead,
             remaining,
             length,
-            read,
+            bytes_read,
             completion: Some(completion),
-            stall: StallTimer::new(UPSTREAM_STALL),
+            stall: StallTimer::new(UPSTREAM_STALL_TIMEOUT),
             _memory: memory,
         };
-        if length == Some(read) {
+        if length == Some(bytes_read) {
             download.complete_reading();
         }
         download
     }
 
-    /// True once the whole body has been passed on.
+    /// True once the complete body has been passed on.
     pub(super) fn is_passed_on(&self) -> bool {
         self.read_ahead.is_empty() && self.completion.is_none()
     }
@@ -82,12 +81,12 @@
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            self.read += data.len() as u64;
-            if self.read > MAX_BODY_BYTES {
+            self.bytes_read += data.len() as u64;
+            if self.bytes_read > MAX_BODY_BYTES {
                 return Poll::Ready(Some(Err(BodyError::TooLarge)));
             }
             // With a known length hyper doesn't poll for the end.
-            if self.length == Some(self.read) {
+            if self.length == Some(self.bytes_read) {
                 self.complete_reading();
             }
             return Poll::Ready(Some(Ok(data)));
--- a/src/bin/load-balancer/body/upload.rs
+++ b/src/bin/load-balancer/body/upload.rs
@@ -2,7 +2,8 @@
 
 use super::memory_budget::{MemoryBudget, MemoryPermit};
 use super::stall_timer::{frame_before, StallTimer};
-use super::{BodyError, CLIENT_STALL, MAX_BODY_BYTES, READ_AHEAD_BYTES};
+use super::{BodyError, CLIENT_STALL_TIMEOUT, MAX_BODY_BYTES, READ_AHEAD_BYTES};
+use crate::shutdown_deadline::ShutdownDeadline;
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -26,13 +27,12 @@
     /// The connection's body while a part of it is unread.
     remaining: RefCell<Option<Incoming>>,
     length: Option<u64>,
-    /// Bytes read so far.
-    read: Cell<u64>,
+    bytes_read: Cell<u64>,
     last_progress: Cell<Instant>,
     /// Bytes beyond those read ahead have gone to an upstream.
     is_consumed: Cell<bool>,
     error: Cell<Option<BodyError>>,
-    /// Notified once the whole body has been read.
+    /// Notified once the complete body has been read.
     completion: RefCell<Option<oneshot::Sender<()>>>,
     _memory: Option<MemoryPermit>,
 }
@@ -51,7 +51,7 @@
         memory: Option<MemoryPermit>,
     ) -> Self {
         Upload {
-            read: Cell::new(read_ahead.len() as u64),
+            bytes_read: Cell::new(read_ahead.len() as u64),
             read_ahead,
             remaining: RefCell::new(remaining),
             length,
@@ -64,7 +64,7 @@
     }
 
     /// Reads up to [`READ_AHEAD_BYTES`]. The client has to keep up the mean rate, but has at least
-    /// until `earliest_deadline`, and in any case at most until `drain_deadline`, if that is set.
+    /// until `earliest_deadline`, and in any case at most until `shutdown_deadline`.
     ///
     /// # Errors
     ///
@@ -74,7 +74,7 @@
         mut body: Incoming,
         memory: &MemoryBudget,
         earliest_deadline: Instant,
-        drain_deadline: &Cell<Option<Instant>>,
+        shutdown_deadline: &ShutdownDeadline,
     ) -> Result<Self, BodyError> {
         let length = body.size_hint().exact();
         if body.size_hint().lower() > MAX_BODY_BYTES {
@@ -86,14 +86,14 @@
         let reserved = length.map_or(READ_AHEAD_BYTES, |length| {
             (length as usize).min(READ_AHEAD_BYTES)
         });
-        let mut memory = memory.take(reserved).await;
+        let mut memory = memory.acquire(reserved).await;
         let started = Instant::now();
         let mut read_ahead = BytesMut::new();
         while read_ahead.len() < READ_AHEAD_BYTES {
             let pace_deadline =
                 started + MAX_SEND_PAUSE + time_at_min_rate(read_ahead.len() as u64);
             let deadline = pace_deadline.max(earliest_deadline);
-            let deadline = earlier(deadline, drain_deadline.get());
+            let deadline = shutdown_deadline.limit(deadline);
             let Some(frame) = frame_before(deadline, &mut body).await? else {
                 let unused = reserved.saturating_sub(read_ahead.len());
                 drop(memory.as_mut().and_then(|permit| permit.split(unused)));
@@ -115,7 +115,7 @@
         Self::new(read_ahead.freeze(), None, Some(length), memory)
     }
 
-    /// Length of the whole body in bytes, if known.
+    /// Length of the complete body in bytes, if known.
     #[must_use]
     pub fn length(&self) -> Option<u64> {
         self.length
@@ -150,7 +150,7 @@
         self.error.get()
     }
 
-    /// Notified once the whole body has been read; fails if that never happens.
+    /// Notified once the complete body has been read; fails if that never happens.
     #[must_use]
     pub fn completed(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
@@ -164,11 +164,11 @@
         let Some(mut remaining) = self.remaining.borrow_mut().take() else {
             return;
         };
-        let next_deadline = || Instant::now() + CLIENT_STALL;
+        let next_deadline = || Instant::now() + CLIENT_STALL_TIMEOUT;
         while let Ok(Some(Ok(frame))) = frame_before(next_deadline(), &mut remaining).await {
             let length = frame.data_ref().map_or(0, |data| data.len() as u64);
-            self.read.set(self.read.get() + length);
-            if self.read.get() > MAX_BODY_BYTES {
+            self.bytes_read.set(self.bytes_read.get() + length);
+            if self.bytes_read.get() > MAX_BODY_BYTES {
                 return;
             }
         }
@@ -195,8 +195,9 @@
             };
             self.is_consumed.set(true);
             self.last_progress.set(Instant::now());
-            self.read.set(self.read.get() + data.len() as u64);
-            if self.read.get() > MAX_BODY_BYTES {
+            self.bytes_read
+                .set(self.bytes_read.get() + data.len() as u64);
+            if self.bytes_read.get() > MAX_BODY_BYTES {
                 return Poll::Ready(Some(Err(BodyError::TooLarge)));
             }
             if body.is_end_stream() {
@@ -215,10 +216,6 @@
     }
 }
 
-fn earlier(deadline: Instant, limit: Option<Instant>) -> Instant {
-    limit.map_or(deadline, |limit| deadline.min(limit))
-}
-
 /// How long this many bytes take at the lowest rate.
 fn time_at_min_rate(bytes: u64) -> Duration {
     Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_SECOND)
@@ -241,7 +238,7 @@
             upload,
             read_ahead_sent: false,
             on_complete: Some(Box::new(on_complete)),
-            stall: StallTimer::new(CLIENT_STALL),
+            stall: StallTimer::new(CLIENT_STALL_TIMEOUT),
         };
         body.report_completion();
         body
@@ -252,7 +249,7 @@
             return;
         }
         if let Some(on_complete) = self.on_complete.take() {
-            on_complete(self.upload.read.get());
+            on_complete(self.upload.bytes_read.get());
         }
     }
 }
@@ -270,7 +267,7 @@
         }
         let upload = self.upload.clone();
         let part = upload.poll_remaining(cx);
-        let total_limit = CLIENT_STALL + time_at_min_rate(upload.read.get());
+        let total_limit = CLIENT_STALL_TIMEOUT + time_at_min_rate(upload.bytes_read.get());
         match ready!(self.stall.poll(cx, part, total_limit)) {
             Ok(Some(Ok(data))) => {
                 self.report_completion();
--- a/src/bin/load-balancer/dispatch/endpoints.rs
+++ b/src/bin/load-balancer/dispatch/endpoint_updates.rs
@@ -1,5 +1,4 @@
-//! The way of a change of the endpoint list, and of maintenance by operators, through the
-//! dispatcher.
+//! How changes of the endpoint list, and of maintenance by operators, pass through the dispatcher.
 
 use crate::discovery::{
     run_watch, EndpointList, Reconnect, WatchError, WatchId, WatchObserver, WatchRequest,
@@ -28,18 +27,18 @@
     }
 
     fn watch_alive(&self, watch: WatchId) {
-        self.borrow_mut().watches.alive(watch);
+        self.borrow_mut().watches.mark_alive(watch);
     }
 
     fn watch_silent(&self, watch: WatchId) {
         let mut dispatcher = self.borrow_mut();
-        let reconnect = dispatcher.watches.silent(watch);
+        let reconnect = dispatcher.watches.mark_silent(watch);
         dispatcher.reconnect(reconnect);
     }
 
     fn watch_failed(&self, watch: WatchId, error: &WatchError) {
         let mut dispatcher = self.borrow_mut();
-        let reconnect = dispatcher.watches.failed(watch, error);
+        let reconnect = dispatcher.watches.remove_failed(watch, error);
         dispatcher.reconnect(reconnect);
     }
 }
@@ -59,8 +58,8 @@
     }
 
     fn open_watch(&mut self, request: Option<WatchRequest>) {
-        if let (Some(request), Some(dispatcher)) = (request, self.this.upgrade()) {
-            let watch = run_watch(dispatcher, self.budget.clone(), request);
+        if let (Some(request), Some(dispatcher)) = (request, self.weak_self.upgrade()) {
+            let watch = run_watch(dispatcher, self.resources.descriptors.clone(), request);
             let task = spawn_local(watch).abort_handle();
             self.watches.set_task(request.id, task);
         }
--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -1,21 +1,20 @@
-//! Runs the decision module: feeds it events, carries out its actions, and keeps its clock and its
-//! timers.
+//! Runs the decision module: passes events to it, carries out its actions, and runs its clock and
+//! its timers.
 //!
 //! Each accepted request gets one final response, and the module gets one result for each attempt
 //! that it starts. No decision is made here.
 
 mod clock;
-mod endpoints;
+mod endpoint_updates;
 mod recent_request_ids;
 mod request;
+mod request_lifecycle;
 mod request_table;
-mod requests;
 mod timers;
 mod upstream_directory;
 
-pub use request::{AcceptedRequest, FinalResponse, RejectionReason};
+pub use request::{AcceptedRequest, DispatchedRequest, FinalResponse, RejectionReason};
 
-use crate::body::MemoryBudget;
 use crate::config::{Config, NameTables};
 use crate::discovery::{DiscoveryService, EndpointList, WatchSet};
 use crate::dispatch::clock::MonotonicUnixClock;
@@ -23,9 +22,7 @@
 use crate::dispatch::timers::{Timer, TimerQueue};
 use crate::dispatch::upstream_directory::UpstreamDirectory;
 use crate::log;
-use crate::metrics::Metrics;
-use crate::socket::DescriptorBudget;
-use crate::upstream::ConnectionPool;
+use crate::resources::Resources;
 use load_balancer::{
     Action, Balancer, Class, DiscoveryMode, Event, LearnedState, ListScope, SettingsError,
     UpstreamId,
@@ -42,18 +39,15 @@
 /// attempts, upstreams, timers and the watches on discovery.
 pub struct Dispatcher {
     /// For the tasks that report back.
-    this: Weak<RefCell<Dispatcher>>,
+    weak_self: Weak<RefCell<Dispatcher>>,
     balancer: Balancer,
     clock: MonotonicUnixClock,
     names: NameTables,
     classes: Vec<Class>,
-    budget: Rc<DescriptorBudget>,
-    memory: Rc<MemoryBudget>,
-    metrics: Rc<Metrics>,
-    pool: Rc<ConnectionPool>,
+    resources: Resources,
     /// Events that the decision module has not handled yet.
     events: VecDeque<Event>,
-    /// Kept to reuse its allocation; empty between events.
+    /// Empty between events; a field only to reuse its allocation.
     actions: Vec<Action>,
     timers: TimerQueue,
     requests: RequestTable,
@@ -62,7 +56,8 @@
 }
 
 impl Dispatcher {
-    /// Starts a dispatcher whose decision module knows the endpoint list of the configuration.
+    /// Starts a dispatcher whose decision module knows the endpoint list of the configuration. Its
+    /// attempts and watches use `resources`.
     /// Where lists are pushed, a watch on discovery is opened at once.
     ///
     /// # Errors
@@ -70,14 +65,14 @@
     /// If the settings are invalid.
     pub fn start(
         mut config: Config,
-        budget: Rc<DescriptorBudget>,
+        resources: Resources,
     ) -> Result<Rc<RefCell<Dispatcher>>, SettingsError> {
         let mode = config.settings.discovery_mode;
         let known_endpoints = EndpointList {
             snapshot: true,
             ..mem::take(&mut config.known_endpoints)
         };
-        let dispatcher = Self::new(config, budget, known_endpoints.version)?;
+        let dispatcher = Self::new(config, resources, known_endpoints.version)?;
         dispatcher
             .borrow_mut()
             .apply_list(ListScope::Cached, known_endpoints);
@@ -90,41 +85,31 @@
 
     fn new(
         config: Config,
-        budget: Rc<DescriptorBudget>,
+        resources: Resources,
         known_version: u64,
     ) -> Result<Rc<RefCell<Dispatcher>>, SettingsError> {
         let clock = MonotonicUnixClock::new();
-        let limits = &config.settings.limits;
-        let metrics = Metrics::new(&config.names.classes);
-        let memory = MemoryBudget::new(config.memory_bytes);
-        let pool = Rc::new(ConnectionPool::new(
-            budget.clone(),
-            metrics.clone(),
-            memory.clone(),
-            limits.connect_timeout,
-            limits.connection_idle_timeout,
-        ));
-        let max_open = limits.max_open_requests.min(config.max_descriptors);
+        let max_open = config.settings.limits.max_open_requests;
+        let max_open = max_open.min(config.max_descriptors);
         let classes = config.settings.classes.clone();
-        let requests = RequestTable::new(max_open, longest_deadline(&classes));
+        // As good as endless without one; twice the retention has to fit into a `Duration`, too.
+        let id_retention = longest_deadline(&classes).unwrap_or(Duration::MAX / 4);
+        let requests = RequestTable::new(max_open, id_retention);
         let discovery = DiscoveryService {
             address: config.discovery,
             mode: config.settings.discovery_mode,
         };
         let watches = WatchSet::new(discovery, known_version, config.seed);
         let balancer = Balancer::new(config.settings, config.seed, clock.seconds_now())?;
-        Ok(Rc::new_cyclic(|this| {
+        Ok(Rc::new_cyclic(|weak_self| {
             RefCell::new(Dispatcher {
-                this: this.clone(),
+                weak_self: weak_self.clone(),
                 balancer,
                 clock,
                 names: config.names,
                 classes,
-                budget,
-                memory,
-                metrics,
-                upstreams: UpstreamDirectory::new(pool.clone()),
-                pool,
+                upstreams: UpstreamDirectory::new(resources.pool.clone()),
+                resources,
                 events: VecDeque::new(),
                 actions: Vec::new(),
                 timers: TimerQueue::default(),
@@ -149,24 +134,10 @@
         &self.classes
     }
 
-    /// The idle connections to upstreams.
-    pub fn pool(&self) -> &Rc<ConnectionPool> {
-        &self.pool
-    }
-
-    /// The memory for what is read ahead of bodies.
-    pub fn memory(&self) -> Rc<MemoryBudget> {
-        self.memory.clone()
-    }
-
-    /// Where the outcomes of requests are counted.
-    pub fn metrics(&self) -> &Rc<Metrics> {
-        &self.metrics
-    }
-
     /// The metrics, as the admin endpoint shows them.
     pub fn render_metrics(&self) -> String {
-        self.metrics
+        self.resources
+            .metrics
             .render(self.upstreams.count(), self.balancer.excluded_upstreams())
     }
 
@@ -211,7 +182,7 @@
                 request: id,
                 number: attempt,
             }),
-            Action::CloseIdleConnections { upstream } => self.pool.close_idle(upstream),
+            Action::CloseIdleConnections { upstream } => self.resources.pool.close_idle(upstream),
             Action::SetTimer { after, token } => {
                 let at = Instant::now() + duration_from_secs(after);
                 self.timers.set(at, Timer::Decision(token));
@@ -234,7 +205,7 @@
         while let Some(timer) = self.timers.pop_due() {
             match timer {
                 Timer::Decision(token) => self.handle(Event::TimerFired(token)),
-                Timer::DeadlineBackstop(id) => self.answer_overdue(id),
+                Timer::DeadlineBackstop(id) => self.conclude_overdue(id),
                 Timer::ReopenWatch => self.ensure_watch(),
             }
         }
@@ -256,12 +227,12 @@
     }
 }
 
-/// The longest deadline of these classes; as good as endless if no `Duration` can hold it.
-fn longest_deadline(classes: &[Class]) -> Duration {
+/// The longest deadline of these classes; `None` if no `Duration` can hold it.
+pub fn longest_deadline(classes: &[Class]) -> Option<Duration> {
     let longest = classes
         .iter()
         .fold(0.0, |longest: f64, class| longest.max(class.deadline));
-    Duration::try_from_secs_f64(longest).unwrap_or(Duration::MAX / 4)
+    Duration::try_from_secs_f64(longest).ok()
 }
 
 /// The seconds of an action as a `Duration`; zero for a value that none can hold, such as a
--- a/src/bin/load-balancer/handover/retry_stream.rs
+++ b/src/bin/load-balancer/handover/retry_stream.rs
@@ -1,4 +1,4 @@
-//! A stream whose reads and writes outlast interrupts and resource exhaustion.
+//! A stream that retries reads and writes after interrupts and resource exhaustion.
 
 use crate::socket::system_errors::is_resource_exhaustion;
 use std::io;
@@ -6,9 +6,9 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Wraps a stream: an interrupted call is made again at once, one that failed for want of a
+/// Wraps a stream: an interrupted call is made again at once, one that failed for lack of a
 /// resource in a later turn of the event loop.
-pub struct RetryOnInterrupt<T>(pub T);
+pub struct RetryStream<T>(pub T);
 
 /// The final result of a call, or `None` if it has to be made again at once.
 fn final_result<T>(result: Poll<io::Result<T>>, context: &Context) -> Option<Poll<io::Result<T>>> {
@@ -22,7 +22,7 @@
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for RetryOnInterrupt<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for RetryStream<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context,
@@ -37,7 +37,7 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for RetryOnInterrupt<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for RetryStream<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context,
--- a/src/bin/load-balancer/process.rs
+++ b/src/bin/load-balancer/process.rs
@@ -2,16 +2,16 @@
 
 use crate::admin::Admin;
 use crate::config::{Config, ConfigError};
-use crate::dispatch::Dispatcher;
+use crate::dispatch::{longest_deadline, Dispatcher};
 use crate::handover::Handover;
 use crate::log;
 use crate::reload::reload_on_signal;
+use crate::resources::Resources;
 use crate::server::listener::{Listener, PortSharing};
 use crate::server::Server;
-use crate::shutdown::{shut_down, DrainSchedule, Successor};
+use crate::shutdown::{shut_down, ShutdownSchedule, Successor};
 use crate::signals::{Signal, SIGHUP, SIGINT, SIGTERM};
 use crate::socket::system_errors::retry_transient_errors;
-use crate::socket::DescriptorBudget;
 use crate::upstream::ConnectionPool;
 use load_balancer::SettingsError;
 use std::cell::RefCell;
@@ -32,7 +32,7 @@
 /// Why the process ended without having served.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A call of the system failed for longer than a moment.
+    /// A system call failed, and went on to fail when it was retried.
     #[error("{0}")]
     System(#[from] io::Error),
     /// The configuration is invalid.
@@ -59,15 +59,15 @@
     },
 }
 
-/// The signals that end the process.
-struct EndSignals {
+/// The signals that begin a graceful shutdown.
+struct ShutdownSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
-impl EndSignals {
+impl ShutdownSignals {
     fn listen() -> io::Result<Self> {
-        Ok(EndSignals {
+        Ok(ShutdownSignals {
             terminate: Signal::listen(SIGTERM)?,
             interrupt: Signal::listen(SIGINT)?,
         })
@@ -87,7 +87,7 @@
     name: String,
     /// Where clients connect, as configured.
     address: SocketAddr,
-    drain_schedule: DrainSchedule,
+    shutdown_schedule: ShutdownSchedule,
     dispatcher: Rc<RefCell<Dispatcher>>,
     server: Rc<Server>,
     handover: Rc<Handover>,
@@ -99,7 +99,7 @@
 ///
 /// If it can't start; see [`StartError`].
 pub async fn run() -> Result<(), StartError> {
-    let end = EndSignals::listen()?;
+    let end = ShutdownSignals::listen()?;
     // Before the configuration is read: an early SIGHUP would end the process.
     let hangup = Signal::listen(SIGHUP)?;
     let process = Process::start(Config::load()?)?;
@@ -117,32 +117,37 @@
         let name = config.name.clone();
         let address = config.listen;
         let max_descriptors = config.max_descriptors;
-        let budget = DescriptorBudget::new(max_descriptors, config.admin.is_some());
         let admin = config.admin.map(bind_admin).transpose()?;
-        let drain_schedule = DrainSchedule::new(longest_deadline(&config));
-        let dispatcher = Dispatcher::start(config, budget.clone())?;
-        let server = Server::new(dispatcher.clone(), budget.clone());
+        // Valid settings hold finite deadlines; one that no `Duration` holds counts as none.
+        let longest_deadline = longest_deadline(&config.settings.classes).unwrap_or(Duration::ZERO);
+        let shutdown_schedule = ShutdownSchedule::new(longest_deadline);
+        let resources = Resources::new(&config);
+        let dispatcher = Dispatcher::start(config, resources.clone())?;
+        let server = Server::new(dispatcher.clone(), resources.clone());
         let handover = Handover::new(
             std::env::var_os("TMPDIR").map(PathBuf::from),
             address,
             dispatcher.clone(),
             server.clone(),
-            budget.clone(),
+            resources.descriptors.clone(),
             max_descriptors,
         );
         if let Some(listener) = admin {
             let address = retry_transient_errors(|| listener.local_addr())?;
             log::line(format!("listening for admin requests: {name} at {address}"));
-            let admin = Admin::new(dispatcher.clone(), server.clone(), handover.clone(), budget);
+            let admin = Admin::new(
+                dispatcher.clone(),
+                server.clone(),
+                handover.clone(),
+                resources.descriptors,
+            );
             spawn_local(admin.accept(listener));
         }
-        spawn_local(close_expired_connections(
-            dispatcher.borrow().pool().clone(),
-        ));
+        spawn_local(close_expired_connections(resources.pool));
         Ok(Process {
             name,
             address,
-            drain_schedule,
+            shutdown_schedule,
             dispatcher,
             server,
             handover,
@@ -159,13 +164,13 @@
     }
 
     /// Serves clients until a signal ends that, then shuts down gracefully.
-    async fn serve(self, end: EndSignals) -> Result<(), StartError> {
+    async fn serve(self, end: ShutdownSignals) -> Result<(), StartError> {
         let address = self.address;
         let listener = Listener::bind(address, PortSharing::Shared)
             .map_err(|source| StartError::ClientListener { address, source })?;
         let address = retry_transient_errors(|| listener.local_addr())?;
-        self.server.open();
-        self.handover.listening(address);
+        self.server.set_listening();
+        self.handover.announce_listening(address);
         let name = &self.name;
         log::line(format!("listening for clients: {name} at {address}"));
         self.server.accept(&listener, end.received()).await;
@@ -174,7 +179,14 @@
         } else {
             Successor::Absent
         };
-        shut_down(name, &self.server, listener, successor, self.drain_schedule).await;
+        shut_down(
+            name,
+            &self.server,
+            listener,
+            successor,
+            self.shutdown_schedule,
+        )
+        .await;
         Ok(())
     }
 }
@@ -184,14 +196,6 @@
         .map_err(|source| StartError::AdminListener { address, source })
 }
 
-/// The longest deadline of a request class.
-fn longest_deadline(config: &Config) -> Duration {
-    let classes = config.settings.classes.iter();
-    let seconds = classes.fold(0.0, |longest: f64, class| longest.max(class.deadline));
-    // Valid settings hold finite deadlines; one that no `Duration` holds counts as none.
-    Duration::try_from_secs_f64(seconds).unwrap_or(Duration::ZERO)
-}
-
 async fn close_expired_connections(pool: Rc<ConnectionPool>) {
     loop {
         sleep(EXPIRY_INTERVAL).await;
--- a/src/bin/load-balancer/server/accept.rs
+++ b/src/bin/load-balancer/server/accept.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, Instant};
 
 /// The delay before the next accept after the second failure in a row and each further one.
-const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// With this many more failures than successes a shortage counts as persistent.
 const PERSISTENT_SHORTAGE_EXCESS: u32 = 10;
 /// Failed accepts are logged no more often than this.
@@ -62,13 +62,17 @@
         }
     }
 
-    /// Accepts all connections in the listener's queue, and closes the listener. The kernel
-    /// resets connections that are still in the queue then.
+    /// Accepts all connections in the listener's queue, and closes the listener. Without that the
+    /// kernel would reset them.
     ///
     /// # Errors
     ///
     /// Those of accept(2) that last until `deadline`.
-    pub async fn close(self: &Rc<Self>, listener: Listener, deadline: Instant) -> io::Result<()> {
+    pub async fn close_listener(
+        self: &Rc<Self>,
+        listener: Listener,
+        deadline: Instant,
+    ) -> io::Result<()> {
         let mut shortage = ResourceShortage::default();
         loop {
             match listener.accept_now() {
@@ -98,7 +102,7 @@
     /// evicted.
     async fn back_off(&self, shortage: &mut ResourceShortage, error: &io::Error) {
         if is_connection_error(error) {
-            // Only this connection has failed; the next one may be sound.
+            // Only this connection has failed; the next one may succeed.
             return yield_now().await;
         }
         self.log_accept_error(error);
@@ -109,7 +113,7 @@
         if shortage.consecutive_failures == 1 {
             yield_now().await;
         } else {
-            sleep(ACCEPT_BACKOFF).await;
+            sleep(ACCEPT_RETRY_INTERVAL).await;
         }
     }
 
@@ -117,7 +121,7 @@
         let logged_at = self.accept_error_logged_at.get();
         if logged_at.is_none_or(|logged_at| logged_at.elapsed() > ACCEPT_ERROR_LOG_INTERVAL) {
             self.accept_error_logged_at.set(Some(Instant::now()));
-            log::line(format!("accept failed: {error}"));
+            log::line(format!("client accept failed: {error}"));
         }
     }
 
@@ -126,14 +130,16 @@
         let stream = match accepted.register().await {
             Ok(stream) => stream,
             Err(error) => {
-                return log::line(format!("client connection dropped: {error}"));
+                return log::line(format!(
+                    "client connection not registered: {error}; closing it"
+                ));
             }
         };
-        let Some((permit, admission)) = self.acquire_permit().await else {
+        let Some(permit) = self.acquire_permit().await else {
             return;
         };
-        let client = ClientConnection::new(Socket::new(stream, permit));
+        let client = ClientConnection::new(Socket::new(stream, permit.descriptor));
         let id = self.connections.insert(client.clone());
-        spawn_local(self.clone().serve(id, client, admission));
+        spawn_local(self.clone().serve(id, client, permit.admission));
     }
 }
--- a/src/bin/load-balancer/server/connection/mod.rs
+++ b/src/bin/load-balancer/server/connection/mod.rs
@@ -5,7 +5,7 @@
 mod stall;
 
 use crate::server::connection::signals::{CloseSignal, EvictionSignal};
-use crate::server::FIRST_REQUEST_TIMEOUT;
+use crate::server::timeouts::REQUEST_ARRIVAL_TIMEOUT;
 use crate::socket::Socket;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// No request is in progress, or only its head has arrived. `Socket::request_started_at`
-    /// tells the two apart.
+    /// distinguishes the two.
     AwaitingRequest {
         /// When the last response ended or the last head arrived; before the first request has
         /// ended, when the connection was opened.
@@ -60,7 +60,7 @@
 pub(super) enum RequestHistory {
     /// No complete request.
     Empty,
-    /// Only requests that were no use of the service: health checks, invalid or rejected ones.
+    /// Only health checks and requests that were invalid or rejected for lack of capacity.
     NoneValid,
     /// At least one request that passed validation.
     SomeValid,
@@ -179,7 +179,7 @@
         });
         self.socket.mark_idle();
         // The bytes of the next head are searched for in these, so the fewer remain the better.
-        if self.request.end_offset.get() == Some(self.socket.read()) {
+        if self.request.end_offset.get() == Some(self.socket.bytes_read()) {
             self.socket.clear_recent_bytes();
         }
     }
@@ -190,12 +190,12 @@
         self.enter(Phase::Lingering { idle_since });
     }
 
-    /// True if bytes have arrived behind the current request. Asks the kernel if need be.
+    /// True if bytes have arrived behind the current request. Queries the kernel if necessary.
     pub(super) fn has_pipelined_bytes(&self) -> bool {
         self.request
             .end_offset
             .get()
-            .is_some_and(|end| self.socket.read() > end || self.socket.has_unread())
+            .is_some_and(|end| self.socket.bytes_read() > end || self.socket.has_unread())
     }
 
     /// True if a requested close can begin now. It waits for a request of which any byte has
@@ -215,6 +215,6 @@
 
     /// When the first request has to be complete; `None` once there has been one.
     pub(super) fn first_request_deadline(&self) -> Option<Instant> {
-        (self.history.get() == RequestHistory::Empty).then(|| self.opened + FIRST_REQUEST_TIMEOUT)
+        (self.history.get() == RequestHistory::Empty).then(|| self.opened + REQUEST_ARRIVAL_TIMEOUT)
     }
 }
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -1,7 +1,7 @@
 //! Handles one request: has it dispatched, and makes its final response into one for the client.
 
 use crate::body::{ResponseBody, Upload};
-use crate::dispatch::{Dispatcher, FinalResponse, RejectionReason};
+use crate::dispatch::{DispatchedRequest, Dispatcher, FinalResponse, RejectionReason};
 use crate::metrics::{InFlightRequest, RequestOutcome};
 use crate::server::connection::{ClientConnection, Phase};
 use crate::server::response::{
@@ -26,7 +26,8 @@
             .class_index(request.uri().path())
             .filter(|_| request.headers().contains_key("request-id"))
         {
-            self.metrics
+            self.resources
+                .metrics
                 .begin_request(class)
                 .end(RequestOutcome::Rejected);
         }
@@ -48,9 +49,9 @@
         };
         let upload = accepted.forward.upload.clone();
         client.record_valid_request();
-        let in_flight = self.metrics.begin_request(accepted.class);
+        let in_flight = self.resources.metrics.begin_request(accepted.class);
         let dispatched = self.dispatcher.borrow_mut().accept(accepted);
-        let (id, final_response) = match dispatched {
+        let DispatchedRequest { id, response } = match dispatched {
             Ok(dispatched) => dispatched,
             Err(reason) => {
                 in_flight.end(match reason {
@@ -67,7 +68,7 @@
         client.enter(Phase::AwaitingResponse);
         // While a complete request awaits its response, nothing else reads the bytes behind it.
         client.socket.set_read_ahead(!upload.is_streamed());
-        let final_response = final_response.await;
+        let final_response = response.await;
         client.socket.set_read_ahead(false);
         if upload.is_streamed() {
             discard_rest_of_body(client, upload.clone());
@@ -128,7 +129,7 @@
                 ResponseBody::complete(body)
             }
             // The process may be killed before a slow client has taken all of it.
-            ResponseContent::Streamed(_) if self.drain_state.is_late(upload) => {
+            ResponseContent::Streamed(_) if self.drain_state.arrived_late(upload) => {
                 in_flight.end(RequestOutcome::Failed);
                 return text_response(
                     StatusCode::BAD_GATEWAY,
@@ -158,7 +159,7 @@
     });
 }
 
-/// Tells the dispatcher when a request's handler is dropped, as its client has disconnected.
+/// Notifies the dispatcher when a request's handler is dropped, as its client has disconnected.
 /// After the final response this has no effect.
 struct CancelOnDrop<'a> {
     dispatcher: &'a RefCell<Dispatcher>,
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -18,58 +18,38 @@
 mod request_error;
 mod response;
 mod serve;
+pub mod timeouts;
 
 pub use drain::ClientDrain;
 
-use crate::body::MemoryBudget;
 use crate::dispatch::Dispatcher;
-use crate::metrics::Metrics;
+use crate::resources::Resources;
 use crate::server::connection_table::ConnectionTable;
 use crate::server::drain::DrainState;
-use crate::socket::DescriptorBudget;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time for a request to arrive: for the first one since the connection was opened, for a
-/// further one since its first byte. Of a body that takes longer only the beginning counts.
-pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The time after [`FIRST_REQUEST_TIMEOUT`] in which the client can be sent an error response
-/// before its connection is closed.
-pub const TIMEOUT_RESPONSE_GRACE: Duration = Duration::from_millis(200);
-/// A connection is closed if its next request doesn't begin within this time, or if its client
-/// takes longer than this for the end of the last response.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a connection is checked for a client that has disconnected.
-const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
-
 /// Serves clients. Owns their connections and the state of the drain.
 pub struct Server {
     dispatcher: Rc<RefCell<Dispatcher>>,
-    budget: Rc<DescriptorBudget>,
-    metrics: Rc<Metrics>,
-    memory: Rc<MemoryBudget>,
+    resources: Resources,
     connections: ConnectionTable,
     drain_state: DrainState,
-    listening: Cell<bool>,
+    is_listening: Cell<bool>,
     /// When a failed accept was last logged.
     accept_error_logged_at: Cell<Option<Instant>>,
 }
 
 impl Server {
-    /// A server that doesn't listen yet, with the dispatcher's metrics and memory budget.
-    pub fn new(dispatcher: Rc<RefCell<Dispatcher>>, budget: Rc<DescriptorBudget>) -> Rc<Self> {
-        let metrics = dispatcher.borrow().metrics().clone();
-        let memory = dispatcher.borrow().memory();
+    /// A server that doesn't listen yet.
+    pub fn new(dispatcher: Rc<RefCell<Dispatcher>>, resources: Resources) -> Rc<Self> {
         Rc::new(Server {
             dispatcher,
-            budget,
-            metrics,
-            memory,
+            resources,
             connections: ConnectionTable::default(),
             drain_state: DrainState::default(),
-            listening: Cell::new(false),
+            is_listening: Cell::new(false),
             accept_error_logged_at: Cell::new(None),
         })
     }
@@ -77,16 +57,18 @@
     /// True while new clients can be served: the server listens, has an endpoint list and is not
     /// draining.
     pub fn is_ready(&self) -> bool {
-        self.listening.get() && !self.drain_state.is_active() && self.dispatcher.borrow().is_ready()
+        self.is_listening.get()
+            && !self.drain_state.is_active()
+            && self.dispatcher.borrow().is_ready()
     }
 
-    /// The listener is open, so that the server can become ready.
-    pub fn open(&self) {
-        self.listening.set(true);
+    /// Notes that the listener is open, so that the server can become ready.
+    pub fn set_listening(&self) {
+        self.is_listening.set(true);
     }
 
     /// The number of open client connections.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 }
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -5,7 +5,8 @@
 use crate::server::connection::{ClientConnection, Phase};
 use crate::server::raw_head::RawHead;
 use crate::server::request_error::RequestError;
-use crate::server::{Server, FIRST_REQUEST_TIMEOUT};
+use crate::server::timeouts::REQUEST_ARRIVAL_TIMEOUT;
+use crate::server::Server;
 use crate::socket::Socket;
 use crate::upstream::{end_to_end_headers, ForwardedRequest};
 use hyper::body::Incoming;
@@ -111,11 +112,11 @@
         let request_started_at = client.socket.request_started_at().unwrap_or(received_at);
         let deadline = client
             .first_request_deadline()
-            .unwrap_or(request_started_at + FIRST_REQUEST_TIMEOUT);
+            .unwrap_or(request_started_at + REQUEST_ARRIVAL_TIMEOUT);
         client.enter(Phase::ReceivingBody);
         let upload = Upload::read(
             body,
-            &self.memory,
+            &self.resources.memory,
             deadline,
             self.drain_state.shutdown_deadline(),
         )
@@ -145,16 +146,19 @@
             upload: Rc::new(upload),
             client: client.socket.peer(),
             timeout,
-            drain_deadline: self.drain_state.shutdown_deadline().clone(),
+            shutdown_deadline: self.drain_state.shutdown_deadline().clone(),
         })
     }
 }
 
 impl BodyFraming {
+    /// Finds where the body begins, and whether it is chunked.
+    ///
     /// # Errors
     ///
-    /// The request has both a transfer coding and a length, or it can't be told. Recipients
-    /// disagree on which of the two holds, so that one request could hide another.
+    /// The request has both a transfer coding and a length, or the bytes that would show it are
+    /// no longer stored. Recipients disagree on which of the two holds, so that one request could
+    /// hide another.
     fn find(headers: &HeaderMap, socket: &Socket, request_id: &str) -> Result<Self, RequestError> {
         let raw_head = RawHead::find(&socket.recent_bytes(), request_id);
         let chunked = headers.contains_key(TRANSFER_ENCODING);
@@ -162,7 +166,7 @@
             return Err(RequestError::AmbiguousBodyLength);
         }
         Ok(BodyFraming {
-            start_offset: raw_head.map(|raw| socket.read() - raw.trailing_bytes),
+            start_offset: raw_head.map(|raw| socket.bytes_read() - raw.trailing_bytes),
             chunked,
         })
     }
--- a/src/bin/load-balancer/socket/io.rs
+++ b/src/bin/load-balancer/socket/io.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 /// Bytes that one call reads at most.
-pub(super) const READ_SIZE: usize = 8 << 10;
+pub(super) const MAX_READ_BYTES: usize = 8 << 10;
 
 impl Read for Socket {
     fn poll_read(
@@ -19,12 +19,12 @@
         cx: &mut Context<'_>,
         mut buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut bytes = [0; READ_SIZE];
+        let mut bytes = [0; MAX_READ_BYTES];
         let capacity = buffer.remaining().min(bytes.len());
         let count = ready!(self.poll_input(cx, &mut bytes[..capacity]))?;
         self.0.received.add(count);
         self.0.client_input.record_read(count);
-        self.0.exchange.check_received(self.read())?;
+        self.0.exchange.check_received(self.bytes_read())?;
         self.0.client_input.record_bytes(&bytes[..count]);
         buffer.put_slice(&bytes[..count]);
         Poll::Ready(Ok(()))
@@ -73,7 +73,7 @@
             match retry_on_interrupt(|| self.0.stream.try_read(bytes)) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) if is_resource_exhaustion(&error) => {
-                    // The bytes stay in the kernel; other tasks run before the next try.
+                    // The bytes stay in the kernel; other tasks run before the next read.
                     cx.waker().wake_by_ref();
                     return Poll::Pending;
                 }
@@ -115,6 +115,6 @@
     fn record_sent(&self, count: usize) {
         self.0.sent.add(count);
         self.0.sent.record_progress();
-        self.0.exchange.record_sent(self.written());
+        self.0.exchange.record_sent(self.bytes_written());
     }
 }
--- a/src/bin/load-balancer/upstream/exchange.rs
+++ b/src/bin/load-balancer/upstream/exchange.rs
@@ -30,25 +30,25 @@
     pub(super) fn new(socket: &'a Socket) -> Self {
         ExchangeProgress {
             socket,
-            written_before: socket.written(),
-            read_before: socket.read(),
+            written_before: socket.bytes_written(),
+            read_before: socket.bytes_read(),
             request_length: Rc::new(Cell::new(usize::MAX)),
         }
     }
 
     /// True if nothing of the request has been written.
     pub(super) fn is_unsent(&self) -> bool {
-        self.socket.written() == self.written_before
+        self.socket.bytes_written() == self.written_before
     }
 
-    /// True if the whole request may have been written.
+    /// True if the complete request may have been written.
     pub(super) fn is_request_sent(&self) -> bool {
-        self.socket.written() - self.written_before >= self.request_length.get()
+        self.socket.bytes_written() - self.written_before >= self.request_length.get()
     }
 
     /// True if something of the response has been read.
     pub(super) fn has_response_begun(&self) -> bool {
-        self.socket.read() > self.read_before
+        self.socket.bytes_read() > self.read_before
     }
 }
 
@@ -170,7 +170,7 @@
 }
 
 /// Bytes that a head has on the wire at least: hyper writes these headers as they are, and may add
-/// some. A connection that broke before as many were written has not carried the whole request.
+/// some. A connection that broke before as many were written has not carried the complete request.
 fn min_head_length(method: &Method, uri: &Uri, headers: &HeaderMap) -> usize {
     let request_line =
         method.as_str().len() + " ".len() + uri.to_string().len() + " HTTP/1.1\r\n".len();
