--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -27,8 +27,7 @@
 use crate::socket::DescriptorBudget;
 use crate::upstream::ConnectionPool;
 use load_balancer::{
-    Action, Balancer, Class, DiscoveryMode, Event, LearnedState, ListScope, SettingsError,
-    UpstreamId,
+    Action, Balancer, Class, DiscoveryMode, Event, LearnedState, ListScope, LogEvent, SettingsError,
 };
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -217,16 +216,13 @@
                 self.timers.set(at, Timer::Decision(token));
             }
             Action::WatchEndpoints => self.ensure_watch(),
-            Action::Log { upstream, text } => self.log(upstream, text),
+            Action::Log(event) => self.log(event),
         }
     }
 
-    fn log(&self, upstream: Option<UpstreamId>, text: String) {
-        let name = upstream.and_then(|upstream| self.upstreams.name(upstream));
-        log::line(match name {
-            Some(name) => format!("{name}: {text}"),
-            None => text,
-        });
+    fn log(&self, event: LogEvent) {
+        let upstream_name = |upstream| self.upstreams.name(upstream);
+        log::line(event.text(upstream_name, &self.classes));
     }
 
     /// Fires the timers that are due; when the next one fires.
--- a/src/decision/action.rs
+++ b/src/decision/action.rs
@@ -1,6 +1,7 @@
 //! What a balancer asks its embedder to do.
 
 use super::event::{RequestId, UpstreamId};
+use super::log_event::LogEvent;
 
 /// What the embedder has to do, in the order given. Durations are seconds.
 #[derive(Clone, Debug, PartialEq)]
@@ -48,10 +49,5 @@
     /// Watch or poll the endpoint list.
     WatchEndpoints,
     /// Write a line to the log.
-    Log {
-        /// The upstream it is about.
-        upstream: Option<UpstreamId>,
-        /// The line.
-        text: String,
-    },
+    Log(LogEvent),
 }
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -7,6 +7,7 @@
 use super::event::{AttemptOutcome, AttemptResult, RequestId, UpstreamId};
 use super::idle_timeout::IdleTimeoutEstimator;
 use super::latency::OVERDUE_FACTOR;
+use super::log_event::LogEvent;
 use super::queue::request_timer;
 use super::request::Attempt;
 use super::settings::{Idempotency, Limits};
@@ -215,10 +216,8 @@
         if let Some(upstream) = self.upstreams.get_mut(&id) {
             upstream.is_suspected_draining = true;
         }
-        actions.push(Action::Log {
-            upstream: Some(id),
-            text: "left out until the endpoint list is current: rejects all requests".into(),
-        });
+        let suspected = LogEvent::SuspectedDraining { upstream: id };
+        actions.push(Action::Log(suspected));
         self.on_endpoints_changed(actions);
     }
 }
--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -118,6 +118,12 @@
         }
     }
 
+    /// The settings that it was created with.
+    #[must_use]
+    pub fn settings(&self) -> &Settings {
+        &self.settings
+    }
+
     /// What the balancer keeps track of now.
     #[must_use]
     pub fn load(&self) -> Load {
--- /dev/null
+++ b/src/decision/log_event.rs
@@ -0,0 +1,103 @@
+//! What a balancer reports to the log, and the text of each line.
+
+use super::event::{AttemptOutcome, UpstreamId};
+use super::settings::Class;
+
+/// Stands in a line for a name that is not known.
+const UNKNOWN_NAME: &str = "?";
+
+/// Something that operators should find in the log. Durations are seconds.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum LogEvent {
+    /// An upstream was ejected for the first time since it last succeeded.
+    Ejected {
+        /// Which upstream.
+        upstream: UpstreamId,
+        /// Which requests it no longer gets.
+        scope: EjectionScope,
+        /// How the attempt ended that led to it.
+        cause: AttemptOutcome,
+        /// For how long.
+        duration: f64,
+    },
+    /// An upstream rejects all requests while the endpoint list is stale, so it may be draining.
+    SuspectedDraining {
+        /// Which upstream.
+        upstream: UpstreamId,
+    },
+    /// Discovery did not respond to a poll, or a watch broke.
+    PollFailed {
+        /// When the next poll begins.
+        retry_in: f64,
+    },
+}
+
+/// The requests that an ejected upstream no longer gets.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EjectionScope {
+    /// All of them.
+    AllRequests,
+    /// Those of one class; an index into `Settings::classes`.
+    Class(usize),
+}
+
+impl LogEvent {
+    /// The line of the log: what happened, where, and figures. `upstream_name` gives the name of
+    /// an upstream, or `None` if it is not known; `classes` are those of the settings.
+    #[must_use]
+    pub fn text<'a>(
+        &self,
+        upstream_name: impl FnOnce(UpstreamId) -> Option<&'a str>,
+        classes: &[Class],
+    ) -> String {
+        let name = |upstream| upstream_name(upstream).unwrap_or(UNKNOWN_NAME);
+        match *self {
+            LogEvent::Ejected {
+                upstream,
+                scope,
+                cause,
+                duration,
+            } => {
+                let (name, scope, cause) = (
+                    name(upstream),
+                    scope_text(scope, classes),
+                    cause_text(cause),
+                );
+                format!("upstream ejected: {name}, {scope} ({duration:.1} s, after {cause})")
+            }
+            LogEvent::SuspectedDraining { upstream } => {
+                let name = name(upstream);
+                format!(
+                    "upstream left out until the endpoint list is current: {name} (rejects all requests)"
+                )
+            }
+            LogEvent::PollFailed { retry_in } => {
+                format!("discovery poll failed; polling again in {retry_in:.1} s")
+            }
+        }
+    }
+}
+
+fn scope_text(scope: EjectionScope, classes: &[Class]) -> String {
+    match scope {
+        EjectionScope::AllRequests => "all requests".into(),
+        EjectionScope::Class(index) => {
+            let name = classes.get(index).map_or(UNKNOWN_NAME, |class| &class.name);
+            format!("class {name}")
+        }
+    }
+}
+
+fn cause_text(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
+        AttemptOutcome::Success => "success",
+        AttemptOutcome::Error => "error",
+        AttemptOutcome::InvalidResponse => "invalid response",
+        AttemptOutcome::Rejected => "rejection",
+        AttemptOutcome::TimedOut => "timeout",
+        AttemptOutcome::ConnectFailed => "connection failure",
+        AttemptOutcome::Reset => "connection reset",
+        AttemptOutcome::Cancelled => "cancellation",
+        AttemptOutcome::NotSent => "attempt that was not sent",
+    }
+}
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! | Module | What it decides or owns |
 //! | --- | --- |
-//! | `settings`, `event`, `action` | the types that the embedder uses |
+//! | `settings`, `event`, `action`, `log_event` | the types that the embedder uses |
 //! | `balancer` | the state of all parts; dispatch of events |
 //! | `endpoint_list`, `maintenance`, `poll_schedule`, `start_time` | which upstreams there are |
 //! | `subset`, `rotation`, `selection` | the upstream for an attempt |
@@ -26,6 +26,7 @@
 mod idle_timeout;
 mod latency;
 mod learned_state;
+mod log_event;
 mod maintenance;
 mod outlier;
 mod poll_schedule;
@@ -47,6 +48,7 @@
     UpstreamEntry, UpstreamId, UpstreamState,
 };
 pub use learned_state::LearnedState;
+pub use log_event::{EjectionScope, LogEvent};
 pub use settings::{
     Class, DeduplicationScope, DiscoveryMode, Idempotency, Limits, Prices, Rules, Settings,
     SettingsError, Tenant,
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -9,6 +9,7 @@
 use super::ended_attempt::EndedAttempt;
 use super::event::{AttemptOutcome, UpstreamId};
 use super::latency::{MAX_EXCESS_WORK, SMOOTHING};
+use super::log_event::{EjectionScope, LogEvent};
 use super::selection::OutlierPolicy;
 use super::settings::{Class, Idempotency};
 use super::upstream::Upstream;
@@ -290,7 +291,7 @@
         };
         let of_class = stats[1 + ended.class].add(&evidence, scope, peers.class);
         let class = &self.settings.classes[ended.class];
-        actions.extend(ejection_log(id, &of_all, &of_class, class, ended.outcome));
+        actions.extend(ejection_log(id, &of_all, &of_class, ended));
         if class.idempotency != Idempotency::NonIdempotent {
             schedule_trials(&mut stats[1..], &self.settings.classes, &of_class, self.now);
         }
@@ -332,22 +333,23 @@
 /// The log line for the first ejection of a series. An ejection for all requests covers that for
 /// the class.
 fn ejection_log(
-    id: UpstreamId,
+    upstream: UpstreamId,
     of_all: &Verdict,
     of_class: &Verdict,
-    class: &Class,
-    outcome: AttemptOutcome,
+    ended: &EndedAttempt,
 ) -> Option<Action> {
     let (ejection, scope) = match (&of_all.ejection, &of_class.ejection) {
-        (Some(ejection), _) => (ejection, "all requests"),
-        (None, Some(ejection)) => (ejection, class.name.as_str()),
+        (Some(ejection), _) => (ejection, EjectionScope::AllRequests),
+        (None, Some(ejection)) => (ejection, EjectionScope::Class(ended.class)),
         (None, None) => return None,
     };
-    let duration = ejection.duration;
-    ejection.is_first.then(|| Action::Log {
-        upstream: Some(id),
-        text: format!("ejected for {duration:.1} s: {scope} (after {outcome:?})"),
-    })
+    let event = LogEvent::Ejected {
+        upstream,
+        scope,
+        cause: ended.outcome,
+        duration: ejection.duration,
+    };
+    ejection.is_first.then_some(Action::Log(event))
 }
 
 /// A trial request after an ejection may be lost. Where the class of a result can be repeated, it
--- a/src/decision/poll_schedule.rs
+++ b/src/decision/poll_schedule.rs
@@ -6,6 +6,7 @@
 
 use super::action::Action;
 use super::event::ListScope;
+use super::log_event::LogEvent;
 use super::settings::{DiscoveryMode, Settings};
 use rand::Rng;
 
@@ -115,10 +116,7 @@
             token: POLL_TIMER,
         });
         if result != PollResult::List {
-            actions.push(Action::Log {
-                upstream: None,
-                text: format!("discovery poll failed; polling again in {after:.1} s"),
-            });
+            actions.push(Action::Log(LogEvent::PollFailed { retry_in: after }));
         }
     }
 
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -152,8 +152,9 @@
             writeln!(self.reply, "FROM\ti={number}").expect(WRITE_TO_MEMORY);
             self.replying = Some(number);
         }
+        let classes = &balancer.settings().classes;
         for action in &self.actions {
-            write_action(action, &self.names, &mut self.reply).expect(WRITE_TO_MEMORY);
+            write_action(action, &self.names, classes, &mut self.reply).expect(WRITE_TO_MEMORY);
         }
         if let Err(payload) = result {
             self.balancers.remove(&number);
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -1,8 +1,8 @@
 //! The messages: events that the simulator sends, and actions that go back.
 
 use crate::decision::{
-    Action, AttemptOutcome, AttemptResult, Event, ListScope, Request, UpstreamEntry, UpstreamId,
-    UpstreamState,
+    Action, AttemptOutcome, AttemptResult, Class, Event, ListScope, Request, UpstreamEntry,
+    UpstreamId, UpstreamState,
 };
 use crate::simulator::line::{Line, WireError};
 use std::collections::HashMap;
@@ -114,12 +114,17 @@
     })
 }
 
-/// Writes the line of an action.
+/// Writes the line of an action. `classes` are those of the balancer that it comes from.
 ///
 /// # Errors
 ///
 /// Those of `out`.
-pub fn write_action(action: &Action, names: &UpstreamNames, out: &mut Vec<u8>) -> io::Result<()> {
+pub fn write_action(
+    action: &Action,
+    names: &UpstreamNames,
+    classes: &[Class],
+    out: &mut impl Write,
+) -> io::Result<()> {
     match action {
         Action::StartAttempt { id, upstream, .. } => {
             let address = names.address(*upstream);
@@ -144,11 +149,8 @@
             writeln!(out, "WAKE_ME\tafter={after:.6}\tname={token}")
         }
         Action::WatchEndpoints => writeln!(out, "TRACK\tactive=1"),
-        Action::Log { upstream, text } => {
-            let text = match upstream {
-                Some(upstream) => format!("{}: {text}", names.address(*upstream)),
-                None => text.clone(),
-            };
+        Action::Log(event) => {
+            let text = event.text(|upstream| Some(names.address(upstream)), classes);
             writeln!(out, "TRACE\ttext={}", on_one_line(&text))
         }
     }
--- a/tests/decision/lifecycle.rs
+++ b/tests/decision/lifecycle.rs
@@ -49,7 +49,7 @@
         "its slot is taken until its attempt ends"
     );
     let actions = harness.handle(attempt_ended(1, 0, AttemptOutcome::TimedOut));
-    let is_log = |a: &Action| matches!(a, Action::Log { .. });
+    let is_log = |a: &Action| matches!(a, Action::Log(_));
     assert!(
         actions.iter().all(is_log),
         "no attempt and no response follow: {actions:?}"
--- a/tests/decision/main.rs
+++ b/tests/decision/main.rs
@@ -10,6 +10,7 @@
 mod invariants;
 mod learned_state;
 mod lifecycle;
+mod log_event;
 mod maintenance;
 mod outlier_classes;
 mod outliers;
--- a/tests/decision/outliers.rs
+++ b/tests/decision/outliers.rs
@@ -77,7 +77,7 @@
         let actions = harness.handle(attempt_ended(id, 0, AttemptOutcome::ConnectFailed));
         lines += actions
             .iter()
-            .filter(|a| matches!(a, Action::Log { .. }))
+            .filter(|a| matches!(a, Action::Log(_)))
             .count();
         harness.now += 60.0;
     }
