--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -54,7 +54,7 @@
             expected_latency,
             connection_idle,
         });
-        self.rotation.take_turn(upstream);
+        self.rotation.advance(upstream);
         actions.push(Action::StartAttempt {
             id,
             upstream: upstream_id,
--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -1,8 +1,8 @@
 //! The balancer: owns the state of all parts and passes each event to the part that handles it.
 //!
-//! A balancer counts its attempts in flight at each upstream. A request goes to the upstream
-//! under its concurrency limit whose turn it is in the rotation; if there is none, it waits in a
-//! queue until a slot becomes free or its queue time is over.
+//! A balancer counts its attempts in flight at each upstream. A request goes to the next upstream
+//! of the rotation that is below its concurrency limit; if there is none, it waits in a queue
+//! until a slot becomes free or its queue time is over.
 
 use super::action::Action;
 use super::admission::RequestRate;
--- a/src/decision/rotation.rs
+++ b/src/decision/rotation.rs
@@ -1,8 +1,9 @@
 //! The rotation: weighted round robin with virtual time over the upstreams of this balancer's
 //! subset.
 //!
-//! Turns are even in the time that requests take, not in their number: after a turn, an
-//! upstream's next one comes later by its relative latency.
+//! Upstreams get even parts of the time that requests take, not of their number: each request
+//! advances its upstream's virtual start by the upstream's relative latency, and the upstream with
+//! the earliest virtual start gets the next one.
 
 use super::concurrency_limit::Demand;
 use super::event::UpstreamId;
@@ -23,6 +24,8 @@
     min_subset_size: f64,
     /// Size of the subset; it grows and shrinks by parts of an upstream.
     subset_size: f64,
+    /// Latest virtual start of a request so far. An upstream that was idle starts from here, so it
+    /// can't catch up with all that it missed.
     virtual_time: f64,
     /// Relative latency by machine kind.
     relative_latency_by_kind: BTreeMap<usize, f64>,
@@ -100,28 +103,30 @@
         self.subset_size = (self.subset_size + step).clamp(self.min_subset_size, max);
     }
 
-    /// The upstream of the subset whose turn comes first. `turns_ahead` gives the turns that have
-    /// to pass at an upstream before this request's, or `None` if it can't take the request.
+    /// The upstream of the subset with the earliest virtual start for a request. `requests_ahead`
+    /// gives how many requests of mean work go before it at an upstream, or `None` if the upstream
+    /// can't take it.
     pub(super) fn next(
         &self,
         upstreams: &Upstreams,
-        turns_ahead: impl Fn(&Upstream) -> Option<f64>,
+        requests_ahead: impl Fn(&Upstream) -> Option<f64>,
     ) -> Option<UpstreamId> {
-        let turn = |upstream: &Upstream| {
-            let next_turn = upstream.next_turn.max(self.virtual_time);
-            Some(next_turn + self.relative_latency(upstream) * turns_ahead(upstream)?)
+        let virtual_start = |upstream: &Upstream| {
+            let next_start = upstream.virtual_start.max(self.virtual_time);
+            Some(next_start + self.relative_latency(upstream) * requests_ahead(upstream)?)
         };
         let subset = self.subset().iter().map(|id| &upstreams[id]);
-        let turns = subset.filter_map(|upstream| Some((turn(upstream)?, upstream.entry.id)));
-        let (_, id) = turns.min_by(|a, b| a.0.total_cmp(&b.0))?;
+        let starts =
+            subset.filter_map(|upstream| Some((virtual_start(upstream)?, upstream.entry.id)));
+        let (_, id) = starts.min_by(|a, b| a.0.total_cmp(&b.0))?;
         Some(id)
     }
 
-    /// Counts a turn of this upstream.
-    pub(super) fn take_turn(&mut self, upstream: &mut Upstream) {
+    /// Advances the virtual time for an attempt that starts at this upstream.
+    pub(super) fn advance(&mut self, upstream: &mut Upstream) {
         let relative_latency = self.relative_latency(upstream);
-        self.virtual_time = self.virtual_time.max(upstream.next_turn);
-        upstream.next_turn = self.virtual_time + relative_latency;
+        self.virtual_time = self.virtual_time.max(upstream.virtual_start);
+        upstream.virtual_start = self.virtual_time + relative_latency;
     }
 
     /// The upstream's latency over the one to expect. Its machine kind stands in for it until
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -15,9 +15,8 @@
 }
 
 impl Balancer {
-    /// The upstream whose turn it is, of those of the subset that accept this request. One that
-    /// operators have put back goes first once, even outside of the subset, so that they see it
-    /// in use.
+    /// The next upstream of the rotation that accepts this request. One that operators have put
+    /// back goes first once, even outside of the subset, so that they see it in use.
     pub(super) fn select_upstream(&self, request: &PendingRequest) -> Option<UpstreamId> {
         let policy = self.outlier_policy(request.class);
         let accepts = |upstream: &Upstream| self.accepts(upstream, request, policy);
@@ -26,13 +25,13 @@
         if let Some(upstream) = returned.find(|upstream| accepts(upstream)) {
             return Some(upstream.entry.id);
         }
-        // A large request is counted to its end, which takes it to faster upstreams.
+        // The end of a large request counts, not its start, so it goes to a faster upstream.
         let excess_work = self.latency[request.class].excess_work(request.work);
-        let turns_ahead = |upstream: &Upstream| accepts(upstream).then_some(excess_work);
-        self.rotation.next(&self.upstreams, turns_ahead)
+        let requests_ahead = |upstream: &Upstream| accepts(upstream).then_some(excess_work);
+        self.rotation.next(&self.upstreams, requests_ahead)
     }
 
-    /// The upstream with queue space at which this request's turn comes first.
+    /// The upstream with queue space at which the rotation would start this request first.
     pub(super) fn select_queue(&self, request: &PendingRequest) -> Option<UpstreamId> {
         let policy = self.outlier_policy(request.class);
         let has_space = |upstream: &Upstream| {
@@ -40,9 +39,9 @@
                 && self.allows_by_policy(upstream, request.class, policy)
                 && request.may_be_sent_to(upstream, &self.settings, self.now)
         };
-        let turns_ahead =
+        let requests_ahead =
             |upstream: &Upstream| has_space(upstream).then_some(upstream.queue.len() as f64);
-        self.rotation.next(&self.upstreams, turns_ahead)
+        self.rotation.next(&self.upstreams, requests_ahead)
     }
 
     /// This upstream can take an attempt of the request now.
--- a/src/decision/upstream.rs
+++ b/src/decision/upstream.rs
@@ -54,8 +54,8 @@
     pub(super) in_flight: Vec<InFlightAttempt>,
     /// Requests that wait for a slot here.
     pub(super) queue: VecDeque<RequestId>,
-    /// Virtual time of its next turn in the rotation.
-    pub(super) next_turn: f64,
+    /// Virtual time at which the rotation would start its next request.
+    pub(super) virtual_start: f64,
     /// Since when each of its idle connections is idle, as far as is known.
     idle_connections: Vec<f64>,
     /// What has been learned of it.
@@ -74,7 +74,7 @@
             returned_at: 0.0,
             in_flight: Vec::new(),
             queue: VecDeque::new(),
-            next_turn: 0.0,
+            virtual_start: 0.0,
             idle_connections: Vec::new(),
             stats: UpstreamStats::default(),
         }
