--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -4,20 +4,25 @@
 //! results change. With nothing in flight, a request is allowed whatever the limit is.
 
 use super::event::AttemptOutcome;
-use super::latency::{Congestion, SMOOTHING};
+use super::latency::Congestion;
+use super::moving_average::{add_sample, SLOW_SMOOTHING, SMOOTHING};
 use super::upstream::{Upstream, UpstreamStats};
 
 /// Queued requests per slot of an upstream.
 const QUEUE_PER_SLOT: f64 = 8.0;
 /// Slots by which a limit grows with each response until congestion has been seen.
 const INITIAL_GROWTH: f64 = 0.5;
+/// The same from then on.
+const GROWTH_AFTER_CONGESTION: f64 = 0.1;
+/// What each response adds to a multiplier below 1.
+const RECOVERY_STEP: f64 = 0.1;
 /// Share of the time that single requests beyond the limit are allowed under congestion, where an
 /// even share is less than that.
 const CONGESTED_ALLOWANCE: f64 = 0.5;
 /// The multiplier keeps the limit at this many slots or more.
 const MIN_SLOTS: f64 = 0.5;
 /// Factor of the multiplier after an error, or after one connection that broke.
-const MILD_DECREASE: f64 = 1.0 - SMOOTHING;
+const MILD_DECREASE: f64 = 0.9;
 /// Factor of the multiplier after a loss.
 const STRONG_DECREASE: f64 = 0.5;
 
@@ -110,17 +115,17 @@
         // A limit is counted in integral attempts: unless an even share is restored completely
         // after a failure, one slot would be lost permanently.
         if *multiplier < 1.0 {
-            *multiplier = (*multiplier + SMOOTHING).min(1.0);
+            *multiplier = (*multiplier + RECOVERY_STEP).min(1.0);
             return;
         }
         match demand {
-            Demand::Congested => *multiplier += SMOOTHING * (1.0 - *multiplier),
-            Demand::Satisfied => *multiplier += SMOOTHING * SMOOTHING * (1.0 - *multiplier),
+            Demand::Congested => add_sample(multiplier, 1.0, SMOOTHING),
+            Demand::Satisfied => add_sample(multiplier, 1.0, SLOW_SMOOTHING),
             Demand::RequestsWaited if covers_all => {
                 // A restarted balancer has to regain its former limit soon, or it rejects
                 // requests meanwhile.
                 let growth = if congestion.was_seen {
-                    SMOOTHING
+                    GROWTH_AFTER_CONGESTION
                 } else {
                     INITIAL_GROWTH
                 };
@@ -138,7 +143,7 @@
         } else {
             1.0
         };
-        self.single_request_allowance += SMOOTHING * (target - self.single_request_allowance);
+        add_sample(&mut self.single_request_allowance, target, SMOOTHING);
     }
 
     /// Bounds the multiplier from below, and pauses the upstream after an attempt of `elapsed`
--- a/src/decision/idle_timeout.rs
+++ b/src/decision/idle_timeout.rs
@@ -3,7 +3,6 @@
 
 use super::ended_attempt::EndedAttempt;
 use super::event::AttemptOutcome;
-use super::latency::SMOOTHING;
 
 /// Evidence that one response on an old connection removes; a reset adds 1. A reset costs a
 /// request, a new connection a small part of one, so the resets tolerated are this share of the
@@ -11,6 +10,9 @@
 const EVIDENCE_PER_RESPONSE: f64 = 0.04;
 /// Evidence at which the timeout is lowered: two resets with few responses between them.
 const EVIDENCE_THRESHOLD: f64 = 1.5;
+/// A reset within this share of the expected latency comes so soon that no work can have been
+/// done.
+const IMMEDIATE_RESET_SHARE: f64 = 0.1;
 /// The timeout doubles in this time after it was lowered, in seconds.
 const DOUBLING_TIME: f64 = 30.0;
 
@@ -111,9 +113,8 @@
 /// and so does a reset on one that was new.
 fn observation(ended: &EndedAttempt, suspect_idle_time: f64) -> Observation {
     let idle = ended.connection_idle;
-    // So soon that no work can have been done.
     let is_immediate_reset = ended.outcome == AttemptOutcome::Reset
-        && ended.elapsed < SMOOTHING * ended.expected_latency;
+        && ended.elapsed < IMMEDIATE_RESET_SHARE * ended.expected_latency;
     if is_immediate_reset && was_idle(ended) {
         Observation::Dropped { idle }
     } else if is_immediate_reset {
--- a/src/decision/latency.rs
+++ b/src/decision/latency.rs
@@ -1,9 +1,8 @@
 //! Latency estimates of the request classes, and the congestion that responses show.
 
+use super::moving_average::{add_sample, weight_after, SMOOTHING};
 use serde::{Deserialize, Serialize};
 
-/// Weight of one sample in an exponential moving average.
-pub(super) const SMOOTHING: f64 = 0.1;
 /// An attempt is overdue after this many times its expected latency.
 pub(super) const OVERDUE_FACTOR: f64 = 6.0;
 /// Work hints are rough: what a request takes beyond the mean counts for at most this many mean
@@ -45,23 +44,19 @@
     /// Adds the latency (in seconds) and the work of one successful response.
     pub(super) fn add(&mut self, latency: f64, work: f64) {
         self.samples += 1.0;
-        let weight = SMOOTHING.max(1.0 / self.samples);
-        self.mean_latency += weight * (latency - self.mean_latency);
-        self.mean_work += weight * (work - self.mean_work);
+        let weight = weight_after(self.samples);
+        add_sample(&mut self.mean_latency, latency, weight);
+        add_sample(&mut self.mean_work, work, weight);
         // The baseline follows the mean down at once but up so slowly that some seconds of
         // congestion do not raise it.
-        let current = self.mean_latency / self.mean_work;
-        let weight_up = if weight > SMOOTHING {
+        let per_work = self.mean_latency / self.mean_work;
+        let is_initial = weight > SMOOTHING;
+        let baseline_weight = if per_work < self.baseline_per_work || is_initial {
             1.0
         } else {
             SMOOTHING.powi(3)
         };
-        let weight = if current < self.baseline_per_work {
-            1.0
-        } else {
-            weight_up
-        };
-        self.baseline_per_work += weight * (current - self.baseline_per_work);
+        add_sample(&mut self.baseline_per_work, per_work, baseline_weight);
     }
 
     /// The latency to expect for this much work, in seconds.
@@ -129,7 +124,7 @@
         if baseline < latency_objective {
             let used = ((latency - baseline) / (latency_objective - baseline))
                 .clamp(-1.0, 2.0 * CONGESTION_THRESHOLD);
-            self.level += SMOOTHING * (used - self.level);
+            add_sample(&mut self.level, used, SMOOTHING);
         }
     }
 
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -10,6 +10,7 @@
 //! | `concurrency_limit`, `slow_start`, `outlier` | which upstreams accept a request now |
 //! | `admission`, `queue` | how long a request waits, and which one goes first |
 //! | `attempts`, `ended_attempt`, `idle_timeout`, `latency` | starting attempts; what results show |
+//! | `moving_average` | the averages of samples that the others use |
 //! | `retry`, `conclusion` | retries, hedged requests, and the final response |
 //! | `request`, `upstream` | the state of one request and of one upstream |
 //! | `learned_state` | what a process hands to the next |
@@ -28,6 +29,7 @@
 mod learned_state;
 mod log_event;
 mod maintenance;
+mod moving_average;
 mod outlier;
 mod poll_schedule;
 mod queue;
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -8,8 +8,9 @@
 use super::balancer::Balancer;
 use super::ended_attempt::EndedAttempt;
 use super::event::{AttemptOutcome, UpstreamId};
-use super::latency::{MAX_EXCESS_WORK, SMOOTHING};
+use super::latency::MAX_EXCESS_WORK;
 use super::log_event::{EjectionScope, LogEvent};
+use super::moving_average::{add_sample, weight_after, SLOW_SMOOTHING};
 use super::selection::OutlierPolicy;
 use super::settings::{Class, Idempotency};
 use super::upstream::Upstream;
@@ -174,8 +175,9 @@
 
     fn add_response(&mut self, is_error: bool) {
         self.responses += 1.0;
-        let weight = SMOOTHING.max(1.0 / (self.responses + PRESUMED_RESPONSES));
-        self.error_rate += weight * (f64::from(u8::from(is_error)) - self.error_rate);
+        let error = f64::from(u8::from(is_error));
+        let weight = weight_after(self.responses + PRESUMED_RESPONSES);
+        add_sample(&mut self.error_rate, error, weight);
     }
 
     /// Losses count while the upstream responds to nothing. For a class, a silent loss counts
@@ -306,7 +308,7 @@
             .get_mut(&id)
             .expect("an upstream is kept while attempts are in flight");
         let rate = &mut upstream.stats.silent_loss_rate;
-        *rate += SMOOTHING * SMOOTHING * (f64::from(u8::from(is_lost_silently)) - *rate);
+        add_sample(rate, f64::from(u8::from(is_lost_silently)), SLOW_SMOOTHING);
         is_lost_silently && self.has_common_losses(&self.upstreams[&id])
     }
 
--- a/src/decision/rotation.rs
+++ b/src/decision/rotation.rs
@@ -7,7 +7,7 @@
 
 use super::concurrency_limit::Demand;
 use super::event::UpstreamId;
-use super::latency::SMOOTHING;
+use super::moving_average::{add_sample, SMOOTHING};
 use super::subset::Subset;
 use super::upstream::{Upstream, UpstreamStats, Upstreams};
 use std::collections::BTreeMap;
@@ -15,6 +15,10 @@
 /// Upstreams by which the subset grows for a request that had to wait, and shrinks under
 /// congestion.
 const SUBSET_STEP: f64 = 0.5;
+/// Upstreams by which the subset shrinks with each response while no request has to wait.
+const SATISFIED_SUBSET_STEP: f64 = 0.1;
+/// Responses after which an upstream's own latency counts as much as that of its machine kind.
+const CONFIDENCE_RESPONSES: f64 = 10.0;
 
 /// State of the rotation.
 #[derive(Default)]
@@ -97,7 +101,7 @@
         let step = match demand {
             Demand::Congested => -SUBSET_STEP,
             Demand::RequestsWaited => SUBSET_STEP,
-            Demand::Satisfied => -SMOOTHING,
+            Demand::Satisfied => -SATISFIED_SUBSET_STEP,
         };
         let max = (self.order.len() as f64).max(self.min_subset_size);
         self.subset_size = (self.subset_size + step).clamp(self.min_subset_size, max);
@@ -139,7 +143,7 @@
             .copied()
             .unwrap_or(1.0);
         let stats = &upstream.stats;
-        let confidence = stats.responses / (stats.responses + 1.0 / SMOOTHING);
+        let confidence = stats.responses / (stats.responses + CONFIDENCE_RESPONSES);
         by_kind + confidence * (stats.relative_latency - by_kind)
     }
 
@@ -154,7 +158,7 @@
             .relative_latency_by_kind
             .entry(machine_kind)
             .or_insert(1.0);
-        *by_kind += SMOOTHING * (relative_latency - *by_kind);
+        add_sample(by_kind, relative_latency, SMOOTHING);
         stats.add_relative_latency(relative_latency);
     }
 
--- a/src/decision/upstream.rs
+++ b/src/decision/upstream.rs
@@ -2,7 +2,8 @@
 //! statistics.
 
 use super::event::{AttemptOutcome, RequestId, UpstreamEntry, UpstreamId, UpstreamState};
-use super::latency::{OVERDUE_FACTOR, SMOOTHING};
+use super::latency::OVERDUE_FACTOR;
+use super::moving_average::{add_sample, weight_after};
 use super::outlier::OutlierStats;
 use super::settings::Rules;
 use serde::{Deserialize, Serialize};
@@ -186,8 +187,8 @@
     /// Adds the relative latency of a successful response.
     pub(super) fn add_relative_latency(&mut self, relative_latency: f64) {
         self.responses += 1.0;
-        let weight = SMOOTHING.max(1.0 / self.responses);
-        self.relative_latency += weight * (relative_latency - self.relative_latency);
+        let weight = weight_after(self.responses);
+        add_sample(&mut self.relative_latency, relative_latency, weight);
     }
 
     /// Adds slow-start tokens.
