--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -183,7 +183,8 @@
             // An upstream that rejects has nothing in flight, and would draw every request.
             AttemptOutcome::Rejected => stats.paused_until = self.now + ended.expected_latency,
             AttemptOutcome::ConnectFailed | AttemptOutcome::Reset | AttemptOutcome::TimedOut
-                if stats.outliers[0].is_silent_since(ended.sent_at) && !is_stale_connection =>
+                if stats.outliers.all_requests().is_silent_since(ended.sent_at)
+                    && !is_stale_connection =>
             {
                 decrease_after_loss(stats, ended.outcome);
             }
--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -173,8 +173,8 @@
 /// Lowers an upstream's limit after an attempt that was lost. A single connection that broke
 /// counts less: if the process is gone, the next connection fails too.
 pub(super) fn decrease_after_loss(stats: &mut UpstreamStats, outcome: AttemptOutcome) {
-    let is_single =
-        outcome != AttemptOutcome::TimedOut && stats.outliers[0].consecutive_failures() == 0;
+    let is_single = outcome != AttemptOutcome::TimedOut
+        && stats.outliers.all_requests().consecutive_failures() == 0;
     stats.limit_multiplier *= if is_single {
         MILD_DECREASE
     } else {
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -3,7 +3,7 @@
 use super::action::Action;
 use super::balancer::Balancer;
 use super::event::{ListScope, UpstreamEntry, UpstreamState};
-use super::outlier::OutlierStats;
+use super::outlier_stats::OutlierStatsByScope;
 use super::subset;
 use super::upstream::{Upstream, UpstreamStats};
 use rand::Rng;
@@ -55,13 +55,12 @@
 
     /// The statistics of an upstream of which nothing is known.
     pub(super) fn initial_stats(&mut self) -> UpstreamStats {
-        let scopes = 0..=self.settings.classes.len();
         UpstreamStats {
             limit_multiplier: 1.0,
             // A random part, so that the balancers of a fleet do not all send their first request
             // at once.
             slow_start_tokens: self.rng.random(),
-            outliers: scopes.map(|_| OutlierStats::new(self.now)).collect(),
+            outliers: OutlierStatsByScope::new(self.settings.classes.len(), self.now),
             ..UpstreamStats::default()
         }
     }
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -151,8 +151,9 @@
         stored: StoredUpstream,
         started_at: Option<f64>,
     ) {
-        let scopes = self.settings.classes.len() + 1;
-        if stored.stats.outliers.len() != scopes || stored.stats.limit_multiplier <= 0.0 {
+        let stats = &stored.stats;
+        let has_all_classes = stats.outliers.has_classes(self.settings.classes.len());
+        if !has_all_classes || stats.limit_multiplier <= 0.0 {
             return;
         }
         let Some(upstream) = self.upstreams.get_mut(&id) else {
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -7,7 +7,7 @@
 //! | `balancer` | the state of all parts; dispatch of events |
 //! | `endpoint_list`, `maintenance`, `poll_schedule`, `start_time` | which upstreams there are |
 //! | `subset`, `rotation`, `selection` | the upstream for an attempt |
-//! | `concurrency_limit`, `slow_start`, `outlier` | which upstreams accept a request now |
+//! | `concurrency_limit`, `slow_start`, `outlier`, `outlier_stats` | which upstreams accept a request now |
 //! | `admission`, `queue` | how long a request waits, and which one goes first |
 //! | `attempts`, `ended_attempt`, `idle_timeout`, `latency` | starting attempts; what results show |
 //! | `moving_average` | the averages of samples that the others use |
@@ -31,6 +31,7 @@
 mod maintenance;
 mod moving_average;
 mod outlier;
+mod outlier_stats;
 mod poll_schedule;
 mod queue;
 mod request;
--- a/src/decision/upstream.rs
+++ b/src/decision/upstream.rs
@@ -4,7 +4,7 @@
 use super::event::{AttemptOutcome, RequestId, UpstreamEntry, UpstreamId, UpstreamState};
 use super::latency::OVERDUE_FACTOR;
 use super::moving_average::{add_sample, weight_after};
-use super::outlier::OutlierStats;
+use super::outlier_stats::OutlierStatsByScope;
 use super::settings::Rules;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -147,7 +147,7 @@
     }
 }
 
-/// What a balancer has learned of an upstream; void once its process restarts.
+/// What a balancer has learned of an upstream, and forgets when the upstream restarts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct UpstreamStats {
     /// Multiplier of the concurrency limit.
@@ -159,9 +159,9 @@
     /// Successful responses that `relative_latency` rests on.
     #[serde(rename = "answers")]
     pub(super) responses: f64,
-    /// Of all requests, then of each class.
+    /// Its outlier statistics.
     #[serde(rename = "health")]
-    pub(super) outliers: Vec<OutlierStats>,
+    pub(super) outliers: OutlierStatsByScope,
     /// Share of its requests that were lost silently, as a slow moving average.
     #[serde(rename = "losses")]
     pub(super) silent_loss_rate: f64,
@@ -180,7 +180,7 @@
 impl UpstreamStats {
     /// All moments in it.
     pub(super) fn moments(&mut self) -> impl Iterator<Item = &mut f64> {
-        let outliers = self.outliers.iter_mut().flat_map(OutlierStats::moments);
+        let outliers = self.outliers.moments();
         outliers.chain([&mut self.paused_until])
     }
 
