--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -11,7 +11,7 @@
 use super::queue::request_timer;
 use super::request::Attempt;
 use super::settings::{Idempotency, Limits};
-use super::upstream::{InFlightAttempt, Upstream};
+use super::upstream::{upstream_of_attempt, InFlightAttempt, Upstream};
 
 /// An upstream is suspected of draining only while fewer than this share of the available ones
 /// are.
@@ -73,12 +73,13 @@
             return;
         };
         request.is_uploading = false;
-        let attempt = request.attempts.last();
-        let upstream = attempt.and_then(|attempt| self.upstreams.get_mut(&attempt.upstream.id));
-        let mut in_flight = upstream
-            .into_iter()
-            .flat_map(|upstream| upstream.in_flight.iter_mut());
-        if let Some(attempt) = in_flight.find(|attempt| attempt.request == id) {
+        let Some(attempt) = request.attempts.last() else {
+            return;
+        };
+        let Some(upstream) = self.upstreams.get_mut(&attempt.upstream.id) else {
+            return;
+        };
+        if let Some(attempt) = upstream.in_flight_of(id) {
             attempt.upload_completed_at = self.now;
         }
     }
@@ -116,10 +117,7 @@
     fn record_result(&mut self, id: UpstreamId, result: &AttemptResult, actions: &mut Vec<Action>) {
         let request = &self.requests[&result.id];
         let (work, has_short_deadline) = (request.work, request.has_short_deadline);
-        let upstream = self
-            .upstreams
-            .get_mut(&id)
-            .expect("an upstream is kept while attempts are in flight");
+        let upstream = upstream_of_attempt(&mut self.upstreams, id);
         let Some(attempt) = upstream.remove_in_flight(result.id) else {
             return;
         };
@@ -155,10 +153,7 @@
         work: f64,
         is_stale_connection: bool,
     ) {
-        let upstream = self
-            .upstreams
-            .get_mut(&id)
-            .expect("an upstream is kept while attempts are in flight");
+        let upstream = upstream_of_attempt(&mut self.upstreams, id);
         let machine_kind = upstream.entry.machine_kind;
         let stats = &mut upstream.stats;
         match ended.outcome {
@@ -204,7 +199,7 @@
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
-        let seems_draining = upstream.seems_draining_after(outcome);
+        let seems_draining = upstream.count_rejections(outcome);
         if !seems_draining || !upstream.is_available() || !self.poll_schedule.is_stale() {
             return;
         }
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -7,6 +7,7 @@
 use super::subset;
 use super::upstream::{Upstream, UpstreamStats};
 use rand::Rng;
+use std::collections::btree_map::Entry;
 
 impl Balancer {
     /// Merges a list or a change of it, or notes that discovery failed.
@@ -19,9 +20,9 @@
         self.poll_schedule
             .on_list(scope, &self.settings, self.now, &mut self.rng, actions);
         if !self.poll_schedule.is_stale() {
-            self.upstreams
-                .values_mut()
-                .for_each(Upstream::clear_suspicion);
+            for upstream in self.upstreams.values_mut() {
+                upstream.clear_suspicion();
+            }
         }
         if matches!(scope, ListScope::Full | ListScope::Cached) {
             for upstream in self.upstreams.values_mut() {
@@ -36,21 +37,23 @@
     }
 
     fn merge_entry(&mut self, entry: UpstreamEntry) {
-        let initial_stats = self.initial_stats();
-        let upstream = self
-            .upstreams
-            .entry(entry.id)
-            .or_insert_with(|| Upstream::new(entry.clone()));
-        // After a restart nothing learned of the old process holds, but attempts in flight there
-        // still free their slots when they end.
-        let is_new = upstream.stats.limit_multiplier == 0.0;
-        if is_new || upstream.entry.started_at != entry.started_at {
-            upstream.stats = initial_stats;
-            upstream.returned_at = 0.0;
-            upstream.started_at = self.start_times.estimate(entry.started_at, self.now);
-        }
-        upstream.in_maintenance = self.maintenance.is_out(entry.id);
-        upstream.entry = entry;
+        let (id, initial_stats) = (entry.id, self.initial_stats());
+        let upstream = match self.upstreams.entry(id) {
+            Entry::Vacant(vacant) => {
+                let started_at = self.start_times.estimate(entry.started_at, self.now);
+                vacant.insert(Upstream::new(entry, started_at, initial_stats))
+            }
+            Entry::Occupied(occupied) => {
+                let upstream = occupied.into_mut();
+                if upstream.entry.started_at != entry.started_at {
+                    let started_at = self.start_times.estimate(entry.started_at, self.now);
+                    upstream.reset_after_restart(started_at, initial_stats);
+                }
+                upstream.entry = entry;
+                upstream
+            }
+        };
+        upstream.in_maintenance = self.maintenance.is_out(id);
     }
 
     /// The statistics of an upstream of which nothing is known.
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -14,7 +14,7 @@
 use super::outlier_stats::{Change, Evidence, OutlierStats, Scope, Verdict};
 use super::selection::OutlierPolicy;
 use super::settings::{Class, Idempotency};
-use super::upstream::Upstream;
+use super::upstream::{upstream_of_attempt, Upstream};
 
 /// Largest share of the subset that is left out.
 const MAX_EXCLUDED_SHARE: f64 = 0.5;
@@ -98,10 +98,7 @@
             expected_latency: ended.expected_latency.min(MAX_EXCESS_WORK * mean_latency),
             now: self.now,
         };
-        let upstream = self
-            .upstreams
-            .get_mut(&id)
-            .expect("an upstream is kept while attempts are in flight");
+        let upstream = upstream_of_attempt(&mut self.upstreams, id);
         let stats = &mut upstream.stats.outliers;
         let of_all =
             stats
@@ -123,10 +120,7 @@
     /// peers have them too.
     fn add_to_loss_rate(&mut self, id: UpstreamId, ended: &EndedAttempt) -> bool {
         let is_lost_silently = ended.is_lost_silently();
-        let upstream = self
-            .upstreams
-            .get_mut(&id)
-            .expect("an upstream is kept while attempts are in flight");
+        let upstream = upstream_of_attempt(&mut self.upstreams, id);
         let rate = &mut upstream.stats.silent_loss_rate;
         add_sample(rate, f64::from(u8::from(is_lost_silently)), SLOW_SMOOTHING);
         is_lost_silently && self.has_common_losses(&self.upstreams[&id])
--- a/src/decision/upstream.rs
+++ b/src/decision/upstream.rs
@@ -15,6 +15,13 @@
 /// All upstreams that are listed or have attempts in flight.
 pub(super) type Upstreams = BTreeMap<UpstreamId, Upstream>;
 
+/// The upstream of an attempt that has just ended.
+pub(super) fn upstream_of_attempt(upstreams: &mut Upstreams, id: UpstreamId) -> &mut Upstream {
+    upstreams
+        .get_mut(&id)
+        .expect("an upstream is removed only while no attempt is in flight there")
+}
+
 /// An attempt in flight at an upstream. Moments and durations are seconds.
 pub(super) struct InFlightAttempt {
     /// The request that it belongs to.
@@ -65,22 +72,30 @@
 
 impl Upstream {
     /// An upstream that has just been listed.
-    pub(super) fn new(entry: UpstreamEntry) -> Self {
+    pub(super) fn new(entry: UpstreamEntry, started_at: f64, stats: UpstreamStats) -> Self {
         Upstream {
             entry,
             in_maintenance: false,
             consecutive_rejections: 0,
             is_suspected_draining: false,
-            started_at: 0.0,
+            started_at,
             returned_at: 0.0,
             in_flight: Vec::new(),
             queue: VecDeque::new(),
             virtual_start: 0.0,
             idle_connections: Vec::new(),
-            stats: UpstreamStats::default(),
+            stats,
         }
     }
 
+    /// Forgets what was learned of its former process. Attempts in flight there still free their
+    /// slots when they end.
+    pub(super) fn reset_after_restart(&mut self, started_at: f64, stats: UpstreamStats) {
+        self.started_at = started_at;
+        self.returned_at = 0.0;
+        self.stats = stats;
+    }
+
     /// It takes requests according to the endpoint list and the operators, and does not seem to
     /// be draining.
     pub(super) fn is_available(&self) -> bool {
@@ -90,7 +105,7 @@
     }
 
     /// Counts consecutive rejections. Returns whether they suggest that it is draining.
-    pub(super) fn seems_draining_after(&mut self, outcome: AttemptOutcome) -> bool {
+    pub(super) fn count_rejections(&mut self, outcome: AttemptOutcome) -> bool {
         match outcome {
             AttemptOutcome::Rejected => self.consecutive_rejections += 1,
             AttemptOutcome::Success | AttemptOutcome::Error | AttemptOutcome::InvalidResponse => {
@@ -112,6 +127,12 @@
         rules.slow_start_share(self.started_at.max(self.returned_at), now)
     }
 
+    /// The attempt of this request that is in flight here.
+    pub(super) fn in_flight_of(&mut self, request: RequestId) -> Option<&mut InFlightAttempt> {
+        let mut in_flight = self.in_flight.iter_mut();
+        in_flight.find(|attempt| attempt.request == request)
+    }
+
     /// Removes the attempt of this request from those in flight.
     pub(super) fn remove_in_flight(&mut self, request: RequestId) -> Option<InFlightAttempt> {
         let is_of_request = |attempt: &InFlightAttempt| attempt.request == request;
