--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -12,12 +12,17 @@
     /// There must be at least one request class.
     #[error("settings name no request class")]
     NoClasses,
-    /// A duration or share that must be finite and positive (or not negative) is not.
-    #[error("setting {0} is out of range: {1}")]
-    BadNumber(&'static str, f64),
-    /// An index points outside of what it counts.
+    /// A figure is not finite or below its least value.
+    #[error("setting {name} is out of range: {value}")]
+    NumberOutOfRange {
+        /// Which setting.
+        name: &'static str,
+        /// The figure given.
+        value: f64,
+    },
+    /// An index is not below the number of what it counts.
     #[error("setting {name} is {index}, but there are only {count}")]
-    BadIndex {
+    IndexOutOfRange {
         /// Which setting.
         name: &'static str,
         /// The index given.
@@ -113,13 +118,13 @@
     pub max_retry_after: Option<f64>,
 }
 
-/// The rules of the service that the balancer has to keep.
+/// The rules of the service that the balancer has to follow.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// Without a watch, the endpoint list has to be polled again within this time, in seconds.
     pub poll_interval: f64,
-    /// A change counts as notified this long after discovery had it, in seconds, whether or not
-    /// it arrived.
+    /// The balancer has to act on a change of the endpoint list within this time after discovery
+    /// had it, in seconds.
     pub notification_deadline: f64,
     /// Share of its capacity that an upstream has when it starts.
     pub initial_capacity_share: f64,
@@ -304,13 +309,13 @@
     }
 }
 
-// Errors name a setting as the settings' own format does, for whoever wrote them.
+// Errors name a setting by the words of the settings' format, as its author knows it by those.
 
 fn check_index(name: &'static str, index: usize, count: usize) -> Result<(), SettingsError> {
     if index < count {
         Ok(())
     } else {
-        Err(SettingsError::BadIndex { name, index, count })
+        Err(SettingsError::IndexOutOfRange { name, index, count })
     }
 }
 
@@ -318,6 +323,6 @@
     if value.is_finite() && value >= least {
         Ok(())
     } else {
-        Err(SettingsError::BadNumber(name, value))
+        Err(SettingsError::NumberOutOfRange { name, value })
     }
 }
--- a/tests/decision/lifecycle.rs
+++ b/tests/decision/lifecycle.rs
@@ -121,11 +121,11 @@
     );
     assert!(matches!(
         error_of(|s| s.rules.poll_interval = f64::NAN),
-        Some(SettingsError::BadNumber(..))
+        Some(SettingsError::NumberOutOfRange { .. })
     ));
     assert!(matches!(
         error_of(|s| s.peer_index = 3),
-        Some(SettingsError::BadIndex {
+        Some(SettingsError::IndexOutOfRange {
             index: 3,
             count: 1,
             ..
@@ -133,6 +133,6 @@
     ));
     assert!(matches!(
         error_of(|s| s.peer_count = 0),
-        Some(SettingsError::BadIndex { .. })
+        Some(SettingsError::IndexOutOfRange { .. })
     ));
 }
