--- a/src/settings_format/conversion.rs
+++ b/src/settings_format/conversion.rs
@@ -4,8 +4,8 @@
     Class, DeduplicationScope, DiscoveryMode, Idempotency, Limits, Prices, Rules, Settings, Tenant,
 };
 use crate::settings_format::document::{
-    ClassDocument, FromSetting, IdempotencyKind, LimitsDocument, ListLength, RulesDocument,
-    SettingsDocument, TenantDocument, WeightUnit,
+    ClassDocument, FromSetting, IdempotencyKind, LimitsDocument, RulesDocument, SettingsDocument,
+    TenantDocument, WeightUnit,
 };
 use crate::settings_format::InvalidSetting;
 use serde::de::Error;
@@ -24,9 +24,9 @@
             peer_index: self.peer_index.unwrap_or(0),
             peer_count: self.peer_count.unwrap_or(1),
             tier: self.tier.unwrap_or(0),
-            tier_count: self.tiers.unwrap_or(ListLength(0)).0.max(1),
+            tier_count: self.tiers.at_least_one(),
             zone: self.zone.unwrap_or(0),
-            zone_count: self.zones.unwrap_or(ListLength(0)).0.max(1),
+            zone_count: self.zones.at_least_one(),
             discovery_mode: self.discovery_mode.unwrap_or(DiscoveryMode::Push),
             event_interval: self.event_interval.unwrap_or(defaults.event_interval),
             over_quota_weight: self.over_quota_weight.unwrap_or(1.0),
@@ -53,7 +53,7 @@
             IdempotencyKind::NonIdempotent => Idempotency::NonIdempotent,
         };
         Class {
-            name: class.name.unwrap_or(String::new()),
+            name: class.name.unwrap_or_default(),
             latency_objective: class.latency_objective.unwrap_or(deadline),
             deadline,
             idempotency,
@@ -67,7 +67,7 @@
 impl From<TenantDocument> for Tenant {
     fn from(tenant: TenantDocument) -> Self {
         Tenant {
-            name: tenant.name.unwrap_or(String::new()),
+            name: tenant.name.unwrap_or_default(),
             quota_per_second: tenant.quota_per_second.unwrap_or(0.0),
         }
     }
@@ -106,8 +106,7 @@
     fn into_rules(self, defaults: &Rules) -> Rules {
         Rules {
             poll_interval: self.poll_interval.unwrap_or(defaults.poll_interval),
-            // No setting: on the simulator's wire the poll interval says all, and the
-            // configuration of a process sets its own.
+            // Not part of the format: the configuration of a process sets its own.
             notification_deadline: defaults.notification_deadline,
             initial_capacity_share: self
                 .initial_capacity_share
--- a/src/settings_format/deserializer.rs
+++ b/src/settings_format/deserializer.rs
@@ -1,8 +1,9 @@
 //! Builds serde types from a settings tree.
 
+use crate::settings_format::document::FromSetting;
 use crate::settings_format::tree::{SettingsTree, COUNT};
 use crate::settings_format::InvalidSetting;
-use serde::de::{self, DeserializeSeed, IntoDeserializer, MapAccess, SeqAccess, Visitor};
+use serde::de::{self, DeserializeSeed, Error, IntoDeserializer, MapAccess, SeqAccess, Visitor};
 use serde::forward_to_deserialize_any;
 use std::fmt::Display;
 
@@ -57,7 +58,8 @@
     fn deserialize_seq<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, InvalidSetting> {
         let count = match self.child(COUNT).and_then(SettingsTree::text) {
             None => 0,
-            Some(text) => parse_count(text).map_err(|error| error.below(COUNT))?,
+            Some(text) => usize::from_setting(text)
+                .map_err(|error| InvalidSetting::custom(error).below(COUNT))?,
         };
         visitor.visit_seq(Elements {
             tree: self,
@@ -72,13 +74,8 @@
     }
 }
 
-fn parse_count(text: &str) -> Result<usize, InvalidSetting> {
-    let bad_number = |_| de::Error::custom(format_args!("bad number '{text}'"));
-    text.parse().map_err(bad_number)
-}
-
-/// The fields of a struct that are there, in the order of their declaration: that order decides
-/// which of several errors is reported.
+/// The fields of a struct that have settings, in the order of their declaration: that order
+/// decides which of several errors is reported.
 struct Fields<'de> {
     tree: &'de SettingsTree,
     names: std::slice::Iter<'static, &'static str>,
@@ -109,7 +106,7 @@
         let (name, value) = self
             .current
             .take()
-            .ok_or_else(|| de::Error::custom("a value was read before its name"))?;
+            .ok_or_else(|| InvalidSetting::custom("a value was read before its name"))?;
         seed.deserialize(value).map_err(|error| error.below(name))
     }
 }
--- a/src/settings_format/document.rs
+++ b/src/settings_format/document.rs
@@ -7,6 +7,7 @@
 use serde::Deserialize;
 use std::fmt;
 use std::marker::PhantomData;
+use std::str::FromStr;
 use thiserror::Error;
 
 /// All settings.
@@ -127,6 +128,20 @@
     }
 }
 
+impl Setting<String> {
+    /// The text, or an empty one if it is absent.
+    pub fn unwrap_or_default(self) -> String {
+        self.0.unwrap_or_default()
+    }
+}
+
+impl Setting<ListLength> {
+    /// The length of the list, but 1 if it is empty or absent.
+    pub fn at_least_one(self) -> usize {
+        self.0.map_or(1, |length| length.0.max(1))
+    }
+}
+
 impl<T> Default for Setting<T> {
     fn default() -> Self {
         Setting(None)
@@ -183,17 +198,20 @@
     fn from_setting(text: &str) -> Result<Self, ValueError>;
 }
 
+fn parse_number<T: FromStr>(text: &str) -> Result<T, ValueError> {
+    text.parse()
+        .map_err(|_| ValueError::BadNumber(text.to_string()))
+}
+
 impl FromSetting for f64 {
     fn from_setting(text: &str) -> Result<Self, ValueError> {
-        text.parse()
-            .map_err(|_| ValueError::BadNumber(text.to_string()))
+        parse_number(text)
     }
 }
 
 impl FromSetting for usize {
     fn from_setting(text: &str) -> Result<Self, ValueError> {
-        text.parse()
-            .map_err(|_| ValueError::BadNumber(text.to_string()))
+        parse_number(text)
     }
 }
 
