--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -21,7 +21,7 @@
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
     let mut reader = LineReader::new(input);
     let mut adapter = Adapter::default();
-    while let Some(line) = reader.next()? {
+    while let Some(line) = reader.next_line()? {
         if line.name() != "SYNC" {
             return Err(line.error(line.name(), "stands where a SYNC was due"));
         }
@@ -66,7 +66,7 @@
         self.replying = None;
         let mut selected = None;
         loop {
-            let line = reader.next_in_batch()?;
+            let line = reader.next_line_in_batch()?;
             match line.name() {
                 "END" => return Ok(()),
                 "SWITCH_TO" => selected = Some(line.required_number("i")?),
@@ -88,7 +88,7 @@
     ) -> Result<(), WireError> {
         let mut endpoints = Vec::new();
         for _ in 0..count {
-            let line = reader.next_in_batch()?;
+            let line = reader.next_line_in_batch()?;
             endpoints.push(parse_upstream(&line, &mut self.names)?);
         }
         self.endpoint_lists.insert(number, endpoints);
@@ -112,7 +112,7 @@
             "STOP" => {
                 self.balancers.remove(&number);
             }
-            // Results of polls and messages of peers: the decisions ask for neither.
+            // Results of health checks and messages of peers, which the decisions don't use.
             "CHECKED" | "FROM_PEER" => {}
             "FLEET" => {
                 let event = self.endpoint_list_event(line)?;
--- a/src/simulator/line.rs
+++ b/src/simulator/line.rs
@@ -192,7 +192,7 @@
     /// # Errors
     ///
     /// If reading fails, or a field has no `=`.
-    pub fn next(&mut self) -> Result<Option<Line<'_>>, WireError> {
+    pub fn next_line(&mut self) -> Result<Option<Line<'_>>, WireError> {
         self.text.clear();
         self.number += 1;
         let length = self
@@ -214,10 +214,10 @@
     ///
     /// # Errors
     ///
-    /// As for [`Self::next`], and at the end of the input.
-    pub fn next_in_batch(&mut self) -> Result<Line<'_>, WireError> {
+    /// As for [`Self::next_line`], and at the end of the input.
+    pub fn next_line_in_batch(&mut self) -> Result<Line<'_>, WireError> {
         let line = self.number + 1;
-        self.next()?.ok_or_else(|| WireError::Malformed {
+        self.next_line()?.ok_or_else(|| WireError::Malformed {
             line,
             field: "END".into(),
             problem: "the input ends inside a batch".into(),
