--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -5,6 +5,7 @@
 //! whole token, so a warming upstream is not overloaded even while all others are down.
 
 use super::balancer::Balancer;
+use super::event::UpstreamId;
 use super::rotation::Rotation;
 use super::settings::Rules;
 use super::upstream::Upstreams;
@@ -15,6 +16,13 @@
 /// Credit beyond the attempts in flight that responses can accumulate, in requests.
 const MAX_UNUSED_CREDIT: f64 = 3.0;
 
+/// An upstream that a request gives tokens to.
+struct Recipient {
+    upstream: UpstreamId,
+    /// Upstreams among which the request is divided evenly.
+    sharing: f64,
+}
+
 /// Bounds what requests add to the tokens by what responses show that the subset can take.
 /// Without it a surge of requests, as when clients reconnect, would go to a warming upstream in
 /// its share, however large.
@@ -61,16 +69,25 @@
     pub(super) fn add_slow_start_tokens(&mut self) {
         let counted = self.slow_start.take_credit();
         let maintenance = &self.maintenance;
-        let all = self.rotation.len() as f64;
-        let within = self.rotation.subset().iter();
-        let within = within.map(|id| (id, self.rotation.subset_size()));
+        let in_subset = self.rotation.subset().iter().map(|id| Recipient {
+            upstream: *id,
+            sharing: self.rotation.subset_size(),
+        });
         let outside = self.rotation.outside_subset().iter();
         let awaiting = outside.filter(|id| maintenance.awaits_request(**id));
-        for (id, sharing) in within.chain(awaiting.map(|id| (id, all))) {
-            let rules = &self.settings.rules;
-            // Balancers inside and outside of its subset both send to it, so each side gives
-            // half.
-            let has_returned = maintenance.returned_within(*id, rules.slow_start_window, self.now);
+        let awaiting = awaiting.map(|id| Recipient {
+            upstream: *id,
+            sharing: self.rotation.len() as f64,
+        });
+        let rules = &self.settings.rules;
+        for Recipient {
+            upstream: id,
+            sharing,
+        } in in_subset.chain(awaiting)
+        {
+            // Balancers that have it in their subset and those that don't both send to it, so each
+            // side gives half.
+            let has_returned = maintenance.returned_within(id, rules.slow_start_window, self.now);
             let sides = if has_returned && self.rotation.may_be_partial() {
                 2.0
             } else {
@@ -78,8 +95,8 @@
             };
             let upstream = self
                 .upstreams
-                .get_mut(id)
-                .expect("the rotation has listed upstreams only");
+                .get_mut(&id)
+                .expect("the rotation orders listed upstreams only");
             let share = upstream.slow_start_share(rules, self.now);
             upstream
                 .stats
