--- a/tests/decision/concurrency_limit.rs
+++ b/tests/decision/concurrency_limit.rs
@@ -1,6 +1,8 @@
 //! The concurrency limit: how it follows failures, latency and demand.
 
-use crate::harness::{attempt_ended, request, started_attempts, without_retries, Harness};
+use crate::harness::{
+    attempt_ended, attempt_succeeded, request, started_attempts, without_retries, Harness,
+};
 use load_balancer::{
     Action, AttemptOutcome, AttemptResult, Event, Idempotency, RequestId, Settings,
 };
@@ -57,17 +59,8 @@
         for id in 1..=100 {
             harness.handle(request(id, 0, 2.0));
             harness.now += 0.01;
-            let (id, outcome) = (RequestId(id), AttemptOutcome::Success);
-            if id.0 % 2 == 0 {
-                let id = RequestId(id.0 / 2);
-                harness.handle(Event::AttemptEnded(AttemptResult {
-                    id,
-                    attempt: 0,
-                    outcome,
-                    elapsed: 0.9,
-                    connection_idle: None,
-                    request_concluded: true,
-                }));
+            if id % 2 == 0 {
+                harness.handle(attempt_succeeded(id / 2, 0.9));
             }
         }
         harness.balancer.load().attempts_in_flight
@@ -92,16 +85,8 @@
         );
         for id in 1..=60 {
             harness.handle(request(id, 0, 20.0));
-            let (id, outcome) = (RequestId(id), AttemptOutcome::Success);
             harness.now += 1.0;
-            harness.handle(Event::AttemptEnded(AttemptResult {
-                id,
-                attempt: 0,
-                outcome,
-                elapsed: 0.9,
-                connection_idle: None,
-                request_concluded: true,
-            }));
+            harness.handle(attempt_succeeded(id, 0.9));
         }
         let ids = [101, 102, 103, 104];
         let started: Vec<_> = ids
@@ -166,27 +151,19 @@
 }
 
 /// Slots of one upstream after so many responses that take `elapsed`, while requests always wait.
-fn slots_after(answers: u64, elapsed: impl Fn(u64) -> f64) -> usize {
+fn slots_after(responses: u64, elapsed: impl Fn(u64) -> f64) -> usize {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 1);
     let mut started = Vec::new();
-    for id in 1..=answers {
+    for id in 1..=responses {
         started.extend(started_attempts(&harness.handle(request(id, 0, 50.0))));
-        let result = AttemptResult {
-            id: RequestId(started.remove(0).0),
-            attempt: 0,
-            outcome: AttemptOutcome::Success,
-            elapsed: elapsed(id),
-            connection_idle: None,
-            request_concluded: true,
-        };
+        let (first, _) = started.remove(0);
+        let success = attempt_succeeded(first, elapsed(id));
         started.extend(started_attempts(&harness.handle(request(
             1000 + id,
             0,
             50.0,
         ))));
-        started.extend(started_attempts(
-            &harness.handle(Event::AttemptEnded(result)),
-        ));
+        started.extend(started_attempts(&harness.handle(success)));
         harness.now += 0.01;
     }
     harness.balancer.load().attempts_in_flight
--- a/tests/decision/endpoint_list.rs
+++ b/tests/decision/endpoint_list.rs
@@ -90,10 +90,17 @@
     assert!(harness.balancer.load().upstreams <= 4);
 }
 
+/// Whether the endpoint list is up to date.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ListAge {
+    Current,
+    Stale,
+}
+
 /// A balancer whose list is stale or current, with `upstreams` of which the first `rejecting`
 /// reject all requests. Returns how many requests each got.
 fn send_with_rejections(
-    stale: bool,
+    list: ListAge,
     upstreams: u64,
     rejecting: u64,
     requests: u64,
@@ -104,7 +111,7 @@
     };
     settings.classes[0].deadline = 60.0;
     let mut harness = Harness::new(settings, upstreams);
-    if stale {
+    if list == ListAge::Stale {
         harness.update_endpoints(ListScope::Failed, vec![]);
     }
     let mut counts = vec![0; upstreams as usize + 1];
@@ -142,7 +149,7 @@
 /// While the list is stale, upstreams may drain unnoticed.
 #[test]
 fn upstreams_that_reject_everything_are_left_out_while_the_list_is_stale() {
-    let (mut harness, mut counts) = send_with_rejections(true, 6, 2, 300);
+    let (mut harness, mut counts) = send_with_rejections(ListAge::Stale, 6, 2, 300);
     assert!(counts[1] <= 3 && counts[2] <= 3, "{counts:?}");
     assert_eq!(
         harness.balancer.excluded_upstreams(),
@@ -159,9 +166,9 @@
 /// A current list takes precedence, and if most upstreams reject they are overloaded.
 #[test]
 fn rejecting_upstreams_stay_in_use_while_the_list_is_current_or_most_reject() {
-    let (_, counts) = send_with_rejections(false, 6, 2, 300);
+    let (_, counts) = send_with_rejections(ListAge::Current, 6, 2, 300);
     assert!(counts[1] > 3 && counts[2] > 3, "{counts:?}");
-    let (_, counts) = send_with_rejections(true, 6, 6, 300);
+    let (_, counts) = send_with_rejections(ListAge::Stale, 6, 6, 300);
     assert!(
         counts[1..].iter().filter(|counts| **counts > 3).count() >= 3,
         "{counts:?}"
--- a/tests/decision/fleet_poll_schedule.rs
+++ b/tests/decision/fleet_poll_schedule.rs
@@ -1,7 +1,7 @@
 //! The polls of a whole fleet at one discovery.
 //!
 //! Discovery handles polls one after the other. Each costs it the same, also one that it refuses
-//! because its turn has not come in time: a fleet that polls too often would be refused forever.
+//! after a timeout in its queue: a fleet that polls too often would be refused forever.
 //! All times are seconds.
 
 use crate::harness::entry;
--- a/tests/decision/harness.rs
+++ b/tests/decision/harness.rs
@@ -2,7 +2,7 @@
 
 use load_balancer::{
     Action, AttemptOutcome, AttemptResult, Balancer, Class, DeduplicationScope, Event, Idempotency,
-    ListScope, Request, RequestId, Settings, UpstreamEntry, UpstreamId, UpstreamState,
+    ListScope, Maintenance, Request, RequestId, Settings, UpstreamEntry, UpstreamId, UpstreamState,
 };
 
 /// All classes of idempotency with a key.
@@ -69,6 +69,18 @@
     })
 }
 
+/// The success of a first attempt after `elapsed` seconds.
+pub fn attempt_succeeded(id: u64, elapsed: f64) -> Event {
+    Event::AttemptEnded(AttemptResult {
+        id: RequestId(id),
+        attempt: 0,
+        outcome: AttemptOutcome::Success,
+        elapsed,
+        connection_idle: None,
+        request_concluded: true,
+    })
+}
+
 /// The end of a first attempt without a response, after `elapsed` seconds.
 pub fn attempt_lost(id: u64, outcome: AttemptOutcome, elapsed: f64) -> Event {
     Event::AttemptEnded(AttemptResult {
@@ -81,6 +93,22 @@
     })
 }
 
+/// Operators take an upstream out of service or put it back.
+pub fn maintenance(upstream: u64, change: Maintenance) -> Event {
+    Event::Maintenance {
+        upstream: UpstreamId(upstream),
+        change,
+    }
+}
+
+/// An endpoint list without upstreams, as far as this scope says.
+pub fn empty_list(scope: ListScope) -> Event {
+    Event::EndpointList {
+        scope,
+        endpoints: Vec::new(),
+    }
+}
+
 /// A balancer and its clock.
 pub struct Harness {
     pub balancer: Balancer,
--- a/tests/decision/idempotency.rs
+++ b/tests/decision/idempotency.rs
@@ -1,20 +1,10 @@
 //! Idempotency: which attempts may follow one that may have run.
 
-use crate::harness::{attempt_ended, is_failed, is_rejected, request, started_attempts, Harness};
+use crate::harness::{
+    attempt_ended, is_failed, is_rejected, request, started_attempts, Harness, WITH_IDEMPOTENCY_KEY,
+};
 use load_balancer::{Action, AttemptOutcome, DeduplicationScope, Idempotency};
 
-const WITH_IDEMPOTENCY_KEY: [Idempotency; 3] = [
-    Idempotency::IdempotencyKey {
-        scope: DeduplicationScope::All,
-    },
-    Idempotency::IdempotencyKey {
-        scope: DeduplicationScope::Zone,
-    },
-    Idempotency::IdempotencyKey {
-        scope: DeduplicationScope::Cell,
-    },
-];
-
 #[test]
 fn non_idempotent_request_fails_after_an_attempt_that_may_have_run() {
     for outcome in [
--- a/tests/decision/learned_state.rs
+++ b/tests/decision/learned_state.rs
@@ -2,11 +2,11 @@
 //! an upgrade.
 
 use crate::harness::{
-    attempt_ended, class, entry, request, started_attempts, without_retries, Harness,
+    attempt_ended, class, entry, maintenance, request, started_attempts, without_retries, Harness,
 };
 use load_balancer::{
     AttemptOutcome, AttemptResult, Event, Idempotency, LearnedState, ListScope, Maintenance,
-    Request, RequestId, Settings, Tenant, UpstreamEntry, UpstreamId,
+    Request, RequestId, Settings, Tenant, UpstreamEntry,
 };
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -43,14 +43,10 @@
 fn served_lost_and_ejected() -> Harness {
     let mut harness = Harness::new(settings(), 0);
     harness.update_endpoints(ListScope::Full, listed(98.0));
-    let maintain = |change| Event::Maintenance {
-        upstream: UpstreamId(5),
-        change,
-    };
     for id in 1..=60 {
         match id {
-            10 => drop(harness.handle(maintain(Maintenance::Begin))),
-            20 => drop(harness.handle(maintain(Maintenance::End))),
+            10 => drop(harness.handle(maintenance(5, Maintenance::Begin))),
+            20 => drop(harness.handle(maintenance(5, Maintenance::End))),
             _ => {}
         }
         let mut actions = harness.handle(Event::Request(Request {
--- a/tests/decision/maintenance.rs
+++ b/tests/decision/maintenance.rs
@@ -1,28 +1,19 @@
 //! Maintenance: upstreams that operators take out of service and put back.
 
-use crate::harness::{attempt_ended, entry, request, started_attempts, Harness};
+use crate::harness::{attempt_ended, entry, maintenance, request, started_attempts, Harness};
 use load_balancer::{
-    AttemptOutcome, Event, Idempotency, ListScope, Maintenance, Settings, UpstreamEntry,
-    UpstreamId, UpstreamState,
+    AttemptOutcome, Idempotency, ListScope, Maintenance, Settings, UpstreamEntry, UpstreamState,
 };
 
 /// Orders of operators take precedence over discovery.
 #[test]
 fn upstream_in_maintenance_gets_no_requests_whatever_is_listed() {
-    let maintain = |upstream, is_out| Event::Maintenance {
-        upstream: UpstreamId(upstream),
-        change: if is_out {
-            Maintenance::Begin
-        } else {
-            Maintenance::End
-        },
-    };
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
     harness.fill_slots(1, 0);
     let open = harness.balancer.load().open_requests as u64;
     // Queued requests are reassigned; attempts in flight go on.
-    assert!(started_attempts(&harness.handle(maintain(1, true))).is_empty());
-    harness.handle(maintain(1, true));
+    assert!(started_attempts(&harness.handle(maintenance(1, Maintenance::Begin))).is_empty());
+    harness.handle(maintenance(1, Maintenance::Begin));
     let relisted = UpstreamEntry {
         started_at: 90.0,
         ..entry(1)
@@ -52,10 +43,10 @@
         "{started_later:?}"
     );
     assert_eq!(harness.balancer.excluded_upstreams(), 1);
-    harness.handle(maintain(1, false));
+    harness.handle(maintenance(1, Maintenance::End));
     assert_eq!(harness.balancer.excluded_upstreams(), 0);
     // Unknown upstreams are accepted.
-    harness.handle(maintain(77, false));
+    harness.handle(maintenance(77, Maintenance::End));
 }
 
 /// It may have been restarted while it was out of service.
@@ -63,24 +54,22 @@
 fn upstream_returned_from_maintenance_is_in_slow_start() {
     let requests_after = |restarted_at: Option<f64>, listed_before: bool| {
         let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 3);
-        harness.handle(Event::Maintenance {
-            upstream: UpstreamId(1),
-            change: Maintenance::Begin,
-        });
+        harness.handle(maintenance(1, Maintenance::Begin));
         let restarted_entry = UpstreamEntry {
             started_at: restarted_at.unwrap_or(0.0),
             ..entry(1)
         };
         harness.now += 5.0;
         let list = |harness: &mut Harness| {
-            harness.update_endpoints(ListScope::Delta, vec![restarted_entry.clone()])
+            harness.update_endpoints(ListScope::Delta, vec![restarted_entry.clone()]);
         };
-        listed_before.then(|| list(&mut harness));
-        harness.handle(Event::Maintenance {
-            upstream: UpstreamId(1),
-            change: Maintenance::End,
-        });
-        (!listed_before).then(|| list(&mut harness));
+        if listed_before {
+            list(&mut harness);
+        }
+        harness.handle(maintenance(1, Maintenance::End));
+        if !listed_before {
+            list(&mut harness);
+        }
         let upstreams = (1..=300).map(|id| {
             let upstream = harness.send(request(id, 0, 2.0));
             harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
@@ -118,18 +107,10 @@
         harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
         upstream
     };
-    let maintain = |upstream, is_out| Event::Maintenance {
-        upstream: UpstreamId(upstream),
-        change: if is_out {
-            Maintenance::Begin
-        } else {
-            Maintenance::End
-        },
-    };
     let used: Vec<_> = (1..60).map(|id| send(&mut harness, id)).collect();
     let idle: Vec<_> = (1..=12).filter(|id| !used.contains(id)).collect();
     assert!(idle.len() > 5, "the subset is small");
-    harness.handle(maintain(idle[0], true));
+    harness.handle(maintenance(idle[0], Maintenance::Begin));
     // It is restarted, and removed from the list meanwhile.
     harness.update_endpoints(
         ListScope::Delta,
@@ -146,8 +127,8 @@
         }],
     );
     // The second event has no effect.
-    harness.handle(maintain(idle[0], false));
-    harness.handle(maintain(idle[0], false));
+    harness.handle(maintenance(idle[0], Maintenance::End));
+    harness.handle(maintenance(idle[0], Maintenance::End));
     let after_return: Vec<_> = (100..200).map(|id| send(&mut harness, id)).collect();
     assert_eq!(
         after_return.iter().filter(|id| **id == idle[0]).count(),
--- a/tests/decision/poll_schedule.rs
+++ b/tests/decision/poll_schedule.rs
@@ -1,6 +1,7 @@
 //! The poll schedule of one balancer.
 
 use crate::fleet_poll_schedule::{NOTIFICATION_DEADLINE, QUEUE_TIMEOUT};
+use crate::harness::empty_list;
 use load_balancer::{Action, Balancer, DiscoveryMode, Event, ListScope, Settings};
 
 #[test]
@@ -15,14 +16,7 @@
         let mut sum = 0.0;
         for scope in [ListScope::Cached, ListScope::Failed, ListScope::Failed] {
             let mut actions = Vec::new();
-            balancer.handle(
-                sum,
-                Event::EndpointList {
-                    scope,
-                    endpoints: Vec::new(),
-                },
-                &mut actions,
-            );
+            balancer.handle(sum, empty_list(scope), &mut actions);
             let Action::SetTimer { after, token } = actions[0] else {
                 panic!("{actions:?}")
             };
@@ -51,14 +45,7 @@
     settings.rules.notification_deadline = 6.0;
     let next_delay = |balancer: &mut Balancer, now, scope| {
         let mut actions = Vec::new();
-        balancer.handle(
-            now,
-            Event::EndpointList {
-                scope,
-                endpoints: Vec::new(),
-            },
-            &mut actions,
-        );
+        balancer.handle(now, empty_list(scope), &mut actions);
         let Action::SetTimer { after, token } = actions[0] else {
             panic!("{actions:?}")
         };
@@ -106,24 +93,10 @@
             .enumerate()
         {
             let mut actions = Vec::new();
-            balancer.handle(
-                now,
-                Event::EndpointList {
-                    scope,
-                    endpoints: vec![],
-                },
-                &mut actions,
-            );
+            balancer.handle(now, empty_list(scope), &mut actions);
             if scope == ListScope::Delta {
                 assert_eq!(actions, []);
-                balancer.handle(
-                    now,
-                    Event::EndpointList {
-                        scope: ListScope::Failed,
-                        endpoints: vec![],
-                    },
-                    &mut actions,
-                );
+                balancer.handle(now, empty_list(ListScope::Failed), &mut actions);
             }
             let Action::SetTimer { after, token } = actions[0] else {
                 panic!("{actions:?}")
--- a/tests/decision/rotation.rs
+++ b/tests/decision/rotation.rs
@@ -1,8 +1,8 @@
 //! The rotation: which upstream of the subset gets the next request.
 
-use crate::harness::{attempt_ended, entry, request, started_attempts, Harness};
+use crate::harness::{attempt_ended, attempt_succeeded, entry, request, started_attempts, Harness};
 use load_balancer::{
-    AttemptOutcome, AttemptResult, Event, Idempotency, ListScope, Request, RequestId, UpstreamEntry,
+    AttemptOutcome, Event, Idempotency, ListScope, Request, RequestId, UpstreamEntry,
 };
 
 #[test]
@@ -33,15 +33,7 @@
         let upstream = harness.send(request(id, 0, 2.0));
         let elapsed = if upstream <= 2 { 0.3 } else { 0.1 };
         counts[upstream as usize] += u32::from(id > 200);
-        let (id, outcome) = (RequestId(id), AttemptOutcome::Success);
-        harness.handle(Event::AttemptEnded(AttemptResult {
-            id,
-            attempt: 0,
-            outcome,
-            elapsed,
-            connection_idle: None,
-            request_concluded: true,
-        }));
+        harness.handle(attempt_succeeded(id, elapsed));
     }
     let (slow, fast) = (counts[1] + counts[2], counts[3] + counts[4]);
     assert!(
@@ -67,15 +59,7 @@
         let upstream = harness.send(Event::Request(request));
         let elapsed = hint * if upstream == 1 { 1.0 } else { 3.0 };
         harness.now += elapsed;
-        let (id, outcome) = (RequestId(id), AttemptOutcome::Success);
-        harness.handle(Event::AttemptEnded(AttemptResult {
-            id,
-            attempt: 0,
-            outcome,
-            elapsed,
-            connection_idle: None,
-            request_concluded: true,
-        }));
+        harness.handle(attempt_succeeded(id, elapsed));
         upstream
     };
     let small: Vec<_> = (0..60).map(|id| send(&mut harness, id, 0.1)).collect();
