--- a/tests/decision/concurrency_limit.rs
+++ b/tests/decision/concurrency_limit.rs
@@ -2,6 +2,7 @@
 
 use crate::harness::{
     attempt_ended, attempt_succeeded, request, started_attempts, without_retries, Harness,
+    StartedAttempt,
 };
 use load_balancer::{
     Action, AttemptOutcome, AttemptResult, Event, Idempotency, RequestId, Settings,
@@ -93,10 +94,14 @@
             .iter()
             .flat_map(|id| started_attempts(&harness.handle(request(*id, 0, 20.0))))
             .collect();
-        let actions = harness.handle(attempt_ended(started[0].0, 0, AttemptOutcome::Success));
+        let actions = harness.handle(attempt_ended(
+            started[0].request,
+            0,
+            AttemptOutcome::Success,
+        ));
         let queued = ids
             .iter()
-            .find(|id| !started.iter().any(|s| s.0 == **id))
+            .find(|id| !started.iter().any(|attempt| attempt.request == **id))
             .unwrap();
         let dispatched = started_attempts(&actions).len();
         let timer = |a: &Action| matches!(a, Action::SetTimer { .. });
@@ -120,7 +125,7 @@
     for id in 1..=200 {
         started.extend(started_attempts(&harness.handle(request(id, 0, 5.0))));
         if id % 2 == 0 && !started.is_empty() {
-            let (first, _) = started.remove(0);
+            let first = started.remove(0).request;
             started.extend(started_attempts(&harness.handle(attempt_ended(
                 first,
                 0,
@@ -131,7 +136,7 @@
     }
     let raised = harness.balancer.load().attempts_in_flight;
     assert!(raised > 3, "{raised}");
-    while let Some((id, _)) = started.pop() {
+    while let Some(StartedAttempt { request: id, .. }) = started.pop() {
         started.extend(started_attempts(&harness.handle(attempt_ended(
             id,
             0,
@@ -156,7 +161,7 @@
     let mut started = Vec::new();
     for id in 1..=responses {
         started.extend(started_attempts(&harness.handle(request(id, 0, 50.0))));
-        let (first, _) = started.remove(0);
+        let first = started.remove(0).request;
         let success = attempt_succeeded(first, elapsed(id));
         started.extend(started_attempts(&harness.handle(request(
             1000 + id,
--- a/tests/decision/endpoint_list.rs
+++ b/tests/decision/endpoint_list.rs
@@ -1,6 +1,8 @@
 //! The endpoint list: upstreams that drain, are removed, or may have done so unnoticed.
 
-use crate::harness::{attempt_ended, entry, is_rejected, request, started_attempts, Harness};
+use crate::harness::{
+    attempt_ended, entry, is_rejected, request, started_attempts, Harness, StartedAttempt,
+};
 use load_balancer::{
     AttemptOutcome, DiscoveryMode, Idempotency, ListScope, Settings, UpstreamEntry, UpstreamState,
 };
@@ -19,19 +21,22 @@
                 AttemptOutcome::Success
             )))
             .iter()
-            .all(|(_, upstream)| *upstream == 2));
+            .all(|started| started.upstream == 2));
         }
         for id in 1000..1020 {
             assert!(started_attempts(&harness.handle(request(id, 0, 2.0)))
                 .iter()
-                .all(|(_, upstream)| *upstream == 2));
+                .all(|started| started.upstream == 2));
         }
     }
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
     harness.update_endpoints(ListScope::Full, vec![entry(2)]);
     assert_eq!(
         started_attempts(&harness.handle(request(1, 0, 2.0))),
-        [(1, 2)]
+        [StartedAttempt {
+            request: 1,
+            upstream: 2
+        }]
     );
 }
 
@@ -48,7 +53,10 @@
     );
     assert_eq!(
         started_attempts(&harness.update_endpoints(ListScope::Delta, vec![entry(2)])),
-        [(queued, 2)]
+        [StartedAttempt {
+            request: queued,
+            upstream: 2
+        }]
     );
 }
 
@@ -58,7 +66,10 @@
     assert!(started_attempts(&harness.handle(request(1, 0, 2.0))).is_empty());
     assert_eq!(
         started_attempts(&harness.update_endpoints(ListScope::Delta, vec![entry(1)])),
-        [(1, 1)]
+        [StartedAttempt {
+            request: 1,
+            upstream: 1
+        }]
     );
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 0);
     harness.handle(request(1, 0, 2.0));
@@ -130,9 +141,9 @@
         harness.now += 0.5;
         let mut actions = harness.handle(request(id, 0, 60.0));
         let mut attempt = 0;
-        while let Some((_, upstream)) = started_attempts(&actions)
+        while let Some(StartedAttempt { upstream, .. }) = started_attempts(&actions)
             .into_iter()
-            .find(|(request, _)| *request == id)
+            .find(|started| started.request == id)
         {
             counts[upstream as usize] += 1;
             let outcome = if upstream <= rejecting {
--- a/tests/decision/harness.rs
+++ b/tests/decision/harness.rs
@@ -151,8 +151,7 @@
 
     /// Sends a request that an upstream accepts at once; returns the upstream.
     pub fn send(&mut self, request: Event) -> u64 {
-        let (_, upstream) = started_attempts(&self.handle(request))[0];
-        upstream
+        started_attempts(&self.handle(request))[0].upstream
     }
 
     /// Passes an endpoint list or a change of it.
@@ -178,10 +177,20 @@
     }
 }
 
-/// The attempts started: request and upstream of each.
-pub fn started_attempts(actions: &[Action]) -> Vec<(u64, u64)> {
+/// An attempt that a balancer has started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StartedAttempt {
+    pub request: u64,
+    pub upstream: u64,
+}
+
+/// The attempts started, in their order.
+pub fn started_attempts(actions: &[Action]) -> Vec<StartedAttempt> {
     let started = |action: &Action| match action {
-        Action::StartAttempt { id, upstream, .. } => Some((id.0, upstream.0)),
+        Action::StartAttempt { id, upstream, .. } => Some(StartedAttempt {
+            request: id.0,
+            upstream: upstream.0,
+        }),
         _ => None,
     };
     actions.iter().filter_map(started).collect()
--- a/tests/decision/idempotency.rs
+++ b/tests/decision/idempotency.rs
@@ -30,7 +30,7 @@
         let first = started_attempts(&harness.handle(request(1, 0, 2.0)));
         let second = started_attempts(&harness.handle(attempt_ended(1, 0, outcome)));
         assert!(
-            second.len() == 1 && second[0].1 != first[0].1,
+            second.len() == 1 && second[0].upstream != first[0].upstream,
             "{outcome:?}"
         );
     }
@@ -43,7 +43,7 @@
         let first = harness.send(request(1, 0, 5.0));
         let retry = started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Reset)));
         assert_eq!(retry.len(), 1, "{idempotency:?}");
-        let same_cell = retry[0].1 % 2 == first % 2;
+        let same_cell = retry[0].upstream % 2 == first % 2;
         assert!(
             same_cell
                 || idempotency
--- a/tests/decision/learned_state.rs
+++ b/tests/decision/learned_state.rs
@@ -3,6 +3,7 @@
 
 use crate::harness::{
     attempt_ended, class, entry, maintenance, request, started_attempts, without_retries, Harness,
+    StartedAttempt,
 };
 use load_balancer::{
     AttemptOutcome, AttemptResult, Event, Idempotency, LearnedState, ListScope, Maintenance,
@@ -61,7 +62,9 @@
         // Each attempt ends before the next request arrives; a retry follows from the end before
         // it.
         let mut attempt = 0;
-        while let Some((request, upstream)) = started_attempts(&actions).first().copied() {
+        while let Some(StartedAttempt { request, upstream }) =
+            started_attempts(&actions).first().copied()
+        {
             let outcome = match upstream {
                 1 => AttemptOutcome::Error,
                 2 if id % 5 == 0 => AttemptOutcome::Reset,
--- a/tests/decision/maintenance.rs
+++ b/tests/decision/maintenance.rs
@@ -31,7 +31,7 @@
         let started =
             started_attempts(&harness.handle(attempt_ended(id, 0, AttemptOutcome::Success)));
         assert!(
-            started.iter().all(|(_, upstream)| *upstream == 2),
+            started.iter().all(|started| started.upstream == 2),
             "{started:?}"
         );
     }
@@ -39,7 +39,7 @@
         .flat_map(|id| started_attempts(&harness.handle(request(id, 0, 2.0))))
         .collect();
     assert!(
-        !started_later.is_empty() && started_later.iter().all(|(_, upstream)| *upstream == 2),
+        !started_later.is_empty() && started_later.iter().all(|started| started.upstream == 2),
         "{started_later:?}"
     );
     assert_eq!(harness.balancer.excluded_upstreams(), 1);
--- a/tests/decision/outlier_classes.rs
+++ b/tests/decision/outlier_classes.rs
@@ -5,7 +5,7 @@
 
 /// Two classes at four upstreams; upstream 1 serves only the first. Returns how many requests of
 /// each class it gets.
-fn fail_one_class(outcome: AttemptOutcome) -> (u32, u32) {
+fn fail_one_class(outcome: AttemptOutcome) -> [u32; 2] {
     let classes = vec![
         class(Idempotency::NonIdempotent),
         class(Idempotency::NonIdempotent),
@@ -17,17 +17,13 @@
         }),
         4,
     );
-    let mut counts = (0, 0);
+    let mut counts = [0; 2];
     for id in 1..=200 {
         let class_index = usize::from(id % 7 < 3);
         let upstream = harness.send(request(id, class_index, 2.0));
         harness.now += 0.01;
         if upstream == 1 && id > 50 {
-            counts = if class_index == 0 {
-                (counts.0 + 1, counts.1)
-            } else {
-                (counts.0, counts.1 + 1)
-            };
+            counts[class_index] += 1;
         }
         let is_failure = upstream == 1 && class_index == 1;
         harness.handle(attempt_ended(
@@ -45,12 +41,12 @@
 
 #[test]
 fn upstream_that_loses_one_class_keeps_the_others() {
-    let (served, failed) = fail_one_class(AttemptOutcome::TimedOut);
+    let [served, failed] = fail_one_class(AttemptOutcome::TimedOut);
     assert!(
         served >= 6 && failed <= 2,
         "{served} of the class served, {failed} of the other"
     );
-    let (served, served_too) = fail_one_class(AttemptOutcome::Success);
+    let [served, served_too] = fail_one_class(AttemptOutcome::Success);
     assert!(
         served >= 15 && served_too >= 12,
         "{served} and {served_too}"
@@ -60,7 +56,7 @@
 /// Each rejected request has held a slot until it came back.
 #[test]
 fn upstream_that_alone_rejects_one_class_keeps_the_others() {
-    let (served, rejected) = fail_one_class(AttemptOutcome::Rejected);
+    let [served, rejected] = fail_one_class(AttemptOutcome::Rejected);
     assert!(
         served >= 15 && rejected <= 4,
         "{served} of the class served, {rejected} of the other"
--- a/tests/decision/outliers.rs
+++ b/tests/decision/outliers.rs
@@ -42,7 +42,7 @@
     harness.now += 60.0;
     let upstreams: Vec<u64> = (2..8)
         .flat_map(|id| started_attempts(&harness.handle(request(id, 0, 2.0))))
-        .map(|(_, upstream)| upstream)
+        .map(|started| started.upstream)
         .collect();
     assert_eq!(
         upstreams
@@ -184,7 +184,7 @@
         harness.now += 10.0;
         (2..12)
             .flat_map(|id| started_attempts(&harness.handle(request(id, 0, 2.0))))
-            .filter(|(_, upstream)| *upstream == uploading_to)
+            .filter(|started| started.upstream == uploading_to)
             .count()
     };
     assert!(requests_there(false) > 0, "its client is still uploading");
--- a/tests/decision/queues.rs
+++ b/tests/decision/queues.rs
@@ -1,6 +1,8 @@
 //! Queues: when requests wait, for how long, and which goes first.
 
-use crate::harness::{attempt_ended, class, is_rejected, request, started_attempts, Harness};
+use crate::harness::{
+    attempt_ended, class, is_rejected, request, started_attempts, Harness, StartedAttempt,
+};
 use load_balancer::{
     Action, AttemptOutcome, Class, Event, Idempotency, Request, RequestId, Settings, Tenant,
 };
@@ -11,7 +13,10 @@
     let queued = harness.fill_slots(1, 0);
     assert_eq!(
         started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Success))),
-        [(queued, 1)]
+        [StartedAttempt {
+            request: queued,
+            upstream: 1
+        }]
     );
     // An error lowers the limit by up to one slot, so the second one frees a slot at the latest.
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
@@ -23,7 +28,13 @@
         0,
         AttemptOutcome::Error,
     ))));
-    assert_eq!(dispatched, [(queued, 1)]);
+    assert_eq!(
+        dispatched,
+        [StartedAttempt {
+            request: queued,
+            upstream: 1
+        }]
+    );
 }
 
 #[test]
@@ -139,7 +150,10 @@
     assert!(started_attempts(&harness.handle(request(high, 1, 2.0))).is_empty());
     assert_eq!(
         started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Success))),
-        [(high, 1)]
+        [StartedAttempt {
+            request: high,
+            upstream: 1
+        }]
     );
 }
 
@@ -182,7 +196,10 @@
     );
     assert_eq!(
         started_attempts(&harness.handle(attempt_ended(95, 0, AttemptOutcome::Success))),
-        [(200, 1)],
+        [StartedAttempt {
+            request: 200,
+            upstream: 1
+        }],
         "queued last, dispatched first"
     );
 }
--- a/tests/decision/retries.rs
+++ b/tests/decision/retries.rs
@@ -54,7 +54,7 @@
         }]
     );
     let retry = started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Cancelled)));
-    assert!(retry.len() == 1 && retry[0].1 != first, "{retry:?}");
+    assert!(retry.len() == 1 && retry[0].upstream != first, "{retry:?}");
 }
 
 #[test]
--- a/tests/decision/rotation.rs
+++ b/tests/decision/rotation.rs
@@ -11,7 +11,7 @@
     let mut counts = [0; 6];
     for id in 1..=50 {
         let started = started_attempts(&harness.handle(request(id, 0, 2.0)));
-        counts[started[0].1 as usize] += 1;
+        counts[started[0].upstream as usize] += 1;
         harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
     }
     assert_eq!(counts, [0, 10, 10, 10, 10, 10]);
@@ -75,14 +75,17 @@
 fn rejecting_upstream_is_paused() {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 4);
     let started = started_attempts(&harness.handle(request(1, 0, 2.0)));
-    let rejecting = started[0].1;
+    let rejecting = started[0].upstream;
     let mut started_next =
         started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Rejected)));
-    assert_ne!(started_next[0].1, rejecting, "the retry goes elsewhere");
+    assert_ne!(
+        started_next[0].upstream, rejecting,
+        "the retry goes elsewhere"
+    );
     for id in 2..=6 {
         started_next = started_attempts(&harness.handle(request(id, 0, 2.0)));
         assert!(started_next
             .iter()
-            .all(|(_, upstream)| *upstream != rejecting));
+            .all(|started| started.upstream != rejecting));
     }
 }
--- a/tests/decision/slow_start.rs
+++ b/tests/decision/slow_start.rs
@@ -1,6 +1,8 @@
 //! Slow start of one balancer's upstreams.
 
-use crate::harness::{attempt_ended, class, entry, request, started_attempts, Harness};
+use crate::harness::{
+    attempt_ended, class, entry, request, started_attempts, Harness, StartedAttempt,
+};
 use load_balancer::{
     AttemptOutcome, Balancer, Event, Idempotency, ListScope, Settings, UpstreamEntry,
 };
@@ -126,7 +128,11 @@
     while id <= 100 {
         let mut started = started_attempts(&harness.handle(request(id, 0, 2.0)));
         let mut attempt = 0;
-        while let Some((id, upstream)) = started.first().copied() {
+        while let Some(StartedAttempt {
+            request: id,
+            upstream,
+        }) = started.first().copied()
+        {
             to_warming += usize::from(upstream == 4);
             let outcome = if upstream == 4 {
                 AttemptOutcome::Success
@@ -169,7 +175,7 @@
         }
         first += started_attempts(&actions)
             .iter()
-            .filter(|(_, upstream)| *upstream == 2)
+            .filter(|started| started.upstream == 2)
             .count();
     }
     assert!(
@@ -220,10 +226,14 @@
                 )));
             }
             id += 2;
-            started.extend(started_attempts(&actions).iter().map(|s| s.0));
+            started.extend(
+                started_attempts(&actions)
+                    .iter()
+                    .map(|attempt| attempt.request),
+            );
             to_warming += started_attempts(&actions)
                 .iter()
-                .filter(|s| s.1 == 10)
+                .filter(|attempt| attempt.upstream == 10)
                 .count();
         }
     }
