--- a/src/settings_format/conversion.rs
+++ b/src/settings_format/conversion.rs
@@ -16,7 +16,7 @@
     /// # Errors
     ///
     /// A value that is read only now, as another setting decides whether it is used.
-    pub fn into_settings(self) -> Result<Settings, InvalidSetting> {
+    pub(super) fn into_settings(self) -> Result<Settings, InvalidSetting> {
         let defaults = Settings::simple();
         Ok(Settings {
             classes: self.classes.into_iter().map(Class::from).collect(),
--- a/src/settings_format/document.rs
+++ b/src/settings_format/document.rs
@@ -13,131 +13,131 @@
 /// All settings.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct SettingsDocument {
-    pub classes: Vec<ClassDocument>,
-    pub tenants: Vec<TenantDocument>,
+pub(super) struct SettingsDocument {
+    pub(super) classes: Vec<ClassDocument>,
+    pub(super) tenants: Vec<TenantDocument>,
     #[serde(rename = "me")]
-    pub peer_index: Setting<usize>,
+    pub(super) peer_index: Setting<usize>,
     #[serde(rename = "peersTotal")]
-    pub peer_count: Setting<usize>,
-    pub tier: Setting<usize>,
+    pub(super) peer_count: Setting<usize>,
+    pub(super) tier: Setting<usize>,
     #[serde(rename = "stages")]
-    pub tiers: Setting<ListLength>,
-    pub zone: Setting<usize>,
+    pub(super) tiers: Setting<ListLength>,
+    pub(super) zone: Setting<usize>,
     #[serde(rename = "localities")]
-    pub zones: Setting<ListLength>,
+    pub(super) zones: Setting<ListLength>,
     #[serde(rename = "discovery")]
-    pub discovery_mode: Setting<DiscoveryMode>,
+    pub(super) discovery_mode: Setting<DiscoveryMode>,
     #[serde(rename = "resolution")]
-    pub event_interval: Setting<f64>,
+    pub(super) event_interval: Setting<f64>,
     #[serde(rename = "overShareWorth")]
-    pub over_quota_weight: Setting<f64>,
+    pub(super) over_quota_weight: Setting<f64>,
     #[serde(rename = "valueBy")]
-    pub weight_unit: Setting<WeightUnit>,
-    pub limits: LimitsDocument,
-    pub rules: RulesDocument,
+    pub(super) weight_unit: Setting<WeightUnit>,
+    pub(super) limits: LimitsDocument,
+    pub(super) rules: RulesDocument,
     #[serde(rename = "costs")]
-    pub prices: PricesDocument,
+    pub(super) prices: PricesDocument,
 }
 
 /// One request class.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct ClassDocument {
+pub(super) struct ClassDocument {
     #[serde(rename = "dedupScope")]
-    pub deduplication_scope: Setting<DeduplicationScope>,
+    pub(super) deduplication_scope: Setting<DeduplicationScope>,
     #[serde(rename = "hardLimit")]
-    pub deadline: Setting<f64>,
-    pub name: Setting<String>,
+    pub(super) deadline: Setting<f64>,
+    pub(super) name: Setting<String>,
     #[serde(rename = "aim")]
-    pub latency_objective: Setting<f64>,
+    pub(super) latency_objective: Setting<f64>,
     #[serde(rename = "effect")]
-    pub idempotency: Setting<IdempotencyKind>,
+    pub(super) idempotency: Setting<IdempotencyKind>,
     #[serde(rename = "dedupWindow")]
-    pub idempotency_window: Setting<f64>,
+    pub(super) idempotency_window: Setting<f64>,
     #[serde(rename = "worth")]
-    pub priority_weight: Setting<f64>,
+    pub(super) priority_weight: Setting<f64>,
     #[serde(rename = "lateShare")]
-    pub late_response_weight: Setting<f64>,
+    pub(super) late_response_weight: Setting<f64>,
 }
 
 /// One tenant.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct TenantDocument {
-    pub name: Setting<String>,
+pub(super) struct TenantDocument {
+    pub(super) name: Setting<String>,
     #[serde(rename = "quotaRps")]
-    pub quota_per_second: Setting<f64>,
+    pub(super) quota_per_second: Setting<f64>,
 }
 
 /// What the balancer may do.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct LimitsDocument {
+pub(super) struct LimitsDocument {
     #[serde(rename = "attemptsCap")]
-    pub max_attempts: Setting<usize>,
+    pub(super) max_attempts: Setting<usize>,
     #[serde(rename = "cancel")]
-    pub cancellation_allowed: Setting<bool>,
+    pub(super) cancellation_allowed: Setting<bool>,
     #[serde(rename = "mayDuplicate")]
-    pub hedging_allowed: Setting<bool>,
+    pub(super) hedging_allowed: Setting<bool>,
     #[serde(rename = "connIdle")]
-    pub connection_idle_timeout: Setting<f64>,
+    pub(super) connection_idle_timeout: Setting<f64>,
     #[serde(rename = "streamsPerConn")]
-    pub streams_per_connection: Setting<usize>,
+    pub(super) streams_per_connection: Setting<usize>,
     #[serde(rename = "connectTimeout")]
-    pub connect_timeout: Setting<f64>,
+    pub(super) connect_timeout: Setting<f64>,
     #[serde(rename = "openCap")]
-    pub max_open_requests: Setting<usize>,
+    pub(super) max_open_requests: Setting<usize>,
     #[serde(rename = "retryAfter")]
-    pub retry_after_allowed: Setting<bool>,
+    pub(super) retry_after_allowed: Setting<bool>,
     /// Any text unless Retry-After is allowed.
     #[serde(rename = "maxRetryAfter")]
-    pub max_retry_after: Setting<String>,
+    pub(super) max_retry_after: Setting<String>,
 }
 
 /// The rules of the service.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct RulesDocument {
+pub(super) struct RulesDocument {
     #[serde(rename = "askWithin")]
-    pub poll_interval: Setting<f64>,
+    pub(super) poll_interval: Setting<f64>,
     #[serde(rename = "startCapacity")]
-    pub initial_capacity_share: Setting<f64>,
+    pub(super) initial_capacity_share: Setting<f64>,
     #[serde(rename = "cold")]
-    pub slow_start_window: Setting<f64>,
+    pub(super) slow_start_window: Setting<f64>,
     #[serde(rename = "fallMultiple")]
-    pub overload_multiple: Setting<f64>,
+    pub(super) overload_multiple: Setting<f64>,
 }
 
 /// What things cost.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct PricesDocument {
+pub(super) struct PricesDocument {
     #[serde(rename = "crossZone")]
-    pub cross_zone: Setting<f64>,
+    pub(super) cross_zone: Setting<f64>,
 }
 
 /// A single value, if it is there.
 #[derive(Debug)]
-pub struct Setting<T>(Option<T>);
+pub(super) struct Setting<T>(Option<T>);
 
 impl<T> Setting<T> {
     /// The value, or this one if it is absent.
-    pub fn unwrap_or(self, default: T) -> T {
+    pub(super) fn unwrap_or(self, default: T) -> T {
         self.0.unwrap_or(default)
     }
 }
 
 impl Setting<String> {
     /// The text, or an empty one if it is absent.
-    pub fn unwrap_or_default(self) -> String {
+    pub(super) fn unwrap_or_default(self) -> String {
         self.0.unwrap_or_default()
     }
 }
 
 impl Setting<ListLength> {
     /// The length of the list, but 1 if it is empty or absent.
-    pub fn at_least_one(self) -> usize {
+    pub(super) fn at_least_one(self) -> usize {
         self.0.map_or(1, |length| length.0.max(1))
     }
 }
@@ -176,7 +176,7 @@
 
 /// What is wrong with a value.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum ValueError {
+pub(super) enum ValueError {
     /// It is no number, or none of this kind.
     #[error("bad number '{0}'")]
     BadNumber(String),
@@ -189,7 +189,7 @@
 }
 
 /// A type that a setting's text stands for.
-pub trait FromSetting: Sized {
+pub(super) trait FromSetting: Sized {
     /// Reads the text.
     ///
     /// # Errors
@@ -233,7 +233,7 @@
 
 /// How many elements a plain list has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListLength(pub usize);
+pub(super) struct ListLength(usize);
 
 impl FromSetting for ListLength {
     fn from_setting(text: &str) -> Result<Self, ValueError> {
@@ -246,7 +246,7 @@
 
 /// [`crate::Idempotency`] without the deduplication scope, which is a setting of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum IdempotencyKind {
+pub(super) enum IdempotencyKind {
     /// Running it again does no harm.
     Idempotent,
     /// It carries an idempotency key.
@@ -287,7 +287,7 @@
 
 /// What priority weights are counted per.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WeightUnit {
+pub(super) enum WeightUnit {
     /// Each request.
     Request,
     /// Each unit of its work.
--- a/src/settings_format/tests.rs
+++ b/src/settings_format/tests.rs
@@ -5,11 +5,14 @@
 use serde_json::json;
 
 fn pairs(text: &str) -> Result<Settings, InvalidSetting> {
-    settings_from_pairs(text.split_whitespace().filter_map(|p| p.split_once('=')))
+    settings_from_pairs(
+        text.split_whitespace()
+            .filter_map(|pair| pair.split_once('=')),
+    )
 }
 
 #[test]
-fn a_file_and_pairs_give_the_same_settings() {
+fn file_and_pairs_give_the_same_settings() {
     let file = json!({
         "classes": [
             {"name": "view", "aim": 0.5, "hardLimit": "2.5", "effect": "read_like", "worth": 3, "lateShare": 0.25},
@@ -88,7 +91,7 @@
 }
 
 #[test]
-fn an_error_names_the_path_and_the_first_of_several_counts() {
+fn error_names_the_path_of_the_first_invalid_setting() {
     for (text, error) in [
         ("limits.cancel=x", "setting limits.cancel: bad bool 'x'"),
         ("me=-1", "setting me: bad number '-1'"),
--- a/src/settings_format/tree.rs
+++ b/src/settings_format/tree.rs
@@ -4,19 +4,19 @@
 use std::collections::BTreeMap;
 
 /// The name under which a list of objects holds the number of its elements.
-pub const COUNT: &str = "count";
+pub(super) const COUNT: &str = "count";
 
 /// A setting's text, and the settings below it. Lists of objects have numbered children and
 /// `COUNT`; other lists are a text, joined by commas.
 #[derive(Debug, Default)]
-pub struct SettingsTree {
+pub(super) struct SettingsTree {
     text: Option<String>,
     children: BTreeMap<String, SettingsTree>,
 }
 
 impl SettingsTree {
     /// A tree without any setting.
-    pub const fn empty() -> Self {
+    pub(super) const fn empty() -> Self {
         SettingsTree {
             text: None,
             children: BTreeMap::new(),
@@ -24,7 +24,7 @@
     }
 
     /// The tree of pairs of a path and a value.
-    pub fn from_pairs<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
+    pub(super) fn from_pairs<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         let mut tree = SettingsTree::default();
         for (path, value) in pairs {
             tree.descend(path).text = Some(value.to_string());
@@ -33,7 +33,7 @@
     }
 
     /// The tree of a JSON value.
-    pub fn from_json(value: &Value) -> Self {
+    pub(super) fn from_json(value: &Value) -> Self {
         let mut tree = SettingsTree::default();
         tree.insert_json(value);
         tree
@@ -69,12 +69,12 @@
     }
 
     /// The value of this setting itself.
-    pub fn text(&self) -> Option<&str> {
+    pub(super) fn text(&self) -> Option<&str> {
         self.text.as_deref()
     }
 
     /// The setting of this name below this one.
-    pub fn child(&self, name: &str) -> Option<&Self> {
+    pub(super) fn child(&self, name: &str) -> Option<&Self> {
         self.children.get(name)
     }
 }
--- a/src/simulator/line.rs
+++ b/src/simulator/line.rs
@@ -29,7 +29,7 @@
 }
 
 /// One line, split into its name and its fields.
-pub struct Line<'a> {
+pub(super) struct Line<'a> {
     line_number: u64,
     name: &'a str,
     fields: Vec<(&'a str, &'a str)>,
@@ -59,17 +59,17 @@
     }
 
     /// The name of the message.
-    pub fn name(&self) -> &'a str {
+    pub(super) fn name(&self) -> &'a str {
         self.name
     }
 
     /// All fields, in their order.
-    pub fn fields(&self) -> impl Iterator<Item = (&'a str, &'a str)> + '_ {
+    pub(super) fn fields(&self) -> impl Iterator<Item = (&'a str, &'a str)> + '_ {
         self.fields.iter().copied()
     }
 
     /// An error in this field of the line.
-    pub fn error(&self, field: &str, problem: impl ToString) -> WireError {
+    pub(super) fn error(&self, field: &str, problem: impl ToString) -> WireError {
         WireError::Malformed {
             line: self.line_number,
             field: field.to_string(),
@@ -93,7 +93,7 @@
     /// # Errors
     ///
     /// If it is missing.
-    pub fn required_text(&self, field: &str) -> Result<&'a str, WireError> {
+    pub(super) fn required_text(&self, field: &str) -> Result<&'a str, WireError> {
         self.text(field).ok_or_else(|| self.missing(field))
     }
 
@@ -102,7 +102,7 @@
     /// # Errors
     ///
     /// If it is no number of this type.
-    pub fn number<T: FromStr>(&self, field: &str) -> Result<Option<T>, WireError> {
+    pub(super) fn number<T: FromStr>(&self, field: &str) -> Result<Option<T>, WireError> {
         let Some(text) = self.text(field) else {
             return Ok(None);
         };
@@ -116,7 +116,7 @@
     /// # Errors
     ///
     /// If it is missing, or no number of this type.
-    pub fn required_number<T: FromStr>(&self, field: &str) -> Result<T, WireError> {
+    pub(super) fn required_number<T: FromStr>(&self, field: &str) -> Result<T, WireError> {
         self.number(field)?.ok_or_else(|| self.missing(field))
     }
 
@@ -125,7 +125,7 @@
     /// # Errors
     ///
     /// If they are no finite number.
-    pub fn seconds(&self, field: &str) -> Result<Option<f64>, WireError> {
+    pub(super) fn seconds(&self, field: &str) -> Result<Option<f64>, WireError> {
         match self.number::<f64>(field)? {
             Some(seconds) if !seconds.is_finite() => Err(self.error(field, "is not finite")),
             seconds => Ok(seconds),
@@ -137,7 +137,7 @@
     /// # Errors
     ///
     /// If it is missing, or they are no finite number.
-    pub fn required_seconds(&self, field: &str) -> Result<f64, WireError> {
+    pub(super) fn required_seconds(&self, field: &str) -> Result<f64, WireError> {
         self.seconds(field)?.ok_or_else(|| self.missing(field))
     }
 
@@ -146,7 +146,7 @@
     /// # Errors
     ///
     /// If it is neither.
-    pub fn flag(&self, field: &str) -> Result<bool, WireError> {
+    pub(super) fn flag(&self, field: &str) -> Result<bool, WireError> {
         match self.text(field) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
@@ -159,13 +159,13 @@
     /// # Errors
     ///
     /// If its id is missing, or no number.
-    pub fn request_id(&self) -> Result<RequestId, WireError> {
+    pub(super) fn request_id(&self) -> Result<RequestId, WireError> {
         Ok(RequestId(self.required_number("rid")?))
     }
 }
 
 /// Reads lines and counts them.
-pub struct LineReader<R> {
+pub(super) struct LineReader<R> {
     input: R,
     /// The number of the last line read, from 1.
     number: u64,
@@ -174,7 +174,7 @@
 
 impl<R: BufRead> LineReader<R> {
     /// A reader at the beginning of this input.
-    pub fn new(input: R) -> Self {
+    pub(super) fn new(input: R) -> Self {
         LineReader {
             input,
             number: 0,
@@ -183,7 +183,7 @@
     }
 
     /// The number of the last line read.
-    pub fn line_number(&self) -> u64 {
+    pub(super) fn line_number(&self) -> u64 {
         self.number
     }
 
@@ -192,7 +192,7 @@
     /// # Errors
     ///
     /// If reading fails, or a field has no `=`.
-    pub fn next_line(&mut self) -> Result<Option<Line<'_>>, WireError> {
+    pub(super) fn next_line(&mut self) -> Result<Option<Line<'_>>, WireError> {
         self.text.clear();
         self.number += 1;
         let length = self
@@ -215,7 +215,7 @@
     /// # Errors
     ///
     /// As for [`Self::next_line`], and at the end of the input.
-    pub fn next_line_in_batch(&mut self) -> Result<Line<'_>, WireError> {
+    pub(super) fn next_line_in_batch(&mut self) -> Result<Line<'_>, WireError> {
         let line = self.number + 1;
         self.next_line()?.ok_or_else(|| WireError::Malformed {
             line,
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -10,7 +10,7 @@
 
 /// The addresses of the upstreams, by their ids.
 #[derive(Default)]
-pub struct UpstreamNames(HashMap<UpstreamId, String>);
+pub(super) struct UpstreamNames(HashMap<UpstreamId, String>);
 
 impl UpstreamNames {
     /// The id of an address, which is remembered.
@@ -34,7 +34,10 @@
 /// # Errors
 ///
 /// If the line is of another kind, or a field is missing or malformed.
-pub fn parse_upstream(line: &Line, names: &mut UpstreamNames) -> Result<UpstreamEntry, WireError> {
+pub(super) fn parse_upstream(
+    line: &Line,
+    names: &mut UpstreamNames,
+) -> Result<UpstreamEntry, WireError> {
     if line.name() != "ROW" {
         return Err(line.error(line.name(), "stands where a ROW was due"));
     }
@@ -60,7 +63,7 @@
 /// # Errors
 ///
 /// If the scope is missing or unknown.
-pub fn parse_list_scope(line: &Line) -> Result<ListScope, WireError> {
+pub(super) fn parse_list_scope(line: &Line) -> Result<ListScope, WireError> {
     Ok(match line.required_text("scope")? {
         "delta" => ListScope::Delta,
         "full" => ListScope::Full,
@@ -75,7 +78,7 @@
 /// # Errors
 ///
 /// If the message is unknown, or a field is missing or malformed.
-pub fn parse_event(line: &Line) -> Result<Event, WireError> {
+pub(super) fn parse_event(line: &Line) -> Result<Event, WireError> {
     Ok(match line.name() {
         "ARRIVAL" => Event::Request(Request {
             id: line.request_id()?,
@@ -119,7 +122,7 @@
 /// # Errors
 ///
 /// Those of `out`.
-pub fn write_action(
+pub(super) fn write_action(
     action: &Action,
     names: &UpstreamNames,
     classes: &[Class],
@@ -157,6 +160,6 @@
 }
 
 /// The text without the characters that separate lines and fields.
-pub fn on_one_line(text: &str) -> String {
+pub(super) fn on_one_line(text: &str) -> String {
     text.replace(['\n', '\t'], " ")
 }
