--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -15,8 +15,8 @@
 use std::env::{self, VarError};
 use std::net::SocketAddr;
 
-/// On sockets every change of the endpoint list counts as notified this long after discovery had
-/// it, in seconds.
+/// The balancer has to act on a change of the endpoint list within this time after discovery had
+/// it.
 const NOTIFICATION_DEADLINE_SECONDS: f64 = 6.0;
 // Variables that override fields of the file, and name them in errors.
 const NAME_VARIABLE: &str = "PROXY_NAME";
@@ -29,7 +29,7 @@
 /// The fewest descriptors with which a process can serve.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// Names of what the decision module numbers; the index is the number.
+/// Names by the numbers that the decision module uses in their place, which are the indices.
 #[derive(Debug, Default)]
 pub struct NameTables {
     /// Zones.
@@ -54,7 +54,7 @@
     pub admin: Option<SocketAddr>,
     /// The seed of random choices.
     pub seed: u64,
-    /// File descriptors that the process may hold: as configured, or fewer if the system allows
+    /// File descriptors that the process may have open: as configured, or fewer if the system allows
     /// fewer.
     pub max_descriptors: usize,
     /// Bytes of memory that the process may use.
@@ -182,8 +182,8 @@
     }
 }
 
-/// The address that this variable, or the file in its place, gives; `text` is empty if neither
-/// does.
+/// Parses the address that the variable of this name, or the file in its place, gives; `None` if
+/// neither does.
 fn optional_address(
     name: &'static str,
     text: Option<String>,
--- a/src/bin/load-balancer/config/tests.rs
+++ b/src/bin/load-balancer/config/tests.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn settings_are_read_from_the_file() {
-    let config = load(|_| ()).unwrap_or_else(|e| panic!("{e}"));
+    let config = load(|_| ()).unwrap_or_else(|error| panic!("{error}"));
     assert_eq!((config.seed, config.names.zones.len()), (255, 2));
     assert_eq!(config.settings.classes[0].deadline, 2.0);
     assert_eq!(config.settings.limits.max_retry_after, Some(2.0));
@@ -31,13 +31,14 @@
 }
 
 #[test]
-fn a_variable_goes_before_the_file_until_that_is_read_again() {
+fn variable_overrides_the_file_until_the_file_is_reloaded() {
     let discovery = |occasion, in_file| {
         let file = json!({"listen": "127.0.0.1:9", "discovery": in_file,
             "settings": {"classes": [{"name": "call", "hardLimit": 2.0, "effect": "read_like"}]}});
         let file = serde_json::from_value(file).expect("well-formed");
         let variable = |name: &str| (name == "PROXY_DISCOVERY").then(|| "127.0.0.1:7".to_string());
-        let config = Config::from_file(file, occasion, variable).unwrap_or_else(|e| panic!("{e}"));
+        let config =
+            Config::from_file(file, occasion, variable).unwrap_or_else(|error| panic!("{error}"));
         config.discovery.port()
     };
     assert_eq!(
@@ -54,23 +55,32 @@
 fn a_bad_field_is_named() {
     type Change = fn(&mut Value);
     let cases: [(Change, &str); 9] = [
-        (|f| f["console"] = json!("there"), "PROXY_CONSOLE"),
-        (|f| f["listen"] = json!("here"), "PROXY_LISTEN"),
-        (|f| f["discovery"] = Value::Null, "PROXY_DISCOVERY"),
-        (|f| f["seed"] = json!("xyz"), "seed"),
-        (|f| f["limits"]["sockets"] = json!(3), "limits.sockets"),
-        (|f| f["limits"]["memory_mb"] = json!(0), "limits.memory_mb"),
-        (|f| f["limits"]["memory_mb"] = json!(-5), "limits.memory_mb"),
+        (|file| file["console"] = json!("there"), "PROXY_CONSOLE"),
+        (|file| file["listen"] = json!("here"), "PROXY_LISTEN"),
+        (|file| file["discovery"] = Value::Null, "PROXY_DISCOVERY"),
+        (|file| file["seed"] = json!("xyz"), "seed"),
         (
-            |f| f["settings"]["classes"][0]["aim"] = json!("soon"),
+            |file| file["limits"]["sockets"] = json!(3),
+            "limits.sockets",
+        ),
+        (
+            |file| file["limits"]["memory_mb"] = json!(0),
+            "limits.memory_mb",
+        ),
+        (
+            |file| file["limits"]["memory_mb"] = json!(-5),
+            "limits.memory_mb",
+        ),
+        (
+            |file| file["settings"]["classes"][0]["aim"] = json!("soon"),
             "classes.0.aim",
         ),
-        (|f| f["settings"]["classes"] = json!([]), "class"),
+        (|file| file["settings"]["classes"] = json!([]), "class"),
     ];
     for (change, field) in cases {
         let error = load(change)
             .err()
-            .map(|e| e.to_string())
+            .map(|error| error.to_string())
             .unwrap_or_default();
         assert!(
             error.contains(field) && error.lines().count() == 1,
