--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -37,7 +37,10 @@
     }
 
     fn merge_entry(&mut self, entry: UpstreamEntry) {
-        let (id, initial_stats) = (entry.id, self.initial_stats());
+        // For every entry, so that the sequence of random numbers does not depend on which
+        // upstreams are known already.
+        let initial_stats = self.initial_stats();
+        let id = entry.id;
         let upstream = match self.upstreams.entry(id) {
             Entry::Vacant(vacant) => {
                 let started_at = self.start_times.estimate(entry.started_at, self.now);
@@ -56,7 +59,7 @@
         upstream.in_maintenance = self.maintenance.is_out(id);
     }
 
-    /// The statistics of an upstream of which nothing is known.
+    /// The statistics of an upstream of which nothing is known. Draws a random number.
     pub(super) fn initial_stats(&mut self) -> UpstreamStats {
         UpstreamStats {
             limit_multiplier: 1.0,
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -16,7 +16,7 @@
 
 impl UpstreamId {
     /// The number of the upstream of this name (FNV-1a): it depends neither on the process nor on
-    /// the order in which names were met.
+    /// the order in which names are seen.
     #[must_use]
     pub fn of(name: &str) -> Self {
         let add_byte = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
@@ -44,7 +44,7 @@
     pub zone: usize,
     /// Its machine kind.
     pub machine_kind: usize,
-    /// Its cell: the upstreams of a cell drop each other's repeats.
+    /// Its cell: the upstreams of a cell can share a deduplication scope.
     pub cell: usize,
     /// Its state.
     pub state: UpstreamState,
@@ -52,7 +52,7 @@
     pub started_at: f64,
 }
 
-/// What an endpoint list holds.
+/// Which upstreams an endpoint list covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// Only what changed.
@@ -61,7 +61,7 @@
     Full,
     /// All upstreams as this balancer last saw them; may be stale.
     Cached,
-    /// A poll failed or a watch broke; the previous list stays in force.
+    /// None: a poll failed or a watch broke. The previous list stays in force.
     Failed,
 }
 
@@ -148,7 +148,7 @@
 pub enum Event {
     /// The endpoint list or a change of it came from discovery, or a poll failed.
     EndpointList {
-        /// What `endpoints` stand for.
+        /// Which upstreams `endpoints` covers.
         scope: ListScope,
         /// The upstreams of the list.
         endpoints: Vec<UpstreamEntry>,
--- a/src/decision/idle_timeout.rs
+++ b/src/decision/idle_timeout.rs
@@ -77,8 +77,8 @@
         } else {
             0.0
         };
-        ended.is_lost && ended.connection_idle > self.timeout
-            || is_reset && ended.connection_idle > 0.0
+        let is_beyond_timeout = ended.connection_idle > self.timeout;
+        (ended.is_lost && is_beyond_timeout) || (is_reset && ended.connection_idle > 0.0)
     }
 
     fn add(&mut self, observation: &Observation, max_timeout: f64) {
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -46,7 +46,8 @@
     pub(super) fn is_eligible(&self, upstream: &Upstream, class: usize) -> bool {
         let stats = &upstream.stats.outliers;
         let all_stats = stats.all_requests();
-        let (mut of_class, mut has_overdue_of_class, mut unanswered) = (0, false, 0);
+        let (mut of_class, mut unanswered) = (0, 0);
+        let mut has_overdue_of_class = false;
         for attempt in &upstream.in_flight {
             of_class += usize::from(attempt.class == class);
             if attempt.is_overdue(self.now) {
@@ -56,8 +57,8 @@
                 unanswered += usize::from(all_stats.is_silent_since(attempt.sent_at));
             }
         }
-        let is_silent = unanswered > 1
-            || (has_overdue_of_class || unanswered > 0) && !self.has_common_losses(upstream);
+        let may_be_silent = has_overdue_of_class || unanswered > 0;
+        let is_silent = unanswered > 1 || (may_be_silent && !self.has_common_losses(upstream));
         !is_silent
             && all_stats.allows_request(upstream.in_flight.len(), self.now)
             && stats.class(class).allows_request(of_class, self.now)
--- a/src/decision/outlier_stats.rs
+++ b/src/decision/outlier_stats.rs
@@ -241,7 +241,8 @@
             } => {
                 let is_own_loss = ended.is_lost_silently() && !evidence.is_common_loss;
                 let is_own_error = ended.is_error() && (is_outlier || is_upstream_outlier);
-                is_unanswered || is_own_loss || is_own_error && evidence.now >= self.ejected_until
+                let is_ejected = evidence.now < self.ejected_until;
+                is_unanswered || is_own_loss || (is_own_error && !is_ejected)
             }
         }
     }
--- a/src/decision/rotation.rs
+++ b/src/decision/rotation.rs
@@ -25,6 +25,7 @@
 pub(super) struct Rotation {
     /// Available upstreams in this balancer's order of preference; the subset comes first.
     order: Vec<UpstreamId>,
+    /// At most the length of `order`.
     min_subset_size: f64,
     /// Size of the subset; it grows and shrinks by parts of an upstream.
     subset_size: f64,
@@ -40,9 +41,7 @@
     pub(super) fn set_subset(&mut self, subset: Subset) {
         self.order = subset.order;
         self.min_subset_size = subset.min_size;
-        self.subset_size = self
-            .subset_size
-            .clamp(self.min_subset_size, self.order.len() as f64);
+        self.set_subset_size(self.subset_size);
     }
 
     /// No upstream is available.
@@ -82,8 +81,11 @@
 
     /// Restores the size of the subset as far as the endpoint list allows it.
     pub(super) fn restore_subset_size(&mut self, size: f64) {
-        let max = (self.order.len() as f64).max(self.min_subset_size);
-        self.subset_size = size.clamp(self.min_subset_size, max);
+        self.set_subset_size(size);
+    }
+
+    fn set_subset_size(&mut self, size: f64) {
+        self.subset_size = size.clamp(self.min_subset_size, self.order.len() as f64);
     }
 
     /// All available upstreams are in the subset.
@@ -103,8 +105,7 @@
             Demand::RequestsWaited => SUBSET_STEP,
             Demand::Satisfied => -SATISFIED_SUBSET_STEP,
         };
-        let max = (self.order.len() as f64).max(self.min_subset_size);
-        self.subset_size = (self.subset_size + step).clamp(self.min_subset_size, max);
+        self.set_subset_size(self.subset_size + step);
     }
 
     /// The upstream of the subset with the earliest virtual start for a request. `requests_ahead`
