--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -53,7 +53,7 @@
         };
         let (objective, rate_window) = (class.latency_objective, class.deadline);
         let work = request.cost_hint.filter(|hint| *hint > 0.0).unwrap_or(1.0);
-        let expected = self.latency[request.class].expected(work);
+        let expected = self.latency.of_class(request.class).expected(work);
         let queue_time = self.queue_time(class, expected, request.remaining);
         let pending = PendingRequest {
             class: request.class,
@@ -113,6 +113,6 @@
 
     /// The latency to expect for this request, in seconds.
     pub(super) fn expected_latency(&self, request: &PendingRequest) -> f64 {
-        self.latency[request.class].expected(request.work)
+        self.latency.of_class(request.class).expected(request.work)
     }
 }
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -28,7 +28,10 @@
         let request = self.requests.get_mut(&id).expect("the request is pending");
         let upstream = self.upstreams.get_mut(&upstream_id);
         let upstream = upstream.expect("a selected upstream is listed");
-        let expected_latency = self.latency[request.class].expected_at_least_mean(request.work);
+        let expected_latency = self
+            .latency
+            .of_class(request.class)
+            .expected_at_least_mean(request.work);
         let limits = &self.settings.limits;
         let connection_idle =
             take_connection(upstream, &mut self.idle_timeout, limits, self.now, actions);
@@ -158,20 +161,17 @@
         let stats = &mut upstream.stats;
         match ended.outcome {
             AttemptOutcome::Success => {
-                let latency = &mut self.latency[ended.class];
-                let relative_latency = latency.relative(ended.elapsed, work);
+                let response = self.latency.add_success(ended, work, &self.settings);
                 self.rotation
-                    .add_relative_latency(machine_kind, stats, relative_latency);
+                    .add_relative_latency(machine_kind, stats, response.relative_latency);
                 self.retry_budget.add_response();
-                latency.add(ended.elapsed, work);
-                let objective = self.settings.classes[ended.class].latency_objective
-                    * self.settings.remaining_tier_share();
-                self.congestion.add(ended.elapsed, work, latency, objective);
-                let is_congested = self.congestion.update(self.settings.tier);
-                let covers_all = self.rotation.covers_all();
-                let demand =
-                    self.limit
-                        .on_success(stats, is_congested, &self.congestion, covers_all);
+                let congestion = self.latency.congestion();
+                let demand = self.limit.on_success(
+                    stats,
+                    response.is_congested,
+                    congestion,
+                    self.rotation.covers_all(),
+                );
                 self.rotation.resize_subset(demand);
             }
             AttemptOutcome::Error => decrease_after_error(stats),
--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -9,7 +9,7 @@
 use super::concurrency_limit::ConcurrencyLimit;
 use super::event::{Event, RequestId, UpstreamState};
 use super::idle_timeout::IdleTimeoutEstimator;
-use super::latency::{Congestion, LatencyEstimate};
+use super::latency::LatencyModel;
 use super::maintenance::MaintenanceRegister;
 use super::poll_schedule::{PollSchedule, POLL_TIMER};
 use super::request::PendingRequest;
@@ -48,9 +48,7 @@
     pub(super) requests: BTreeMap<RequestId, PendingRequest>,
     /// Requests that arrived while no upstream was available.
     pub(super) unassigned: VecDeque<RequestId>,
-    /// Of each class.
-    pub(super) latency: Vec<LatencyEstimate>,
-    pub(super) congestion: Congestion,
+    pub(super) latency: LatencyModel,
     /// Of each tenant.
     pub(super) tenant_rates: Vec<RequestRate>,
     pub(super) retry_budget: RetryBudget,
@@ -68,12 +66,10 @@
     /// The first setting that is missing or out of range.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let classes = settings.classes.iter();
-        let latency = classes.map(|class| LatencyEstimate::new(class.latency_objective));
         let tenants = settings.tenants.iter();
         let max_idle_timeout = settings.limits.connection_idle_timeout;
         Ok(Balancer {
-            latency: latency.collect(),
+            latency: LatencyModel::new(&settings),
             tenant_rates: tenants.map(|_| RequestRate::default()).collect(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             now,
@@ -84,7 +80,6 @@
             maintenance: MaintenanceRegister::default(),
             requests: BTreeMap::new(),
             unassigned: VecDeque::new(),
-            congestion: Congestion::default(),
             retry_budget: RetryBudget::new(),
             idle_timeout: IdleTimeoutEstimator::new(max_idle_timeout, now),
             poll_schedule: PollSchedule::new(),
--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -3,8 +3,8 @@
 //! The limit is an even share of the upstream's slots, times a multiplier that each upstream's
 //! results change. With nothing in flight, a request is allowed whatever the limit is.
 
+use super::congestion::Congestion;
 use super::event::AttemptOutcome;
-use super::latency::Congestion;
 use super::moving_average::{add_sample, SLOW_SMOOTHING, SMOOTHING};
 use super::upstream::{Upstream, UpstreamStats};
 
--- a/src/decision/latency.rs
+++ b/src/decision/latency.rs
@@ -1,6 +1,9 @@
-//! Latency estimates of the request classes, and the congestion that responses show.
+//! Latency: what to expect of the request classes, learned from successful responses.
 
+use super::congestion::Congestion;
+use super::ended_attempt::EndedAttempt;
 use super::moving_average::{add_sample, weight_after, SMOOTHING};
+use super::settings::Settings;
 use serde::{Deserialize, Serialize};
 
 /// An attempt is overdue after this many times its expected latency.
@@ -8,12 +11,6 @@
 /// Work hints are rough: what a request takes beyond the mean counts for at most this many mean
 /// requests.
 pub(super) const MAX_EXCESS_WORK: f64 = 4.0;
-/// Congested: responses take more than this share of what the latency objective leaves beyond the
-/// baseline latency, on average.
-const CONGESTION_THRESHOLD: f64 = 0.25;
-/// Largest share of the latency objective that counts as baseline latency. The estimate may have
-/// started under congestion.
-const MAX_BASELINE_SHARE: f64 = 0.5;
 
 /// Latency and work of a class's requests, as moving averages.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -32,7 +29,7 @@
 
 impl LatencyEstimate {
     /// The estimate before the first response, from the class's latency objective in seconds.
-    pub(super) fn new(latency_objective: f64) -> Self {
+    fn new(latency_objective: f64) -> Self {
         LatencyEstimate {
             mean_latency: latency_objective / OVERDUE_FACTOR,
             mean_work: 1.0,
@@ -42,7 +39,7 @@
     }
 
     /// Adds the latency (in seconds) and the work of one successful response.
-    pub(super) fn add(&mut self, latency: f64, work: f64) {
+    fn add(&mut self, latency: f64, work: f64) {
         self.samples += 1.0;
         let weight = weight_after(self.samples);
         add_sample(&mut self.mean_latency, latency, weight);
@@ -80,7 +77,7 @@
     }
 
     /// A latency over the one to expect for this much work.
-    pub(super) fn relative(&self, latency: f64, work: f64) -> f64 {
+    fn relative(&self, latency: f64, work: f64) -> f64 {
         (latency / self.expected(work)).clamp(1.0 / OVERDUE_FACTOR, OVERDUE_FACTOR)
     }
 
@@ -95,44 +92,77 @@
 
     /// The latency to expect for this much work without congestion, in seconds. `max_mean` bounds
     /// that of a mean request.
-    fn baseline(&self, work: f64, max_mean: f64) -> f64 {
+    pub(super) fn baseline(&self, work: f64, max_mean: f64) -> f64 {
         self.baseline_per_work.min(max_mean / self.mean_work) * work
     }
 }
 
-/// How much responses are delayed by other requests.
-#[derive(Default)]
-pub(super) struct Congestion {
-    /// Moving average of what responses take of the latency objective beyond the baseline
-    /// latency.
-    pub(super) level: f64,
-    /// There has been congestion since the start.
-    pub(super) was_seen: bool,
+/// Latency estimates of all classes, and the congestion that responses show.
+pub(super) struct LatencyModel {
+    /// Of each class.
+    estimates: Vec<LatencyEstimate>,
+    congestion: Congestion,
 }
 
-impl Congestion {
-    /// Adds one successful response. Only what exceeds the baseline latency counts: large
-    /// requests and single slow responses are not congestion.
-    pub(super) fn add(
-        &mut self,
-        latency: f64,
-        work: f64,
-        estimate: &LatencyEstimate,
-        latency_objective: f64,
-    ) {
-        let baseline = estimate.baseline(work, MAX_BASELINE_SHARE * latency_objective);
-        if baseline < latency_objective {
-            let used = ((latency - baseline) / (latency_objective - baseline))
-                .clamp(-1.0, 2.0 * CONGESTION_THRESHOLD);
-            add_sample(&mut self.level, used, SMOOTHING);
+/// What a successful response shows.
+pub(super) struct ResponseLatency {
+    /// Its latency over the one that was to be expected.
+    pub(super) relative_latency: f64,
+    /// The balancer has to reduce its concurrency.
+    pub(super) is_congested: bool,
+}
+
+impl LatencyModel {
+    /// The model before the first response.
+    pub(super) fn new(settings: &Settings) -> Self {
+        let classes = settings.classes.iter();
+        let estimates = classes.map(|class| LatencyEstimate::new(class.latency_objective));
+        LatencyModel {
+            estimates: estimates.collect(),
+            congestion: Congestion::default(),
         }
     }
 
-    /// Whether a balancer of this tier has to reduce its concurrency. In deeper tiers the first
-    /// tier bounds what comes, and a waiting request holds a slot there.
-    pub(super) fn update(&mut self, tier: usize) -> bool {
-        let is_congested = tier == 0 && self.level > CONGESTION_THRESHOLD;
-        self.was_seen |= is_congested;
-        is_congested
+    /// The model that another balancer has learned.
+    pub(super) fn restore(estimates: Vec<LatencyEstimate>, congestion: Congestion) -> Self {
+        LatencyModel {
+            estimates,
+            congestion,
+        }
+    }
+
+    /// The estimate of each class.
+    pub(super) fn estimates(&self) -> &[LatencyEstimate] {
+        &self.estimates
+    }
+
+    /// The estimate of one class.
+    pub(super) fn of_class(&self, class: usize) -> &LatencyEstimate {
+        &self.estimates[class]
+    }
+
+    /// The congestion that responses show.
+    pub(super) fn congestion(&self) -> &Congestion {
+        &self.congestion
+    }
+
+    /// Adds the success of an attempt at a request of this much work.
+    pub(super) fn add_success(
+        &mut self,
+        ended: &EndedAttempt,
+        work: f64,
+        settings: &Settings,
+    ) -> ResponseLatency {
+        let estimate = &mut self.estimates[ended.class];
+        let relative_latency = estimate.relative(ended.elapsed, work);
+        estimate.add(ended.elapsed, work);
+        let objective = settings.classes[ended.class].latency_objective;
+        let objective = objective * settings.remaining_tier_share();
+        self.congestion
+            .add(ended.elapsed, work, estimate, objective);
+        ResponseLatency {
+            relative_latency,
+            is_congested: self.congestion.update(settings.tier),
+        }
     }
 }
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -5,8 +5,9 @@
 
 use super::admission::RequestRate;
 use super::balancer::Balancer;
+use super::congestion::Congestion;
 use super::event::UpstreamId;
-use super::latency::LatencyEstimate;
+use super::latency::{LatencyEstimate, LatencyModel};
 use super::upstream::UpstreamStats;
 use serde::{Deserialize, Serialize, Serializer};
 use std::collections::BTreeMap;
@@ -108,13 +109,13 @@
             saved_at: self.now,
             upstreams,
             started_at,
-            latency: self.latency.clone(),
+            latency: self.latency.estimates().to_vec(),
             tenant_rates: self.tenant_rates.clone(),
             relative_latency_by_kind: self.rotation.relative_latency_by_kind().clone(),
             subset_size: self.rotation.subset_size(),
             single_request_allowance: self.limit.single_request_allowance(),
-            congestion_was_seen: self.congestion.was_seen,
-            congestion_level: self.congestion.level,
+            congestion_was_seen: self.latency.congestion().was_seen,
+            congestion_level: self.latency.congestion().level,
         }
     }
 
@@ -134,10 +135,12 @@
             let started_at = state.started_at.get(&id).copied();
             self.restore_upstream(UpstreamId(id), stored, started_at);
         }
-        self.latency = state.latency;
+        let congestion = Congestion {
+            level: state.congestion_level,
+            was_seen: state.congestion_was_seen,
+        };
+        self.latency = LatencyModel::restore(state.latency, congestion);
         self.tenant_rates = state.tenant_rates;
-        self.congestion.level = state.congestion_level;
-        self.congestion.was_seen = state.congestion_was_seen;
         self.rotation
             .restore_relative_latency(state.relative_latency_by_kind);
         self.limit
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -9,7 +9,8 @@
 //! | `subset`, `rotation`, `selection` | the upstream for an attempt |
 //! | `concurrency_limit`, `slow_start`, `outlier`, `outlier_stats` | which upstreams accept a request now |
 //! | `admission`, `queue` | how long a request waits, and which one goes first |
-//! | `attempts`, `ended_attempt`, `idle_timeout`, `latency` | starting attempts; what results show |
+//! | `attempts`, `ended_attempt`, `idle_timeout` | starting attempts; what results show |
+//! | `latency`, `congestion` | how long responses take, and how much of it is due to other requests |
 //! | `moving_average` | the averages of samples that the others use |
 //! | `retry`, `conclusion` | retries, hedged requests, and the final response |
 //! | `request`, `upstream` | the state of one request and of one upstream |
@@ -21,6 +22,7 @@
 mod balancer;
 mod conclusion;
 mod concurrency_limit;
+mod congestion;
 mod ended_attempt;
 mod endpoint_list;
 mod event;
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -91,7 +91,7 @@
     ) {
         let is_common_loss = self.add_to_loss_rate(id, ended);
         let peers = self.peer_error_rates(id, ended.class);
-        let mean_latency = self.latency[ended.class].mean();
+        let mean_latency = self.latency.of_class(ended.class).mean();
         let evidence = Evidence {
             ended,
             is_common_loss,
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -26,7 +26,10 @@
             return Some(upstream.entry.id);
         }
         // The end of a large request counts, not its start, so it goes to a faster upstream.
-        let excess_work = self.latency[request.class].excess_work(request.work);
+        let excess_work = self
+            .latency
+            .of_class(request.class)
+            .excess_work(request.work);
         let requests_ahead = |upstream: &Upstream| accepts(upstream).then_some(excess_work);
         self.rotation.next(&self.upstreams, requests_ahead)
     }
