--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,21 +1,14 @@
-//! Attempts: starts them, and learns from how they end.
+//! Attempts: starts them and chooses their connections.
 
 use super::action::Action;
 use super::balancer::Balancer;
-use super::concurrency_limit::{decrease_after_error, decrease_after_loss};
-use super::ended_attempt::EndedAttempt;
-use super::event::{AttemptOutcome, AttemptResult, RequestId, UpstreamId};
+use super::event::{RequestId, UpstreamId};
 use super::idle_timeout::IdleTimeoutEstimator;
 use super::latency::OVERDUE_FACTOR;
-use super::log_event::LogEvent;
 use super::queue::request_timer;
 use super::request::Attempt;
 use super::settings::{Idempotency, Limits};
-use super::upstream::{upstream_of_attempt, InFlightAttempt, Upstream};
-
-/// An upstream is suspected of draining only while fewer than this share of the available ones
-/// are.
-const MAX_SUSPECTED_SHARE: f64 = 0.5;
+use super::upstream::{InFlightAttempt, Upstream};
 
 impl Balancer {
     /// Sends the request to this upstream.
@@ -86,136 +79,6 @@
             attempt.upload_completed_at = self.now;
         }
     }
-
-    /// An attempt has ended: learns from it, concludes or retries its request, and uses the free
-    /// slot. A result that has been reported before is ignored.
-    pub(super) fn on_attempt_ended(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
-        let (id, outcome) = (result.id, result.outcome);
-        let Some(request) = self.requests.get_mut(&id) else {
-            return;
-        };
-        let attempt = request.attempts.get_mut(result.attempt as usize);
-        let Some(attempt) = attempt.filter(|attempt| attempt.outcome.is_none()) else {
-            return;
-        };
-        attempt.outcome = Some(outcome);
-        let upstream = attempt.upstream.id;
-        self.record_result(upstream, result, actions);
-        if result.request_concluded || outcome == AttemptOutcome::Success {
-            self.conclude(id, actions);
-        }
-        self.release(id);
-        let needs_retry = self
-            .requests
-            .get(&id)
-            .is_some_and(|request| !request.is_concluded && request.attempts_in_flight() == 0);
-        if needs_retry {
-            self.retry(id, outcome, actions);
-        }
-        self.detect_draining(upstream, outcome, actions);
-        self.dispatch_queued(upstream, actions);
-    }
-
-    /// Frees the attempt's slot, and updates the estimates that its result bears on.
-    fn record_result(&mut self, id: UpstreamId, result: &AttemptResult, actions: &mut Vec<Action>) {
-        let request = &self.requests[&result.id];
-        let (work, has_short_deadline) = (request.work, request.has_short_deadline);
-        let upstream = upstream_of_attempt(&mut self.upstreams, id);
-        let Some(attempt) = upstream.remove_in_flight(result.id) else {
-            return;
-        };
-        let ended = EndedAttempt::new(&attempt, result, has_short_deadline);
-        let limits = &self.settings.limits;
-        let connection_is_idle =
-            limits.streams_per_connection == 1 || upstream.in_flight.is_empty();
-        if ended.connection_is_reusable() && connection_is_idle {
-            upstream.add_idle_connection(self.now);
-        }
-        let is_stale_connection = self.idle_timeout.observe(
-            &ended,
-            &mut upstream.stats.suspect_idle_time,
-            limits.connection_idle_timeout,
-        );
-        self.adapt_limit(id, &ended, work, is_stale_connection);
-        if ended.is_response && ended.outcome != AttemptOutcome::Rejected {
-            let rules = &self.settings.rules;
-            self.slow_start
-                .add_response(&self.rotation, &self.upstreams, rules, self.now);
-        }
-        if (ended.is_response || ended.is_lost) && !is_stale_connection {
-            self.detect_outlier(id, &ended, actions);
-        }
-    }
-
-    /// Adapts the concurrency limit, and with a success also the latency estimates, to the end of
-    /// an attempt.
-    fn adapt_limit(
-        &mut self,
-        id: UpstreamId,
-        ended: &EndedAttempt,
-        work: f64,
-        is_stale_connection: bool,
-    ) {
-        let upstream = upstream_of_attempt(&mut self.upstreams, id);
-        let machine_kind = upstream.entry.machine_kind;
-        let stats = &mut upstream.stats;
-        match ended.outcome {
-            AttemptOutcome::Success => {
-                let response = self.latency.add_success(ended, work, &self.settings);
-                self.rotation
-                    .add_relative_latency(machine_kind, stats, response.relative_latency);
-                self.retry_budget.add_response();
-                let congestion = self.latency.congestion();
-                let demand = self.limit.on_success(
-                    stats,
-                    response.is_congested,
-                    congestion,
-                    self.rotation.covers_all(),
-                );
-                self.rotation.resize_subset(demand);
-            }
-            AttemptOutcome::Error => decrease_after_error(stats),
-            // An upstream that rejects has nothing in flight, and would draw every request.
-            AttemptOutcome::Rejected => stats.paused_until = self.now + ended.expected_latency,
-            AttemptOutcome::ConnectFailed | AttemptOutcome::Reset | AttemptOutcome::TimedOut
-                if stats.outliers.all_requests().is_silent_since(ended.sent_at)
-                    && !is_stale_connection =>
-            {
-                decrease_after_loss(stats, ended.outcome);
-            }
-            _ => {}
-        }
-        self.limit.finish_result(stats, ended.elapsed, self.now);
-    }
-
-    /// Leaves out an upstream that rejects all requests while the endpoint list is stale: it may
-    /// be draining. If many reject, they are overloaded instead.
-    fn detect_draining(
-        &mut self,
-        id: UpstreamId,
-        outcome: AttemptOutcome,
-        actions: &mut Vec<Action>,
-    ) {
-        let Some(upstream) = self.upstreams.get_mut(&id) else {
-            return;
-        };
-        let seems_draining = upstream.count_rejections(outcome);
-        if !seems_draining || !upstream.is_available() || !self.poll_schedule.is_stale() {
-            return;
-        }
-        let suspected = self.upstreams.values();
-        let suspected = suspected.filter(|upstream| upstream.is_suspected_draining);
-        let suspected = suspected.count() as f64;
-        if suspected >= MAX_SUSPECTED_SHARE * (self.rotation.len() as f64 + suspected) {
-            return;
-        }
-        if let Some(upstream) = self.upstreams.get_mut(&id) {
-            upstream.is_suspected_draining = true;
-        }
-        let suspected = LogEvent::SuspectedDraining { upstream: id };
-        actions.push(Action::Log(suspected));
-        self.on_endpoints_changed(actions);
-    }
 }
 
 /// Chooses the connection of an attempt; returns for how long it has been idle, in seconds (0: it
--- /dev/null
+++ b/src/decision/draining.rs
@@ -0,0 +1,45 @@
+//! Draining that the endpoint list does not show: detected by rejections while the list is stale.
+
+use super::action::Action;
+use super::balancer::Balancer;
+use super::event::{AttemptOutcome, UpstreamId};
+use super::log_event::LogEvent;
+
+/// An upstream is suspected of draining only while fewer than this share of the available ones
+/// are.
+const MAX_SUSPECTED_SHARE: f64 = 0.5;
+
+impl Balancer {
+    /// Leaves out an upstream that rejects all requests while the endpoint list is stale: it may
+    /// be draining. If many reject, they are overloaded instead.
+    pub(super) fn detect_draining(
+        &mut self,
+        id: UpstreamId,
+        outcome: AttemptOutcome,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(upstream) = self.upstreams.get_mut(&id) else {
+            return;
+        };
+        let seems_draining = upstream.count_rejections(outcome);
+        if !seems_draining || !upstream.is_available() || !self.poll_schedule.is_stale() {
+            return;
+        }
+        if !self.may_suspect_another() {
+            return;
+        }
+        if let Some(upstream) = self.upstreams.get_mut(&id) {
+            upstream.is_suspected_draining = true;
+        }
+        let suspected = LogEvent::SuspectedDraining { upstream: id };
+        actions.push(Action::Log(suspected));
+        self.on_endpoints_changed(actions);
+    }
+
+    fn may_suspect_another(&self) -> bool {
+        let upstreams = self.upstreams.values();
+        let suspected = upstreams.filter(|upstream| upstream.is_suspected_draining);
+        let suspected = suspected.count() as f64;
+        suspected < MAX_SUSPECTED_SHARE * (self.rotation.len() as f64 + suspected)
+    }
+}
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -5,11 +5,12 @@
 //! | --- | --- |
 //! | `settings`, `event`, `action`, `log_event` | the types that the embedder uses |
 //! | `balancer` | the state of all parts; dispatch of events |
-//! | `endpoint_list`, `maintenance`, `poll_schedule`, `start_time` | which upstreams there are |
+//! | `endpoint_list`, `maintenance`, `draining`, `poll_schedule`, `start_time` | which upstreams there are |
 //! | `subset`, `rotation`, `selection` | the upstream for an attempt |
 //! | `concurrency_limit`, `slow_start`, `outlier`, `outlier_stats` | which upstreams accept a request now |
 //! | `admission`, `queue` | how long a request waits, and which one goes first |
-//! | `attempts`, `ended_attempt`, `idle_timeout` | starting attempts; what results show |
+//! | `attempts`, `idle_timeout` | starting attempts, on which connections |
+//! | `attempt_results`, `ended_attempt` | what the ends of attempts change |
 //! | `latency`, `congestion` | how long responses take, and how much of it is due to other requests |
 //! | `moving_average` | the averages of samples that the others use |
 //! | `retry`, `conclusion` | retries, hedged requests, and the final response |
@@ -18,11 +19,13 @@
 
 mod action;
 mod admission;
+mod attempt_results;
 mod attempts;
 mod balancer;
 mod conclusion;
 mod concurrency_limit;
 mod congestion;
+mod draining;
 mod ended_attempt;
 mod endpoint_list;
 mod event;
