--- a/tests/decision/fleet_poll_schedule.rs
+++ b/tests/decision/fleet_poll_schedule.rs
@@ -21,9 +21,18 @@
 const RESTART: f64 = OUTAGE_END + 3.0;
 const END: f64 = 46.0;
 
+/// What happens to a node, and when; the earliest comes first in the order.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledStep {
+    micros: u64,
+    node: usize,
+    incarnation: u32,
+    event: ScheduledEvent,
+}
+
 /// What happens to a balancer.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum ScheduledEvent {
     /// Its timer with this token fires.
     Timer(u64),
     /// Its list comes.
@@ -43,8 +52,7 @@
 struct Fleet {
     settings: Vec<Settings>,
     nodes: Vec<Node>,
-    /// What will happen: moment in microseconds, node, its incarnation.
-    schedule: BinaryHeap<Reverse<(u64, usize, u32, Happening)>>,
+    schedule: BinaryHeap<Reverse<ScheduledStep>>,
     /// Polls that discovery handles per second.
     capacity: f64,
     /// When discovery will have handled all polls in its queue.
@@ -113,31 +121,34 @@
         self.nodes[index].balancer.handle(now, event, &mut actions);
         for action in actions {
             if let Action::SetTimer { after, token } = action {
-                self.schedule(index, now + after, Happening::Timer(token));
+                self.schedule(index, now + after, ScheduledEvent::Timer(token));
             }
         }
     }
 
-    fn schedule(&mut self, index: usize, moment: f64, happening: Happening) {
-        let incarnation = self.nodes[index].incarnation;
-        let entry = (micros(moment), index, incarnation, happening);
-        self.schedule.push(Reverse(entry));
+    fn schedule(&mut self, index: usize, moment: f64, event: ScheduledEvent) {
+        self.schedule.push(Reverse(ScheduledStep {
+            micros: micros(moment),
+            node: index,
+            incarnation: self.nodes[index].incarnation,
+            event,
+        }));
     }
 
     /// A poll comes to discovery.
     fn poll(&mut self, index: usize, now: f64) {
         let queued_work = (self.busy_until - now).max(0.0);
         if is_in_outage(now) {
-            return self.schedule(index, now + QUEUE_TIMEOUT, Happening::Refusal);
+            return self.schedule(index, now + QUEUE_TIMEOUT, ScheduledEvent::Refusal);
         }
         if queued_work > MAX_QUEUED_WORK {
-            return self.schedule(index, now, Happening::Refusal);
+            return self.schedule(index, now, ScheduledEvent::Refusal);
         }
         self.busy_until = self.busy_until.max(now) + 1.0 / self.capacity;
         if queued_work < QUEUE_TIMEOUT {
-            self.schedule(index, self.busy_until, Happening::List);
+            self.schedule(index, self.busy_until, ScheduledEvent::List);
         } else {
-            self.schedule(index, now + QUEUE_TIMEOUT, Happening::Refusal);
+            self.schedule(index, now + QUEUE_TIMEOUT, ScheduledEvent::Refusal);
         }
     }
 
@@ -157,9 +168,9 @@
         self.pass_list(index, RESTART, ListScope::Cached);
     }
 
-    fn happen(&mut self, index: usize, now: f64, happening: Happening) {
-        match happening {
-            Happening::Timer(token) => {
+    fn run_scheduled(&mut self, index: usize, now: f64, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Timer(token) => {
                 let mut actions = Vec::new();
                 let event = Event::TimerFired(token);
                 self.nodes[index].balancer.handle(now, event, &mut actions);
@@ -167,11 +178,13 @@
                     self.poll(index, now);
                 }
             }
-            Happening::List if !is_in_outage(now) => {
+            ScheduledEvent::List if !is_in_outage(now) => {
                 self.nodes[index].list_since = Some(now);
                 self.pass_list(index, now, ListScope::Delta);
             }
-            Happening::List | Happening::Refusal => self.pass_list(index, now, ListScope::Failed),
+            ScheduledEvent::List | ScheduledEvent::Refusal => {
+                self.pass_list(index, now, ListScope::Failed)
+            }
         }
     }
 
@@ -182,8 +195,8 @@
         let mut waits_since = vec![OUTAGE_END; count];
         let mut outage_has_begun = false;
         let mut to_restart: Vec<_> = (0..count).filter(|index| index % 3 == 0).collect();
-        while let Some(Reverse((micros, index, incarnation, happening))) = self.schedule.pop() {
-            let now = micros as f64 / 1e6;
+        while let Some(Reverse(next)) = self.schedule.pop() {
+            let now = next.micros as f64 / 1e6;
             if now >= END {
                 break;
             }
@@ -197,8 +210,8 @@
                     self.restart(index);
                 }
             }
-            if incarnation == self.nodes[index].incarnation {
-                self.happen(index, now, happening);
+            if next.incarnation == self.nodes[next.node].incarnation {
+                self.run_scheduled(next.node, now, next.event);
             }
         }
         let wait =
--- a/tests/decision/fleet_slow_start/faults.rs
+++ b/tests/decision/fleet_slow_start/faults.rs
@@ -1,7 +1,7 @@
 //! The faults that a simulation can have: they schedule what happens to upstreams and what
 //! balancers learn of it.
 
-use super::simulation::{Happening, Simulation};
+use super::simulation::{ScheduledEvent, Simulation};
 use crate::harness::entry;
 use load_balancer::{Maintenance, UpstreamEntry, UpstreamState};
 use rand::Rng;
@@ -43,9 +43,9 @@
 }
 
 impl Simulation {
-    /// Schedules the fault of this world.
+    /// Schedules the fault of this scenario.
     pub fn schedule_fault(&mut self) {
-        match self.world.fault {
+        match self.scenario.fault {
             Fault::Restart(count) => self.schedule_restart(count),
             Fault::RollingReplacement(count) => self.schedule_rolling_replacement(count as u64),
             Fault::Replacement(count) => self.schedule_replacement(count as u64),
@@ -58,7 +58,7 @@
     /// Returns the new entries.
     fn restart_upstreams(&mut self, count: usize) -> Vec<UpstreamEntry> {
         for upstream in 1..=count as u64 {
-            let restart = Happening::Start {
+            let restart = ScheduledEvent::Start {
                 upstream,
                 downtime: DOWNTIME,
             };
@@ -73,11 +73,11 @@
     }
 
     fn schedule_rolling_replacement(&mut self, count: u64) {
-        let upstreams = self.world.upstreams as u64;
+        let upstreams = self.scenario.upstreams as u64;
         for n in 0..count {
             let moment = START + 7.0 * n as f64 / count as f64;
             let upstream = upstreams + 1 + n;
-            let start = Happening::Start {
+            let start = ScheduledEvent::Start {
                 upstream,
                 downtime: 0.0,
             };
@@ -87,9 +87,9 @@
     }
 
     fn schedule_replacement(&mut self, count: u64) {
-        let upstreams = self.world.upstreams as u64;
+        let upstreams = self.scenario.upstreams as u64;
         for n in 1..=count {
-            let start = Happening::Start {
+            let start = ScheduledEvent::Start {
                 upstream: upstreams + n,
                 downtime: 0.0,
             };
@@ -110,18 +110,18 @@
 
     fn schedule_maintenance(&mut self, count: u64) {
         for upstream in 1..=count {
-            let restart = Happening::Start {
+            let restart = ScheduledEvent::Start {
                 upstream,
                 downtime: 1.0,
             };
             self.schedule(START - 1.0, restart);
-            for balancer in 0..self.world.balancers {
+            for balancer in 0..self.scenario.balancers {
                 let delay = self.rng.random_range(0.0..0.2);
                 for (moment, change) in [
                     (START - 3.0 + delay, Maintenance::Begin),
                     (START + delay, Maintenance::End),
                 ] {
-                    let order = Happening::Maintenance {
+                    let order = ScheduledEvent::Maintenance {
                         balancer,
                         upstream,
                         change,
@@ -134,9 +134,9 @@
 
     fn schedule_new_balancers(&mut self, count: usize) {
         let entries = self.restart_upstreams(count);
-        for balancer in 0..self.world.balancers {
+        for balancer in 0..self.scenario.balancers {
             if self.rng.random_bool(0.7) {
-                self.schedule(START + 0.2, Happening::BalancerRestart { balancer });
+                self.schedule(START + 0.2, ScheduledEvent::BalancerRestart { balancer });
             }
         }
         self.notify_all(START, &entries);
@@ -144,14 +144,14 @@
 
     /// Notifies all balancers within half a second, some up to three seconds late.
     fn notify_all(&mut self, moment: f64, entries: &[UpstreamEntry]) {
-        for balancer in 0..self.world.balancers {
+        for balancer in 0..self.scenario.balancers {
             let is_late = self.rng.random_bool(0.15);
             let max_delay = if is_late { 3.0 } else { 0.5 };
             let delay = self.rng.random_range(0.0..max_delay);
             let entries = entries.to_vec();
             self.schedule(
                 moment + delay,
-                Happening::Notification { balancer, entries },
+                ScheduledEvent::Notification { balancer, entries },
             );
         }
     }
--- a/tests/decision/fleet_slow_start/mod.rs
+++ b/tests/decision/fleet_slow_start/mod.rs
@@ -11,7 +11,7 @@
 
 use faults::Fault;
 use load_balancer::{Rules, Settings};
-use simulation::{Simulation, World};
+use simulation::{Scenario, Simulation};
 
 const SEEDS: u64 = 2;
 const UPSTREAMS: usize = 10;
@@ -24,14 +24,14 @@
     served: f64,
 }
 
-fn simulate(world: World) -> Outcome {
+fn simulate(scenario: Scenario) -> Outcome {
     let rules = Rules {
         initial_capacity_share: 0.31,
         slow_start_window: 9.0,
         overload_multiple: 3.0,
         ..Settings::simple().rules
     };
-    let mut simulation = Simulation::new(world, rules);
+    let mut simulation = Simulation::new(scenario, rules);
     simulation.run();
     Outcome {
         worst_window: simulation.worst_window(),
@@ -53,7 +53,7 @@
         for load in [0.7, 1.4] {
             let (mut worst, mut served): (f64, f64) = (0.0, 0.0);
             for seed in 1..=SEEDS {
-                let outcome = simulate(World {
+                let outcome = simulate(Scenario {
                     balancers,
                     upstreams: UPSTREAMS,
                     load,
@@ -96,14 +96,14 @@
 fn return_from_maintenance_brings_no_more_load_than_a_restart() {
     let sum_of_worst = |fault| {
         let worst = |seed| {
-            let world = World {
+            let scenario = Scenario {
                 balancers: 100,
                 upstreams: UPSTREAMS,
                 load: 1.4,
                 fault,
                 seed,
             };
-            simulate(world).worst_window
+            simulate(scenario).worst_window
         };
         (1..=3).map(worst).sum::<f64>()
     };
--- a/tests/decision/fleet_slow_start/server.rs
+++ b/tests/decision/fleet_slow_start/server.rs
@@ -16,14 +16,21 @@
     pub was_notified: bool,
 }
 
+/// An attempt that waits for a core.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub struct QueuedAttempt {
+    pub request: u64,
+    /// Index into the attempts of the request.
+    pub attempt: u32,
+}
+
 /// An upstream.
 #[derive(Default)]
 pub struct Server {
     pub started_at: f64,
     pub down_until: f64,
     pub busy_cores: usize,
-    /// Request and attempt.
-    pub queue: VecDeque<(u64, u32)>,
+    pub queue: VecDeque<QueuedAttempt>,
     pub arrivals: Vec<Arrival>,
 }
 
--- a/tests/decision/fleet_slow_start/simulation.rs
+++ b/tests/decision/fleet_slow_start/simulation.rs
@@ -1,7 +1,7 @@
 //! A discrete-event simulation of balancers and upstreams. All times are seconds.
 
 use super::faults::{Fault, START};
-use super::server::{Arrival, Server, CAPACITY};
+use super::server::{Arrival, QueuedAttempt, Server, CAPACITY};
 use crate::harness::{entry, request};
 use load_balancer::{
     Action, AttemptOutcome, AttemptResult, Balancer, Event, ListScope, Maintenance, RequestId,
@@ -27,7 +27,7 @@
 
 /// What is simulated.
 #[derive(Clone, Copy, Debug)]
-pub struct World {
+pub struct Scenario {
     pub balancers: usize,
     pub upstreams: usize,
     /// Mean traffic over the capacity of all upstreams.
@@ -50,7 +50,7 @@
 }
 
 /// What happens at a scheduled moment.
-pub enum Happening {
+pub enum ScheduledEvent {
     RequestArrival {
         balancer: usize,
         id: u64,
@@ -93,13 +93,13 @@
 
 /// State of the simulation.
 pub struct Simulation {
-    pub world: World,
+    pub scenario: Scenario,
     pub rng: Pcg64Mcg,
     settings: Settings,
     now: f64,
-    /// Moments in microseconds, and keys of `happenings`.
+    /// Moments in microseconds, and keys of `scheduled_events`.
     schedule: BinaryHeap<Reverse<(u64, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
+    scheduled_events: BTreeMap<u64, ScheduledEvent>,
     balancers: Vec<Balancer>,
     /// What each balancer has been notified of.
     notified: Vec<BTreeMap<u64, UpstreamEntry>>,
@@ -115,7 +115,7 @@
 }
 
 impl Simulation {
-    pub fn new(world: World, rules: Rules) -> Self {
+    pub fn new(scenario: Scenario, rules: Rules) -> Self {
         let mean_latency = CORES as f64 / CAPACITY;
         let mut class = Settings::simple().classes[0].clone();
         class.latency_objective = 8.0 * mean_latency;
@@ -123,22 +123,22 @@
         let mut simulation = Simulation {
             settings: Settings {
                 classes: vec![class],
-                peer_count: world.balancers,
+                peer_count: scenario.balancers,
                 rules,
                 ..Settings::simple()
             },
-            rng: Pcg64Mcg::seed_from_u64(world.seed),
+            rng: Pcg64Mcg::seed_from_u64(scenario.seed),
             now: 0.0,
             schedule: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
+            scheduled_events: BTreeMap::new(),
             balancers: Vec::new(),
-            notified: vec![BTreeMap::new(); world.balancers],
+            notified: vec![BTreeMap::new(); scenario.balancers],
             servers: BTreeMap::new(),
             requests: BTreeMap::new(),
             next_key: 1,
             measured_requests: 0.0,
             served_requests: 0.0,
-            world,
+            scenario,
         };
         simulation.start_fleet();
         simulation.schedule_requests();
@@ -147,15 +147,15 @@
     }
 
     fn start_fleet(&mut self) {
-        let entries: Vec<_> = (1..=self.world.upstreams as u64).map(entry).collect();
+        let entries: Vec<_> = (1..=self.scenario.upstreams as u64).map(entry).collect();
         for entry in &entries {
             self.servers.insert(entry.id.0, Server::default());
         }
-        for balancer in 0..self.world.balancers {
+        for balancer in 0..self.scenario.balancers {
             let started = self.start_balancer(balancer);
             self.balancers.push(started);
             let entries = entries.clone();
-            self.schedule(0.0, Happening::Notification { balancer, entries });
+            self.schedule(0.0, ScheduledEvent::Notification { balancer, entries });
         }
     }
 
@@ -167,23 +167,23 @@
         Balancer::new(settings, self.rng.random(), self.now).unwrap()
     }
 
-    pub fn schedule(&mut self, moment: f64, happening: Happening) {
+    pub fn schedule(&mut self, moment: f64, scheduled: ScheduledEvent) {
         let micros = (moment * 1e6).ceil() as u64;
         self.schedule.push(Reverse((micros, self.next_key)));
-        self.happenings.insert(self.next_key, happening);
+        self.scheduled_events.insert(self.next_key, scheduled);
         self.next_key += 1;
     }
 
     /// Schedules uneven traffic: some balancers get up to five times the mean.
     fn schedule_requests(&mut self) {
-        let count = self.world.balancers;
+        let count = self.scenario.balancers;
         let weights: Vec<f64> = (0..count).map(|n| (1.0 + n as f64).powf(-0.8)).collect();
         let mean = weights.iter().sum::<f64>() / count as f64;
         let weights: Vec<f64> = weights
             .iter()
             .map(|weight| weight.min(5.0 * mean))
             .collect();
-        let capacity = self.world.load * self.world.upstreams as f64 * CAPACITY;
+        let capacity = self.scenario.load * self.scenario.upstreams as f64 * CAPACITY;
         let rate_per_weight = capacity / weights.iter().sum::<f64>();
         let shift = self.rng.random_range(0..count);
         for (n, weight) in weights.iter().enumerate() {
@@ -198,7 +198,7 @@
             let factor = if is_in_burst { 1.5 } else { 1.0 };
             moment -= (1.0 - self.rng.random::<f64>()).ln() / (rate * factor);
             let id = self.next_request_id(balancer);
-            let arrival = Happening::RequestArrival {
+            let arrival = ScheduledEvent::RequestArrival {
                 balancer,
                 id,
                 client_retries: 0,
@@ -220,37 +220,41 @@
     pub fn run(&mut self) {
         while let Some(Reverse((micros, key))) = self.schedule.pop() {
             self.now = micros as f64 / 1e6;
-            let happening = self.happenings.remove(&key).unwrap();
-            self.happen(happening);
+            let scheduled = self.scheduled_events.remove(&key).unwrap();
+            self.run_scheduled(scheduled);
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::RequestArrival {
+    fn run_scheduled(&mut self, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::RequestArrival {
                 balancer,
                 id,
                 client_retries,
             } => self.request_arrives(balancer, id, client_retries),
-            Happening::Timer { balancer, token } => self.handle(balancer, Event::TimerFired(token)),
-            Happening::AttemptEnd {
+            ScheduledEvent::Timer { balancer, token } => {
+                self.handle(balancer, Event::TimerFired(token))
+            }
+            ScheduledEvent::AttemptEnd {
                 id,
                 attempt,
                 outcome,
                 sent_at,
             } => self.end_attempt(id, attempt, outcome, sent_at),
-            Happening::CoreFree {
+            ScheduledEvent::CoreFree {
                 upstream,
                 started_at,
             } => self.free_core(upstream, started_at),
-            Happening::Notification { balancer, entries } => self.notify(balancer, entries),
-            Happening::Maintenance {
+            ScheduledEvent::Notification { balancer, entries } => self.notify(balancer, entries),
+            ScheduledEvent::Maintenance {
                 balancer,
                 upstream,
                 change,
             } => self.maintain(balancer, upstream, change),
-            Happening::Start { upstream, downtime } => self.restart_upstream(upstream, downtime),
-            Happening::BalancerRestart { balancer } => self.restart_balancer(balancer),
+            ScheduledEvent::Start { upstream, downtime } => {
+                self.restart_upstream(upstream, downtime)
+            }
+            ScheduledEvent::BalancerRestart { balancer } => self.restart_balancer(balancer),
         }
     }
 
@@ -325,7 +329,7 @@
         outcome: AttemptOutcome,
         sent_at: f64,
     ) {
-        let end = Happening::AttemptEnd {
+        let end = ScheduledEvent::AttemptEnd {
             id,
             attempt,
             outcome,
@@ -344,7 +348,7 @@
                     self.attempt_arrives(balancer, id.0, upstream.0);
                 }
                 Action::SetTimer { after, token } => {
-                    self.schedule(self.now + after, Happening::Timer { balancer, token });
+                    self.schedule(self.now + after, ScheduledEvent::Timer { balancer, token });
                 }
                 Action::CancelAttempt { id, attempt } => self.cancel_attempt(id.0, attempt),
                 Action::Reject { id, .. } => self.repeat_rejected(balancer, id.0),
@@ -358,7 +362,11 @@
         let (upstream, sent_at, is_in_flight) =
             (attempt.upstream, attempt.sent_at, attempt.is_in_flight);
         let queue = &mut self.server(upstream).queue;
-        queue.retain(|queued| *queued != (id, index));
+        let cancelled = QueuedAttempt {
+            request: id,
+            attempt: index,
+        };
+        queue.retain(|queued| *queued != cancelled);
         if is_in_flight {
             let moment = self.now + 0.001;
             self.schedule_end(moment, id, index, AttemptOutcome::Cancelled, sent_at);
@@ -372,7 +380,7 @@
             return;
         }
         let id = self.next_request_id(balancer);
-        let arrival = Happening::RequestArrival {
+        let arrival = ScheduledEvent::RequestArrival {
             balancer,
             id,
             client_retries,
@@ -394,7 +402,10 @@
         match self.refusal(balancer, upstream) {
             Some(outcome) => self.schedule_end(sent_at + 0.002, id, index, outcome, sent_at),
             None => {
-                self.server(upstream).queue.push_back((id, index));
+                self.server(upstream).queue.push_back(QueuedAttempt {
+                    request: id,
+                    attempt: index,
+                });
                 self.process_queue(upstream);
             }
         }
@@ -432,7 +443,11 @@
             if server.busy_cores == CORES {
                 return;
             }
-            let Some((id, attempt)) = server.queue.pop_front() else {
+            let Some(QueuedAttempt {
+                request: id,
+                attempt,
+            }) = server.queue.pop_front()
+            else {
                 return;
             };
             server.busy_cores += 1;
@@ -443,7 +458,7 @@
             let done = self.now + time;
             let sent_at = self.requests[&id].attempts[attempt as usize].sent_at;
             self.schedule_end(done, id, attempt, AttemptOutcome::Success, sent_at);
-            let core_free = Happening::CoreFree {
+            let core_free = ScheduledEvent::CoreFree {
                 upstream,
                 started_at,
             };
--- a/tests/decision/invariants.rs
+++ b/tests/decision/invariants.rs
@@ -72,8 +72,8 @@
     }
 }
 
-/// Plays random events and checks each action against the rules.
-struct RandomPlay {
+/// Runs random events and checks each action against the rules.
+struct RandomRun {
     settings: Settings,
     harness: Harness,
     /// Whether each upstream is listed as active.
@@ -91,7 +91,7 @@
     }
 }
 
-impl RandomPlay {
+impl RandomRun {
     fn new(hedging_allowed: bool, cancellation_allowed: bool, mode: DiscoveryMode) -> Self {
         let mut settings = Settings {
             classes: IDEMPOTENCY.map(class).to_vec(),
@@ -103,7 +103,7 @@
         let mut harness = Harness::new(settings.clone(), 0);
         let entries = (1..=UPSTREAMS).map(entry_in_zone).collect();
         harness.update_endpoints(ListScope::Full, entries);
-        RandomPlay {
+        RandomRun {
             settings,
             harness,
             is_active: (1..=UPSTREAMS).map(|id| (id, true)).collect(),
@@ -113,7 +113,7 @@
         }
     }
 
-    fn play(mut self, steps: Vec<Step>) -> Result<(), TestCaseError> {
+    fn run(mut self, steps: Vec<Step>) -> Result<(), TestCaseError> {
         let ticks = std::iter::repeat_n((9, 0, 0), 4000);
         for step in steps.into_iter().chain(ticks) {
             let Some(event) = self.next_event(step) else {
@@ -326,7 +326,7 @@
         is_polled: bool,
     ) {
         let mode = if is_polled { DiscoveryMode::Poll } else { DiscoveryMode::Push };
-        RandomPlay::new(hedging_allowed, cancellation_allowed, mode).play(steps)?;
+        RandomRun::new(hedging_allowed, cancellation_allowed, mode).run(steps)?;
     }
 }
 
