--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -23,7 +23,7 @@
     let mut adapter = Adapter::default();
     while let Some(line) = reader.next_line()? {
         if line.name() != "SYNC" {
-            return Err(line.error(line.name(), "stands where a SYNC was due"));
+            return Err(line.error(line.name(), "is not the expected SYNC"));
         }
         let now = line.required_seconds("time")?;
         let sequence: u64 = line.required_number("seq")?;
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -18,7 +18,7 @@
         let id = UpstreamId::of(address);
         let known = self.0.entry(id).or_insert_with(|| address.to_string());
         if known != address {
-            let problem = format!("'{address}' has the number of another address");
+            let problem = format!("'{address}' has the same id as '{known}'");
             return Err(line.error("upstream", problem));
         }
         Ok(id)
@@ -39,7 +39,7 @@
     names: &mut UpstreamNames,
 ) -> Result<UpstreamEntry, WireError> {
     if line.name() != "ROW" {
-        return Err(line.error(line.name(), "stands where a ROW was due"));
+        return Err(line.error(line.name(), "is not the expected ROW"));
     }
     Ok(UpstreamEntry {
         id: names.intern(line, line.required_text("upstream")?)?,
