--- a/src/decision/attempt_results.rs
+++ b/src/decision/attempt_results.rs
@@ -5,6 +5,7 @@
 use super::concurrency_limit::{decrease_after_error, decrease_after_loss};
 use super::ended_attempt::EndedAttempt;
 use super::event::{AttemptOutcome, AttemptResult, UpstreamId};
+use super::request::PendingRequest;
 use super::upstream::upstream_of_attempt;
 
 impl Balancer {
@@ -26,11 +27,8 @@
             self.conclude(id, actions);
         }
         self.release(id);
-        let needs_retry = self
-            .requests
-            .get(&id)
-            .is_some_and(|request| !request.is_concluded && request.attempts_in_flight() == 0);
-        if needs_retry {
+        let request = self.requests.get(&id);
+        if request.is_some_and(PendingRequest::needs_attempt) {
             self.retry(id, outcome, actions);
         }
         self.detect_draining(upstream, outcome, actions);
--- a/src/decision/conclusion.rs
+++ b/src/decision/conclusion.rs
@@ -3,6 +3,7 @@
 use super::action::Action;
 use super::balancer::Balancer;
 use super::event::RequestId;
+use super::request::PendingRequest;
 
 /// Retry-After of a rejection over the expected latency. Of a few requests in flight one has
 /// ended by then.
@@ -13,8 +14,8 @@
     /// failed.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = &self.requests[&id];
-        // Without it clients that come back too soon would be rejected again, and later ones
-        // would waste capacity.
+        // Clients that choose a delay themselves come back too soon, and are rejected again, or
+        // so late that capacity is wasted.
         let retry_after = self
             .settings
             .limits
@@ -53,11 +54,8 @@
 
     /// Forgets a request that is concluded and has no attempt in flight.
     pub(super) fn release(&mut self, id: RequestId) {
-        let is_done = self
-            .requests
-            .get(&id)
-            .is_some_and(|request| request.is_concluded && request.attempts_in_flight() == 0);
-        if is_done {
+        let request = self.requests.get(&id);
+        if request.is_some_and(PendingRequest::is_done) {
             self.requests.remove(&id);
         }
     }
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -47,6 +47,16 @@
         self.attempts.iter().filter(in_flight).count()
     }
 
+    /// It waits for an attempt: none is in flight, and it has no final response.
+    pub(super) fn needs_attempt(&self) -> bool {
+        !self.is_concluded && self.attempts_in_flight() == 0
+    }
+
+    /// The balancer has nothing left to do for it.
+    pub(super) fn is_done(&self) -> bool {
+        self.is_concluded && self.attempts_in_flight() == 0
+    }
+
     /// The first attempt that may have run.
     pub(super) fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts
