--- a/tests/decision/fleet_poll_schedule.rs
+++ b/tests/decision/fleet_poll_schedule.rs
@@ -183,7 +183,7 @@
                 self.pass_list(index, now, ListScope::Delta);
             }
             ScheduledEvent::List | ScheduledEvent::Refusal => {
-                self.pass_list(index, now, ListScope::Failed)
+                self.pass_list(index, now, ListScope::Failed);
             }
         }
     }
--- a/tests/decision/fleet_slow_start/simulation.rs
+++ b/tests/decision/fleet_slow_start/simulation.rs
@@ -233,7 +233,7 @@
                 client_retries,
             } => self.request_arrives(balancer, id, client_retries),
             ScheduledEvent::Timer { balancer, token } => {
-                self.handle(balancer, Event::TimerFired(token))
+                self.handle(balancer, Event::TimerFired(token));
             }
             ScheduledEvent::AttemptEnd {
                 id,
@@ -252,7 +252,7 @@
                 change,
             } => self.maintain(balancer, upstream, change),
             ScheduledEvent::Start { upstream, downtime } => {
-                self.restart_upstream(upstream, downtime)
+                self.restart_upstream(upstream, downtime);
             }
             ScheduledEvent::BalancerRestart { balancer } => self.restart_balancer(balancer),
         }
