--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -24,8 +24,7 @@
 use crate::log;
 use crate::resources::Resources;
 use load_balancer::{
-    Action, Balancer, Class, DiscoveryMode, Event, LearnedState, ListScope, SettingsError,
-    UpstreamId,
+    Action, Balancer, Class, DiscoveryMode, Event, LearnedState, ListScope, LogEvent, SettingsError,
 };
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -188,16 +187,13 @@
                 self.timers.set(at, Timer::Decision(token));
             }
             Action::WatchEndpoints => self.ensure_watch(),
-            Action::Log { upstream, text } => self.log(upstream, text),
+            Action::Log(event) => self.log(event),
         }
     }
 
-    fn log(&self, upstream: Option<UpstreamId>, text: String) {
-        let name = upstream.and_then(|upstream| self.upstreams.name(upstream));
-        log::line(match name {
-            Some(name) => format!("{name}: {text}"),
-            None => text,
-        });
+    fn log(&self, event: LogEvent) {
+        let upstream_name = |upstream| self.upstreams.name(upstream);
+        log::line(event.text(upstream_name, &self.classes));
     }
 
     /// Fires the timers that are due; when the next one fires.
--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -1,15 +1,15 @@
 //! The balancer: owns the state of all parts and passes each event to the part that handles it.
 //!
-//! A balancer counts its attempts in flight at each upstream. A request goes to the upstream
-//! under its concurrency limit whose turn it is in the rotation; if there is none, it waits in a
-//! queue until a slot becomes free or its queue time is over.
+//! A balancer counts its attempts in flight at each upstream. A request goes to the next upstream
+//! of the rotation that is below its concurrency limit; if there is none, it waits in a queue
+//! until a slot becomes free or its queue time is over.
 
 use super::action::Action;
 use super::admission::RequestRate;
 use super::concurrency_limit::ConcurrencyLimit;
 use super::event::{Event, RequestId, UpstreamState};
 use super::idle_timeout::IdleTimeoutEstimator;
-use super::latency::{Congestion, LatencyEstimate};
+use super::latency::LatencyModel;
 use super::maintenance::MaintenanceRegister;
 use super::poll_schedule::{PollSchedule, POLL_TIMER};
 use super::request::PendingRequest;
@@ -48,9 +48,7 @@
     pub(super) requests: BTreeMap<RequestId, PendingRequest>,
     /// Requests that arrived while no upstream was available.
     pub(super) unassigned: VecDeque<RequestId>,
-    /// Of each class.
-    pub(super) latency: Vec<LatencyEstimate>,
-    pub(super) congestion: Congestion,
+    pub(super) latency: LatencyModel,
     /// Of each tenant.
     pub(super) tenant_rates: Vec<RequestRate>,
     pub(super) retry_budget: RetryBudget,
@@ -68,12 +66,10 @@
     /// The first setting that is missing or out of range.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let classes = settings.classes.iter();
-        let latency = classes.map(|class| LatencyEstimate::new(class.latency_objective));
         let tenants = settings.tenants.iter();
         let max_idle_timeout = settings.limits.connection_idle_timeout;
         Ok(Balancer {
-            latency: latency.collect(),
+            latency: LatencyModel::new(&settings),
             tenant_rates: tenants.map(|_| RequestRate::default()).collect(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             now,
@@ -84,7 +80,6 @@
             maintenance: MaintenanceRegister::default(),
             requests: BTreeMap::new(),
             unassigned: VecDeque::new(),
-            congestion: Congestion::default(),
             retry_budget: RetryBudget::new(),
             idle_timeout: IdleTimeoutEstimator::new(max_idle_timeout, now),
             poll_schedule: PollSchedule::new(),
@@ -118,6 +113,12 @@
         }
     }
 
+    /// The settings that it was created with.
+    #[must_use]
+    pub fn settings(&self) -> &Settings {
+        &self.settings
+    }
+
     /// What the balancer keeps track of now.
     #[must_use]
     pub fn load(&self) -> Load {
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -3,31 +3,40 @@
 //!
 //! | Module | What it decides or owns |
 //! | --- | --- |
-//! | `settings`, `event`, `action` | the types that the embedder uses |
+//! | `settings`, `event`, `action`, `log_event` | the types that the embedder uses |
 //! | `balancer` | the state of all parts; dispatch of events |
-//! | `endpoint_list`, `maintenance`, `poll_schedule`, `start_time` | which upstreams there are |
+//! | `endpoint_list`, `maintenance`, `draining`, `poll_schedule`, `start_time` | which upstreams there are |
 //! | `subset`, `rotation`, `selection` | the upstream for an attempt |
-//! | `concurrency_limit`, `slow_start`, `outlier` | which upstreams accept a request now |
+//! | `concurrency_limit`, `slow_start`, `outlier`, `outlier_stats` | which upstreams accept a request now |
 //! | `admission`, `queue` | how long a request waits, and which one goes first |
-//! | `attempts`, `ended_attempt`, `idle_timeout`, `latency` | starting attempts; what results show |
+//! | `attempts`, `idle_timeout` | starting attempts, on which connections |
+//! | `attempt_results`, `ended_attempt` | what the ends of attempts change |
+//! | `latency`, `congestion` | how long responses take, and how much of it is due to other requests |
+//! | `moving_average` | the averages of samples that the others use |
 //! | `retry`, `conclusion` | retries, hedged requests, and the final response |
 //! | `request`, `upstream` | the state of one request and of one upstream |
 //! | `learned_state` | what a process hands to the next |
 
 mod action;
 mod admission;
+mod attempt_results;
 mod attempts;
 mod balancer;
 mod conclusion;
 mod concurrency_limit;
+mod congestion;
+mod draining;
 mod ended_attempt;
 mod endpoint_list;
 mod event;
 mod idle_timeout;
 mod latency;
 mod learned_state;
+mod log_event;
 mod maintenance;
+mod moving_average;
 mod outlier;
+mod outlier_stats;
 mod poll_schedule;
 mod queue;
 mod request;
@@ -47,6 +56,7 @@
     UpstreamEntry, UpstreamId, UpstreamState,
 };
 pub use learned_state::LearnedState;
+pub use log_event::{EjectionScope, LogEvent};
 pub use settings::{
     Class, DeduplicationScope, DiscoveryMode, Idempotency, Limits, Prices, Rules, Settings,
     SettingsError, Tenant,
--- a/src/decision/rotation.rs
+++ b/src/decision/rotation.rs
@@ -1,12 +1,13 @@
 //! The rotation: weighted round robin with virtual time over the upstreams of this balancer's
 //! subset.
 //!
-//! Turns are even in the time that requests take, not in their number: after a turn, an
-//! upstream's next one comes later by its relative latency.
+//! Upstreams get even parts of the time that requests take, not of their number: each request
+//! advances its upstream's virtual start by the upstream's relative latency, and the upstream with
+//! the earliest virtual start gets the next one.
 
 use super::concurrency_limit::Demand;
 use super::event::UpstreamId;
-use super::latency::SMOOTHING;
+use super::moving_average::{add_sample, SMOOTHING};
 use super::subset::Subset;
 use super::upstream::{Upstream, UpstreamStats, Upstreams};
 use std::collections::BTreeMap;
@@ -14,15 +15,22 @@
 /// Upstreams by which the subset grows for a request that had to wait, and shrinks under
 /// congestion.
 const SUBSET_STEP: f64 = 0.5;
+/// Upstreams by which the subset shrinks with each response while no request has to wait.
+const SATISFIED_SUBSET_STEP: f64 = 0.1;
+/// Responses after which an upstream's own latency counts as much as that of its machine kind.
+const CONFIDENCE_RESPONSES: f64 = 10.0;
 
 /// State of the rotation.
 #[derive(Default)]
 pub(super) struct Rotation {
     /// Available upstreams in this balancer's order of preference; the subset comes first.
     order: Vec<UpstreamId>,
+    /// At most the length of `order`.
     min_subset_size: f64,
     /// Size of the subset; it grows and shrinks by parts of an upstream.
     subset_size: f64,
+    /// Latest virtual start of a request so far. An upstream that was idle starts from here, so it
+    /// can't catch up with all that it missed.
     virtual_time: f64,
     /// Relative latency by machine kind.
     relative_latency_by_kind: BTreeMap<usize, f64>,
@@ -33,9 +41,7 @@
     pub(super) fn set_subset(&mut self, subset: Subset) {
         self.order = subset.order;
         self.min_subset_size = subset.min_size;
-        self.subset_size = self
-            .subset_size
-            .clamp(self.min_subset_size, self.order.len() as f64);
+        self.set_subset_size(self.subset_size);
     }
 
     /// No upstream is available.
@@ -75,8 +81,11 @@
 
     /// Restores the size of the subset as far as the endpoint list allows it.
     pub(super) fn restore_subset_size(&mut self, size: f64) {
-        let max = (self.order.len() as f64).max(self.min_subset_size);
-        self.subset_size = size.clamp(self.min_subset_size, max);
+        self.set_subset_size(size);
+    }
+
+    fn set_subset_size(&mut self, size: f64) {
+        self.subset_size = size.clamp(self.min_subset_size, self.order.len() as f64);
     }
 
     /// All available upstreams are in the subset.
@@ -94,34 +103,35 @@
         let step = match demand {
             Demand::Congested => -SUBSET_STEP,
             Demand::RequestsWaited => SUBSET_STEP,
-            Demand::Satisfied => -SMOOTHING,
+            Demand::Satisfied => -SATISFIED_SUBSET_STEP,
         };
-        let max = (self.order.len() as f64).max(self.min_subset_size);
-        self.subset_size = (self.subset_size + step).clamp(self.min_subset_size, max);
+        self.set_subset_size(self.subset_size + step);
     }
 
-    /// The upstream of the subset whose turn comes first. `turns_ahead` gives the turns that have
-    /// to pass at an upstream before this request's, or `None` if it can't take the request.
+    /// The upstream of the subset with the earliest virtual start for a request. `requests_ahead`
+    /// gives how many requests of mean work go before it at an upstream, or `None` if the upstream
+    /// can't take it.
     pub(super) fn next(
         &self,
         upstreams: &Upstreams,
-        turns_ahead: impl Fn(&Upstream) -> Option<f64>,
+        requests_ahead: impl Fn(&Upstream) -> Option<f64>,
     ) -> Option<UpstreamId> {
-        let turn = |upstream: &Upstream| {
-            let next_turn = upstream.next_turn.max(self.virtual_time);
-            Some(next_turn + self.relative_latency(upstream) * turns_ahead(upstream)?)
+        let virtual_start = |upstream: &Upstream| {
+            let next_start = upstream.virtual_start.max(self.virtual_time);
+            Some(next_start + self.relative_latency(upstream) * requests_ahead(upstream)?)
         };
         let subset = self.subset().iter().map(|id| &upstreams[id]);
-        let turns = subset.filter_map(|upstream| Some((turn(upstream)?, upstream.entry.id)));
-        let (_, id) = turns.min_by(|a, b| a.0.total_cmp(&b.0))?;
+        let starts =
+            subset.filter_map(|upstream| Some((virtual_start(upstream)?, upstream.entry.id)));
+        let (_, id) = starts.min_by(|a, b| a.0.total_cmp(&b.0))?;
         Some(id)
     }
 
-    /// Counts a turn of this upstream.
-    pub(super) fn take_turn(&mut self, upstream: &mut Upstream) {
+    /// Advances the virtual time for an attempt that starts at this upstream.
+    pub(super) fn advance(&mut self, upstream: &mut Upstream) {
         let relative_latency = self.relative_latency(upstream);
-        self.virtual_time = self.virtual_time.max(upstream.next_turn);
-        upstream.next_turn = self.virtual_time + relative_latency;
+        self.virtual_time = self.virtual_time.max(upstream.virtual_start);
+        upstream.virtual_start = self.virtual_time + relative_latency;
     }
 
     /// The upstream's latency over the one to expect. Its machine kind stands in for it until
@@ -134,7 +144,7 @@
             .copied()
             .unwrap_or(1.0);
         let stats = &upstream.stats;
-        let confidence = stats.responses / (stats.responses + 1.0 / SMOOTHING);
+        let confidence = stats.responses / (stats.responses + CONFIDENCE_RESPONSES);
         by_kind + confidence * (stats.relative_latency - by_kind)
     }
 
@@ -149,7 +159,7 @@
             .relative_latency_by_kind
             .entry(machine_kind)
             .or_insert(1.0);
-        *by_kind += SMOOTHING * (relative_latency - *by_kind);
+        add_sample(by_kind, relative_latency, SMOOTHING);
         stats.add_relative_latency(relative_latency);
     }
 
--- a/src/decision/upstream.rs
+++ b/src/decision/upstream.rs
@@ -2,8 +2,9 @@
 //! statistics.
 
 use super::event::{AttemptOutcome, RequestId, UpstreamEntry, UpstreamId, UpstreamState};
-use super::latency::{OVERDUE_FACTOR, SMOOTHING};
-use super::outlier::OutlierStats;
+use super::latency::OVERDUE_FACTOR;
+use super::moving_average::{add_sample, weight_after};
+use super::outlier_stats::OutlierStatsByScope;
 use super::settings::Rules;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -14,6 +15,13 @@
 /// All upstreams that are listed or have attempts in flight.
 pub(super) type Upstreams = BTreeMap<UpstreamId, Upstream>;
 
+/// The upstream of an attempt that has just ended.
+pub(super) fn upstream_of_attempt(upstreams: &mut Upstreams, id: UpstreamId) -> &mut Upstream {
+    upstreams
+        .get_mut(&id)
+        .expect("an upstream is removed only while no attempt is in flight there")
+}
+
 /// An attempt in flight at an upstream. Moments and durations are seconds.
 pub(super) struct InFlightAttempt {
     /// The request that it belongs to.
@@ -54,8 +62,8 @@
     pub(super) in_flight: Vec<InFlightAttempt>,
     /// Requests that wait for a slot here.
     pub(super) queue: VecDeque<RequestId>,
-    /// Virtual time of its next turn in the rotation.
-    pub(super) next_turn: f64,
+    /// Virtual time at which the rotation would start its next request.
+    pub(super) virtual_start: f64,
     /// Since when each of its idle connections is idle, as far as is known.
     idle_connections: Vec<f64>,
     /// What has been learned of it.
@@ -64,22 +72,30 @@
 
 impl Upstream {
     /// An upstream that has just been listed.
-    pub(super) fn new(entry: UpstreamEntry) -> Self {
+    pub(super) fn new(entry: UpstreamEntry, started_at: f64, stats: UpstreamStats) -> Self {
         Upstream {
             entry,
             in_maintenance: false,
             consecutive_rejections: 0,
             is_suspected_draining: false,
-            started_at: 0.0,
+            started_at,
             returned_at: 0.0,
             in_flight: Vec::new(),
             queue: VecDeque::new(),
-            next_turn: 0.0,
+            virtual_start: 0.0,
             idle_connections: Vec::new(),
-            stats: UpstreamStats::default(),
+            stats,
         }
     }
 
+    /// Forgets what was learned of its former process. Attempts in flight there still free their
+    /// slots when they end.
+    pub(super) fn reset_after_restart(&mut self, started_at: f64, stats: UpstreamStats) {
+        self.started_at = started_at;
+        self.returned_at = 0.0;
+        self.stats = stats;
+    }
+
     /// It takes requests according to the endpoint list and the operators, and does not seem to
     /// be draining.
     pub(super) fn is_available(&self) -> bool {
@@ -89,7 +105,7 @@
     }
 
     /// Counts consecutive rejections. Returns whether they suggest that it is draining.
-    pub(super) fn seems_draining_after(&mut self, outcome: AttemptOutcome) -> bool {
+    pub(super) fn count_rejections(&mut self, outcome: AttemptOutcome) -> bool {
         match outcome {
             AttemptOutcome::Rejected => self.consecutive_rejections += 1,
             AttemptOutcome::Success | AttemptOutcome::Error | AttemptOutcome::InvalidResponse => {
@@ -111,6 +127,12 @@
         rules.slow_start_share(self.started_at.max(self.returned_at), now)
     }
 
+    /// The attempt of this request that is in flight here.
+    pub(super) fn in_flight_of(&mut self, request: RequestId) -> Option<&mut InFlightAttempt> {
+        let mut in_flight = self.in_flight.iter_mut();
+        in_flight.find(|attempt| attempt.request == request)
+    }
+
     /// Removes the attempt of this request from those in flight.
     pub(super) fn remove_in_flight(&mut self, request: RequestId) -> Option<InFlightAttempt> {
         let is_of_request = |attempt: &InFlightAttempt| attempt.request == request;
@@ -146,7 +168,7 @@
     }
 }
 
-/// What a balancer has learned of an upstream; void once its process restarts.
+/// What a balancer has learned of an upstream, and forgets when the upstream restarts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct UpstreamStats {
     /// Multiplier of the concurrency limit.
@@ -158,9 +180,9 @@
     /// Successful responses that `relative_latency` rests on.
     #[serde(rename = "answers")]
     pub(super) responses: f64,
-    /// Of all requests, then of each class.
+    /// Its outlier statistics.
     #[serde(rename = "health")]
-    pub(super) outliers: Vec<OutlierStats>,
+    pub(super) outliers: OutlierStatsByScope,
     /// Share of its requests that were lost silently, as a slow moving average.
     #[serde(rename = "losses")]
     pub(super) silent_loss_rate: f64,
@@ -179,15 +201,15 @@
 impl UpstreamStats {
     /// All moments in it.
     pub(super) fn moments(&mut self) -> impl Iterator<Item = &mut f64> {
-        let outliers = self.outliers.iter_mut().flat_map(OutlierStats::moments);
+        let outliers = self.outliers.moments();
         outliers.chain([&mut self.paused_until])
     }
 
     /// Adds the relative latency of a successful response.
     pub(super) fn add_relative_latency(&mut self, relative_latency: f64) {
         self.responses += 1.0;
-        let weight = SMOOTHING.max(1.0 / self.responses);
-        self.relative_latency += weight * (relative_latency - self.relative_latency);
+        let weight = weight_after(self.responses);
+        add_sample(&mut self.relative_latency, relative_latency, weight);
     }
 
     /// Adds slow-start tokens.
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -1,8 +1,8 @@
 //! The messages: events that the simulator sends, and actions that go back.
 
 use crate::decision::{
-    Action, AttemptOutcome, AttemptResult, Event, ListScope, Request, UpstreamEntry, UpstreamId,
-    UpstreamState,
+    Action, AttemptOutcome, AttemptResult, Class, Event, ListScope, Request, UpstreamEntry,
+    UpstreamId, UpstreamState,
 };
 use crate::simulator::line::{Line, WireError};
 use std::collections::HashMap;
@@ -10,7 +10,7 @@
 
 /// The addresses of the upstreams, by their ids.
 #[derive(Default)]
-pub struct UpstreamNames(HashMap<UpstreamId, String>);
+pub(super) struct UpstreamNames(HashMap<UpstreamId, String>);
 
 impl UpstreamNames {
     /// The id of an address, which is remembered.
@@ -18,7 +18,7 @@
         let id = UpstreamId::of(address);
         let known = self.0.entry(id).or_insert_with(|| address.to_string());
         if known != address {
-            let problem = format!("'{address}' has the number of another address");
+            let problem = format!("'{address}' has the same id as '{known}'");
             return Err(line.error("upstream", problem));
         }
         Ok(id)
@@ -34,9 +34,12 @@
 /// # Errors
 ///
 /// If the line is of another kind, or a field is missing or malformed.
-pub fn parse_upstream(line: &Line, names: &mut UpstreamNames) -> Result<UpstreamEntry, WireError> {
+pub(super) fn parse_upstream(
+    line: &Line,
+    names: &mut UpstreamNames,
+) -> Result<UpstreamEntry, WireError> {
     if line.name() != "ROW" {
-        return Err(line.error(line.name(), "stands where a ROW was due"));
+        return Err(line.error(line.name(), "is not the expected ROW"));
     }
     Ok(UpstreamEntry {
         id: names.intern(line, line.required_text("upstream")?)?,
@@ -60,7 +63,7 @@
 /// # Errors
 ///
 /// If the scope is missing or unknown.
-pub fn parse_list_scope(line: &Line) -> Result<ListScope, WireError> {
+pub(super) fn parse_list_scope(line: &Line) -> Result<ListScope, WireError> {
     Ok(match line.required_text("scope")? {
         "delta" => ListScope::Delta,
         "full" => ListScope::Full,
@@ -75,7 +78,7 @@
 /// # Errors
 ///
 /// If the message is unknown, or a field is missing or malformed.
-pub fn parse_event(line: &Line) -> Result<Event, WireError> {
+pub(super) fn parse_event(line: &Line) -> Result<Event, WireError> {
     Ok(match line.name() {
         "ARRIVAL" => Event::Request(Request {
             id: line.request_id()?,
@@ -114,12 +117,17 @@
     })
 }
 
-/// Writes the line of an action.
+/// Writes the line of an action. `classes` are those of the balancer that it comes from.
 ///
 /// # Errors
 ///
 /// Those of `out`.
-pub fn write_action(action: &Action, names: &UpstreamNames, out: &mut Vec<u8>) -> io::Result<()> {
+pub(super) fn write_action(
+    action: &Action,
+    names: &UpstreamNames,
+    classes: &[Class],
+    out: &mut impl Write,
+) -> io::Result<()> {
     match action {
         Action::StartAttempt { id, upstream, .. } => {
             let address = names.address(*upstream);
@@ -144,17 +152,14 @@
             writeln!(out, "WAKE_ME\tafter={after:.6}\tname={token}")
         }
         Action::WatchEndpoints => writeln!(out, "TRACK\tactive=1"),
-        Action::Log { upstream, text } => {
-            let text = match upstream {
-                Some(upstream) => format!("{}: {text}", names.address(*upstream)),
-                None => text.clone(),
-            };
+        Action::Log(event) => {
+            let text = event.text(|upstream| Some(names.address(upstream)), classes);
             writeln!(out, "TRACE\ttext={}", on_one_line(&text))
         }
     }
 }
 
 /// The text without the characters that separate lines and fields.
-pub fn on_one_line(text: &str) -> String {
+pub(super) fn on_one_line(text: &str) -> String {
     text.replace(['\n', '\t'], " ")
 }
--- a/tests/decision/endpoint_list.rs
+++ b/tests/decision/endpoint_list.rs
@@ -1,6 +1,8 @@
 //! The endpoint list: upstreams that drain, are removed, or may have done so unnoticed.
 
-use crate::harness::{attempt_ended, entry, is_rejected, request, started_attempts, Harness};
+use crate::harness::{
+    attempt_ended, entry, is_rejected, request, started_attempts, Harness, StartedAttempt,
+};
 use load_balancer::{
     AttemptOutcome, DiscoveryMode, Idempotency, ListScope, Settings, UpstreamEntry, UpstreamState,
 };
@@ -19,19 +21,22 @@
                 AttemptOutcome::Success
             )))
             .iter()
-            .all(|(_, upstream)| *upstream == 2));
+            .all(|started| started.upstream == 2));
         }
         for id in 1000..1020 {
             assert!(started_attempts(&harness.handle(request(id, 0, 2.0)))
                 .iter()
-                .all(|(_, upstream)| *upstream == 2));
+                .all(|started| started.upstream == 2));
         }
     }
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
     harness.update_endpoints(ListScope::Full, vec![entry(2)]);
     assert_eq!(
         started_attempts(&harness.handle(request(1, 0, 2.0))),
-        [(1, 2)]
+        [StartedAttempt {
+            request: 1,
+            upstream: 2
+        }]
     );
 }
 
@@ -48,7 +53,10 @@
     );
     assert_eq!(
         started_attempts(&harness.update_endpoints(ListScope::Delta, vec![entry(2)])),
-        [(queued, 2)]
+        [StartedAttempt {
+            request: queued,
+            upstream: 2
+        }]
     );
 }
 
@@ -58,7 +66,10 @@
     assert!(started_attempts(&harness.handle(request(1, 0, 2.0))).is_empty());
     assert_eq!(
         started_attempts(&harness.update_endpoints(ListScope::Delta, vec![entry(1)])),
-        [(1, 1)]
+        [StartedAttempt {
+            request: 1,
+            upstream: 1
+        }]
     );
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 0);
     harness.handle(request(1, 0, 2.0));
@@ -90,10 +101,17 @@
     assert!(harness.balancer.load().upstreams <= 4);
 }
 
+/// Whether the endpoint list is up to date.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ListAge {
+    Current,
+    Stale,
+}
+
 /// A balancer whose list is stale or current, with `upstreams` of which the first `rejecting`
 /// reject all requests. Returns how many requests each got.
 fn send_with_rejections(
-    stale: bool,
+    list: ListAge,
     upstreams: u64,
     rejecting: u64,
     requests: u64,
@@ -104,7 +122,7 @@
     };
     settings.classes[0].deadline = 60.0;
     let mut harness = Harness::new(settings, upstreams);
-    if stale {
+    if list == ListAge::Stale {
         harness.update_endpoints(ListScope::Failed, vec![]);
     }
     let mut counts = vec![0; upstreams as usize + 1];
@@ -123,9 +141,9 @@
         harness.now += 0.5;
         let mut actions = harness.handle(request(id, 0, 60.0));
         let mut attempt = 0;
-        while let Some((_, upstream)) = started_attempts(&actions)
+        while let Some(StartedAttempt { upstream, .. }) = started_attempts(&actions)
             .into_iter()
-            .find(|(request, _)| *request == id)
+            .find(|started| started.request == id)
         {
             counts[upstream as usize] += 1;
             let outcome = if upstream <= rejecting {
@@ -142,7 +160,7 @@
 /// While the list is stale, upstreams may drain unnoticed.
 #[test]
 fn upstreams_that_reject_everything_are_left_out_while_the_list_is_stale() {
-    let (mut harness, mut counts) = send_with_rejections(true, 6, 2, 300);
+    let (mut harness, mut counts) = send_with_rejections(ListAge::Stale, 6, 2, 300);
     assert!(counts[1] <= 3 && counts[2] <= 3, "{counts:?}");
     assert_eq!(
         harness.balancer.excluded_upstreams(),
@@ -159,9 +177,9 @@
 /// A current list takes precedence, and if most upstreams reject they are overloaded.
 #[test]
 fn rejecting_upstreams_stay_in_use_while_the_list_is_current_or_most_reject() {
-    let (_, counts) = send_with_rejections(false, 6, 2, 300);
+    let (_, counts) = send_with_rejections(ListAge::Current, 6, 2, 300);
     assert!(counts[1] > 3 && counts[2] > 3, "{counts:?}");
-    let (_, counts) = send_with_rejections(true, 6, 6, 300);
+    let (_, counts) = send_with_rejections(ListAge::Stale, 6, 6, 300);
     assert!(
         counts[1..].iter().filter(|counts| **counts > 3).count() >= 3,
         "{counts:?}"
--- a/tests/decision/harness.rs
+++ b/tests/decision/harness.rs
@@ -2,7 +2,7 @@
 
 use load_balancer::{
     Action, AttemptOutcome, AttemptResult, Balancer, Class, DeduplicationScope, Event, Idempotency,
-    ListScope, Request, RequestId, Settings, UpstreamEntry, UpstreamId, UpstreamState,
+    ListScope, Maintenance, Request, RequestId, Settings, UpstreamEntry, UpstreamId, UpstreamState,
 };
 
 /// All classes of idempotency with a key.
@@ -69,6 +69,18 @@
     })
 }
 
+/// The success of a first attempt after `elapsed` seconds.
+pub fn attempt_succeeded(id: u64, elapsed: f64) -> Event {
+    Event::AttemptEnded(AttemptResult {
+        id: RequestId(id),
+        attempt: 0,
+        outcome: AttemptOutcome::Success,
+        elapsed,
+        connection_idle: None,
+        request_concluded: true,
+    })
+}
+
 /// The end of a first attempt without a response, after `elapsed` seconds.
 pub fn attempt_lost(id: u64, outcome: AttemptOutcome, elapsed: f64) -> Event {
     Event::AttemptEnded(AttemptResult {
@@ -81,6 +93,22 @@
     })
 }
 
+/// Operators take an upstream out of service or put it back.
+pub fn maintenance(upstream: u64, change: Maintenance) -> Event {
+    Event::Maintenance {
+        upstream: UpstreamId(upstream),
+        change,
+    }
+}
+
+/// An endpoint list without upstreams, as far as this scope says.
+pub fn empty_list(scope: ListScope) -> Event {
+    Event::EndpointList {
+        scope,
+        endpoints: Vec::new(),
+    }
+}
+
 /// A balancer and its clock.
 pub struct Harness {
     pub balancer: Balancer,
@@ -123,8 +151,7 @@
 
     /// Sends a request that an upstream accepts at once; returns the upstream.
     pub fn send(&mut self, request: Event) -> u64 {
-        let (_, upstream) = started_attempts(&self.handle(request))[0];
-        upstream
+        started_attempts(&self.handle(request))[0].upstream
     }
 
     /// Passes an endpoint list or a change of it.
@@ -150,10 +177,20 @@
     }
 }
 
-/// The attempts started: request and upstream of each.
-pub fn started_attempts(actions: &[Action]) -> Vec<(u64, u64)> {
+/// An attempt that a balancer has started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StartedAttempt {
+    pub request: u64,
+    pub upstream: u64,
+}
+
+/// The attempts started, in their order.
+pub fn started_attempts(actions: &[Action]) -> Vec<StartedAttempt> {
     let started = |action: &Action| match action {
-        Action::StartAttempt { id, upstream, .. } => Some((id.0, upstream.0)),
+        Action::StartAttempt { id, upstream, .. } => Some(StartedAttempt {
+            request: id.0,
+            upstream: upstream.0,
+        }),
         _ => None,
     };
     actions.iter().filter_map(started).collect()
--- a/tests/decision/idempotency.rs
+++ b/tests/decision/idempotency.rs
@@ -1,20 +1,10 @@
 //! Idempotency: which attempts may follow one that may have run.
 
-use crate::harness::{attempt_ended, is_failed, is_rejected, request, started_attempts, Harness};
+use crate::harness::{
+    attempt_ended, is_failed, is_rejected, request, started_attempts, Harness, WITH_IDEMPOTENCY_KEY,
+};
 use load_balancer::{Action, AttemptOutcome, DeduplicationScope, Idempotency};
 
-const WITH_IDEMPOTENCY_KEY: [Idempotency; 3] = [
-    Idempotency::IdempotencyKey {
-        scope: DeduplicationScope::All,
-    },
-    Idempotency::IdempotencyKey {
-        scope: DeduplicationScope::Zone,
-    },
-    Idempotency::IdempotencyKey {
-        scope: DeduplicationScope::Cell,
-    },
-];
-
 #[test]
 fn non_idempotent_request_fails_after_an_attempt_that_may_have_run() {
     for outcome in [
@@ -40,7 +30,7 @@
         let first = started_attempts(&harness.handle(request(1, 0, 2.0)));
         let second = started_attempts(&harness.handle(attempt_ended(1, 0, outcome)));
         assert!(
-            second.len() == 1 && second[0].1 != first[0].1,
+            second.len() == 1 && second[0].upstream != first[0].upstream,
             "{outcome:?}"
         );
     }
@@ -53,7 +43,7 @@
         let first = harness.send(request(1, 0, 5.0));
         let retry = started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Reset)));
         assert_eq!(retry.len(), 1, "{idempotency:?}");
-        let same_cell = retry[0].1 % 2 == first % 2;
+        let same_cell = retry[0].upstream % 2 == first % 2;
         assert!(
             same_cell
                 || idempotency
--- a/tests/decision/rotation.rs
+++ b/tests/decision/rotation.rs
@@ -1,8 +1,8 @@
 //! The rotation: which upstream of the subset gets the next request.
 
-use crate::harness::{attempt_ended, entry, request, started_attempts, Harness};
+use crate::harness::{attempt_ended, attempt_succeeded, entry, request, started_attempts, Harness};
 use load_balancer::{
-    AttemptOutcome, AttemptResult, Event, Idempotency, ListScope, Request, RequestId, UpstreamEntry,
+    AttemptOutcome, Event, Idempotency, ListScope, Request, RequestId, UpstreamEntry,
 };
 
 #[test]
@@ -11,7 +11,7 @@
     let mut counts = [0; 6];
     for id in 1..=50 {
         let started = started_attempts(&harness.handle(request(id, 0, 2.0)));
-        counts[started[0].1 as usize] += 1;
+        counts[started[0].upstream as usize] += 1;
         harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
     }
     assert_eq!(counts, [0, 10, 10, 10, 10, 10]);
@@ -33,15 +33,7 @@
         let upstream = harness.send(request(id, 0, 2.0));
         let elapsed = if upstream <= 2 { 0.3 } else { 0.1 };
         counts[upstream as usize] += u32::from(id > 200);
-        let (id, outcome) = (RequestId(id), AttemptOutcome::Success);
-        harness.handle(Event::AttemptEnded(AttemptResult {
-            id,
-            attempt: 0,
-            outcome,
-            elapsed,
-            connection_idle: None,
-            request_concluded: true,
-        }));
+        harness.handle(attempt_succeeded(id, elapsed));
     }
     let (slow, fast) = (counts[1] + counts[2], counts[3] + counts[4]);
     assert!(
@@ -67,15 +59,7 @@
         let upstream = harness.send(Event::Request(request));
         let elapsed = hint * if upstream == 1 { 1.0 } else { 3.0 };
         harness.now += elapsed;
-        let (id, outcome) = (RequestId(id), AttemptOutcome::Success);
-        harness.handle(Event::AttemptEnded(AttemptResult {
-            id,
-            attempt: 0,
-            outcome,
-            elapsed,
-            connection_idle: None,
-            request_concluded: true,
-        }));
+        harness.handle(attempt_succeeded(id, elapsed));
         upstream
     };
     let small: Vec<_> = (0..60).map(|id| send(&mut harness, id, 0.1)).collect();
@@ -91,14 +75,17 @@
 fn rejecting_upstream_is_paused() {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 4);
     let started = started_attempts(&harness.handle(request(1, 0, 2.0)));
-    let rejecting = started[0].1;
+    let rejecting = started[0].upstream;
     let mut started_next =
         started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Rejected)));
-    assert_ne!(started_next[0].1, rejecting, "the retry goes elsewhere");
+    assert_ne!(
+        started_next[0].upstream, rejecting,
+        "the retry goes elsewhere"
+    );
     for id in 2..=6 {
         started_next = started_attempts(&harness.handle(request(id, 0, 2.0)));
         assert!(started_next
             .iter()
-            .all(|(_, upstream)| *upstream != rejecting));
+            .all(|started| started.upstream != rejecting));
     }
 }
