--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -1,10 +1,10 @@
 //! The real program on loopback sockets, against small peers of its own.
 
-mod peers;
-use peers::*;
+mod support;
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
+use support::*;
 
 const ID: &str = "Request-Id: {id}\r\n";
 const KEYED: &str = "Request-Id: {id}\r\nIdempotency-Key: k1\r\n";
@@ -22,13 +22,13 @@
 
 #[test]
 fn a_request_goes_on_as_it_came_and_its_connection_is_kept() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
     let headers =
         format!("{KEYED}Tenant: acme\r\nRequest-Timeout: 5.5\r\nWork-Hint: 1200\r\nNews: 1\r\n");
     for _ in 0..3 {
-        let answer = client.ask("/hold/7?a=b", &headers, "the body");
+        let answer = client.request("/hold/7?a=b", &headers, "the body");
         let seen = upstream.next();
         assert_eq!(answer.status(), 200);
         assert_eq!(
@@ -51,8 +51,8 @@
 
 #[test]
 fn bad_callers_are_told_so_and_nothing_goes_upstream() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let large = format!("{ID}Content-Length: 33554433\r\n");
     let cases = [
         ("/other", ID.to_string(), "", 400),
@@ -79,11 +79,11 @@
 /// Guards against calling lost what never ran: a refused connection proves that it did not.
 #[test]
 fn an_unsafe_request_goes_elsewhere_when_its_connection_is_refused() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with(&[nobody(), upstream.address, nobody()]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[nobody(), upstream.address, nobody()]);
     let mut client = program.client();
     for _ in 0..4 {
-        assert_eq!(client.ask("/pay", ID, "coins").status(), 200);
+        assert_eq!(client.request("/pay", ID, "coins").status(), 200);
     }
     assert_eq!(upstream.seen.try_iter().count(), 4);
 }
@@ -91,12 +91,12 @@
 #[test]
 fn what_was_turned_away_unseen_goes_elsewhere() {
     let (full, free) = (
-        Upstream::start(Reply::NotStarted),
-        Upstream::start(Reply::Ok),
+        StubUpstream::start(StubResponse::Rejected),
+        StubUpstream::start(StubResponse::Ok),
     );
-    let (program, _discovery) = Program::with(&[full.address, free.address]);
+    let (program, _discovery) = Program::with_upstreams(&[full.address, free.address]);
     for _ in 0..4 {
-        assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
+        assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
     }
     assert_eq!(free.seen.try_iter().count(), 4);
     assert!(full.seen.try_iter().count() > 0);
@@ -106,15 +106,15 @@
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_is_sent_once() {
     for reply in [
-        Reply::Cut,
-        Reply::CutOff,
-        Reply::Status(500),
-        Reply::Status(503),
-        Reply::Status(404),
+        StubResponse::Close,
+        StubResponse::Truncate,
+        StubResponse::Status(500),
+        StubResponse::Status(503),
+        StubResponse::Status(404),
     ] {
-        let (one, two) = (Upstream::start(reply), Upstream::start(reply));
-        let (program, _discovery) = Program::with(&[one.address, two.address]);
-        let answer = program.client().ask("/pay", ID, "coins");
+        let (one, two) = (StubUpstream::start(reply), StubUpstream::start(reply));
+        let (program, _discovery) = Program::with_upstreams(&[one.address, two.address]);
+        let answer = program.client().request("/pay", ID, "coins");
         assert_eq!(answer.status(), 502, "{reply:?}");
         assert_eq!(
             one.seen.try_iter().count() + two.seen.try_iter().count(),
@@ -127,12 +127,12 @@
 /// Guards against a request written to a connection that its upstream has closed while it was idle.
 #[test]
 fn a_connection_that_the_upstream_closed_is_not_used_again() {
-    let upstream = Upstream::start(Reply::OkThenClose);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::OkThenClose);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
     for _ in 0..5 {
-        assert_eq!(client.ask("/pay", ID, "coins").status(), 200);
-        upstream.has_closed();
+        assert_eq!(client.request("/pay", ID, "coins").status(), 200);
+        upstream.wait_for_close();
     }
     assert_eq!(upstream.seen.try_iter().count(), 5);
 }
@@ -140,12 +140,13 @@
 /// Guards against a client left without an answer: the module's time is up before the client's.
 #[test]
 fn a_silent_upstream_costs_an_answer_in_time_and_its_connection() {
-    let upstream = Upstream::start(Reply::Silent);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Never);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let begin = Instant::now();
-    let answer = program
-        .client()
-        .ask("/pay", &format!("{ID}Request-Timeout: 1.5\r\n"), "coins");
+    let answer =
+        program
+            .client()
+            .request("/pay", &format!("{ID}Request-Timeout: 1.5\r\n"), "coins");
     assert_eq!(answer.status(), 502, "it may have run");
     assert!(
         begin.elapsed() > Duration::from_secs(1),
@@ -154,16 +155,16 @@
     assert_eq!(upstream.seen.try_iter().count(), 1);
     upstream
         .closed
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("what is out is closed");
 }
 
 #[test]
 fn a_request_that_found_no_upstream_is_refused() {
-    let (program, _discovery) = Program::with(&[nobody()]);
+    let (program, _discovery) = Program::with_upstreams(&[nobody()]);
     let answer = program
         .client()
-        .ask("/pay", &format!("{ID}Request-Timeout: 8.0\r\n"), "");
+        .request("/pay", &format!("{ID}Request-Timeout: 8.0\r\n"), "");
     assert_eq!(answer.status(), 503);
     let wait: f64 = answer.header("retry-after").unwrap().parse().unwrap();
     assert!(wait > 0.0 && wait <= 2.0, "{wait}");
@@ -171,31 +172,34 @@
 
 #[test]
 fn a_client_that_leaves_has_its_attempt_cancelled() {
-    let upstream = Upstream::start(Reply::Silent);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Never);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
     client.send("/pay", ID, "coins").unwrap();
     upstream.next();
     drop(client);
     upstream
         .closed
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("the attempt is closed");
-    upstream.set(Reply::Ok);
-    assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
+    upstream.set_response(StubResponse::Ok);
+    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
 }
 
 #[test]
 fn a_drained_upstream_gets_nothing_new() {
-    let (old, new) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
-    let (program, discovery) = Program::with(&[old.address]);
+    let (old, new) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
+    );
+    let (program, discovery) = Program::with_upstreams(&[old.address]);
     let mut client = program.client();
-    assert_eq!(client.ask("/pay", ID, "coins").status(), 200);
+    assert_eq!(client.request("/pay", ID, "coins").status(), 200);
     let mut watch = discovery.next();
     assert!(
-        watch.asked.contains("follow=1") && watch.asked.contains("since=5"),
+        watch.request_line.contains("follow=1") && watch.request_line.contains("since=5"),
         "{}",
-        watch.asked
+        watch.request_line
     );
     watch.line("");
     watch.line(&list(
@@ -207,10 +211,10 @@
         ],
     ));
     // The idle connection to it is closed once the list has come.
-    old.closed.recv_timeout(PATIENCE).unwrap();
+    old.closed.recv_timeout(TEST_TIMEOUT).unwrap();
     assert_eq!(old.seen.try_iter().count(), 1);
     for _ in 0..10 {
-        assert_eq!(client.ask("/pay", ID, "coins").status(), 200);
+        assert_eq!(client.request("/pay", ID, "coins").status(), 200);
     }
     assert_eq!(
         (old.seen.try_iter().count(), new.seen.try_iter().count()),
@@ -222,8 +226,8 @@
 /// long before its connection would have been given up.
 #[test]
 fn a_drain_stops_what_is_still_connecting() {
-    let (old, new) = (unreachable(), Upstream::start(Reply::Ok));
-    let discovery = DiscoveryPeer::start();
+    let (old, new) = (unreachable_address(), StubUpstream::start(StubResponse::Ok));
+    let discovery = StubDiscovery::start();
     let known = list(5, true, &[endpoint("u0", old, "in_service")]);
     let patient =
         config(&known, discovery.address, 1024).replace("Timeout\":1.0", "Timeout\":60.0");
@@ -241,19 +245,19 @@
 
 #[test]
 fn a_connection_that_never_comes_up_was_never_used() {
-    let free = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with(&[unreachable(), free.address]);
+    let free = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[unreachable_address(), free.address]);
     let mut client = program.client();
     for _ in 0..2 {
-        assert_eq!(client.ask("/pay", ID, "coins").status(), 200);
+        assert_eq!(client.request("/pay", ID, "coins").status(), 200);
     }
     assert_eq!(free.seen.try_iter().count(), 2);
 }
 
 #[test]
 fn a_broken_watch_is_taken_up_where_it_ended() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, discovery) = Program::with_upstreams(&[upstream.address]);
     let mut watch = discovery.next();
     watch.line(&list(
         9,
@@ -262,27 +266,34 @@
     ));
     drop(watch);
     let mut again = discovery.next();
-    assert!(again.asked.contains("since=9"), "{}", again.asked);
+    assert!(
+        again.request_line.contains("since=9"),
+        "{}",
+        again.request_line
+    );
     // A line that can't be read breaks it as well; the old list goes on to hold.
     again.line("nonsense");
-    assert!(discovery.next().asked.contains("since=9"));
-    assert_eq!(program.client().ask("/read", ID, "").status(), 200);
+    assert!(discovery.next().request_line.contains("since=9"));
+    assert_eq!(program.client().request("/read", ID, "").status(), 200);
 }
 
 /// Guards against a list that grows old behind a watch whose machine has vanished.
 #[test]
 fn a_silent_watch_is_given_up() {
-    let (_program, discovery) = Program::with(&[nobody()]);
+    let (_program, discovery) = Program::with_upstreams(&[nobody()]);
     let _silent = discovery.next();
-    assert!(discovery.next().asked.contains("since=5"));
+    assert!(discovery.next().request_line.contains("since=5"));
 }
 
 /// Guards against an end by SIGHUP, against a list that is lost on the way to a new discovery, and against
 /// news from there that are taken for old because the old one had counted further.
 #[test]
 fn sighup_moves_to_another_discovery() {
-    let (one, two) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
-    let (old, new) = (DiscoveryPeer::start(), DiscoveryPeer::start());
+    let (one, two) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
+    );
+    let (old, new) = (StubDiscovery::start(), StubDiscovery::start());
     let known = list(5, true, &[endpoint("u0", one.address, "in_service")]);
     let variables = [("PROXY_DISCOVERY", &*old.address.to_string())];
     let first = config(&known, old.address, 1024);
@@ -297,9 +308,13 @@
     program.reload(&config(&known, new.address, 1024));
     // The first try fails: it goes there again, and all holds as it was.
     drop(new.next());
-    assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
+    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
     let mut next = new.next();
-    assert!(next.asked.contains("since=0"), "{}", next.asked);
+    assert!(
+        next.request_line.contains("since=0"),
+        "{}",
+        next.request_line
+    );
     watch.line(&list(
         91,
         false,
@@ -313,9 +328,9 @@
     ];
     next.line(&list(4, false, &news));
     one.closed
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("the idle connection is closed");
-    assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
+    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
     assert_eq!(
         (one.seen.try_iter().count(), two.seen.try_iter().count()),
         (1, 1)
@@ -325,26 +340,26 @@
 
 #[test]
 fn health_follows_the_list() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, discovery) = Program::with(&[]);
-    assert_eq!(program.client().ask("/healthz", "", "").status(), 503);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, discovery) = Program::with_upstreams(&[]);
+    assert_eq!(program.client().request("/healthz", "", "").status(), 503);
     discovery.next().line(&list(
         6,
         true,
         &[endpoint("u0", upstream.address, "in_service")],
     ));
-    while program.client().ask("/healthz", "", "").status() != 200 {
+    while program.client().request("/healthz", "", "").status() != 200 {
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(program.client().ask("/read", ID, "").status(), 200);
+    assert_eq!(program.client().request("/read", ID, "").status(), 200);
 }
 
 #[test]
 fn sigterm_settles_what_was_taken_and_ends_well() {
-    let upstream = Upstream::start(Reply::Silent);
-    let (mut program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Never);
+    let (mut program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let (mut busy, mut idle, mut fresh) = (program.client(), program.client(), program.client());
-    assert_eq!(idle.ask("/healthz", "", "").status(), 200);
+    assert_eq!(idle.request("/healthz", "", "").status(), 200);
     busy.send("/pay", &format!("{ID}Request-Timeout: 2.0\r\n"), "coins")
         .unwrap();
     upstream.next();
@@ -354,10 +369,10 @@
         "the idle connection is closed"
     );
     // One that was taken before, but not used yet, still has its first request answered.
-    assert_eq!(fresh.ask("/healthz", "", "").status(), 503);
+    assert_eq!(fresh.request("/healthz", "", "").status(), 503);
     assert!(fresh.receive().unwrap().is_none());
     // New connections go on coming; each carries one request.
-    let late = program.client().ask("/healthz", "", "");
+    let late = program.client().request("/healthz", "", "");
     assert_eq!(
         (late.status(), late.header("connection")),
         (503, Some("close"))
@@ -374,10 +389,10 @@
 /// SIGKILL may come 3.7 s after SIGTERM: what still comes is settled by then, however long its client would wait.
 #[test]
 fn what_comes_after_sigterm_is_settled_before_sigkill() {
-    let upstream = Upstream::start(Reply::Silent);
+    let upstream = StubUpstream::start(StubResponse::Never);
     loop {
-        let (program, _discovery) = Program::with(&[upstream.address]);
-        assert_eq!(program.client().ask("/healthz", "", "").status(), 200);
+        let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
+        assert_eq!(program.client().request("/healthz", "", "").status(), 200);
         let begun = Instant::now();
         program.terminate();
         let mut draining = false;
@@ -414,10 +429,10 @@
 
 #[test]
 fn a_killed_program_starts_again_at_its_address() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (mut program, discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (mut program, discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
-    assert_eq!(client.ask("/read", ID, "").status(), 200);
+    assert_eq!(client.request("/read", ID, "").status(), 200);
     program.kill();
     let known = list(5, true, &[endpoint("u0", upstream.address, "in_service")]);
     let again = Program::start(
@@ -425,23 +440,23 @@
         &program.address.to_string(),
     );
     assert_eq!(again.address, program.address);
-    assert_eq!(again.client().ask("/read", ID, "").status(), 200);
+    assert_eq!(again.client().request("/read", ID, "").status(), 200);
 }
 
 /// Guards against an end, or a deaf listener, when clients hold more connections than there are descriptors.
 #[test]
 fn short_of_descriptors_it_drops_idle_connections_and_goes_on() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with_sockets(&[upstream.address], 64);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_descriptors(&[upstream.address], 64);
     let mut idle = Vec::new();
     for _ in 0..100 {
         let mut client = program.client();
-        let status = client.ask("/read", ID, "").status();
+        let status = client.request("/read", ID, "").status();
         assert!(status == 200 || status == 503, "{status}");
         idle.push(client);
     }
     drop(idle);
-    while program.client().ask("/read", ID, "").status() != 200 {
+    while program.client().request("/read", ID, "").status() != 200 {
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -475,8 +490,8 @@
 /// had an answer on that connection before.
 #[test]
 fn a_client_that_stops_in_the_middle_of_a_further_request_is_turned_away() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let head = "POST /pay HTTP/1.1\r\nHost: b\r\n";
     let halves = [
         head.to_string(),
@@ -490,7 +505,7 @@
     let mut clients: Vec<_> = halves.iter().map(|_| program.client()).collect();
     clients
         .iter_mut()
-        .for_each(|client| assert_eq!(client.ask("/pay", ID, "coins").status(), 200));
+        .for_each(|client| assert_eq!(client.request("/pay", ID, "coins").status(), 200));
     let begun = Instant::now();
     clients
         .iter_mut()
@@ -512,8 +527,8 @@
 /// they don't keep others out.
 #[test]
 fn a_client_that_never_finishes_its_first_request_is_closed() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with_sockets(&[upstream.address], 64);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_descriptors(&[upstream.address], 64);
     let half = "POST /pay HTTP/1.1\r\nRequest-Id: ff01\r\n";
     let body = "POST /pay HTTP/1.1\r\nRequest-Id: ff02\r\nContent-Length: 9\r\n\r\nhalf";
     let mut slow: Vec<_> = ["", half, body]
@@ -553,7 +568,7 @@
     assert_eq!(last, Some(408));
     slow.into_iter()
         .chain(silent)
-        .for_each(|mut client| assert!(client.is_closed()));
+        .for_each(|mut client| assert!(client.is_closed_by_peer()));
     assert_eq!(upstream.seen.try_iter().count(), 1);
 }
 
@@ -561,8 +576,8 @@
 /// for the next: after a 4xx the connection ends.
 #[test]
 fn what_is_turned_away_ends_its_connection() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let hidden = "POST /pay HTTP/1.1\r\nRequest-Id: ff03\r\nContent-Length: 1\r\n\r\nx";
     let cases = [
         (format!("POST /pay HTTP/1.1\r\nRequest-Id: ff04\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{hidden}"), 400),
@@ -587,7 +602,7 @@
             Some(status),
             "{text:.99}"
         );
-        assert!(client.is_closed());
+        assert!(client.is_closed_by_peer());
     }
     assert!(upstream.seen.try_recv().is_err());
 }
@@ -595,8 +610,8 @@
 /// Guards against the request of one client under the name of another's, which would run beside it.
 #[test]
 fn a_request_under_a_name_that_is_open_is_turned_away() {
-    let upstream = Upstream::start(Reply::Silent);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Never);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let (mut one, mut two) = (program.client(), program.client());
     one.send(
         "/pay",
@@ -606,7 +621,8 @@
     .unwrap();
     upstream.next();
     assert_eq!(
-        two.ask("/pay", "Request-Id: ff10\r\n", "coins").status(),
+        two.request("/pay", "Request-Id: ff10\r\n", "coins")
+            .status(),
         409
     );
     assert_eq!(one.receive().unwrap().unwrap().status(), 502);
@@ -631,14 +647,14 @@
         &endless,
     ];
     for text in answers {
-        let (one, two) = (Upstream::raw(text), Upstream::raw(text));
-        let (program, _discovery) = Program::with(&[one.address, two.address]);
+        let (one, two) = (StubUpstream::raw(text), StubUpstream::raw(text));
+        let (program, _discovery) = Program::with_upstreams(&[one.address, two.address]);
         assert_eq!(
-            program.client().ask("/pay", ID, "coins").status(),
+            program.client().request("/pay", ID, "coins").status(),
             502,
             "{text:.99}"
         );
-        let count = |upstream: &Upstream| upstream.seen.try_iter().count();
+        let count = |upstream: &StubUpstream| upstream.seen.try_iter().count();
         assert_eq!(count(&one) + count(&two), 1, "{text:.99}");
         // Whichever it was, its connection has been closed.
         while one.closed.try_recv().is_err() && two.closed.try_recv().is_err() {
@@ -651,14 +667,14 @@
 #[test]
 fn what_comes_behind_an_answer_is_never_the_next_one() {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
-    let upstream = Upstream::raw(&format!("HTTP/1.1 103 Early Hints\r\n\r\n{answer}{answer}"));
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::raw(&format!("HTTP/1.1 103 Early Hints\r\n\r\n{answer}{answer}"));
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
     for _ in 0..5 {
-        assert_eq!(client.ask("/pay", ID, "coins").body, b"first");
+        assert_eq!(client.request("/pay", ID, "coins").body, b"first");
         upstream
             .closed
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("its connection is closed");
     }
     assert_eq!(upstream.seen.try_iter().count(), 5);
@@ -668,14 +684,14 @@
 /// back to just under what it was is one call less.
 #[test]
 fn good_answers_give_back_what_a_spoilt_one_took_from_the_limit() {
-    let upstream = Upstream::raw("what?\r\n\r\n");
-    let (program, _discovery) = Program::with(&[upstream.address]);
-    assert_eq!(program.client().ask("/pay", ID, "coins").status(), 502);
-    upstream.set(Reply::Ok);
+    let upstream = StubUpstream::raw("what?\r\n\r\n");
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
+    assert_eq!(program.client().request("/pay", ID, "coins").status(), 502);
+    upstream.set_response(StubResponse::Ok);
     for _ in 0..3 {
-        assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
+        assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
     }
-    upstream.set(Reply::Silent);
+    upstream.set_response(StubResponse::Never);
     assert_eq!(upstream.seen.try_iter().count(), 4);
     let (mut one, mut two) = (program.client(), program.client());
     one.send("/pay", ID, "coins").unwrap();
@@ -687,8 +703,11 @@
 /// Guards against an upstream that is left out for minutes because the call that was lost there was a heavy one.
 #[test]
 fn a_heavy_call_lost_in_silence_ejects_its_upstream_no_longer_than_a_light_one() {
-    let (lossy, other) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
-    let discovery = DiscoveryPeer::start();
+    let (lossy, other) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
+    );
+    let discovery = StubDiscovery::start();
     let entries =
         [&lossy, &other].map(|u| endpoint(&u.address.to_string(), u.address, "in_service"));
     let brisk = config(&list(5, true, &entries), discovery.address, 1024)
@@ -698,7 +717,7 @@
         assert_eq!(
             program
                 .client()
-                .ask("/pay", &format!("{ID}Work-Hint: 1000\r\n"), "")
+                .request("/pay", &format!("{ID}Work-Hint: 1000\r\n"), "")
                 .status(),
             200
         )
@@ -706,18 +725,18 @@
     (0..10).for_each(|_| light());
     [&lossy, &other]
         .iter()
-        .for_each(|upstream| upstream.set(Reply::Silent));
+        .for_each(|upstream| upstream.set_response(StubResponse::Never));
     let heavy = format!("{ID}Work-Hint: 900000000\r\nRequest-Timeout: 0.6\r\n");
-    assert_eq!(program.client().ask("/pay", &heavy, "").status(), 502);
+    assert_eq!(program.client().request("/pay", &heavy, "").status(), 502);
     for upstream in [&lossy, &other] {
-        upstream.set(Reply::Ok);
+        upstream.set_response(StubResponse::Ok);
         upstream.seen.try_iter().count();
     }
     let begin = Instant::now();
     let mut seen = [0, 0];
     while seen.contains(&0) {
         assert!(
-            begin.elapsed() < PATIENCE,
+            begin.elapsed() < TEST_TIMEOUT,
             "one of them gets nothing any more"
         );
         light();
@@ -731,8 +750,8 @@
 /// blamed on them: a call waits for a slot as ever.
 #[test]
 fn a_call_waits_also_where_all_upstreams_are_ejected() {
-    let upstream = Upstream::start(Reply::Silent);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Never);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let (mut one, mut two) = (program.client(), program.client());
     one.send("/pay", ID, "coins").unwrap();
     two.send("/pay", ID, "coins").unwrap();
@@ -740,7 +759,7 @@
     upstream.next();
     // A silence of six times the usual latency, which is a sixth of the aim to begin with.
     std::thread::sleep(Duration::from_millis(5200));
-    upstream.set(Reply::Ok);
+    upstream.set_response(StubResponse::Ok);
     let mut third = program.client();
     third.send("/pay", ID, "coins").unwrap();
     // It has been taken by now, and would have been turned away.
@@ -753,20 +772,21 @@
 #[test]
 fn an_upstream_that_alone_answers_with_errors_is_left_out() {
     let (bad, good) = (
-        Upstream::start(Reply::Status(500)),
-        [(); 2].map(|()| Upstream::start(Reply::Ok)),
+        StubUpstream::start(StubResponse::Status(500)),
+        [(); 2].map(|()| StubUpstream::start(StubResponse::Ok)),
     );
-    let (program, _discovery) = Program::with(&[bad.address, good[0].address, good[1].address]);
+    let (program, _discovery) =
+        Program::with_upstreams(&[bad.address, good[0].address, good[1].address]);
     let mut client = program.client();
     let mut ask = |times: usize| {
         (0..times)
-            .filter(|_| client.ask("/pay", ID, "").status() == 200)
+            .filter(|_| client.request("/pay", ID, "").status() == 200)
             .count()
     };
     ask(90);
     let met = bad.seen.try_iter().count();
     assert!(0 < met && met < 18, "{met} of 90, where an even turn is 30");
-    bad.set(Reply::Ok);
+    bad.set_response(StubResponse::Ok);
     // Trials go there until it has answered for a while: in the end it has its even turn again.
     let mut rounds = 0;
     while bad.seen.try_iter().count() < 25 {
@@ -775,9 +795,9 @@
         ask(90);
     }
     let all = || good.iter().chain([&bad]);
-    let mut set_all = |reply: Reply| -> Vec<_> {
+    let mut set_all = |reply: StubResponse| -> Vec<_> {
         for upstream in all() {
-            upstream.set(reply);
+            upstream.set_response(reply);
             upstream.seen.try_iter().count();
         }
         ask(90);
@@ -787,12 +807,12 @@
     };
     // Turns are even in the time that answers take, which no machine keeps even: once is enough.
     for round in 0.. {
-        let taken = set_all(Reply::Status(500));
+        let taken = set_all(StubResponse::Status(500));
         if taken.iter().all(|count| *count > 20) {
             break;
         }
         assert!(round < 50, "{taken:?}");
-        set_all(Reply::Ok);
+        set_all(StubResponse::Ok);
     }
 }
 
@@ -800,23 +820,23 @@
 #[test]
 fn spoilt_answers_to_calls_that_may_be_repeated_cost_no_failure_while_most_are_good() {
     let upstreams = [
-        Upstream::start(Reply::Ok),
-        Upstream::start(Reply::Ok),
-        Upstream::start(Reply::Ok),
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
     ];
     let (program, _discovery) =
-        Program::with(&upstreams.each_ref().map(|upstream| upstream.address));
+        Program::with_upstreams(&upstreams.each_ref().map(|upstream| upstream.address));
     for round in 0..4 {
         for _ in 0..12 {
-            assert_eq!(program.client().ask("/hold", KEYED, "").status(), 200);
+            assert_eq!(program.client().request("/hold", KEYED, "").status(), 200);
         }
         let bad = &upstreams[round % 3];
         bad.seen.try_iter().count();
-        bad.set(Reply::Raw("what?\r\n\r\n"));
+        bad.set_response(StubResponse::Raw("what?\r\n\r\n"));
         while bad.seen.try_iter().count() == 0 {
-            assert_eq!(program.client().ask("/hold", KEYED, "").status(), 200);
+            assert_eq!(program.client().request("/hold", KEYED, "").status(), 200);
         }
-        bad.set(Reply::Ok);
+        bad.set_response(StubResponse::Ok);
     }
 }
 
@@ -826,11 +846,14 @@
     for status in [503, 504] {
         let answer =
             format!("HTTP/1.1 {status} Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
-        let (busy, free) = (Upstream::raw(&answer), Upstream::start(Reply::Ok));
-        let (program, _discovery) = Program::with(&[busy.address, free.address]);
+        let (busy, free) = (
+            StubUpstream::raw(&answer),
+            StubUpstream::start(StubResponse::Ok),
+        );
+        let (program, _discovery) = Program::with_upstreams(&[busy.address, free.address]);
         for _ in 0..6 {
             assert_eq!(
-                program.client().ask("/pay", ID, "coins").status(),
+                program.client().request("/pay", ID, "coins").status(),
                 200,
                 "{status}"
             );
@@ -843,16 +866,19 @@
 /// that ran out and the upstream has not closed it yet.
 #[test]
 fn a_connection_that_was_idle_for_too_long_is_not_used_again() {
-    let (upstream, discovery) = (Upstream::start(Reply::Ok), DiscoveryPeer::start());
-    let config = config_of(&[upstream.address], discovery.address, 256)
+    let (upstream, discovery) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubDiscovery::start(),
+    );
+    let config = config_with_upstreams(&[upstream.address], discovery.address, 256)
         .replace("\"connIdle\":30.0", "\"connIdle\":1.0");
     let program = Program::start(&config, "127.0.0.1:0");
     let mut client = program.client();
-    assert_eq!(client.ask("/pay", ID, "coins").status(), 200);
-    program.hold();
+    assert_eq!(client.request("/pay", ID, "coins").status(), 200);
+    program.suspend();
     std::thread::sleep(Duration::from_millis(1050));
     client.send("/pay", ID, "coins").unwrap();
-    program.go_on();
+    program.resume();
     assert_eq!(client.receive().unwrap().expect("an answer").status(), 200);
     assert_eq!(
         upstream
@@ -865,8 +891,11 @@
 /// Guards against news of a kind that is not known yet being taken for a yes.
 #[test]
 fn an_upstream_whose_status_is_unknown_gets_nothing() {
-    let (odd, good) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
-    let discovery = DiscoveryPeer::start();
+    let (odd, good) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
+    );
+    let discovery = StubDiscovery::start();
     let known = |status: &str| {
         [
             endpoint("u0", odd.address, status),
@@ -878,15 +907,19 @@
     let mut client = program.client();
     (0..20).for_each(|_| {
         assert_eq!(
-            client.ask("/pay", "Request-Id: {id}\r\n", "coins").status(),
+            client
+                .request("/pay", "Request-Id: {id}\r\n", "coins")
+                .status(),
             200
         )
     });
     assert!(odd.seen.try_recv().is_err());
     discovery.next().line(&list(6, true, &known("in_service")));
-    until("it has calls once it is in service", || {
+    wait_until("it has calls once it is in service", || {
         assert_eq!(
-            client.ask("/pay", "Request-Id: {id}\r\n", "coins").status(),
+            client
+                .request("/pay", "Request-Id: {id}\r\n", "coins")
+                .status(),
             200
         );
         odd.seen.try_recv().is_ok()
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -1,10 +1,10 @@
 //! Bodies through the real program: large, slow, streamed, and with unusual framing.
 
-mod peers;
-use peers::*;
+mod support;
 use std::sync::mpsc::{channel, RecvTimeoutError};
 use std::thread::{self, sleep};
 use std::time::{Duration, Instant};
+use support::*;
 
 const ID: &str = "Request-Id: {id}\r\n";
 
@@ -44,11 +44,11 @@
         ),
     ];
     for response in framings {
-        let upstream = Upstream::raw(&response);
-        let (program, _discovery) = Program::with_console(&[upstream.address]);
+        let upstream = StubUpstream::raw(&response);
+        let (program, _discovery) = Program::with_admin(&[upstream.address]);
         let mut client = program.client();
         for _ in 0..3 {
-            let answer = client.ask("/read", ID, "");
+            let answer = client.request("/read", ID, "");
             assert_eq!(answer.status(), 200);
             assert!(answer.body == body.as_bytes());
         }
@@ -56,8 +56,8 @@
             .connections
             .load(std::sync::atomic::Ordering::SeqCst);
         assert_eq!(connections, 1);
-        assert_eq!(program.figure("served.read"), 3);
-        assert_eq!(program.figure("in_flight"), 0);
+        assert_eq!(program.metric("served.read"), 3);
+        assert_eq!(program.metric("in_flight"), 0);
     }
 }
 
@@ -66,13 +66,13 @@
 fn a_response_may_be_delimited_by_a_declared_close() {
     for length in [3, 1 << 20] {
         let body = body_of(length);
-        let upstream = Upstream::start(Reply::Once(
+        let upstream = StubUpstream::start(StubResponse::RawThenClose(
             format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}").leak(),
         ));
-        let (program, _discovery) = Program::with(&[upstream.address]);
+        let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
         let mut client = program.client();
         for _ in 0..2 {
-            let answer = client.ask("/read", ID, "");
+            let answer = client.request("/read", ID, "");
             assert!(
                 answer.status() == 200 && answer.body == body.as_bytes(),
                 "{length}"
@@ -84,24 +84,24 @@
 /// A client must not take a part of a response for all of it.
 #[test]
 fn a_client_can_detect_a_truncated_large_response() {
-    let upstream = Upstream::start(Reply::CutOffLarge);
-    let (program, _discovery) = Program::with_console(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::TruncateLarge);
+    let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
     client.send("/pay", ID, "coins").unwrap();
-    let text = String::from_utf8(client.rest()).unwrap();
+    let text = String::from_utf8(client.read_to_end_bytes()).unwrap();
     assert!(text.to_lowercase().contains("content-length: 1000000") && text.len() < 1_000_000);
     assert_eq!(
-        (program.figure("failed.pay"), program.figure("served.pay")),
+        (program.metric("failed.pay"), program.metric("served.pay")),
         (1, 0)
     );
-    assert_eq!(program.figure("in_flight"), 0);
+    assert_eq!(program.metric("in_flight"), 0);
     assert_eq!(upstream.seen.try_iter().count(), 1);
 }
 
 #[test]
 fn a_chunked_body_or_one_after_100_continue_is_forwarded_unchanged() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
     let framing = "Transfer-Encoding:   chunked \r\nExpect: 100-continue\r\n";
     for (length, chunk_size) in [(0, 1), (10, 1), (40_000, 999), (2 << 20, 60_000)] {
@@ -127,11 +127,11 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with(&[refusing, upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[refusing, upstream.address]);
     let body = body_of(1 << 20);
     for _ in 0..4 {
-        assert_eq!(program.client().ask("/pay", ID, &body).status(), 200);
+        assert_eq!(program.client().request("/pay", ID, &body).status(), 200);
         assert!(upstream.next().body == body.as_bytes());
     }
 }
@@ -140,19 +140,19 @@
 /// streamed to one upstream goes to no other.
 #[test]
 fn a_rejected_large_request_is_answered_and_not_retried() {
-    let upstream = Upstream::start(Reply::NotStarted);
-    let (program, _discovery) = Program::with_console(&[upstream.address]);
-    let answer = program.client().ask("/pay", ID, &body_of(4 << 20));
+    let upstream = StubUpstream::start(StubResponse::Rejected);
+    let (program, _discovery) = Program::with_admin(&[upstream.address]);
+    let answer = program.client().request("/pay", ID, &body_of(4 << 20));
     assert_eq!(answer.status(), 503);
-    assert_eq!(program.figure("refused.pay"), 1);
+    assert_eq!(program.metric("refused.pay"), 1);
     assert_eq!(upstream.seen.try_iter().count(), 1);
 }
 
 /// A client may go on sending its body after the response, for longer than a head may take.
 #[test]
 fn a_client_may_send_the_rest_of_its_body_long_after_the_response() {
-    let refusing = Refusing::new();
-    let (program, _discovery) = Program::with(&[refusing.address]);
+    let refusing = RefusingPort::new();
+    let (program, _discovery) = Program::with_upstreams(&[refusing.address]);
     for _ in 0..10 {
         let mut last_write = Instant::now();
         let mut client = program.client();
@@ -179,7 +179,7 @@
         // If the machine paused the client for too long, closing its connection is correct.
         if sending.join().unwrap() < Duration::from_secs(2) {
             assert_eq!(answer.unwrap().expect("an answer").status(), 503);
-            assert_eq!(client.ask("/pay", ID, "coins").status(), 503);
+            assert_eq!(client.request("/pay", ID, "coins").status(), 503);
             return;
         }
     }
@@ -189,8 +189,8 @@
 /// A client that sends slowly but steadily may take longer than a first request may.
 #[test]
 fn a_slow_but_steady_body_is_accepted() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
     let body = body_of(300_000);
     let head = format!(
@@ -209,17 +209,17 @@
 /// A body that arrived in time isn't late because the process was paused before it could read it.
 #[test]
 fn a_body_that_arrives_while_the_process_is_paused_is_in_time() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let (mut client, body) = (program.client(), body_of(60_000));
     client.write("POST /pay HTTP/1.1\r\nRequest-Id: ee04\r\nContent-Length: 60000\r\n");
     client.write("Expect: 100-continue\r\n\r\n");
     assert_eq!(client.receive().unwrap().unwrap().status(), 100);
-    program.hold();
+    program.suspend();
     client.write(&body);
     // Longer than a body of this size may take.
     sleep(Duration::from_secs(4));
-    program.go_on();
+    program.resume();
     assert_eq!(client.receive().unwrap().unwrap().status(), 200);
     assert!(upstream.next().body == body.as_bytes());
 }
@@ -227,25 +227,25 @@
 /// If a client stops in the middle of a streamed body, the upstream is released and not blamed.
 #[test]
 fn a_stalled_upload_releases_its_upstream() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with_console(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
     client.write("POST /pay HTTP/1.1\r\nRequest-Id: ee02\r\nContent-Length: 900000\r\n\r\n");
     client.write(&body_of(500_000));
     upstream
         .closed
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("its connection is closed");
     assert!(upstream.seen.try_recv().is_err());
-    assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
-    assert_eq!(program.figure("upstreams_excluded"), 0);
+    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
+    assert_eq!(program.metric("upstreams_excluded"), 0);
 }
 
 /// The same for a client that sends far below the mean rate of 32 kB/s.
 #[test]
 fn an_upload_below_the_minimum_rate_releases_its_upstream() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with_console(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
     client.write("POST /pay HTTP/1.1\r\nRequest-Id: ee03\r\nContent-Length: 900000\r\n\r\n");
     client.write(&body_of(80_000));
@@ -258,11 +258,11 @@
     });
     upstream
         .closed
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("its connection is closed");
     assert!(upstream.seen.try_recv().is_err());
-    assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
-    assert_eq!(program.figure("upstreams_excluded"), 0);
+    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
+    assert_eq!(program.metric("upstreams_excluded"), 0);
 }
 
 /// Bodies don't pile up in memory if one side is slower than the other.
@@ -271,14 +271,14 @@
     let body = body_of(8 << 20);
     let upstreams: Vec<_> = (0..4)
         .map(|_| {
-            Upstream::raw(&format!(
+            StubUpstream::raw(&format!(
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
                 body.len()
             ))
         })
         .collect();
     let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
-    let (program, _discovery) = Program::with(&addresses);
+    let (program, _discovery) = Program::with_upstreams(&addresses);
     // All send their requests before the first one reads its response.
     let mut clients: Vec<_> = (0..40).map(|_| program.client()).collect();
     for client in &mut clients {
@@ -289,12 +289,16 @@
         assert!(
             answer.status() == 503 || answer.body == body.as_bytes(),
             "{}",
-            answer.first
+            answer.start_line
         );
     }
     // Large requests.
     for _ in 0..8 {
-        assert_eq!(program.client().ask("/pay", ID, &body).status(), 200);
+        assert_eq!(program.client().request("/pay", ID, &body).status(), 200);
     }
-    assert!(program.memory() < 32 << 20, "{}", program.memory());
+    assert!(
+        program.peak_memory_bytes() < 32 << 20,
+        "{}",
+        program.peak_memory_bytes()
+    );
 }
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -1,10 +1,10 @@
 //! Clients that disconnect: their requests are not forwarded any more.
 
-mod peers;
-use peers::*;
+mod support;
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::Ordering;
+use support::*;
 
 const ID: &str = "Request-Id: {id}\r\n";
 /// Bytes bytes_behind a request: none, few, and many more than are read ahead.
@@ -14,9 +14,9 @@
 
 /// A balancer with deadlines beyond the time of any test, so that requests end early only with
 /// their clients.
-fn start(upstreams: &[SocketAddr], cancel: bool) -> (Program, DiscoveryPeer) {
-    let discovery = DiscoveryPeer::start();
-    let config = patient(&config_of(upstreams, discovery.address, 256))
+fn start(upstreams: &[SocketAddr], cancel: bool) -> (Program, StubDiscovery) {
+    let discovery = StubDiscovery::start();
+    let config = with_long_timeouts(&config_with_upstreams(upstreams, discovery.address, 256))
         .replace("\"cancel\":true", &format!("\"cancel\":{cancel}"));
     let variables = [("PROXY_CONSOLE", "127.0.0.1:0")];
     (
@@ -40,16 +40,16 @@
 fn disconnect_while_stopped(program: &Program, client: Client, bytes_behind: usize, reset: bool) {
     let port = client.port();
     disconnect(client, bytes_behind, reset);
-    until("its end has come", || program.has_end_of(port));
+    wait_until("its end has come", || program.has_received_close_from(port));
 }
 
 /// Requests that fill an upstream's concurrency limit, two at the start, and one more that is
 /// queued.
-fn one_queued(program: &Program, upstream: &Upstream, path: &str) -> (Vec<Client>, Client) {
+fn one_queued(program: &Program, upstream: &StubUpstream, path: &str) -> (Vec<Client>, Client) {
     let next = |count, figure| {
         let mut client = program.client();
         client.send(path, ID, "").unwrap();
-        until(figure, || program.figure(figure) == count);
+        wait_until(figure, || program.metric(figure) == count);
         client
     };
     let running = vec![next(1, "attempts"), next(2, "attempts")];
@@ -59,7 +59,11 @@
 }
 
 /// The same with this many queued requests.
-fn many_queued(program: &Program, upstream: &Upstream, count: usize) -> (Vec<Client>, Vec<Client>) {
+fn many_queued(
+    program: &Program,
+    upstream: &StubUpstream,
+    count: usize,
+) -> (Vec<Client>, Vec<Client>) {
     let (running, waiting) = one_queued(program, upstream, "/pay");
     let mut all_waiting = vec![waiting];
     while all_waiting.len() < count {
@@ -68,7 +72,7 @@
         all_waiting.push(client);
     }
     let all = (running.len() + count) as u64;
-    until("all are taken", || program.figure("in_flight") == all);
+    wait_until("all are taken", || program.metric("in_flight") == all);
     (running, all_waiting)
 }
 
@@ -78,7 +82,7 @@
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&format!("/pay/{number}"), ID, "").unwrap();
     }
-    until("all are out", || program.figure("attempts") == 4);
+    wait_until("all are out", || program.metric("attempts") == 4);
     clients
 }
 
@@ -86,19 +90,23 @@
 fn connecting(program: &Program, upstream: SocketAddr) -> Client {
     let mut client = program.client();
     client.send("/pay", ID, "coins").unwrap();
-    until("it connects", || is_awaited(upstream));
+    wait_until("it connects", || has_pending_connect(upstream));
     client
 }
 
 /// The next request to reach the upstream is a new one: none of the clients that have
 /// disconnected does.
-fn expect_only_new_requests(program: &Program, upstream: &Upstream, what: &str) {
+fn expect_only_new_requests(program: &Program, upstream: &StubUpstream, what: &str) {
     assert_eq!(
-        program.client().ask("/pay/last", ID, "").status(),
+        program.client().request("/pay/last", ID, "").status(),
         200,
         "{what}"
     );
-    assert_eq!(upstream.next().first, "POST /pay/last HTTP/1.1", "{what}");
+    assert_eq!(
+        upstream.next().start_line,
+        "POST /pay/last HTTP/1.1",
+        "{what}"
+    );
 }
 
 /// Bytes bytes_behind a queued request must not hide that its client has disconnected.
@@ -106,12 +114,12 @@
 fn a_queued_request_whose_client_has_disconnected_is_not_forwarded() {
     for bytes_behind in BYTES_BEHIND {
         for reset in [false, true] {
-            let upstream = Upstream::start(Reply::Hold);
+            let upstream = StubUpstream::start(StubResponse::Hold);
             let (program, _discovery) = start(&[upstream.address], true);
             let (mut running, waiting) = one_queued(&program, &upstream, "/pay");
             disconnect(waiting, bytes_behind, reset);
             let left = running.len() as u64;
-            until("its end is seen", || program.figure("in_flight") == left);
+            wait_until("its end is seen", || program.metric("in_flight") == left);
             upstream.release();
             for client in &mut running {
                 assert_eq!(
@@ -128,14 +136,14 @@
 /// The same for many clients that disconnect together, in different ways.
 #[test]
 fn queued_requests_whose_clients_disconnect_together_are_not_forwarded() {
-    let upstream = Upstream::start(Reply::Hold);
+    let upstream = StubUpstream::start(StubResponse::Hold);
     let (program, _discovery) = start(&[upstream.address], true);
     let (mut running, leaving) = many_queued(&program, &upstream, 12);
     for (number, client) in leaving.into_iter().enumerate() {
         disconnect(client, BYTES_BEHIND[number % 3], number % 2 == 0);
     }
-    until("their ends are seen", || {
-        program.figure("in_flight") == running.len() as u64
+    wait_until("their ends are seen", || {
+        program.metric("in_flight") == running.len() as u64
     });
     upstream.release();
     running
@@ -149,16 +157,19 @@
 #[test]
 fn a_request_whose_client_has_disconnected_is_not_retried() {
     for bytes_behind in BYTES_BEHIND {
-        let (full, busy) = (Upstream::start(Reply::Hold), Upstream::start(Reply::Hold));
+        let (full, busy) = (
+            StubUpstream::start(StubResponse::Hold),
+            StubUpstream::start(StubResponse::Hold),
+        );
         let (program, _discovery) = start(&[full.address, busy.address], true);
         let mut clients = four_forwarded(&program);
-        let leaving: usize = full.next().first["POST /pay/".len()..][..1]
+        let leaving: usize = full.next().start_line["POST /pay/".len()..][..1]
             .parse()
             .unwrap();
-        full.set(Reply::NotStarted);
+        full.set_response(StubResponse::Rejected);
         full.release();
         disconnect(clients.remove(leaving), bytes_behind, bytes_behind > 0);
-        until("its end is seen", || program.figure("in_flight") == 3);
+        wait_until("its end is seen", || program.metric("in_flight") == 3);
         busy.release();
         for client in &mut clients {
             assert_eq!(
@@ -169,7 +180,9 @@
         }
         let left = format!("POST /pay/{leaving} HTTP/1.1");
         assert!(
-            busy.seen.try_iter().all(|message| message.first != left),
+            busy.seen
+                .try_iter()
+                .all(|message| message.start_line != left),
             "{bytes_behind}"
         );
     }
@@ -181,13 +194,13 @@
 fn a_request_whose_client_has_disconnected_waits_for_no_connection() {
     for cancel in [true, false] {
         for bytes_behind in BYTES_BEHIND {
-            let upstream = unreachable();
+            let upstream = unreachable_address();
             let (program, _discovery) = start(&[upstream], cancel);
             let client = connecting(&program, upstream);
             let port = client.port();
             disconnect(client, bytes_behind, false);
-            until("its connections are closed", || {
-                !is_awaited(upstream) && !program.holds(port)
+            wait_until("its connections are closed", || {
+                !has_pending_connect(upstream) && !program.has_connection_to(port)
             });
         }
     }
@@ -197,7 +210,7 @@
 #[test]
 fn a_queued_request_whose_client_disconnects_in_the_middle_of_its_body_is_not_forwarded() {
     for reset in [false, true] {
-        let upstream = Upstream::start(Reply::Hold);
+        let upstream = StubUpstream::start(StubResponse::Hold);
         let (program, _discovery) = start(&[upstream.address], true);
         let (mut running, waiting) = one_queued(&program, &upstream, "/pay");
         let mut uploading = program.client();
@@ -206,9 +219,9 @@
         );
         uploading.write(&"x".repeat(100_000));
         let all = running.len() as u64 + 2;
-        until("it is taken", || program.figure("in_flight") == all);
+        wait_until("it is taken", || program.metric("in_flight") == all);
         disconnect(uploading, 0, reset);
-        until("its end is seen", || program.figure("in_flight") == all - 1);
+        wait_until("its end is seen", || program.metric("in_flight") == all - 1);
         upstream.release();
         for client in running.iter_mut().chain([waiting].iter_mut()) {
             assert_eq!(client.receive().unwrap().unwrap().status(), 200);
@@ -216,8 +229,8 @@
         assert!(upstream
             .seen
             .try_iter()
-            .all(|message| !message.first.contains("half")));
-        assert_eq!(program.figure("in_flight"), 0);
+            .all(|message| !message.start_line.contains("half")));
+        assert_eq!(program.metric("in_flight"), 0);
     }
 }
 
@@ -227,14 +240,14 @@
 fn queued_requests_whose_clients_disconnected_while_the_process_was_stopped_are_not_forwarded() {
     for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
         for free_first in [false, true] {
-            let upstream = Upstream::start(Reply::Hold);
+            let upstream = StubUpstream::start(StubResponse::Hold);
             let (program, _discovery) = start(&[upstream.address], true);
             let (mut running, leaving) = many_queued(&program, &upstream, 8);
-            program.hold();
+            program.suspend();
             let free = || {
                 upstream.release();
                 let count = running.len() as u64;
-                until("all have answered", || {
+                wait_until("all have answered", || {
                     upstream.answered.load(Ordering::SeqCst) == count
                 });
             };
@@ -243,7 +256,7 @@
                 disconnect_while_stopped(&program, client, bytes_behind, number % 2 == 1);
             }
             (!free_first).then(free);
-            program.go_on();
+            program.resume();
             running
                 .iter_mut()
                 .for_each(|client| drop(client.receive().unwrap().expect("a response")));
@@ -256,16 +269,16 @@
 #[test]
 fn a_request_whose_client_disconnected_before_it_was_read_is_not_forwarded() {
     for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
-        let upstream = Upstream::start(Reply::Ok);
+        let upstream = StubUpstream::start(StubResponse::Ok);
         let (program, _discovery) = start(&[upstream.address], true);
         for _ in 0..4 {
             let mut client = program.client();
-            assert_eq!(client.ask("/read", ID, "").status(), 200);
+            assert_eq!(client.request("/read", ID, "").status(), 200);
             upstream.next();
-            program.hold();
+            program.suspend();
             client.send("/pay", ID, "coins").unwrap();
             disconnect_while_stopped(&program, client, bytes_behind, false);
-            program.go_on();
+            program.resume();
             expect_only_new_requests(&program, &upstream, &bytes_behind.to_string());
         }
     }
@@ -276,15 +289,18 @@
 #[test]
 fn a_request_whose_client_disconnected_while_the_process_was_stopped_is_not_retried() {
     for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
-        let (full, busy) = (Upstream::start(Reply::Hold), Upstream::start(Reply::Hold));
+        let (full, busy) = (
+            StubUpstream::start(StubResponse::Hold),
+            StubUpstream::start(StubResponse::Hold),
+        );
         let (program, _discovery) = start(&[full.address, busy.address], true);
         let clients = four_forwarded(&program);
-        let gone = [full.next().first, full.next().first];
-        program.hold();
-        full.set(Reply::NotStarted);
+        let gone = [full.next().start_line, full.next().start_line];
+        program.suspend();
+        full.set_response(StubResponse::Rejected);
         for upstream in [&full, &busy] {
             upstream.release();
-            until("it has answered", || {
+            wait_until("it has answered", || {
                 upstream.answered.load(Ordering::SeqCst) == 2
             });
         }
@@ -293,12 +309,12 @@
                 disconnect_while_stopped(&program, client, bytes_behind, false);
             }
         }
-        program.go_on();
-        until("nothing is left", || program.figure("in_flight") == 0);
+        program.resume();
+        wait_until("nothing is left", || program.metric("in_flight") == 0);
         assert!(
             busy.seen
                 .try_iter()
-                .all(|message| !gone.contains(&message.first)),
+                .all(|message| !gone.contains(&message.start_line)),
             "{bytes_behind}"
         );
     }
@@ -309,19 +325,19 @@
 fn a_request_is_not_sent_on_a_connection_that_came_up_after_its_client_disconnected() {
     for cancel in [true, false] {
         for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
-            let door = Door::shut();
+            let door = BlockedPort::new();
             let (program, discovery) = start(&[door.address], cancel);
             let _watch = discovery.next();
             let client = connecting(&program, door.address);
-            program.hold();
+            program.suspend();
             let all = door.waiting.len() as u64 + 1;
-            let upstream = door.open(Reply::Ok);
-            until("its connection is up", || {
+            let upstream = door.open(StubResponse::Ok);
+            wait_until("its connection is up", || {
                 upstream.connections.load(Ordering::SeqCst) == all
             });
             disconnect_while_stopped(&program, client, bytes_behind, false);
-            program.go_on();
-            until("its end is seen", || program.figure("in_flight") == 0);
+            program.resume();
+            wait_until("its end is seen", || program.metric("in_flight") == 0);
             expect_only_new_requests(&program, &upstream, &format!("{cancel} {bytes_behind}"));
         }
     }
@@ -344,16 +360,16 @@
             let (mut upstream, _) = listener.accept().unwrap();
             // Together with the head this is nearly all that has been sent so far.
             upstream.read_exact(&mut [0; 149_000]).unwrap();
-            program.hold();
+            program.suspend();
             client.write(&"x".repeat(1000));
             disconnect_while_stopped(&program, client, 0, false);
-            program.go_on();
+            program.resume();
             let mut rest = Vec::new();
             // The connection may end in a reset.
             let _ = upstream.take(1000).read_to_end(&mut rest);
             assert!(rest.len() < 1000, "{cancel}");
         }
-        until("nothing is left", || program.figure("in_flight") == 0);
+        wait_until("nothing is left", || program.metric("in_flight") == 0);
     }
 }
 
@@ -362,24 +378,26 @@
 #[test]
 fn a_client_that_half_closes_counts_as_disconnected() {
     for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
-        let upstream = Upstream::start(Reply::Hold);
+        let upstream = StubUpstream::start(StubResponse::Hold);
         let (program, _discovery) = start(&[upstream.address], true);
         let (mut running, mut waiting) = one_queued(&program, &upstream, "/pay");
         waiting.write(&"x".repeat(bytes_behind));
         waiting.half_close();
-        assert!(waiting.is_closed(), "{bytes_behind}");
+        assert!(waiting.is_closed_by_peer(), "{bytes_behind}");
         let left = running.len() as u64;
-        until("its end is seen", || program.figure("in_flight") == left);
+        wait_until("its end is seen", || program.metric("in_flight") == left);
         upstream.release();
         running
             .iter_mut()
             .for_each(|client| drop(client.receive().unwrap().expect("a response")));
-        program.hold();
+        program.suspend();
         let mut early = program.client();
         early.send("/pay", ID, "coins").unwrap();
         early.half_close();
-        until("its end has come", || program.has_end_of(early.port()));
-        program.go_on();
+        wait_until("its end has come", || {
+            program.has_received_close_from(early.port())
+        });
+        program.resume();
         assert!(
             early
                 .receive()
@@ -388,6 +406,6 @@
             "{bytes_behind}"
         );
         expect_only_new_requests(&program, &upstream, &bytes_behind.to_string());
-        assert_eq!(program.figure("failed.pay"), 0);
+        assert_eq!(program.metric("failed.pay"), 0);
     }
 }
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -1,10 +1,10 @@
 //! Wall clocks that are stepped: how long an upstream counts as cold is a span of real time.
 
-mod peers;
-use peers::*;
+mod support;
 use std::path::PathBuf;
 use std::thread::sleep;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use support::*;
 
 const ID: &str = "Request-Id: {id}\r\n";
 const CALLS: usize = 200;
@@ -19,8 +19,8 @@
 
 /// Four upstreams, the last of which starts again, and a program whose wall clock may be wrong.
 struct Rig {
-    upstreams: Vec<Upstream>,
-    discovery: DiscoveryPeer,
+    upstreams: Vec<StubUpstream>,
+    discovery: StubDiscovery,
     /// For so many seconds upstreams are cold.
     cold: f64,
     folder: PathBuf,
@@ -28,12 +28,14 @@
 
 impl Rig {
     fn new(cold: f64) -> Self {
-        let upstreams = (0..4).map(|_| Upstream::start(Reply::Ok)).collect();
+        let upstreams = (0..4)
+            .map(|_| StubUpstream::start(StubResponse::Ok))
+            .collect();
         Rig {
             upstreams,
-            discovery: DiscoveryPeer::start(),
+            discovery: StubDiscovery::start(),
             cold,
-            folder: folder(),
+            folder: create_temp_folder(),
         }
     }
 
@@ -44,7 +46,7 @@
     }
 
     /// A program whose wall clock is ahead by so many seconds, and that knows of this start of the last one.
-    fn program(&self, listen: &str, ahead: i64, since: u64) -> (Program, Watch) {
+    fn program(&self, listen: &str, ahead: i64, since: u64) -> (Program, StubWatch) {
         let mut entries: Vec<_> = (0..3)
             .map(|n| endpoint(&format!("u{n}"), self.upstreams[n].address, "in_service"))
             .collect();
@@ -56,7 +58,7 @@
         let variables = [
             ("PROXY_CONSOLE", "127.0.0.1:0"),
             ("TMPDIR", self.folder.to_str().unwrap()),
-            ("LD_PRELOAD", failing_calls()),
+            ("LD_PRELOAD", fault_injection_library()),
             ("FAULTS_WALL", &ahead),
         ];
         let program = Program::start_with(&variables, &config, listen);
@@ -64,19 +66,19 @@
     }
 
     /// Discovery tells this program that the last one has started again.
-    fn restart(&self, program: &Program, watch: &mut Watch, since: u64) {
+    fn restart(&self, program: &Program, watch: &mut StubWatch, since: u64) {
         let other = endpoint("other", self.upstreams[0].address, "terminating");
         // Nothing has changed before.
         watch.line(&list(5, false, &[]));
         watch.line(&list(6, false, &[self.last(since), other]));
-        until("that is told", || program.figure("upstreams_known") == 5);
+        wait_until("that is told", || program.metric("upstreams_known") == 5);
     }
 
     /// The calls of `CALLS` that the last one gets.
     fn share(&self, program: &Program) -> usize {
         self.upstreams[3].seen.try_iter().count();
         let mut client = program.client();
-        (0..CALLS).for_each(|_| assert_eq!(client.ask("/read", ID, "").status(), 200));
+        (0..CALLS).for_each(|_| assert_eq!(client.request("/read", ID, "").status(), 200));
         self.upstreams[3].seen.try_iter().count()
     }
 }
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -1,9 +1,9 @@
 //! Closing of connections on which bytes are unread, and of those that carry pipelined requests.
 
-mod peers;
-use peers::*;
+mod support;
 use std::thread::sleep;
 use std::time::Duration;
+use support::*;
 
 const ID: &str = "Request-Id: {id}\r\n";
 /// Descriptors that are reserved for the admin endpoint.
@@ -19,14 +19,16 @@
         "HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n{}",
         "x".repeat(size)
     );
-    let upstream = Upstream::start(Reply::Hold);
-    let (program, _discovery) = Program::with_console(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Hold);
+    let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
     client.send("/pay", ID, "coins").unwrap();
     upstream.next();
     program.terminate();
-    until("it drains", || program.call("GET /healthcheck").0 == 503);
-    upstream.set(Reply::Raw(text.leak()));
+    wait_until("it drains", || {
+        program.admin_call("GET /healthcheck").0 == 503
+    });
+    upstream.set_response(StubResponse::Raw(text.leak()));
     upstream.release();
     client.take(1);
     // More than the read-ahead buffer holds.
@@ -37,9 +39,9 @@
     // The end of the response is still to be read when the connection closes.
     let left = 2 << 20;
     client.take(size - left);
-    until("all of it is written", || program.figure("served.pay") == 1);
+    wait_until("all of it is written", || program.metric("served.pay") == 1);
     sleep(Duration::from_millis(100));
-    assert!((left - 1..left + 1000).contains(&client.rest().len()));
+    assert!((left - 1..left + 1000).contains(&client.read_to_end_bytes().len()));
     assert!(
         upstream.seen.try_recv().is_err(),
         "what came behind it is not sent on"
@@ -50,10 +52,16 @@
 #[test]
 fn a_large_request_that_is_rejected_unread_gets_a_response() {
     let body = "x".repeat(3 << 20);
-    let upstreams: Vec<_> = (0..12).map(|_| Upstream::start(Reply::Silent)).collect();
+    let upstreams: Vec<_> = (0..12)
+        .map(|_| StubUpstream::start(StubResponse::Never))
+        .collect();
     let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
-    let (program, _discovery) = Program::with_console_and(&addresses, 64 + ADMIN_DESCRIPTORS);
-    assert_eq!(program.client().ask("/nothing", ID, &body).status(), 400);
+    let (program, _discovery) =
+        Program::with_admin_and_descriptors(&addresses, 64 + ADMIN_DESCRIPTORS);
+    assert_eq!(
+        program.client().request("/nothing", ID, &body).status(),
+        400
+    );
     // Only some rejections are left to capacity. Connections without a request may be evicted for
     // those with one, so each client connects once the requests before it have been accepted or
     // rejected.
@@ -62,18 +70,18 @@
         let mut client = program.client();
         client.send("/pay", ID, "coins").unwrap();
         busy.push(client);
-        let settled = || program.figure("in_flight") + program.figure("refused.pay");
-        until("it is settled", || settled() == count);
+        let settled = || program.metric("in_flight") + program.metric("refused.pay");
+        wait_until("it is settled", || settled() == count);
     }
-    assert!(program.figure("refused.pay") > 0, "there is no room");
-    assert_eq!(program.client().ask("/pay", ID, &body).status(), 503);
+    assert!(program.metric("refused.pay") > 0, "there is no room");
+    assert_eq!(program.client().request("/pay", ID, &body).status(), 503);
 }
 
 /// None may be dropped because there are too many of them.
 #[test]
 fn many_pipelined_requests_get_a_response_each() {
-    let upstream = Upstream::start(Reply::Hold);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Hold);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
     let news = "x".repeat(3000);
     let requests = (0..60)
@@ -97,30 +105,34 @@
 /// Clients that send large amounts that nobody is to read would otherwise exhaust the memory.
 #[test]
 fn bytes_behind_requests_that_await_a_response_take_little_memory() {
-    let upstream = Upstream::start(Reply::Silent);
-    let (program, _discovery) = Program::with_console(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Never);
+    let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut clients: Vec<_> = (0..60).map(|_| program.client()).collect();
     let flood = "x".repeat(4 << 20);
     for client in &mut clients {
         client.send("/pay", ID, "coins").unwrap();
         client.write(&flood);
     }
-    assert!(program.memory() < 40 << 20, "{}", program.memory());
+    assert!(
+        program.peak_memory_bytes() < 40 << 20,
+        "{}",
+        program.peak_memory_bytes()
+    );
 }
 
 /// The client retries such a request elsewhere, so it must not reach an upstream.
 #[test]
 fn a_request_that_arrives_after_the_close_of_an_idle_connection_is_not_forwarded() {
-    let upstream = Upstream::start(Reply::Ok);
-    let (mut program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (mut program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut clients: Vec<_> = (0..8).map(|_| program.client()).collect();
     clients
         .iter_mut()
-        .for_each(|client| assert_eq!(client.ask("/pay", ID, "coins").status(), 200));
+        .for_each(|client| assert_eq!(client.request("/pay", ID, "coins").status(), 200));
     assert_eq!(upstream.seen.try_iter().count(), 8);
     program.terminate();
     for client in &mut clients {
-        assert!(client.is_closed());
+        assert!(client.is_closed_by_peer());
         // The process may have exited by now.
         let _ = client.send("/pay", ID, "coins");
     }
@@ -152,19 +164,21 @@
                 (200, (number == 5).then_some("close"))
             );
         }
-        assert!(client.is_closed(), "{what}");
+        assert!(client.is_closed_by_peer(), "{what}");
     };
     for ends in [true, false] {
-        let upstream = Upstream::start(Reply::Hold);
-        let (program, _discovery) = Program::with_console(&[upstream.address]);
+        let upstream = StubUpstream::start(StubResponse::Hold);
+        let (program, _discovery) = Program::with_admin(&[upstream.address]);
         let mut client = program.client();
         client.write(&pipelined("a", 6));
         upstream.next();
         if ends {
             program.terminate();
-            until("it drains", || program.call("GET /healthcheck").0 == 503);
+            wait_until("it drains", || {
+                program.admin_call("GET /healthcheck").0 == 503
+            });
         } else {
-            assert_eq!(program.call("POST /healthcheck/fail").0, 200);
+            assert_eq!(program.admin_call("POST /healthcheck/fail").0, 200);
         }
         upstream.release();
         expect_responses(&mut client, "those that waited");
@@ -172,16 +186,16 @@
         new.write(&pipelined("b", 6));
         expect_responses(&mut new, "those on a new connection");
     }
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
     assert_eq!(
-        client.ask("/read", "Request-Id: {id}\r\n", "").status(),
+        client.request("/read", "Request-Id: {id}\r\n", "").status(),
         200
     );
-    program.hold();
+    program.suspend();
     client.write(&pipelined("c", 6));
     program.terminate();
-    program.go_on();
+    program.resume();
     expect_responses(&mut client, "those that had not been read");
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,7 +1,6 @@
 //! Attempts that cross their end: the program is held still until both sides of a crossing have happened.
 
-mod peers;
-use peers::*;
+mod support;
 use socket2::SockRef;
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
@@ -9,6 +8,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread::sleep;
 use std::time::Duration;
+use support::*;
 
 const ID: &str = "Request-Id: {id}\r\n";
 
@@ -26,25 +26,25 @@
 #[test]
 fn an_answer_that_crosses_the_time_out_ends_its_request_once() {
     for _ in 0..3 {
-        let upstream = Upstream::start(Reply::Hold);
-        let (program, _discovery) = Program::with_console(&[upstream.address]);
+        let upstream = StubUpstream::start(StubResponse::Hold);
+        let (program, _discovery) = Program::with_admin(&[upstream.address]);
         let mut client = program.client();
         client
             .send("/pay", &format!("{ID}Request-Timeout: 1.0\r\n"), "coins")
             .unwrap();
         upstream.next();
-        program.hold();
+        program.suspend();
         upstream.release();
         // Its time passes while the answer lies there.
         sleep(Duration::from_millis(1100));
-        program.go_on();
+        program.resume();
         let status = client.receive().unwrap().expect("an answer").status();
         assert!(status == 200 || status == 502, "{status}");
-        until("nothing is left", || program.figure("in_flight") == 0);
-        let total = program.figure("served.pay") + program.figure("failed.pay");
-        assert_eq!((total, program.figure("attempts")), (1, 1));
+        wait_until("nothing is left", || program.metric("in_flight") == 0);
+        let total = program.metric("served.pay") + program.metric("failed.pay");
+        assert_eq!((total, program.metric("attempts")), (1, 1));
         // The connection goes on with answers of its own, if it goes on.
-        let answer = client.ask("/pay/next", ID, "coins");
+        let answer = client.request("/pay/next", ID, "coins");
         assert!(
             String::from_utf8_lossy(&answer.body).starts_with("POST /pay/next"),
             "{answer:?}"
@@ -55,18 +55,18 @@
 /// Guards against the answer of a cancelled attempt that is taken for the next one's.
 #[test]
 fn an_answer_that_crosses_the_end_of_its_client_is_nobody_else_s() {
-    let upstream = Upstream::start(Reply::Hold);
-    let (program, _discovery) = Program::with_console(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Hold);
+    let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
     client.send("/pay/gone", ID, "coins").unwrap();
     upstream.next();
-    program.hold();
+    program.suspend();
     upstream.release();
     drop(client);
-    program.go_on();
-    until("nothing is left", || program.figure("in_flight") == 0);
+    program.resume();
+    wait_until("nothing is left", || program.metric("in_flight") == 0);
     for _ in 0..4 {
-        let answer = program.client().ask("/pay/next", ID, "coins");
+        let answer = program.client().request("/pay/next", ID, "coins");
         assert!(
             String::from_utf8_lossy(&answer.body).starts_with("POST /pay/next"),
             "{answer:?}"
@@ -77,27 +77,30 @@
 /// Guards against breaking off, or sending again, a request of which a part has been written when a drain is told.
 #[test]
 fn what_is_half_written_when_a_drain_is_told_is_finished_there() {
-    let (old, new) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
-    let (program, discovery) = Program::with(&[old.address]);
+    let (old, new) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
+    );
+    let (program, discovery) = Program::with_upstreams(&[old.address]);
     let mut client = program.client();
     client.write(
         "POST /pay HTTP/1.1\r\nHost: b\r\nRequest-Id: c001\r\nContent-Length: 200000\r\n\r\n",
     );
     client.write(&"x".repeat(150_000));
-    until("its connection is up", || {
+    wait_until("its connection is up", || {
         old.connections.load(Ordering::SeqCst) == 1
     });
     // Whoever asks now is answered after it has begun.
-    assert_eq!(program.client().ask("/healthz", "", "").status(), 200);
+    assert_eq!(program.client().request("/healthz", "", "").status(), 200);
     let mut watch = discovery.next();
     let draining = ("u0", old.address, "terminating");
     watch.line(&change(6, &[draining, ("u1", new.address, "in_service")]));
-    assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
+    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
     // Where that went shows that the drain is known.
     let mut known = new.seen.try_iter().count() == 1;
     while !known {
         old.next();
-        assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
+        assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
         known = new.seen.try_iter().count() == 1;
     }
     client.write(&"x".repeat(50_000));
@@ -110,17 +113,17 @@
 #[test]
 fn a_retry_goes_to_none_that_has_begun_to_drain_meanwhile() {
     let (first, draining, free) = (
-        Upstream::start(Reply::Hold),
-        Upstream::start(Reply::Ok),
-        Upstream::start(Reply::Ok),
+        StubUpstream::start(StubResponse::Hold),
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
     );
-    let (program, discovery) = Program::with_console(&[first.address]);
+    let (program, discovery) = Program::with_admin(&[first.address]);
     let mut client = program.client();
     client.send("/pay", ID, "coins").unwrap();
     first.next();
     let mut watch = discovery.next();
     watch.line(&change(6, &[("u1", draining.address, "in_service")]));
-    until("both are known", || program.figure("upstreams_known") == 2);
+    wait_until("both are known", || program.metric("upstreams_known") == 2);
     // It is used until it drains, and its idle connection shows when that is known.
     // Those who ask stay: nothing is sent on for a client that has left. One asks at a time, so that nothing is on its
     // way when the drain is told.
@@ -129,7 +132,7 @@
     while !used {
         let mut other = program.client();
         other.send("/pay", ID, "coins").unwrap();
-        until("it reaches one of them", || {
+        wait_until("it reaches one of them", || {
             used = draining.seen.try_recv().is_ok();
             used || first.seen.try_recv().is_ok()
         });
@@ -149,9 +152,9 @@
     ));
     draining
         .closed
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("its connection is closed");
-    first.set(Reply::NotStarted);
+    first.set_response(StubResponse::Rejected);
     first.release();
     assert_eq!(client.receive().unwrap().expect("an answer").status(), 200);
     assert!(draining.seen.try_recv().is_err());
@@ -160,34 +163,41 @@
 /// Guards against a request on a connection to a process that has gone, though its name and address are as before.
 #[test]
 fn connections_to_a_process_that_has_started_again_are_dropped() {
-    let (upstream, discovery) = (Upstream::start(Reply::Ok), DiscoveryPeer::start());
+    let (upstream, discovery) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubDiscovery::start(),
+    );
     // It is never cold: what this is about is its connections.
-    let config = config_of(&[upstream.address], discovery.address, 1024)
+    let config = config_with_upstreams(&[upstream.address], discovery.address, 1024)
         .replace("\"startCapacity\":0.3", "\"startCapacity\":1.0");
     let program = Program::start(&config, "127.0.0.1:0");
-    assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
+    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
     let again = change(6, &[("u0", upstream.address, "in_service")])
         .replace("since_ms\":0", "since_ms\":5000");
     discovery.next().line(&again);
     upstream
         .closed
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("the idle connection is closed");
-    assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
+    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
     assert_eq!(upstream.connections.load(Ordering::SeqCst), 2);
 }
 
 /// Guards against giving up on a connection that comes up late, within its time.
 #[test]
 fn a_connection_that_comes_up_late_carries_its_request_once() {
-    let door = Door::shut();
-    let discovery = DiscoveryPeer::start();
-    let config = patient(&config_of(&[door.address], discovery.address, 1024));
+    let door = BlockedPort::new();
+    let discovery = StubDiscovery::start();
+    let config = with_long_timeouts(&config_with_upstreams(
+        &[door.address],
+        discovery.address,
+        1024,
+    ));
     let program = Program::start(&config, "127.0.0.1:0");
     let mut client = program.client();
     client.send("/pay", ID, "coins").unwrap();
-    assert_eq!(program.client().ask("/healthz", "", "").status(), 200);
-    let upstream = door.open(Reply::Ok);
+    assert_eq!(program.client().request("/healthz", "", "").status(), 200);
+    let upstream = door.open(StubResponse::Ok);
     assert_eq!(client.receive().unwrap().expect("an answer").status(), 200);
     assert_eq!(upstream.seen.try_iter().count(), 1);
 }
@@ -196,7 +206,7 @@
 #[test]
 fn a_reset_before_the_last_byte_shows_that_a_request_never_ran() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (program, _discovery) = Program::with(&[listener.local_addr().unwrap()]);
+    let (program, _discovery) = Program::with_upstreams(&[listener.local_addr().unwrap()]);
     let mut client = program.client();
     client.write(
         "POST /pay HTTP/1.1\r\nHost: b\r\nRequest-Id: c002\r\nContent-Length: 200000\r\n\r\n",
@@ -215,33 +225,36 @@
 #[test]
 fn an_endless_answer_ends_with_its_client() {
     let upstream =
-        Upstream::raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n");
-    let (program, _discovery) = Program::with_console(&[upstream.address]);
+        StubUpstream::raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n");
+    let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
     client.send("/pay", ID, "coins").unwrap();
     upstream.next();
     drop(client);
     upstream
         .closed
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("its connection is closed");
-    until("nothing is left", || program.figure("in_flight") == 0);
+    wait_until("nothing is left", || program.metric("in_flight") == 0);
 }
 
 /// What a program is told while it stands still: that the first upstream drains, at the end of a list of so many more. It
 /// is held up so often again while it takes that in.
 fn told_while_held(kept: bool, others: usize, again: usize) {
-    let (drains, stays) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
-    let (program, discovery) = Program::with_console(&[drains.address, stays.address]);
+    let (drains, stays) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
+    );
+    let (program, discovery) = Program::with_admin(&[drains.address, stays.address]);
     let mut watch = discovery.next();
     let mut clients: Vec<_> = (0..4).map(|_| program.client()).collect();
     for _ in 0..if kept { 4 } else { 0 } {
         clients
             .iter_mut()
-            .for_each(|client| assert_eq!(client.ask("/pay", ID, "coins").status(), 200));
+            .for_each(|client| assert_eq!(client.request("/pay", ID, "coins").status(), 200));
     }
     drains.seen.try_iter().count();
-    program.hold();
+    program.suspend();
     clients
         .iter_mut()
         .for_each(|client| client.send("/pay", ID, "coins").unwrap());
@@ -252,10 +265,10 @@
         .collect();
     list.push(("u0", drains.address, "terminating"));
     watch.line(&change(6, &list));
-    program.go_on();
+    program.resume();
     for _ in 0..again {
-        program.hold();
-        program.go_on();
+        program.suspend();
+        program.resume();
     }
     clients.iter_mut().for_each(|client| {
         assert_eq!(
@@ -309,10 +322,10 @@
 #[test]
 fn an_attempt_that_is_given_up_has_its_connection_closed_before_the_next_begins() {
     for _ in 0..4 {
-        let sides: Vec<_> = (0..2).map(|_| silent(established)).collect();
-        let discovery = DiscoveryPeer::start();
+        let sides: Vec<_> = (0..2).map(|_| silent(established_connections)).collect();
+        let discovery = StubDiscovery::start();
         let addresses: Vec<_> = sides.iter().map(|(address, _)| *address).collect();
-        let config = config_of(&addresses, discovery.address, 256)
+        let config = config_with_upstreams(&addresses, discovery.address, 256)
             .replace("\"mayDuplicate\":true", "\"mayDuplicate\":false")
             .replace(
                 "\"aim\":5.0,\"hardLimit\":10.0",
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -1,8 +1,8 @@
 //! What the platform asks of the deploy file and of the program that it starts.
 
-mod peers;
-use peers::*;
+mod support;
 use std::fs;
+use support::*;
 
 /// Guards against a program that the platform can't lead: it has to be one process, linked against the C library when it
 /// is loaded, that starts no others.
@@ -16,12 +16,12 @@
     let image = fs::read(env!("CARGO_BIN_EXE_load-balancer")).unwrap();
     let names = |name: &[u8]| image.windows(name.len()).any(|part| part == name);
     assert!(names(b"/ld-linux") && names(b"libc.so.6\0"));
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with_console(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_admin(&[upstream.address]);
     assert_eq!(
         program
             .client()
-            .ask("/pay", "Request-Id: {id}\r\n", "coins")
+            .request("/pay", "Request-Id: {id}\r\n", "coins")
             .status(),
         200
     );
--- a/tests/descriptor_limits.rs
+++ b/tests/descriptor_limits.rs
@@ -1,8 +1,7 @@
 //! Descriptor limits under many idle clients: what is reserved for discovery, the admin endpoint
 //! and clients with requests.
 
-mod peers;
-use peers::*;
+mod support;
 use std::collections::VecDeque;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -10,6 +9,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::{self, sleep, JoinHandle};
 use std::time::Duration;
+use support::*;
 
 const ID: &str = "Request-Id: {id}\r\n";
 /// Descriptor limits: the smallest that is allowed, and larger ones.
@@ -75,11 +75,11 @@
 fn a_request_among_idle_connections_is_the_last_to_be_evicted() {
     let _exclusive = run_exclusively();
     for sockets in DESCRIPTOR_LIMITS {
-        let upstream = Upstream::start(Reply::Ok);
-        let (program, _discovery) = Program::with_sockets(&[upstream.address], sockets);
+        let upstream = StubUpstream::start(StubResponse::Ok);
+        let (program, _discovery) = Program::with_descriptors(&[upstream.address], sockets);
         let ended = open_idle(program.address, sockets * 2 / 3);
-        until("they fill it", || program.descriptors() > sockets / 3);
-        program.hold();
+        wait_until("they fill it", || program.open_descriptors() > sockets / 3);
+        program.suspend();
         drop(ended);
         let mut open = open_idle(program.address, sockets * 2 / 3);
         let mut requesting: Vec<_> = (0..4)
@@ -91,7 +91,7 @@
             })
             .collect();
         open.extend(open_idle(program.address, sockets / 16));
-        program.go_on();
+        program.resume();
         for client in &mut requesting {
             let response = client
                 .receive()
@@ -99,7 +99,7 @@
                 .map(|response| response.status());
             assert_eq!(response, Some(200), "{sockets}");
         }
-        assert!(program.descriptors() <= sockets);
+        assert!(program.open_descriptors() <= sockets);
     }
 }
 
@@ -108,24 +108,24 @@
 #[test]
 fn a_client_accepted_over_capacity_is_served_if_there_is_capacity_when_its_request_arrives() {
     let _exclusive = run_exclusively();
-    let upstream = Upstream::start(Reply::Hold);
-    let discovery = DiscoveryPeer::start();
+    let upstream = StubUpstream::start(StubResponse::Hold);
+    let discovery = StubDiscovery::start();
     let known = list(5, true, &[endpoint("u0", upstream.address, "in_service")]);
     let program = start(&known, discovery.address, 64, "ask");
     let mut busy = Vec::new();
-    while program.figure("refused.read") == 0 {
+    while program.metric("refused.read") == 0 {
         let mut client = program.client();
         client.send("/read", ID, "").unwrap();
         busy.push(client);
-        let taken = || program.figure("in_flight") + program.figure("refused.read");
-        until("it is settled", || taken() == busy.len() as u64);
+        let taken = || program.metric("in_flight") + program.metric("refused.read");
+        wait_until("it is settled", || taken() == busy.len() as u64);
     }
-    program.hold();
+    program.suspend();
     let mut late = program.client();
     late.send("/read", ID, "").unwrap();
     drop(busy);
     upstream.release();
-    program.go_on();
+    program.resume();
     assert_eq!(
         late.receive().unwrap().map(|response| response.status()),
         Some(200)
@@ -138,9 +138,9 @@
 fn a_complete_request_has_capacity_behind_any_number_of_partial_ones() {
     let _exclusive = run_exclusively();
     for count in 18..36 {
-        let upstream = Upstream::start(Reply::Ok);
-        let (program, _discovery) = Program::with_sockets(&[upstream.address], 64);
-        program.hold();
+        let upstream = StubUpstream::start(StubResponse::Ok);
+        let (program, _discovery) = Program::with_descriptors(&[upstream.address], 64);
+        program.suspend();
         let mut idle_clients = open_idle(program.address, count);
         idle_clients.iter_mut().for_each(|client| {
             client
@@ -161,10 +161,10 @@
 /// Sends a request on a new connection, which is accepted only after all of the request has
 /// arrived.
 fn send_before_accept(program: &Program, path: &str) -> Client {
-    program.hold();
+    program.suspend();
     let mut client = program.client();
     client.send(path, ID, "").unwrap();
-    program.go_on();
+    program.resume();
     client
 }
 
@@ -174,8 +174,8 @@
 fn a_complete_request_goes_before_partial_ones_and_before_health_checks() {
     let _exclusive = run_exclusively();
     for sockets in DESCRIPTOR_LIMITS {
-        let upstream = Upstream::start(Reply::Ok);
-        let (program, _discovery) = Program::with_sockets(&[upstream.address], sockets);
+        let upstream = StubUpstream::start(StubResponse::Ok);
+        let (program, _discovery) = Program::with_descriptors(&[upstream.address], sockets);
         for text in [
             "GET /read HTTP/1.1\r\nHost: b\r\nRequ",
             "GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n",
@@ -212,8 +212,11 @@
         (256, "ask", false),
         (1024, "ask", true),
     ] {
-        let upstreams = [Upstream::start(Reply::Ok), Upstream::start(Reply::Ok)];
-        let (gone, down) = (Refusing::new(), Refusing::new());
+        let upstreams = [
+            StubUpstream::start(StubResponse::Ok),
+            StubUpstream::start(StubResponse::Ok),
+        ];
+        let (gone, down) = (RefusingPort::new(), RefusingPort::new());
         let old = if empty {
             vec![]
         } else {
@@ -224,22 +227,22 @@
         let mut early = send_before_accept(&program, "/read");
         for _ in 0..10 {
             assert_eq!(
-                program.call("GET /healthcheck").0,
+                program.admin_call("GET /healthcheck").0,
                 if empty { 503 } else { 200 }
             );
-            assert_eq!(program.call("GET /stats").0, 200);
-            assert!(program.descriptors() <= sockets, "{sockets}");
+            assert_eq!(program.admin_call("GET /stats").0, 200);
+            assert!(program.open_descriptors() <= sockets, "{sockets}");
         }
-        let discovery = down.discovery();
+        let discovery = down.start_discovery();
         let mut watch = discovery.next();
         // It is silent at first, so that in push mode another watch is opened beside it.
         let other = (mode == "push").then(|| discovery.next());
-        assert_eq!(program.call("GET /stats").0, 200);
+        assert_eq!(program.admin_call("GET /stats").0, 200);
         let new =
             [1, 2].map(|n| endpoint(&format!("u{n}"), upstreams[n - 1].address, "in_service"));
         watch.line(&list(6, true, &new));
-        until("the list has come", || {
-            program.figure("upstreams_known") == 2
+        wait_until("the list has come", || {
+            program.metric("upstreams_known") == 2
         });
         for _ in 0..8 {
             let mut client = send_before_accept(&program, "/read");
@@ -248,7 +251,7 @@
                 .unwrap_or_default()
                 .map(|response| response.status());
             assert_eq!(response, Some(200), "{sockets} {mode}");
-            assert!(program.descriptors() <= sockets, "{sockets}");
+            assert!(program.open_descriptors() <= sockets, "{sockets}");
         }
         if empty {
             // This request has been queued meanwhile.
@@ -267,8 +270,10 @@
 #[test]
 fn a_watch_reconnects_while_a_new_process_has_half_of_the_descriptors() {
     let _exclusive = run_exclusively();
-    let upstreams: Vec<_> = (0..12).map(|_| Upstream::start(Reply::Hold)).collect();
-    let entry = |(n, upstream): (usize, &Upstream)| {
+    let upstreams: Vec<_> = (0..12)
+        .map(|_| StubUpstream::start(StubResponse::Hold))
+        .collect();
+    let entry = |(n, upstream): (usize, &StubUpstream)| {
         endpoint(&format!("u{n}"), upstream.address, "in_service")
     };
     let known = list(
@@ -276,7 +281,11 @@
         true,
         &upstreams.iter().enumerate().map(entry).collect::<Vec<_>>(),
     );
-    let (folder, discovery, other) = (folder(), DiscoveryPeer::start(), DiscoveryPeer::start());
+    let (folder, discovery, other) = (
+        create_temp_folder(),
+        StubDiscovery::start(),
+        StubDiscovery::start(),
+    );
     let config = |discovery| {
         config(&known, discovery, 256)
             .replace(
@@ -295,12 +304,12 @@
     let mut busy: Vec<_> = (0..110).map(|_| old.client()).collect();
     busy.iter_mut()
         .for_each(|client| client.send("/read", ID, "").unwrap());
-    until("they are taken", || old.figure("in_flight") == 110);
+    wait_until("they are taken", || old.metric("in_flight") == 110);
     let new = Program::start_with(&variables, &config(other.address), &old.address.to_string());
     watch.reset();
     discovery.next();
-    assert_eq!(old.figure("in_flight"), 110);
-    assert_eq!(new.call("GET /healthcheck").0, 200);
+    assert_eq!(old.metric("in_flight"), 110);
+    assert_eq!(new.admin_call("GET /healthcheck").0, 200);
     std::fs::remove_dir_all(folder).unwrap();
 }
 
@@ -309,23 +318,23 @@
 #[test]
 fn the_descriptor_limit_is_no_larger_than_that_of_the_system() {
     let _exclusive = run_exclusively();
-    let upstream = Upstream::start(Reply::Ok);
-    let down = Refusing::new();
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let down = RefusingPort::new();
     let config = config(&list(5, true, &[]), down.address, 1024);
     let program = Program::start_limited(128, &[("PROXY_CONSOLE", "127.0.0.1:0")], &config);
     let idle_clients = IdleClients::at(program.address, 300);
     for _ in 0..10 {
-        assert_eq!(program.call("GET /stats").0, 200);
-        assert!(program.descriptors() < 128 - 8, "some are kept free");
+        assert_eq!(program.admin_call("GET /stats").0, 200);
+        assert!(program.open_descriptors() < 128 - 8, "some are kept free");
     }
-    let mut watch = down.discovery().next();
+    let mut watch = down.start_discovery().next();
     watch.line(&list(
         6,
         true,
         &[endpoint("u0", upstream.address, "in_service")],
     ));
-    until("the list has come", || {
-        program.call("GET /healthcheck").0 == 200
+    wait_until("the list has come", || {
+        program.admin_call("GET /healthcheck").0 == 200
     });
     for _ in 0..8 {
         assert_eq!(
--- a/tests/failing_system_calls.rs
+++ b/tests/failing_system_calls.rs
@@ -1,9 +1,9 @@
 //! System calls that fail with transient errors, in all the ways that Linux documents.
 
-mod peers;
-use peers::*;
+mod support;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
+use support::*;
 
 const ID: &str = "Request-Id: {id}\r\n";
 
@@ -26,13 +26,16 @@
 const ALWAYS: u32 = 1_000_000;
 
 /// A program with these upstreams, some of whose system calls fail.
-fn start(faults: &str, upstreams: &[SocketAddr], sockets: usize) -> (Program, DiscoveryPeer) {
-    let discovery = DiscoveryPeer::start();
-    let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", faults)];
+fn start(faults: &str, upstreams: &[SocketAddr], sockets: usize) -> (Program, StubDiscovery) {
+    let discovery = StubDiscovery::start();
+    let variables = [
+        ("LD_PRELOAD", fault_injection_library()),
+        ("FAULTS", faults),
+    ];
     (
         Program::start_with(
             &variables,
-            &config_of(upstreams, discovery.address, sockets),
+            &config_with_upstreams(upstreams, discovery.address, sockets),
             "127.0.0.1:0",
         ),
         discovery,
@@ -43,18 +46,18 @@
 #[test]
 fn a_transient_accept_error_closes_no_other_connection() {
     for error in [ECONNABORTED, ENOBUFS, EINTR, ENFILE, EMFILE] {
-        let upstream = Upstream::start(Reply::Ok);
+        let upstream = StubUpstream::start(StubResponse::Ok);
         let (program, _discovery) = start(
             &format!("accept4:{error}:1:3:{ALWAYS}"),
             &[upstream.address],
             256,
         );
-        let before = program.descriptors();
+        let before = program.open_descriptors();
         let mut clients = Vec::new();
         for number in 1..=12 {
             let client = program.client();
-            until("it is accepted", || {
-                program.descriptors() >= before + number
+            wait_until("it is accepted", || {
+                program.open_descriptors() >= before + number
             });
             clients.push(client);
         }
@@ -75,7 +78,7 @@
 #[test]
 fn a_connection_is_served_after_transient_registration_errors() {
     for error in [ENOMEM, ENOSPC] {
-        let upstream = Upstream::start(Reply::Ok);
+        let upstream = StubUpstream::start(StubResponse::Ok);
         // The first connection, and one of those around SIGTERM, for some 0.2 s each.
         let faults =
             format!("epoll_ctl_accepted:{error}:1:1:20,epoll_ctl_accepted:{error}:25:1:20");
@@ -108,7 +111,7 @@
 #[test]
 fn queued_connections_are_accepted_at_shutdown_after_transient_accept_errors() {
     for (error, times) in [(ECONNABORTED, 300), (ENOBUFS, 95), (EMFILE, 95)] {
-        let upstream = Upstream::start(Reply::Ok);
+        let upstream = StubUpstream::start(StubResponse::Ok);
         let (mut program, _discovery) = start(
             &format!("accept4:{error}:1:1:{times}"),
             &[upstream.address],
@@ -136,21 +139,27 @@
 #[test]
 fn many_connections_are_accepted_in_time_though_every_second_accept_fails() {
     for error in [ENOBUFS, ENFILE, EMFILE] {
-        let (upstream, discovery) = (Upstream::start(Reply::Ok), DiscoveryPeer::start());
-        let config = config_of(&[upstream.address], discovery.address, 1024).replace(
+        let (upstream, discovery) = (
+            StubUpstream::start(StubResponse::Ok),
+            StubDiscovery::start(),
+        );
+        let config = config_with_upstreams(&[upstream.address], discovery.address, 1024).replace(
             "\"aim\":5.0,\"hardLimit\":10.0",
             "\"aim\":0.5,\"hardLimit\":0.5",
         );
         let faults = format!("accept4:{error}:1:2:{ALWAYS}");
-        let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", &faults)];
+        let variables = [
+            ("LD_PRELOAD", fault_injection_library()),
+            ("FAULTS", &faults),
+        ];
         let program = Program::start_with(&variables, &config, "127.0.0.1:0");
-        program.hold();
+        program.suspend();
         let mut clients: Vec<_> = (0..200).map(|_| program.client()).collect();
         for client in &mut clients {
             client.send("/read", ID, "").unwrap();
         }
         program.terminate();
-        program.go_on();
+        program.resume();
         for client in &mut clients {
             assert!(
                 client.receive().is_ok_and(|answer| answer.is_some()),
@@ -162,16 +171,16 @@
 
 /// How long it takes to answer many clients that connected before SIGTERM.
 fn time_to_answer_many(faults: &str) -> Duration {
-    let upstream = Upstream::start(Reply::Ok);
+    let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = start(faults, &[upstream.address], 1024);
-    program.hold();
+    program.suspend();
     let mut clients: Vec<_> = (0..300).map(|_| program.client()).collect();
     for client in &mut clients {
         client.send("/read", ID, "").unwrap();
     }
     let started = Instant::now();
     program.terminate();
-    program.go_on();
+    program.resume();
     for client in &mut clients {
         assert!(
             client.receive().is_ok_and(|answer| answer.is_some()),
@@ -211,7 +220,7 @@
     for (call, error) in calls {
         // With one connection per request.
         let upstreams: Vec<_> = (0..3)
-            .map(|_| Upstream::start(Reply::OkThenClose))
+            .map(|_| StubUpstream::start(StubResponse::OkThenClose))
             .collect();
         let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
         // Two of three calls fail, except for the first ones, which are made at startup.
@@ -220,7 +229,7 @@
         let mut client = program.client();
         for _ in 0..60 {
             assert_eq!(
-                client.ask("/pay", ID, "coins").status(),
+                client.request("/pay", ID, "coins").status(),
                 200,
                 "{call}, error {error}"
             );
@@ -241,11 +250,11 @@
 #[test]
 fn startup_retries_transient_socket_errors() {
     for error in [ENFILE, EMFILE, ENOBUFS, ENOMEM] {
-        let upstream = Upstream::start(Reply::Ok);
+        let upstream = StubUpstream::start(StubResponse::Ok);
         let (program, _discovery) =
             start(&format!("socket:{error}:1:1:6"), &[upstream.address], 256);
         assert_eq!(
-            program.client().ask("/read", ID, "").status(),
+            program.client().request("/read", ID, "").status(),
             200,
             "error {error}"
         );
@@ -275,13 +284,16 @@
         let temporary = (1..=last).map(|first| format!("{call}:{error}:{first}:1:2"));
         let every_second = (1..=2).map(|first| format!("{call}:{error}:{first}:2:{ALWAYS}"));
         for faults in temporary.chain(every_second) {
-            let upstream = Upstream::start(Reply::Ok);
-            let discovery = DiscoveryPeer::start();
-            let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", &faults)];
-            let config = config_of(&[upstream.address], discovery.address, 256);
+            let upstream = StubUpstream::start(StubResponse::Ok);
+            let discovery = StubDiscovery::start();
+            let variables = [
+                ("LD_PRELOAD", fault_injection_library()),
+                ("FAULTS", &faults),
+            ];
+            let config = config_with_upstreams(&[upstream.address], discovery.address, 256);
             let program = Program::start_with(&variables, &config, "127.0.0.1:0");
             assert_eq!(
-                program.client().ask("/read", ID, "").status(),
+                program.client().request("/read", ID, "").status(),
                 200,
                 "{faults}"
             );
@@ -294,15 +306,19 @@
 fn a_reload_retries_opening_the_configuration() {
     for error in [ENFILE, EMFILE, ENOMEM, EIO] {
         let (upstream, old, new) = (
-            Upstream::start(Reply::Ok),
-            DiscoveryPeer::start(),
-            DiscoveryPeer::start(),
+            StubUpstream::start(StubResponse::Ok),
+            StubDiscovery::start(),
+            StubDiscovery::start(),
         );
-        let config =
-            |discovery: &DiscoveryPeer| config_of(&[upstream.address], discovery.address, 256);
+        let config = |discovery: &StubDiscovery| {
+            config_with_upstreams(&[upstream.address], discovery.address, 256)
+        };
         // The first open is made at startup.
         let faults = format!("open:{error}:2:1:3");
-        let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", &faults)];
+        let variables = [
+            ("LD_PRELOAD", fault_injection_library()),
+            ("FAULTS", &faults),
+        ];
         let program = Program::start_with(&variables, &config(&old), "127.0.0.1:0");
         let _watch = old.next();
         program.reload(&config(&new));
@@ -316,7 +332,9 @@
     let interrupted = ["recv", "send", "writev", "poll", "epoll_wait"].map(|call| (call, EINTR));
     let exhausted = ["recv", "send", "writev"].map(|call| (call, ENOBUFS));
     for (call, error) in interrupted.into_iter().chain(exhausted) {
-        let upstreams: Vec<_> = (0..2).map(|_| Upstream::start(Reply::Ok)).collect();
+        let upstreams: Vec<_> = (0..2)
+            .map(|_| StubUpstream::start(StubResponse::Ok))
+            .collect();
         let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
         let (program, _discovery) = start(&format!("{call}:{error}:7:5:{ALWAYS}"), &addresses, 256);
         let mut client = program.client();
@@ -345,7 +363,9 @@
             ["recv", "send", "writev"].map(|call| (call, 9, if call == "recv" { 0 } else { 40 }));
         let rare = ["recv", "send", "writev"].map(|call| (call, 31, 45));
         for (call, every, min_served) in frequent.into_iter().chain(rare) {
-            let upstreams: Vec<_> = (0..3).map(|_| Upstream::start(Reply::Ok)).collect();
+            let upstreams: Vec<_> = (0..3)
+                .map(|_| StubUpstream::start(StubResponse::Ok))
+                .collect();
             let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
             let (program, _discovery) = start(
                 &format!("{call}:{error}:7:{every}:{ALWAYS}"),
@@ -368,7 +388,10 @@
                 .collect();
             for (number, status) in statuses.iter().enumerate() {
                 let line = format!("POST /pay/{number} HTTP/1.1");
-                let runs = seen.iter().filter(|message| message.first == line).count();
+                let runs = seen
+                    .iter()
+                    .filter(|message| message.start_line == line)
+                    .count();
                 assert!(runs <= 1, "{runs} runs of {number}, {call}, error {error}");
                 match status {
                     Some(200) => assert_eq!(runs, 1, "{number}, {call}, error {error}"),
@@ -392,11 +415,14 @@
 #[test]
 fn signals_are_handled_though_their_notification_is_interrupted() {
     for call in ["recv", "send"] {
-        let upstream = Upstream::start(Reply::Ok);
+        let upstream = StubUpstream::start(StubResponse::Ok);
         let known = list(5, true, &[endpoint("u0", upstream.address, "in_service")]);
-        let (first, second) = (DiscoveryPeer::start(), DiscoveryPeer::start());
+        let (first, second) = (StubDiscovery::start(), StubDiscovery::start());
         let faults = format!("{call}:{EINTR}:1:1:3");
-        let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", &faults)];
+        let variables = [
+            ("LD_PRELOAD", fault_injection_library()),
+            ("FAULTS", &faults),
+        ];
         let mut program = Program::start_with(
             &variables,
             &config(&known, first.address, 256),
@@ -405,7 +431,7 @@
         program.reload(&config(&known, second.address, 256));
         second.next();
         assert_eq!(
-            program.client().ask("/read", ID, "").status(),
+            program.client().request("/read", ID, "").status(),
             200,
             "{call}"
         );
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -1,12 +1,12 @@
 //! Framing of requests and responses: all forms, in pieces, and messages that never end.
 
-mod peers;
-use peers::*;
+mod support;
 use socket2::SockRef;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
+use support::*;
 
 const ID: &str = "Request-Id: {id}\r\n";
 
@@ -49,12 +49,12 @@
                 .set_linger(Some(Duration::ZERO))
                 .unwrap();
         });
-        let (program, _discovery) = Program::with_console(&[address]);
+        let (program, _discovery) = Program::with_admin(&[address]);
         let mut client = program.client();
         client
             .send("/pay", &format!("{ID}Connection: close\r\n"), "coins")
             .unwrap();
-        let text = String::from_utf8(client.rest()).unwrap();
+        let text = String::from_utf8(client.read_to_end_bytes()).unwrap();
         // The client gets either an error or a response that is not terminated.
         let (failed, cut) = (
             text.starts_with("HTTP/1.1 502 "),
@@ -63,7 +63,7 @@
         let chunked = text.to_lowercase().contains("transfer-encoding: chunked");
         assert!(failed || chunked && cut, "{count} {pause}: {text:.99}");
         assert_eq!(
-            (program.figure("failed.pay"), program.figure("served.pay")),
+            (program.metric("failed.pay"), program.metric("served.pay")),
             (1, 0),
             "{count} {pause}"
         );
@@ -90,8 +90,8 @@
                 sleep(Duration::from_micros(300));
             }
         });
-        let (program, _discovery) = Program::with(&[address]);
-        let response = program.client().ask("/pay", ID, "coins");
+        let (program, _discovery) = Program::with_upstreams(&[address]);
+        let response = program.client().request("/pay", ID, "coins");
         assert_eq!(
             (response.status(), response.body.as_slice()),
             (200, &b"coins"[..]),
@@ -114,9 +114,9 @@
     for (status, begin, again) in responses {
         let (listener, discovery) = (
             TcpListener::bind("127.0.0.1:0").unwrap(),
-            DiscoveryPeer::start(),
+            StubDiscovery::start(),
         );
-        let config = patient(&config_of(
+        let config = with_long_timeouts(&config_with_upstreams(
             &[listener.local_addr().unwrap()],
             discovery.address,
             256,
@@ -134,7 +134,7 @@
         .unwrap();
         // Later requests are responded to after that has been read.
         for _ in 0..2 {
-            assert_eq!(program.client().ask("/healthz", "", "").status(), 200);
+            assert_eq!(program.client().request("/healthz", "", "").status(), 200);
         }
         // More than the buffers between the two hold.
         let taken =
@@ -152,8 +152,8 @@
         "POST http://backend.local/pay/a?b=c%20d HTTP/1.1\r\nHost: b\r\nREQUEST-ID:f2\r\nNews:\r\nContent-Length: 05\r\n\r\ncoins",
         "POST /pay/a?b=c%20d HTTP/1.1\r\nRequest-Id: f3\r\nTransfer-Encoding: Chunked\r\n\r\n0002;a=\"b;c\"\r\nco\r\n3 ;d\r\nins\r\n0\r\nSum: 1\r\n\r\n",
     ];
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
     for (number, form) in forms.iter().enumerate() {
         for byte in form.chars() {
@@ -167,7 +167,7 @@
         );
         let request = upstream.next();
         assert_eq!(
-            (request.first.as_str(), request.body.as_slice()),
+            (request.start_line.as_str(), request.body.as_slice()),
             ("POST /pay/a?b=c%20d HTTP/1.1", &b"coins"[..])
         );
         assert_eq!(
@@ -204,10 +204,10 @@
             // Until the balancer closes the connection.
             while stream.write_all(again.repeat(100).as_bytes()).is_ok() {}
         });
-        let (program, _discovery) = Program::with(&[address]);
+        let (program, _discovery) = Program::with_upstreams(&[address]);
         let begun = Instant::now();
         assert_eq!(
-            program.client().ask("/pay", ID, "coins").status(),
+            program.client().request("/pay", ID, "coins").status(),
             502,
             "{begin}{again}"
         );
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -2,13 +2,13 @@
 //! for the timeout of all; in most, discovery sends nothing, which shows that the process does
 //! not wait for it.
 
-mod peers;
-use peers::*;
+mod support;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::mpsc::channel;
 use std::thread;
+use support::*;
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 const MODES: [&str; 2] = ["ask", "push"];
@@ -19,20 +19,20 @@
 }
 
 fn health(program: &Program) -> u16 {
-    program.client().ask("/healthz", "", "").status()
+    program.client().request("/healthz", "", "").status()
 }
 
 /// The process does not wait for discovery, however old the list.
 #[test]
 fn a_known_endpoint_list_makes_ready_without_discovery() {
     let (served, dead, silent) = (
-        Upstream::start(Reply::Ok),
-        Refusing::new(),
-        DiscoveryPeer::start(),
+        StubUpstream::start(StubResponse::Ok),
+        RefusingPort::new(),
+        StubDiscovery::start(),
     );
     for discovery in [
-        Refusing::new().address,
-        unreachable(),
+        RefusingPort::new().address,
+        unreachable_address(),
         dead.address,
         silent.address,
     ] {
@@ -49,7 +49,10 @@
             let program = Program::start(&settings(&good, discovery, mode), "127.0.0.1:0");
             assert_eq!(health(&program), 200);
             assert_eq!(
-                program.client().ask("/pay", REQUEST_ID, "coins").status(),
+                program
+                    .client()
+                    .request("/pay", REQUEST_ID, "coins")
+                    .status(),
                 200
             );
         }
@@ -58,7 +61,10 @@
 
 #[test]
 fn twenty_processes_that_start_at_once_are_ready_without_discovery() {
-    let (upstream, discovery) = (Upstream::start(Reply::Ok), DiscoveryPeer::start());
+    let (upstream, discovery) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubDiscovery::start(),
+    );
     let known = [endpoint("u0", upstream.address, "in_service")];
     let config = settings(&known, discovery.address, "push");
     thread::scope(|scope| {
@@ -74,14 +80,14 @@
 /// wait.
 #[test]
 fn without_known_endpoints_it_is_ready_once_discovery_has_sent_some() {
-    let upstream = Upstream::start(Reply::Ok);
+    let upstream = StubUpstream::start(StubResponse::Ok);
     for mode in MODES {
-        let down = Refusing::new();
+        let down = RefusingPort::new();
         let program = Program::start(&settings(&[], down.address, mode), "127.0.0.1:0");
         assert_eq!(health(&program), 503);
         let mut early = program.client();
         early.send("/read", REQUEST_ID, "").unwrap();
-        let mut watch = down.discovery().next();
+        let mut watch = down.start_discovery().next();
         assert_eq!(health(&program), 503);
         watch.line(&list(
             6,
@@ -99,7 +105,10 @@
 /// A slow discovery may answer it last.
 #[test]
 fn the_first_watch_is_kept_while_further_ones_are_opened() {
-    let (upstream, discovery) = (Upstream::start(Reply::Ok), DiscoveryPeer::start());
+    let (upstream, discovery) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubDiscovery::start(),
+    );
     let program = Program::start(&settings(&[], discovery.address, "push"), "127.0.0.1:0");
     let mut watches: Vec<_> = (0..6).map(|_| discovery.next()).collect();
     assert!(watches[0].is_open(), "it is waited for");
@@ -108,16 +117,22 @@
         true,
         &[endpoint("u0", upstream.address, "in_service")],
     ));
-    until("the list has come", || health(&program) == 200);
+    wait_until("the list has come", || health(&program) == 200);
     assert_eq!(
-        program.client().ask("/pay", REQUEST_ID, "coins").status(),
+        program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
         200
     );
 }
 
 #[test]
 fn a_silent_predecessor_or_a_malformed_state_file_does_not_delay_readiness() {
-    let (upstream, silent) = (Upstream::start(Reply::Ok), DiscoveryPeer::start());
+    let (upstream, silent) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubDiscovery::start(),
+    );
     let known = [endpoint("u0", upstream.address, "in_service")];
     let config = settings(&known, silent.address, "push");
     let start = |folder: &Path, listen: &str| {
@@ -127,40 +142,46 @@
         ];
         Program::start_with(&variables, &config, listen)
     };
-    let folder = folder();
+    let folder = create_temp_folder();
     let predecessor = start(&folder, "127.0.0.1:0");
     let address = predecessor.address.to_string();
-    predecessor.hold();
+    predecessor.suspend();
     let successor = start(&folder, &address);
-    assert_eq!(successor.call("GET /healthcheck").0, 200);
+    assert_eq!(successor.admin_call("GET /healthcheck").0, 200);
     drop((predecessor, successor));
     let state = folder.join(format!("magpiechute-{address}.state"));
     for text in ["", "{", "[]", "null", "{\"balancer\":7}"] {
         std::fs::write(&state, text).unwrap();
         assert_eq!(
-            start(&folder, &address).call("GET /healthcheck").0,
+            start(&folder, &address).admin_call("GET /healthcheck").0,
             200,
             "{text}"
         );
     }
     std::fs::remove_file(&state).unwrap();
     std::fs::create_dir(&state).unwrap();
-    assert_eq!(start(&folder, &address).call("GET /healthcheck").0, 200);
+    assert_eq!(
+        start(&folder, &address).admin_call("GET /healthcheck").0,
+        200
+    );
     std::fs::remove_dir_all(&folder).unwrap();
     // Now the folder is missing.
-    assert_eq!(start(&folder, &address).call("GET /healthcheck").0, 200);
+    assert_eq!(
+        start(&folder, &address).admin_call("GET /healthcheck").0,
+        200
+    );
 }
 
 /// Otherwise nobody would listen.
 #[test]
 fn a_successor_accepts_clients_before_it_is_ready_once_its_predecessor_is_gone() {
     let (upstream, silent, down) = (
-        Upstream::start(Reply::Ok),
-        DiscoveryPeer::start(),
-        Refusing::new(),
+        StubUpstream::start(StubResponse::Ok),
+        StubDiscovery::start(),
+        RefusingPort::new(),
     );
     let known = [endpoint("u0", upstream.address, "in_service")];
-    let folder = folder();
+    let folder = create_temp_folder();
     let variables = [("TMPDIR", folder.to_str().unwrap())];
     let mut predecessor = Program::start_with(
         &variables,
@@ -186,12 +207,12 @@
         })
         .map(|_| sender.send(log))
     });
-    let log = listens.recv_timeout(PATIENCE);
+    let log = listens.recv_timeout(TEST_TIMEOUT);
     let mut client = Client::connect(predecessor.address);
     if let Ok(client) = &mut client {
         client.send("/read", REQUEST_ID, "").unwrap();
         let new = [endpoint("u0", upstream.address, "in_service")];
-        down.discovery().next().line(&list(6, true, &new));
+        down.start_discovery().next().line(&list(6, true, &new));
         assert_eq!(
             client.receive().unwrap().map(|answer| answer.status()),
             Some(200)
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,10 +1,10 @@
 //! Retries through the real program: until when they may be written, and the remaining time that
 //! they declare.
 
-mod peers;
-use peers::*;
+mod support;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
+use support::*;
 
 const ID: &str = "Request-Id: {id}\r\nIdempotency-Key: k\r\n";
 
@@ -14,9 +14,9 @@
 fn a_retry_is_not_written_after_the_deduplication_window() {
     for (scope, status) in [("all", 503), ("zone", 502), ("cell", 502)] {
         let (first, slow_accept, discovery) = (
-            Upstream::start(Reply::Hold),
-            Door::shut(),
-            DiscoveryPeer::start(),
+            StubUpstream::start(StubResponse::Hold),
+            BlockedPort::new(),
+            StubDiscovery::start(),
         );
         let known = list(5, true, &[endpoint("u0", first.address, "in_service")]);
         let deduplication = format!("\"dedupScope\":\"{scope}\",\"dedupWindow\":1.5");
@@ -34,13 +34,13 @@
             false,
             &[endpoint("u1", slow_accept.address, "in_service")],
         ));
-        while program.figure("upstreams_known") < 2 {
-            assert!(started.elapsed() < PATIENCE, "it is listed");
+        while program.metric("upstreams_known") < 2 {
+            assert!(started.elapsed() < TEST_TIMEOUT, "it is listed");
         }
-        first.set(Reply::Status(500));
+        first.set_response(StubResponse::Status(500));
         first.release();
         sleep(Duration::from_millis(1700).saturating_sub(started.elapsed()));
-        let late = slow_accept.open(Reply::Ok);
+        let late = slow_accept.open(StubResponse::Ok);
         assert_eq!(
             client.receive().unwrap().expect("an answer").status(),
             status,
@@ -51,7 +51,7 @@
 }
 
 /// The remaining time in seconds that the next request at this upstream declares.
-fn next_remaining_time(upstream: &Upstream) -> f64 {
+fn next_remaining_time(upstream: &StubUpstream) -> f64 {
     upstream
         .next()
         .header("request-timeout")
@@ -66,19 +66,22 @@
 fn an_attempt_declares_no_more_than_the_time_left_to_the_client() {
     let half_a_second = Duration::from_millis(500);
     let headers = "Request-Id: {id}\r\nRequest-Timeout: 5.0\r\n";
-    let (one, two) = (Upstream::start(Reply::Hold), Upstream::start(Reply::Hold));
-    let (program, _discovery) = Program::with_console(&[one.address, two.address]);
+    let (one, two) = (
+        StubUpstream::start(StubResponse::Hold),
+        StubUpstream::start(StubResponse::Hold),
+    );
+    let (program, _discovery) = Program::with_admin(&[one.address, two.address]);
     let mut clients: Vec<_> = (0..12).map(|_| program.client()).collect();
     for client in &mut clients {
         client.send("/pay", headers, "coins").unwrap();
     }
-    while program.figure("in_flight") < 12 {}
+    while program.metric("in_flight") < 12 {}
     sleep(half_a_second);
     // The rejected requests are retried at the other upstream, and the queued ones follow them.
     let early = one.seen.try_iter().count() + two.seen.try_iter().count();
     assert!((2..12).contains(&early), "some are queued");
-    one.set(Reply::NotStarted);
-    two.set(Reply::Ok);
+    one.set_response(StubResponse::Rejected);
+    two.set_response(StubResponse::Ok);
     one.release();
     two.release();
     for client in &mut clients {
@@ -102,8 +105,8 @@
 /// The time of pipelined requests counts from their arrival, while they wait for the first one.
 #[test]
 fn the_time_of_pipelined_requests_counts_from_their_arrival() {
-    let upstream = Upstream::start(Reply::Hold);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Hold);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
     let request = |id: &str| {
         format!(
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -4,8 +4,7 @@
 //!
 //! A few seeds run by default. `SOAK_SEEDS=FIRST..END` names others.
 
-mod peers;
-use peers::*;
+mod support;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -14,6 +13,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
+use support::*;
 
 const DEFAULT_SEEDS: Range<u64> = 1..9;
 /// The longest deadline of the classes.
@@ -66,7 +66,7 @@
 }
 
 impl Asker {
-    fn ask(&mut self, path: &str) -> Option<Fate> {
+    fn request(&mut self, path: &str) -> Option<Fate> {
         let first = self.kept.is_none();
         let client = self
             .kept
@@ -113,7 +113,7 @@
         while !stop.load(Ordering::SeqCst) {
             let class = ["read", "pay"][self.rng.random_range(0..2)];
             let (path, begun) = (format!("/{class}/{name}/{}", asked.len()), Instant::now());
-            let fate = self.ask(&path);
+            let fate = self.request(&path);
             asked.extend(fate.map(|fate| Asked {
                 path,
                 fate,
@@ -130,21 +130,21 @@
 fn trouble(
     rng: &mut Pcg64Mcg,
     program: &mut Program,
-    upstreams: &[Upstream],
+    upstreams: &[StubUpstream],
     configs: &[String],
 ) -> Instant {
     let pause = |rng: &mut Pcg64Mcg, most| sleep(Duration::from_millis(rng.random_range(0..most)));
     let replies = [
-        Reply::Ok,
-        Reply::Ok,
-        Reply::NotStarted,
-        Reply::Cut,
-        Reply::Silent,
-        Reply::Status(500),
+        StubResponse::Ok,
+        StubResponse::Ok,
+        StubResponse::Rejected,
+        StubResponse::Close,
+        StubResponse::Never,
+        StubResponse::Status(500),
     ];
     for _ in 0..rng.random_range(1..6) {
         upstreams[rng.random_range(0..upstreams.len())]
-            .set(replies[rng.random_range(0..replies.len())]);
+            .set_response(replies[rng.random_range(0..replies.len())]);
         pause(rng, 150);
     }
     for _ in 0..rng.random_range(0..4) {
@@ -204,12 +204,12 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let crowded = seed % 3 == 0;
     let upstreams: Vec<_> = (0..rng.random_range(2..5))
-        .map(|_| Upstream::start(Reply::Ok))
+        .map(|_| StubUpstream::start(StubResponse::Ok))
         .collect();
     let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
-    let places = [DiscoveryPeer::start(), DiscoveryPeer::start()];
-    let config = |place: &DiscoveryPeer| {
-        config_of(&addresses, place.address, 128)
+    let places = [StubDiscovery::start(), StubDiscovery::start()];
+    let config = |place: &StubDiscovery| {
+        config_with_upstreams(&addresses, place.address, 128)
             .replace(
                 "\"aim\":5.0,\"hardLimit\":10.0",
                 &format!("\"aim\":0.25,\"hardLimit\":{DEADLINE}"),
@@ -223,7 +223,7 @@
         (String::new(), "0")
     };
     let variables = [
-        ("LD_PRELOAD", failing_calls()),
+        ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", &faults),
         ("FAULTS_WALL", wall),
     ];
@@ -259,9 +259,9 @@
     let seen = upstreams
         .iter()
         .flat_map(|upstream| upstream.seen.try_iter());
-    for message in seen.filter(|message| !message.turned_away) {
+    for message in seen.filter(|message| !message.rejected) {
         let path = message
-            .first
+            .start_line
             .split(' ')
             .nth(1)
             .unwrap_or_default()
--- a/tests/peers/client.rs
+++ b/tests/support/client.rs
@@ -18,7 +18,7 @@
 impl Client {
     pub fn connect(address: SocketAddr) -> io::Result<Self> {
         let out = TcpStream::connect(address)?;
-        out.set_read_timeout(Some(PATIENCE))?;
+        out.set_read_timeout(Some(TEST_TIMEOUT))?;
         Ok(Client {
             input: BufReader::new(out.try_clone()?),
             out,
@@ -78,7 +78,7 @@
     }
 
     /// What is left until the connection ends.
-    pub fn rest(&mut self) -> Vec<u8> {
+    pub fn read_to_end_bytes(&mut self) -> Vec<u8> {
         let mut rest = Vec::new();
         // It may end in a reset.
         let _ = self.input.read_to_end(&mut rest);
@@ -86,7 +86,7 @@
     }
 
     /// Waits until the program has closed the connection, on which it sends nothing more.
-    pub fn is_closed(&mut self) -> bool {
+    pub fn is_closed_by_peer(&mut self) -> bool {
         match self.input.read(&mut [0]) {
             Ok(count) => count == 0,
             Err(error) => error.kind() == io::ErrorKind::ConnectionReset,
@@ -98,7 +98,7 @@
         Message::read(&mut self.input)
     }
 
-    pub fn ask(&mut self, path: &str, headers: &str, body: &str) -> Message {
+    pub fn request(&mut self, path: &str, headers: &str, body: &str) -> Message {
         self.send(path, headers, body).unwrap();
         self.receive().unwrap().expect("an answer")
     }
--- a/tests/peers/config.rs
+++ b/tests/support/config.rs
@@ -37,7 +37,11 @@
 }
 
 /// One that knows these upstreams, named `u0`, `u1` and so on.
-pub fn config_of(upstreams: &[SocketAddr], discovery: SocketAddr, sockets: usize) -> String {
+pub fn config_with_upstreams(
+    upstreams: &[SocketAddr],
+    discovery: SocketAddr,
+    sockets: usize,
+) -> String {
     let entries = upstreams.iter().enumerate();
     let entries: Vec<_> = entries
         .map(|(n, a)| endpoint(&format!("u{n}"), *a, "in_service"))
@@ -46,7 +50,7 @@
 }
 
 /// The same with calls and connections that are waited for longer than any test.
-pub fn patient(config: &str) -> String {
+pub fn with_long_timeouts(config: &str) -> String {
     config
         .replace(
             "\"aim\":5.0,\"hardLimit\":10.0",
--- a/tests/peers/discovery.rs
+++ b/tests/support/discovery.rs
@@ -9,18 +9,18 @@
 use std::time::Duration;
 
 /// Discovery: each watch that comes is handed to the test.
-pub struct DiscoveryPeer {
+pub struct StubDiscovery {
     pub address: SocketAddr,
-    pub watches: Receiver<Watch>,
+    pub watches: Receiver<StubWatch>,
 }
 
 /// One watch: what it asked for, and its connection.
-pub struct Watch {
-    pub asked: String,
+pub struct StubWatch {
+    pub request_line: String,
     stream: TcpStream,
 }
 
-impl DiscoveryPeer {
+impl StubDiscovery {
     pub fn start() -> Self {
         Self::on(TcpListener::bind("127.0.0.1:0").unwrap())
     }
@@ -34,25 +34,27 @@
                 if let Ok(Some(request)) = Message::read(&mut input) {
                     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                     let _ = stream.write_all(head.as_bytes());
-                    let _ = sender.send(Watch {
-                        asked: request.first,
+                    let _ = sender.send(StubWatch {
+                        request_line: request.start_line,
                         stream,
                     });
                 }
             }
         });
-        DiscoveryPeer { address, watches }
+        StubDiscovery { address, watches }
     }
 
-    pub fn next(&self) -> Watch {
-        self.watches.recv_timeout(PATIENCE).expect("a watch comes")
+    pub fn next(&self) -> StubWatch {
+        self.watches
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("a watch comes")
     }
 }
 
-impl Watch {
+impl StubWatch {
     /// Waits until the program has closed it.
     pub fn ended(&mut self) {
-        self.stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        self.stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         match self.stream.read(&mut [0]) {
             Ok(count) => assert_eq!(count, 0, "nothing more is asked on a watch"),
             // It closed before it had read the last line.
--- a/tests/peers/message.rs
+++ b/tests/support/message.rs
@@ -5,11 +5,11 @@
 /// A request or an answer as read off a socket.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    pub first: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
     /// An upstream has told that it never began this request.
-    pub turned_away: bool,
+    pub rejected: bool,
 }
 
 impl Message {
@@ -23,7 +23,7 @@
             }
             match line.trim_end() {
                 "" => break,
-                text if message.first.is_empty() => message.first = text.to_string(),
+                text if message.start_line.is_empty() => message.start_line = text.to_string(),
                 text => {
                     let (name, value) = text.split_once(':').unwrap_or((text, ""));
                     message
@@ -69,7 +69,7 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.first
+        self.start_line
             .split(' ')
             .nth(1)
             .and_then(|code| code.parse().ok())
--- a/tests/peers/mod.rs
+++ b/tests/support/mod.rs
@@ -24,13 +24,13 @@
 use std::time::{Duration, Instant};
 
 /// No step of a test takes longer, also on a busy machine; whoever waits for so long has failed.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits until this holds; whatever it waits for has to come.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < PATIENCE, "{what}");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "{what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
--- a/tests/peers/ports.rs
+++ b/tests/support/ports.rs
@@ -6,35 +6,35 @@
 use std::time::Duration;
 
 /// An address that never lets a connection come up: its queue of connections is full and nobody takes them.
-pub fn unreachable() -> SocketAddr {
-    let Door {
+pub fn unreachable_address() -> SocketAddr {
+    let BlockedPort {
         address,
         listener,
         waiting,
-    } = Door::shut();
+    } = BlockedPort::new();
     std::mem::forget((listener, waiting));
     address
 }
 
 /// True while somebody waits for a connection to this address to come up.
-pub fn is_awaited(address: SocketAddr) -> bool {
-    ends()
+pub fn has_pending_connect(address: SocketAddr) -> bool {
+    tcp_endpoints()
         .iter()
         .any(|end| end.there == address.port() && end.state == "02")
 }
 
 /// The same, until it is opened.
-pub struct Door {
+pub struct BlockedPort {
     pub address: SocketAddr,
     listener: TcpListener,
     /// What keeps others out.
     pub waiting: Vec<TcpStream>,
 }
 
-impl Door {
-    pub fn shut() -> Self {
+impl BlockedPort {
+    pub fn new() -> Self {
         let (listener, address, waiting) = shut();
-        Door {
+        BlockedPort {
             address,
             listener,
             waiting,
@@ -42,32 +42,32 @@
     }
 
     /// An upstream that takes what waits, but for those that kept others out.
-    pub fn open(self, reply: Reply) -> Upstream {
+    pub fn open(self, reply: StubResponse) -> StubUpstream {
         drop(self.waiting);
-        Upstream::on(self.listener, reply)
+        StubUpstream::on(self.listener, reply)
     }
 }
 
 /// An address that refuses connections, and that nobody else can take.
-pub struct Refusing {
+pub struct RefusingPort {
     pub address: SocketAddr,
     socket: Socket,
 }
 
-impl Refusing {
+impl RefusingPort {
     pub fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
-        Refusing { address, socket }
+        RefusingPort { address, socket }
     }
 
     /// From now on discovery is there.
-    pub fn discovery(self) -> DiscoveryPeer {
+    pub fn start_discovery(self) -> StubDiscovery {
         self.socket.listen(128).unwrap();
-        DiscoveryPeer::on(self.socket.into())
+        StubDiscovery::on(self.socket.into())
     }
 }
 
--- a/tests/peers/program.rs
+++ b/tests/support/program.rs
@@ -15,11 +15,11 @@
     config: PathBuf,
     pub address: SocketAddr,
     /// Where operators connect, if the configuration names an address for them.
-    pub console: Option<SocketAddr>,
+    pub admin: Option<SocketAddr>,
 }
 
 /// A new folder for what programs of one test leave to each other.
-pub fn folder() -> PathBuf {
+pub fn create_temp_folder() -> PathBuf {
     let number = FILES.fetch_add(1, Ordering::SeqCst);
     // Sockets have short names.
     let path = std::env::temp_dir().join(format!("load-balancer-{}-{number}", std::process::id()));
@@ -30,7 +30,7 @@
 static FILES: AtomicU64 = AtomicU64::new(0);
 
 /// The library that makes system calls of a program fail; see there for its variables.
-pub fn failing_calls() -> &'static str {
+pub fn fault_injection_library() -> &'static str {
     static LIBRARY: OnceLock<String> = OnceLock::new();
     LIBRARY.get_or_init(|| {
         let library = format!(
@@ -119,7 +119,7 @@
 
     fn of(mut child: Child, config: PathBuf) -> Self {
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        let (mut line, mut console) = (String::new(), None);
+        let (mut line, mut admin) = (String::new(), None);
         let last = |line: &str| line.trim_end().rsplit(' ').next().unwrap().parse().unwrap();
         while !line.contains("listening for clients: ") {
             line.clear();
@@ -128,48 +128,51 @@
                 "the program ended before it listened"
             );
             if line.contains("listening for admin requests: ") {
-                console = Some(last(&line));
+                admin = Some(last(&line));
             }
         }
         Program {
             child,
             config,
             address: last(&line),
-            console,
+            admin,
         }
     }
 
     /// A program with a console and these upstreams.
-    pub fn with_console(upstreams: &[SocketAddr]) -> (Self, DiscoveryPeer) {
-        Self::with_console_and(upstreams, 256)
+    pub fn with_admin(upstreams: &[SocketAddr]) -> (Self, StubDiscovery) {
+        Self::with_admin_and_descriptors(upstreams, 256)
     }
 
     /// The same with so many descriptors.
-    pub fn with_console_and(upstreams: &[SocketAddr], sockets: usize) -> (Self, DiscoveryPeer) {
-        let discovery = DiscoveryPeer::start();
-        let config = config_of(upstreams, discovery.address, sockets);
+    pub fn with_admin_and_descriptors(
+        upstreams: &[SocketAddr],
+        sockets: usize,
+    ) -> (Self, StubDiscovery) {
+        let discovery = StubDiscovery::start();
+        let config = config_with_upstreams(upstreams, discovery.address, sockets);
         (
             Self::start_with(&[("PROXY_CONSOLE", "127.0.0.1:0")], &config, "127.0.0.1:0"),
             discovery,
         )
     }
 
-    pub fn operator(&self) -> Client {
-        Client::connect(self.console.expect("a console")).unwrap()
+    pub fn connect_admin(&self) -> Client {
+        Client::connect(self.admin.expect("a console")).unwrap()
     }
 
     /// An operator's call; its status and text.
-    pub fn call(&self, call: &str) -> (u16, String) {
-        let mut operator = self.operator();
+    pub fn admin_call(&self, call: &str) -> (u16, String) {
+        let mut operator = self.connect_admin();
         operator.write(&format!("{call} HTTP/1.1\r\nHost: console\r\n\r\n"));
         let answer = operator.receive().unwrap().expect("an answer");
-        assert!(operator.is_closed(), "one call to a connection");
+        assert!(operator.is_closed_by_peer(), "one call to a connection");
         (answer.status(), String::from_utf8(answer.body).unwrap())
     }
 
     /// The figure of this name.
-    pub fn figure(&self, name: &str) -> u64 {
-        let text = self.call("GET /stats").1;
+    pub fn metric(&self, name: &str) -> u64 {
+        let text = self.admin_call("GET /stats").1;
         let line = text
             .lines()
             .find_map(|line| line.strip_prefix(&format!("balancer.{name}:")));
@@ -178,15 +181,15 @@
     }
 
     /// A program with these upstreams, named `u0`, `u1` and so on, and a discovery of its own.
-    pub fn with(upstreams: &[SocketAddr]) -> (Self, DiscoveryPeer) {
-        Self::with_sockets(upstreams, 1024)
+    pub fn with_upstreams(upstreams: &[SocketAddr]) -> (Self, StubDiscovery) {
+        Self::with_descriptors(upstreams, 1024)
     }
 
-    pub fn with_sockets(upstreams: &[SocketAddr], sockets: usize) -> (Self, DiscoveryPeer) {
-        let discovery = DiscoveryPeer::start();
+    pub fn with_descriptors(upstreams: &[SocketAddr], sockets: usize) -> (Self, StubDiscovery) {
+        let discovery = StubDiscovery::start();
         (
             Self::start(
-                &config_of(upstreams, discovery.address, sockets),
+                &config_with_upstreams(upstreams, discovery.address, sockets),
                 "127.0.0.1:0",
             ),
             discovery,
@@ -212,7 +215,7 @@
     }
 
     /// Holds the program still until it is to go on; what it is told meanwhile waits for that.
-    pub fn hold(&self) {
+    pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
@@ -221,18 +224,18 @@
     }
 
     /// True once the close or the reset of the client with this port has reached the machine of the program, read or not.
-    pub fn has_end_of(&self, client: u16) -> bool {
-        !established().contains(&(self.address.port(), client))
+    pub fn has_received_close_from(&self, client: u16) -> bool {
+        !established_connections().contains(&(self.address.port(), client))
     }
 
     /// True while its end of the connection of the client with this port is open.
-    pub fn holds(&self, client: u16) -> bool {
-        ends()
+    pub fn has_connection_to(&self, client: u16) -> bool {
+        tcp_endpoints()
             .iter()
             .any(|end| (end.here, end.there) == (self.address.port(), client) && end.held)
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -246,7 +249,7 @@
     }
 
     /// The most memory that it has held so far, in bytes.
-    pub fn memory(&self) -> usize {
+    pub fn peak_memory_bytes(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status
             .lines()
@@ -262,7 +265,7 @@
     }
 
     /// The descriptors that it holds.
-    pub fn descriptors(&self) -> usize {
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .unwrap()
             .count()
--- a/tests/peers/tcp_table.rs
+++ b/tests/support/tcp_table.rs
@@ -1,7 +1,7 @@
 //! The kernel's table of TCP connections.
 
 /// One end of a connection, as the kernel's table has it.
-pub(super) struct End {
+pub(super) struct TcpEndpoint {
     pub(super) here: u16,
     pub(super) there: u16,
     pub(super) state: String,
@@ -10,7 +10,7 @@
 }
 
 /// The kernel's table of all ends.
-pub(super) fn ends() -> Vec<End> {
+pub(super) fn tcp_endpoints() -> Vec<TcpEndpoint> {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let port =
         |address: &str| u16::from_str_radix(address.rsplit(':').next().unwrap(), 16).unwrap();
@@ -20,7 +20,7 @@
         .map(|line| line.split_whitespace().skip(1).collect::<Vec<_>>());
     let end = |row: Vec<&str>| {
         let (here, there) = (port(row[0]), port(row[1]));
-        End {
+        TcpEndpoint {
             here,
             there,
             state: row[2].to_string(),
@@ -31,8 +31,8 @@
 }
 
 /// The ports, here and there, of all ends of connections that are up and to which no close or reset has come.
-pub fn established() -> Vec<(u16, u16)> {
-    ends()
+pub fn established_connections() -> Vec<(u16, u16)> {
+    tcp_endpoints()
         .into_iter()
         .filter(|end| end.state == "01")
         .map(|end| (end.here, end.there))
--- a/tests/peers/upstream.rs
+++ b/tests/support/upstream.rs
@@ -11,30 +11,30 @@
 
 /// What an upstream does with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Reply {
+pub enum StubResponse {
     Ok,
     /// Answers, then closes the connection without saying so before.
     OkThenClose,
     Status(u16),
-    NotStarted,
+    Rejected,
     /// Closes the connection in place of an answer.
-    Cut,
+    Close,
     /// Closes it in the middle of the answer.
-    CutOff,
+    Truncate,
     /// Closes it in the middle of a large one.
-    CutOffLarge,
+    TruncateLarge,
     /// Answers with this text.
     Raw(&'static str),
     /// Answers with this text and closes the connection.
-    Once(&'static str),
+    RawThenClose(&'static str),
     /// Says nothing until the other side closes.
-    Silent,
+    Never,
     /// Holds its answer until it is released: a good one, or what is set by then.
     Hold,
 }
 
 /// An upstream, and what it has seen.
-pub struct Upstream {
+pub struct StubUpstream {
     pub address: SocketAddr,
     pub seen: Receiver<Message>,
     /// One message for each connection that ended.
@@ -42,26 +42,26 @@
     pub connections: Arc<AtomicU64>,
     /// Answers that have been written.
     pub answered: Arc<AtomicU64>,
-    reply: Arc<Mutex<Reply>>,
+    reply: Arc<Mutex<StubResponse>>,
     gate: Arc<Gate>,
 }
 
 /// Whether what is held may go on.
 type Gate = (Mutex<bool>, Condvar);
 
-impl Upstream {
-    pub fn start(reply: Reply) -> Self {
+impl StubUpstream {
+    pub fn start(reply: StubResponse) -> Self {
         Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), reply)
     }
 
-    pub(super) fn on(listener: TcpListener, reply: Reply) -> Self {
+    pub(super) fn on(listener: TcpListener, reply: StubResponse) -> Self {
         let (sender, seen) = channel();
         let (closing, closed) = channel();
         let reply = Arc::new(Mutex::new(reply));
         let connections = Arc::new(AtomicU64::new(0));
         let answered = Arc::new(AtomicU64::new(0));
         let gate = Arc::new((Mutex::new(false), Condvar::new()));
-        let upstream = Upstream {
+        let upstream = StubUpstream {
             address: listener.local_addr().unwrap(),
             seen,
             closed,
@@ -87,25 +87,25 @@
 
     /// One that answers each request with this text, whatever it is.
     pub fn raw(text: &str) -> Self {
-        Self::start(Reply::Raw(text.to_string().leak()))
+        Self::start(StubResponse::Raw(text.to_string().leak()))
     }
 
-    pub fn set(&self, reply: Reply) {
+    pub fn set_response(&self, reply: StubResponse) {
         *self.reply.lock().unwrap() = reply;
     }
 
     /// Waits until it has closed a connection, and none is left whose other side has yet to hear of that, read or not. A
     /// busy machine may bring a close later than it tells of it here.
-    pub fn has_closed(&self) {
+    pub fn wait_for_close(&self) {
         self.closed
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("its connection is closed");
         let begin = Instant::now();
-        while established()
+        while established_connections()
             .iter()
             .any(|(_, there)| *there == self.address.port())
         {
-            assert!(begin.elapsed() < PATIENCE, "its close arrives");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "its close arrives");
             thread::yield_now();
         }
     }
@@ -118,14 +118,14 @@
 
     pub fn next(&self) -> Message {
         self.seen
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a request reaches the upstream")
     }
 }
 
 fn answer_all(
     stream: TcpStream,
-    reply: &Mutex<Reply>,
+    reply: &Mutex<StubResponse>,
     seen: &Sender<Message>,
     gate: &Gate,
     answered: &AtomicU64,
@@ -133,14 +133,14 @@
     let mut out = stream.try_clone()?;
     let mut input = BufReader::new(stream);
     while let Some(request) = Message::read(&mut input)? {
-        let body = format!("{} by {}", request.first, out.local_addr()?);
+        let body = format!("{} by {}", request.start_line, out.local_addr()?);
         let id = request.header("request-id").unwrap_or("").to_string();
         let asked = *reply.lock().unwrap();
         let _ = seen.send(Message {
-            turned_away: asked == Reply::NotStarted,
+            rejected: asked == StubResponse::Rejected,
             ..request
         });
-        let reply = if asked == Reply::Hold {
+        let reply = if asked == StubResponse::Hold {
             let open = gate.0.lock().unwrap();
             drop(gate.1.wait_while(open, |open| !*open).unwrap());
             *reply.lock().unwrap()
@@ -154,19 +154,23 @@
             )
         };
         match reply {
-            Reply::Ok | Reply::Hold => write!(out, "{}\r\n{body}", head("200 OK"))?,
-            Reply::OkThenClose => return write!(out, "{}\r\n{body}", head("200 OK")),
-            Reply::Status(code) => write!(out, "{}\r\n{body}", head(&format!("{code} Other")))?,
-            Reply::NotStarted => write!(out, "{}Not-Started: 1\r\n\r\n{body}", head("503 Busy"))?,
-            Reply::Raw(text) => out.write_all(text.as_bytes())?,
-            Reply::Once(text) => return out.write_all(text.as_bytes()),
-            Reply::Cut => return Ok(()),
-            Reply::CutOff => return write!(out, "{}\r\n{}", head("200 OK"), &body[..4]),
-            Reply::CutOffLarge => {
+            StubResponse::Ok | StubResponse::Hold => write!(out, "{}\r\n{body}", head("200 OK"))?,
+            StubResponse::OkThenClose => return write!(out, "{}\r\n{body}", head("200 OK")),
+            StubResponse::Status(code) => {
+                write!(out, "{}\r\n{body}", head(&format!("{code} Other")))?
+            }
+            StubResponse::Rejected => {
+                write!(out, "{}Not-Started: 1\r\n\r\n{body}", head("503 Busy"))?
+            }
+            StubResponse::Raw(text) => out.write_all(text.as_bytes())?,
+            StubResponse::RawThenClose(text) => return out.write_all(text.as_bytes()),
+            StubResponse::Close => return Ok(()),
+            StubResponse::Truncate => return write!(out, "{}\r\n{}", head("200 OK"), &body[..4]),
+            StubResponse::TruncateLarge => {
                 write!(out, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")?;
                 return out.write_all(&[b'x'; 500_000]);
             }
-            Reply::Silent => {
+            StubResponse::Never => {
                 input.read_to_end(&mut Vec::new())?;
                 return Ok(());
             }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,8 +1,7 @@
 //! Upgrades: a successor of the real program beside its predecessor.
 
-mod peers;
+mod support;
 use load_balancer::LearnedState;
-use peers::*;
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -12,6 +11,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
+use support::*;
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
@@ -29,16 +29,16 @@
 
 struct Rig {
     folder: PathBuf,
-    upstream: Upstream,
-    discovery: DiscoveryPeer,
+    upstream: StubUpstream,
+    discovery: StubDiscovery,
 }
 
 impl Rig {
     fn new() -> Self {
         Rig {
-            folder: folder(),
-            upstream: Upstream::start(Reply::Ok),
-            discovery: DiscoveryPeer::start(),
+            folder: create_temp_folder(),
+            upstream: StubUpstream::start(StubResponse::Ok),
+            discovery: StubDiscovery::start(),
         }
     }
 
@@ -89,7 +89,7 @@
             thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
                     let mut client = Client::connect(address).expect("a process listens");
-                    assert_eq!(client.ask("/pay", REQUEST_ID, "coins").status(), 200);
+                    assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
                     served.fetch_add(1, Ordering::SeqCst);
                 }
             })
@@ -108,7 +108,7 @@
     more(20);
     let successor = rig.start(&address.to_string());
     assert_eq!(successor.address, address);
-    assert_eq!(successor.call("GET /healthcheck").0, 200);
+    assert_eq!(successor.admin_call("GET /healthcheck").0, 200);
     more(20);
     predecessor.terminate();
     more(20);
@@ -125,7 +125,7 @@
 fn a_replaced_process_stops_listening_and_finishes_its_requests() {
     let rig = Rig::new();
     let mut predecessor = rig.start("127.0.0.1:0");
-    rig.upstream.set(Reply::Silent);
+    rig.upstream.set_response(StubResponse::Never);
     let mut waiting = predecessor.client();
     waiting
         .send(
@@ -136,14 +136,17 @@
         .unwrap();
     rig.upstream.next();
     let successor = rig.start(&predecessor.address.to_string());
-    rig.upstream.set(Reply::Ok);
+    rig.upstream.set_response(StubResponse::Ok);
     predecessor.terminate();
     // The response is sent before the process ends.
     assert_eq!(waiting.receive().unwrap().unwrap().status(), 502);
     assert!(predecessor.wait().success());
     for _ in 0..10 {
         assert_eq!(
-            successor.client().ask("/pay", REQUEST_ID, "coins").status(),
+            successor
+                .client()
+                .request("/pay", REQUEST_ID, "coins")
+                .status(),
             200
         );
     }
@@ -153,25 +156,25 @@
 fn maintenance_outlasts_an_upgrade_and_both_processes_learn_of_changes() {
     let rig = Rig::new();
     let predecessor = rig.start("127.0.0.1:0");
-    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
     let successor = rig.start(&predecessor.address.to_string());
-    assert_eq!(successor.figure("upstreams_excluded"), 1);
-    assert_eq!(successor.call("POST /upstreams/u0/ready").0, 200);
+    assert_eq!(successor.metric("upstreams_excluded"), 1);
+    assert_eq!(successor.admin_call("POST /upstreams/u0/ready").0, 200);
     let both = |count| {
         while [&predecessor, &successor]
             .iter()
-            .any(|program| program.figure("upstreams_excluded") != count)
+            .any(|program| program.metric("upstreams_excluded") != count)
         {
             thread::sleep(Duration::from_millis(1));
         }
     };
     both(0);
-    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
     both(1);
     drop(predecessor);
     // The successor of the successor restores it too.
     let newest = rig.start(&successor.address.to_string());
-    assert_eq!(newest.figure("upstreams_excluded"), 1);
+    assert_eq!(newest.metric("upstreams_excluded"), 1);
 }
 
 #[test]
@@ -192,7 +195,7 @@
             assert_eq!(
                 predecessor
                     .client()
-                    .ask("/pay", REQUEST_ID, "coins")
+                    .request("/pay", REQUEST_ID, "coins")
                     .status(),
                 200
             );
@@ -204,7 +207,7 @@
             &[endpoint("u0", rig.upstream.address, "in_service")],
         ));
         let successor = successor.join().unwrap();
-        assert_eq!(successor.call("GET /healthcheck").0, 200);
+        assert_eq!(successor.admin_call("GET /healthcheck").0, 200);
     });
 }
 
@@ -213,13 +216,13 @@
     let rig = Rig::new();
     let predecessor = rig.start("127.0.0.1:0");
     let idle: Vec<_> = (0..120).map(|_| predecessor.client()).collect();
-    assert_eq!(predecessor.call("GET /healthcheck").0, 200);
+    assert_eq!(predecessor.admin_call("GET /healthcheck").0, 200);
     let successor = rig.start(&predecessor.address.to_string());
     let more: Vec<_> = (0..250).map(|_| successor.client()).collect();
     for program in [&predecessor, &successor] {
-        assert_eq!(program.call("GET /healthcheck").0, 200);
+        assert_eq!(program.admin_call("GET /healthcheck").0, 200);
     }
-    let held = predecessor.descriptors() + successor.descriptors();
+    let held = predecessor.open_descriptors() + successor.open_descriptors();
     assert!(held <= 256, "{held}");
     drop((idle, more));
 }
@@ -258,7 +261,7 @@
     let state = format!(r#"{{"balancer":"{address}","out":["u0"],"knowledge":{old}}}"#);
     std::fs::write(rig.state_file(address), state).unwrap();
     assert_eq!(
-        rig.start(&address.to_string()).figure("upstreams_excluded"),
+        rig.start(&address.to_string()).metric("upstreams_excluded"),
         1
     );
 }
@@ -298,9 +301,9 @@
     let state = STATE_OF_47C951F.replace(recorded_address, &address.to_string());
     std::fs::write(rig.state_file(address), state).unwrap();
     let program = rig.start(&address.to_string());
-    assert_eq!(program.figure("upstreams_excluded"), 1);
-    assert_eq!(program.call("POST /upstreams/u0/ready").0, 200);
-    assert_eq!(program.figure("upstreams_excluded"), 0);
+    assert_eq!(program.metric("upstreams_excluded"), 1);
+    assert_eq!(program.admin_call("POST /upstreams/u0/ready").0, 200);
+    assert_eq!(program.metric("upstreams_excluded"), 0);
 
     let learned: LearnedState = serde_json::from_value(recorded["knowledge"].clone()).unwrap();
     assert_eq!(
@@ -316,10 +319,10 @@
     let program = rig.start("127.0.0.1:0");
     let mut client = program.client();
     for _ in 0..3 {
-        assert_eq!(client.ask("/pay", REQUEST_ID, "coins").status(), 200);
-        assert_eq!(client.ask("/read", REQUEST_ID, "").status(), 200);
+        assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
+        assert_eq!(client.request("/read", REQUEST_ID, "").status(), 200);
     }
-    assert_eq!(program.call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(program.admin_call("POST /upstreams/u0/maint").0, 200);
     let written = std::fs::read(rig.state_file(program.address)).unwrap();
     let written = serde_json::from_slice(&written).unwrap();
     let recorded = serde_json::from_str(STATE_OF_47C951F).unwrap();
@@ -331,7 +334,7 @@
     let rig = Rig::new();
     let predecessor = rig.start("127.0.0.1:0");
     let address = predecessor.address;
-    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
     drop(predecessor);
     let text = std::fs::read(rig.state_file(address)).unwrap();
     let foreign = String::from_utf8(text.clone())
@@ -345,8 +348,8 @@
     ] {
         std::fs::write(rig.state_file(address), state).unwrap();
         let program = rig.start(&address.to_string());
-        assert_eq!(program.figure("upstreams_excluded"), excluded);
-        assert_eq!(program.call("GET /healthcheck").0, 200);
+        assert_eq!(program.metric("upstreams_excluded"), excluded);
+        assert_eq!(program.admin_call("GET /healthcheck").0, 200);
     }
 }
 
@@ -356,11 +359,11 @@
     let rig = Rig::new();
     let program = rig.start("127.0.0.1:0");
     std::fs::create_dir(Path::new(&rig.state_file(program.address)).with_extension("new")).unwrap();
-    assert_eq!(program.call("POST /upstreams/u0/maint").0, 500);
+    assert_eq!(program.admin_call("POST /upstreams/u0/maint").0, 500);
     assert_eq!(
         program
             .client()
-            .ask(
+            .request(
                 "/pay",
                 &format!("{REQUEST_ID}Request-Timeout: 1.0\r\n"),
                 "coins"
@@ -374,13 +377,13 @@
 #[test]
 fn maintenance_set_on_a_successor_at_once_keeps_that_of_the_predecessor() {
     let rig = Rig::new();
-    let other = Upstream::start(Reply::Ok);
+    let other = StubUpstream::start(StubResponse::Ok);
     let known = [("u0", rig.upstream.address), ("u1", other.address)];
     let known = known.map(|(name, address)| endpoint(name, address, "in_service"));
     let config = config(&list(5, true, &known), rig.discovery.address, 256);
     let predecessor = start(&rig.folder, &config, "127.0.0.1:0");
-    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
-    predecessor.hold();
+    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
+    predecessor.suspend();
     let variables = [
         ("TMPDIR", rig.folder.to_str().unwrap()),
         ("PROXY_CONSOLE", "127.0.0.1:0"),
@@ -403,10 +406,10 @@
             .status(),
         200
     );
-    predecessor.go_on();
+    predecessor.resume();
     assert!(log.any(|line| line.contains("listening for clients: ")));
-    until("the predecessor has both in maintenance", || {
-        predecessor.figure("upstreams_excluded") == 2
+    wait_until("the predecessor has both in maintenance", || {
+        predecessor.metric("upstreams_excluded") == 2
     });
     let mut admin_client = Client::connect(admin).unwrap();
     admin_client.write("GET /stats HTTP/1.1\r\nHost: console\r\n\r\n");
@@ -427,19 +430,22 @@
     // ENOSPC, EIO; 8 is more than are made before the response.
     for faults in ["write:28:1:1:8", "rename:5:1:1:8"] {
         let rig = Rig::new();
-        let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", faults)];
+        let variables = [
+            ("LD_PRELOAD", fault_injection_library()),
+            ("FAULTS", faults),
+        ];
         let predecessor = rig.start_with(&variables, "127.0.0.1:0");
         assert_eq!(
-            predecessor.call("POST /upstreams/u0/maint").0,
+            predecessor.admin_call("POST /upstreams/u0/maint").0,
             500,
             "{faults}"
         );
-        until("the state is stored", || {
+        wait_until("the state is stored", || {
             rig.state_file(predecessor.address).exists()
         });
         let successor = rig.start(&predecessor.address.to_string());
-        until("the maintenance is restored", || {
-            successor.figure("upstreams_excluded") == 1
+        wait_until("the maintenance is restored", || {
+            successor.metric("upstreams_excluded") == 1
         });
     }
 }
@@ -449,25 +455,29 @@
 fn a_failed_creation_of_the_handover_socket_is_retried() {
     let rig = Rig::new();
     // The third bind of a process is that of the handover socket, after its two listeners.
-    let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", "bind:28:3:1:2")];
+    let variables = [
+        ("LD_PRELOAD", fault_injection_library()),
+        ("FAULTS", "bind:28:3:1:2"),
+    ];
     let predecessor = rig.start_with(&variables, "127.0.0.1:0");
     assert_eq!(
         predecessor
             .client()
-            .ask("/pay", REQUEST_ID, "coins")
+            .request("/pay", REQUEST_ID, "coins")
             .status(),
         200
     );
-    until("a successor is awaited", || {
+    wait_until("a successor is awaited", || {
         rig.state_file(predecessor.address)
             .with_extension("sock")
             .exists()
     });
     let successor = rig.start(&predecessor.address.to_string());
-    until("they have met", || {
-        predecessor.call("GET /healthcheck").0 == 200 && successor.call("GET /healthcheck").0 == 200
+    wait_until("they have met", || {
+        predecessor.admin_call("GET /healthcheck").0 == 200
+            && successor.admin_call("GET /healthcheck").0 == 200
     });
-    assert!(predecessor.descriptors() + successor.descriptors() <= 256);
+    assert!(predecessor.open_descriptors() + successor.open_descriptors() <= 256);
 }
 
 /// Otherwise it would take itself for the only process and miss the maintenance: EIO, EAGAIN,
@@ -483,13 +493,16 @@
     ] {
         let rig = Rig::new();
         let predecessor = rig.start("127.0.0.1:0");
-        assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
-        let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", faults)];
+        assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
+        let variables = [
+            ("LD_PRELOAD", fault_injection_library()),
+            ("FAULTS", faults),
+        ];
         let successor = rig.start_with(&variables, &predecessor.address.to_string());
-        assert_eq!(successor.figure("upstreams_excluded"), 1, "{faults}");
-        assert_eq!(predecessor.call("POST /upstreams/u0/ready").0, 200);
-        until("the change has arrived", || {
-            successor.figure("upstreams_excluded") == 0
+        assert_eq!(successor.metric("upstreams_excluded"), 1, "{faults}");
+        assert_eq!(predecessor.admin_call("POST /upstreams/u0/ready").0, 200);
+        wait_until("the change has arrived", || {
+            successor.metric("upstreams_excluded") == 0
         });
     }
 }
@@ -502,7 +515,10 @@
     {
         let rig = Rig::new();
         let faults = format!("{call}:{error}:1:2:1000000");
-        let variables = [("LD_PRELOAD", failing_calls()), ("FAULTS", faults.as_str())];
+        let variables = [
+            ("LD_PRELOAD", fault_injection_library()),
+            ("FAULTS", faults.as_str()),
+        ];
         let predecessor = rig.start_with(&variables, "127.0.0.1:0");
         let successor = rig.start_with(&variables, &predecessor.address.to_string());
         for round in 0..10 {
@@ -511,13 +527,21 @@
             } else {
                 (&successor, &predecessor)
             };
-            assert_eq!(sender.call("POST /upstreams/u0/maint").0, 200, "{faults}");
-            until("maintenance has begun", || {
-                receiver.figure("upstreams_excluded") == 1
+            assert_eq!(
+                sender.admin_call("POST /upstreams/u0/maint").0,
+                200,
+                "{faults}"
+            );
+            wait_until("maintenance has begun", || {
+                receiver.metric("upstreams_excluded") == 1
             });
-            assert_eq!(receiver.call("POST /upstreams/u0/ready").0, 200, "{faults}");
-            until("maintenance has ended", || {
-                sender.figure("upstreams_excluded") == 0
+            assert_eq!(
+                receiver.admin_call("POST /upstreams/u0/ready").0,
+                200,
+                "{faults}"
+            );
+            wait_until("maintenance has ended", || {
+                sender.metric("upstreams_excluded") == 0
             });
         }
     }
@@ -529,14 +553,14 @@
 fn a_process_that_reports_that_it_listens_already_awaits_a_successor() {
     let rig = Rig::new();
     let variables = [
-        ("LD_PRELOAD", failing_calls()),
+        ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", "bind:-500:3:1:1"),
     ];
     let predecessor = rig.start_with(&variables, "127.0.0.1:0");
     let successor = rig.start(&predecessor.address.to_string());
-    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
-    until("the change has arrived", || {
-        successor.figure("upstreams_excluded") == 1
+    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
+    wait_until("the change has arrived", || {
+        successor.metric("upstreams_excluded") == 1
     });
 }
 
@@ -545,19 +569,19 @@
 fn a_successor_connects_again_if_the_first_connection_ends_at_once() {
     let rig = Rig::new();
     let variables = [
-        ("LD_PRELOAD", failing_calls()),
+        ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", "epoll_ctl_accepted:12:1:1:1"),
     ];
     let predecessor = rig.start_with(&variables, "127.0.0.1:0");
-    until("a successor is awaited", || {
+    wait_until("a successor is awaited", || {
         rig.state_file(predecessor.address)
             .with_extension("sock")
             .exists()
     });
     let successor = rig.start(&predecessor.address.to_string());
-    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
-    until("the change has arrived", || {
-        successor.figure("upstreams_excluded") == 1
+    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
+    wait_until("the change has arrived", || {
+        successor.metric("upstreams_excluded") == 1
     });
 }
 
@@ -567,23 +591,23 @@
     // The first rename is that of the handover socket, the second that of the first state file;
     // the third takes a minute.
     let variables = [
-        ("LD_PRELOAD", failing_calls()),
+        ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", "rename:-60000:3:1:1"),
     ];
     let mut predecessor = rig.start_with(&variables, "127.0.0.1:0");
     let (address, state) = (predecessor.address, rig.state_file(predecessor.address));
-    assert_eq!(predecessor.call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
     let before = std::fs::read(&state).unwrap();
-    let mut admin_client = predecessor.operator();
+    let mut admin_client = predecessor.connect_admin();
     admin_client.write("POST /upstreams/u0/ready HTTP/1.1\r\nHost: console\r\n\r\n");
-    until("the new state is written", || {
+    wait_until("the new state is written", || {
         state.with_extension("new").exists()
     });
     predecessor.kill();
     assert_eq!(std::fs::read(&state).unwrap(), before);
     let successor = rig.start(&address.to_string());
     assert_eq!(
-        successor.figure("upstreams_excluded"),
+        successor.metric("upstreams_excluded"),
         1,
         "its return was never confirmed"
     );
@@ -594,7 +618,7 @@
     let rig = Rig::new();
     let predecessor = rig.start("127.0.0.1:0");
     let mut client = predecessor.client();
-    assert_eq!(client.ask("/pay", REQUEST_ID, "coins").status(), 200);
+    assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
     // It knows no upstream, and discovery sends nothing.
     let empty = config(&list(5, true, &[]), rig.discovery.address, 256);
     let mut successor = spawn_in(&rig.folder, &empty, &predecessor.address.to_string());
@@ -609,13 +633,13 @@
         .unwrap()
         .success());
     assert!(successor.wait().unwrap().success());
-    assert_eq!(client.ask("/pay", REQUEST_ID, "coins").status(), 200);
+    assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
     assert_eq!(
         predecessor
             .client()
-            .ask("/pay", REQUEST_ID, "coins")
+            .request("/pay", REQUEST_ID, "coins")
             .status(),
         200
     );
-    assert_eq!(predecessor.call("GET /healthcheck").0, 200);
+    assert_eq!(predecessor.admin_call("GET /healthcheck").0, 200);
 }
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -1,26 +1,29 @@
 //! Watches on discovery, and what is owed when one ends, stands still or crosses another.
 
-mod peers;
-use peers::*;
+mod support;
 use std::net::SocketAddr;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
+use support::*;
 
 const ID: &str = "Request-Id: {id}\r\n";
 
 /// A program with two upstreams of which one is in service.
 struct Rig {
-    old: Upstream,
-    new: Upstream,
+    old: StubUpstream,
+    new: StubUpstream,
     program: Program,
-    discovery: DiscoveryPeer,
+    discovery: StubDiscovery,
     known: String,
 }
 
 impl Rig {
     fn new(mode: &str) -> Self {
-        let (old, new) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
-        let discovery = DiscoveryPeer::start();
+        let (old, new) = (
+            StubUpstream::start(StubResponse::Ok),
+            StubUpstream::start(StubResponse::Ok),
+        );
+        let discovery = StubDiscovery::start();
         let known = list(5, true, &[endpoint("u0", old.address, "in_service")]);
         let config = Self::config(&known, discovery.address, mode);
         Rig {
@@ -50,7 +53,10 @@
 
     /// Leaves an idle connection to the upstream that is in service, so that its end shows that news have come.
     fn warm(&self) {
-        assert_eq!(self.program.client().ask("/pay", ID, "coins").status(), 200);
+        assert_eq!(
+            self.program.client().request("/pay", ID, "coins").status(),
+            200
+        );
         self.old.next();
     }
 
@@ -58,9 +64,12 @@
     fn changed(&self) {
         self.old
             .closed
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("the idle connection is closed");
-        assert_eq!(self.program.client().ask("/pay", ID, "coins").status(), 200);
+        assert_eq!(
+            self.program.client().request("/pay", ID, "coins").status(),
+            200
+        );
         self.new.next();
         assert!(self.old.seen.try_recv().is_err());
     }
@@ -103,7 +112,11 @@
             first.part(begin);
         }
         let mut second = rig.discovery.next();
-        assert!(second.asked.contains("since=5"), "{}", second.asked);
+        assert!(
+            second.request_line.contains("since=5"),
+            "{}",
+            second.request_line
+        );
         assert!(first.is_open(), "{mode} {begin:?}");
         if mode == "push" {
             // This one is slow as well.
@@ -132,7 +145,10 @@
             Ok(second) => break second,
             Err(_) => sleep(Duration::from_millis(20)),
         }
-        assert!(begun.elapsed() < PATIENCE, "the watch is held for alive");
+        assert!(
+            begun.elapsed() < TEST_TIMEOUT,
+            "the watch is held for alive"
+        );
     };
     second.line(&rig.change(6));
     rig.changed();
@@ -157,7 +173,11 @@
     rig.changed();
     second.reset();
     let again = rig.discovery.next();
-    assert!(again.asked.contains("since=6"), "{}", again.asked);
+    assert!(
+        again.request_line.contains("since=6"),
+        "{}",
+        again.request_line
+    );
 }
 
 /// Guards against a list that is lost because its connection was reset right behind it.
@@ -177,7 +197,11 @@
             watch.reset();
             rig.changed();
             let again = rig.discovery.next();
-            assert!(again.asked.contains("since=6"), "{}", again.asked);
+            assert!(
+                again.request_line.contains("since=6"),
+                "{}",
+                again.request_line
+            );
         }
     }
 }
@@ -192,8 +216,15 @@
     watch.part(&text[..text.len() - 1]);
     watch.reset();
     let mut again = rig.discovery.next();
-    assert!(again.asked.contains("since=5"), "{}", again.asked);
-    assert_eq!(rig.program.client().ask("/pay", ID, "coins").status(), 200);
+    assert!(
+        again.request_line.contains("since=5"),
+        "{}",
+        again.request_line
+    );
+    assert_eq!(
+        rig.program.client().request("/pay", ID, "coins").status(),
+        200
+    );
     rig.old.next();
     again.line(&text);
     rig.changed();
@@ -215,8 +246,11 @@
         watch.line(text);
         watch.ended();
     }
-    assert!(rig.discovery.next().asked.contains("since=5"));
-    assert_eq!(rig.program.client().ask("/pay", ID, "coins").status(), 200);
+    assert!(rig.discovery.next().request_line.contains("since=5"));
+    assert_eq!(
+        rig.program.client().request("/pay", ID, "coins").status(),
+        200
+    );
     rig.old.next();
 }
 
@@ -229,11 +263,15 @@
     let mut silent = rig.discovery.next();
     silent.line("");
     let mut second = rig.discovery.next();
-    let elsewhere = DiscoveryPeer::start();
+    let elsewhere = StubDiscovery::start();
     rig.program
         .reload(&Rig::config(&rig.known, elsewhere.address, "push"));
     let mut moved = elsewhere.next();
-    assert!(moved.asked.contains("since=0"), "{}", moved.asked);
+    assert!(
+        moved.request_line.contains("since=0"),
+        "{}",
+        moved.request_line
+    );
     assert!(silent.is_open() && second.is_open());
     // The old discovery is back and tells its watches, old and new, of a drain.
     second.line(&rig.change(6));
@@ -246,7 +284,10 @@
         &[endpoint("u1", rig.new.address, "in_service")],
     ));
     second.ended();
-    assert_eq!(rig.program.client().ask("/pay", ID, "coins").status(), 200);
+    assert_eq!(
+        rig.program.client().request("/pay", ID, "coins").status(),
+        200
+    );
     rig.new.next();
 }
 
@@ -278,7 +319,7 @@
     let mut beside: Vec<_> = (0..3).map(|_| rig.discovery.next()).collect();
     waiting.line(&rig.change(6));
     rig.changed();
-    beside.iter_mut().for_each(Watch::ended);
+    beside.iter_mut().for_each(StubWatch::ended);
     assert!(waiting.is_open());
 }
 
@@ -289,16 +330,16 @@
     for moved in [false, true] {
         for mode in ["push", "ask"] {
             let mut rig = Rig::new(mode);
-            let (away, elsewhere) = (Refusing::new(), Refusing::new());
+            let (away, elsewhere) = (RefusingPort::new(), RefusingPort::new());
             let at = |address| Rig::config(&rig.known, address, mode);
             rig.program = Program::start(&at(away.address), "127.0.0.1:0");
             rig.warm();
             sleep(Duration::from_secs(8));
             let back = if moved {
                 rig.program.reload(&at(elsewhere.address));
-                elsewhere.discovery()
+                elsewhere.start_discovery()
             } else {
-                away.discovery()
+                away.start_discovery()
             };
             // Its first call is made at once, with all these seconds to spare.
             let mut swallowed = back
