--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 /// A body in which a shifted or repeated part would show.
 fn body_of(length: usize) -> String {
@@ -48,7 +48,7 @@
         let (program, _discovery) = Program::with_admin(&[upstream.address]);
         let mut client = program.client();
         for _ in 0..3 {
-            let answer = client.request("/read", ID, "");
+            let answer = client.request("/read", REQUEST_ID, "");
             assert_eq!(answer.status(), 200);
             assert!(answer.body == body.as_bytes());
         }
@@ -72,7 +72,7 @@
         let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
         let mut client = program.client();
         for _ in 0..2 {
-            let answer = client.request("/read", ID, "");
+            let answer = client.request("/read", REQUEST_ID, "");
             assert!(
                 answer.status() == 200 && answer.body == body.as_bytes(),
                 "{length}"
@@ -87,7 +87,7 @@
     let upstream = StubUpstream::start(StubResponse::TruncateLarge);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
-    client.send("/pay", ID, "coins").unwrap();
+    client.send("/pay", REQUEST_ID, "coins").unwrap();
     let text = String::from_utf8(client.read_to_end_bytes()).unwrap();
     assert!(text.to_lowercase().contains("content-length: 1000000") && text.len() < 1_000_000);
     assert_eq!(
@@ -106,7 +106,9 @@
     let framing = "Transfer-Encoding:   chunked \r\nExpect: 100-continue\r\n";
     for (length, chunk_size) in [(0, 1), (10, 1), (40_000, 999), (2 << 20, 60_000)] {
         let body = body_of(length);
-        client.send("/pay", &format!("{ID}{framing}"), "").unwrap();
+        client
+            .send("/pay", &format!("{REQUEST_ID}{framing}"), "")
+            .unwrap();
         let interim = client.receive().unwrap().unwrap();
         assert_eq!(interim.status(), 100);
         client.write(&chunked(&body, chunk_size));
@@ -115,7 +117,11 @@
     }
     // A chunked body without bytes.
     client
-        .send("/read", &format!("{ID}Transfer-Encoding: chunked\r\n"), "")
+        .send(
+            "/read",
+            &format!("{REQUEST_ID}Transfer-Encoding: chunked\r\n"),
+            "",
+        )
         .unwrap();
     client.write("0\r\n\r\n");
     assert_eq!(client.receive().unwrap().unwrap().status(), 200);
@@ -131,7 +137,10 @@
     let (program, _discovery) = Program::with_upstreams(&[refusing, upstream.address]);
     let body = body_of(1 << 20);
     for _ in 0..4 {
-        assert_eq!(program.client().request("/pay", ID, &body).status(), 200);
+        assert_eq!(
+            program.client().request("/pay", REQUEST_ID, &body).status(),
+            200
+        );
         assert!(upstream.next().body == body.as_bytes());
     }
 }
@@ -142,7 +151,9 @@
 fn a_rejected_large_request_is_answered_and_not_retried() {
     let upstream = StubUpstream::start(StubResponse::Rejected);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
-    let answer = program.client().request("/pay", ID, &body_of(4 << 20));
+    let answer = program
+        .client()
+        .request("/pay", REQUEST_ID, &body_of(4 << 20));
     assert_eq!(answer.status(), 503);
     assert_eq!(program.metric("refused.pay"), 1);
     assert_eq!(upstream.seen.try_iter().count(), 1);
@@ -179,7 +190,7 @@
         // If the machine paused the client for too long, closing its connection is correct.
         if sending.join().unwrap() < Duration::from_secs(2) {
             assert_eq!(answer.unwrap().expect("an answer").status(), 503);
-            assert_eq!(client.request("/pay", ID, "coins").status(), 503);
+            assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 503);
             return;
         }
     }
@@ -237,7 +248,13 @@
         .recv_timeout(TEST_TIMEOUT)
         .expect("its connection is closed");
     assert!(upstream.seen.try_recv().is_err());
-    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
+    assert_eq!(
+        program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
     assert_eq!(program.metric("upstreams_excluded"), 0);
 }
 
@@ -261,7 +278,13 @@
         .recv_timeout(TEST_TIMEOUT)
         .expect("its connection is closed");
     assert!(upstream.seen.try_recv().is_err());
-    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
+    assert_eq!(
+        program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
     assert_eq!(program.metric("upstreams_excluded"), 0);
 }
 
@@ -282,7 +305,7 @@
     // All send their requests before the first one reads its response.
     let mut clients: Vec<_> = (0..40).map(|_| program.client()).collect();
     for client in &mut clients {
-        client.send("/read", ID, "").unwrap();
+        client.send("/read", REQUEST_ID, "").unwrap();
     }
     for client in &mut clients {
         let answer = client.receive().unwrap().unwrap();
@@ -294,7 +317,10 @@
     }
     // Large requests.
     for _ in 0..8 {
-        assert_eq!(program.client().request("/pay", ID, &body).status(), 200);
+        assert_eq!(
+            program.client().request("/pay", REQUEST_ID, &body).status(),
+            200
+        );
     }
     assert!(
         program.peak_memory_bytes() < 32 << 20,
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering;
 use support::*;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 /// Bytes bytes_behind a request: none, few, and many more than are read ahead.
 const BYTES_BEHIND: [usize; 3] = [0, 20, 200_000];
 /// The same, limited to what the kernel buffers for a process that is stopped.
@@ -48,7 +48,7 @@
 fn one_queued(program: &Program, upstream: &StubUpstream, path: &str) -> (Vec<Client>, Client) {
     let next = |count, figure| {
         let mut client = program.client();
-        client.send(path, ID, "").unwrap();
+        client.send(path, REQUEST_ID, "").unwrap();
         wait_until(figure, || program.metric(figure) == count);
         client
     };
@@ -68,7 +68,7 @@
     let mut all_waiting = vec![waiting];
     while all_waiting.len() < count {
         let mut client = program.client();
-        client.send("/pay", ID, "").unwrap();
+        client.send("/pay", REQUEST_ID, "").unwrap();
         all_waiting.push(client);
     }
     let all = (running.len() + count) as u64;
@@ -80,7 +80,9 @@
 fn four_forwarded(program: &Program) -> Vec<Client> {
     let mut clients: Vec<_> = (0..4).map(|_| program.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
-        client.send(&format!("/pay/{number}"), ID, "").unwrap();
+        client
+            .send(&format!("/pay/{number}"), REQUEST_ID, "")
+            .unwrap();
     }
     wait_until("all are out", || program.metric("attempts") == 4);
     clients
@@ -89,7 +91,7 @@
 /// A client whose request waits for a connection to this upstream.
 fn connecting(program: &Program, upstream: SocketAddr) -> Client {
     let mut client = program.client();
-    client.send("/pay", ID, "coins").unwrap();
+    client.send("/pay", REQUEST_ID, "coins").unwrap();
     wait_until("it connects", || has_pending_connect(upstream));
     client
 }
@@ -98,7 +100,10 @@
 /// disconnected does.
 fn expect_only_new_requests(program: &Program, upstream: &StubUpstream, what: &str) {
     assert_eq!(
-        program.client().request("/pay/last", ID, "").status(),
+        program
+            .client()
+            .request("/pay/last", REQUEST_ID, "")
+            .status(),
         200,
         "{what}"
     );
@@ -248,7 +253,7 @@
                 upstream.release();
                 let count = running.len() as u64;
                 wait_until("all have answered", || {
-                    upstream.answered.load(Ordering::SeqCst) == count
+                    upstream.responses.load(Ordering::SeqCst) == count
                 });
             };
             free_first.then(free);
@@ -273,10 +278,10 @@
         let (program, _discovery) = start(&[upstream.address], true);
         for _ in 0..4 {
             let mut client = program.client();
-            assert_eq!(client.request("/read", ID, "").status(), 200);
+            assert_eq!(client.request("/read", REQUEST_ID, "").status(), 200);
             upstream.next();
             program.suspend();
-            client.send("/pay", ID, "coins").unwrap();
+            client.send("/pay", REQUEST_ID, "coins").unwrap();
             disconnect_while_stopped(&program, client, bytes_behind, false);
             program.resume();
             expect_only_new_requests(&program, &upstream, &bytes_behind.to_string());
@@ -301,7 +306,7 @@
         for upstream in [&full, &busy] {
             upstream.release();
             wait_until("it has answered", || {
-                upstream.answered.load(Ordering::SeqCst) == 2
+                upstream.responses.load(Ordering::SeqCst) == 2
             });
         }
         for (number, client) in clients.into_iter().enumerate() {
@@ -325,13 +330,13 @@
 fn a_request_is_not_sent_on_a_connection_that_came_up_after_its_client_disconnected() {
     for cancel in [true, false] {
         for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
-            let door = BlockedPort::new();
-            let (program, discovery) = start(&[door.address], cancel);
+            let blocked = BlockedPort::new();
+            let (program, discovery) = start(&[blocked.address], cancel);
             let _watch = discovery.next();
-            let client = connecting(&program, door.address);
+            let client = connecting(&program, blocked.address);
             program.suspend();
-            let all = door.waiting.len() as u64 + 1;
-            let upstream = door.open(StubResponse::Ok);
+            let all = blocked.waiting.len() as u64 + 1;
+            let upstream = blocked.open(StubResponse::Ok);
             wait_until("its connection is up", || {
                 upstream.connections.load(Ordering::SeqCst) == all
             });
@@ -392,7 +397,7 @@
             .for_each(|client| drop(client.receive().unwrap().expect("a response")));
         program.suspend();
         let mut early = program.client();
-        early.send("/pay", ID, "coins").unwrap();
+        early.send("/pay", REQUEST_ID, "coins").unwrap();
         early.half_close();
         wait_until("its end has come", || {
             program.has_received_close_from(early.port())
@@ -411,11 +416,11 @@
 }
 
 #[test]
-fn a_client_that_leaves_has_its_attempt_cancelled() {
+fn an_attempt_is_cancelled_when_its_client_disconnects() {
     let upstream = StubUpstream::start(StubResponse::Never);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
-    client.send("/pay", ID, "coins").unwrap();
+    client.send("/pay", REQUEST_ID, "coins").unwrap();
     upstream.next();
     drop(client);
     upstream
@@ -423,5 +428,11 @@
         .recv_timeout(TEST_TIMEOUT)
         .expect("the attempt is closed");
     upstream.set_response(StubResponse::Ok);
-    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
+    assert_eq!(
+        program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
 }
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use support::*;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 const CALLS: usize = 200;
 
 /// Now, in Unix milliseconds.
@@ -18,7 +18,7 @@
 }
 
 /// Four upstreams, the last of which starts again, and a program whose wall clock may be wrong.
-struct Rig {
+struct SlowStartFixture {
     upstreams: Vec<StubUpstream>,
     discovery: StubDiscovery,
     /// For so many seconds upstreams are cold.
@@ -26,12 +26,12 @@
     folder: PathBuf,
 }
 
-impl Rig {
+impl SlowStartFixture {
     fn new(cold: f64) -> Self {
         let upstreams = (0..4)
             .map(|_| StubUpstream::start(StubResponse::Ok))
             .collect();
-        Rig {
+        SlowStartFixture {
             upstreams,
             discovery: StubDiscovery::start(),
             cold,
@@ -78,12 +78,12 @@
     fn share(&self, program: &Program) -> usize {
         self.upstreams[3].seen.try_iter().count();
         let mut client = program.client();
-        (0..CALLS).for_each(|_| assert_eq!(client.request("/read", ID, "").status(), 200));
+        (0..CALLS).for_each(|_| assert_eq!(client.request("/read", REQUEST_ID, "").status(), 200));
         self.upstreams[3].seen.try_iter().count()
     }
 }
 
-impl Drop for Rig {
+impl Drop for SlowStartFixture {
     fn drop(&mut self) {
         // What it is for is over.
         let _ = std::fs::remove_dir_all(&self.folder);
@@ -93,12 +93,12 @@
 /// Whatever the wall clock says, one that has just started gets its cold share. A clock that is ahead would have it
 /// warm.
 #[test]
-fn an_upstream_that_starts_again_is_spared_whatever_the_wall_clock_says() {
+fn a_restarted_upstream_is_in_slow_start_whatever_the_wall_clock_says() {
     for ahead in [0, 100, 3600, -100, -3600] {
-        let rig = Rig::new(60.0);
-        let (program, mut watch) = rig.program("127.0.0.1:0", ahead, 0);
-        rig.restart(&program, &mut watch, now());
-        let share = rig.share(&program);
+        let fixture = SlowStartFixture::new(60.0);
+        let (program, mut watch) = fixture.program("127.0.0.1:0", ahead, 0);
+        fixture.restart(&program, &mut watch, now());
+        let share = fixture.share(&program);
         assert!(
             share < CALLS / 10,
             "{share} calls of {CALLS}, {ahead} s ahead"
@@ -108,13 +108,13 @@
 
 /// And it is warm in time. A clock that is behind would have it cold until it has caught up.
 #[test]
-fn an_upstream_that_has_started_again_is_warm_in_time_whatever_the_wall_clock_says() {
+fn slow_start_after_a_restart_ends_in_time_whatever_the_wall_clock_says() {
     for ahead in [0, 3600, -100, -3600] {
-        let rig = Rig::new(0.5);
-        let (program, mut watch) = rig.program("127.0.0.1:0", ahead, 0);
-        rig.restart(&program, &mut watch, now());
+        let fixture = SlowStartFixture::new(0.5);
+        let (program, mut watch) = fixture.program("127.0.0.1:0", ahead, 0);
+        fixture.restart(&program, &mut watch, now());
         sleep(Duration::from_millis(700));
-        let share = rig.share(&program);
+        let share = fixture.share(&program);
         assert!(
             share > CALLS / 6,
             "{share} calls of {CALLS}, {ahead} s ahead"
@@ -124,12 +124,12 @@
 
 /// The same for one that was known at the start.
 #[test]
-fn an_upstream_of_the_known_list_is_warm_in_time_though_the_wall_clock_is_behind() {
+fn slow_start_of_a_known_upstream_ends_in_time_though_the_wall_clock_is_behind() {
     for ahead in [0, -100, -3600] {
-        let rig = Rig::new(0.5);
-        let (program, _watch) = rig.program("127.0.0.1:0", ahead, now() - 1000);
+        let fixture = SlowStartFixture::new(0.5);
+        let (program, _watch) = fixture.program("127.0.0.1:0", ahead, now() - 1000);
         sleep(Duration::from_millis(700));
-        let share = rig.share(&program);
+        let share = fixture.share(&program);
         assert!(
             share > CALLS / 6,
             "{share} calls of {CALLS}, {ahead} s ahead"
@@ -140,15 +140,15 @@
 /// A new process knows from the old one when an upstream has started, also where their wall clocks differ: one was
 /// stepped between the two starts.
 #[test]
-fn a_new_process_spares_an_upstream_that_the_old_one_has_seen_start() {
+fn a_successor_continues_the_slow_start_that_its_predecessor_has_seen_begin() {
     for ahead in [0, 100, 3600, -100, -3600] {
-        let (rig, since) = (Rig::new(60.0), now());
-        let (mut old, mut watch) = rig.program("127.0.0.1:0", ahead, 0);
-        rig.restart(&old, &mut watch, since);
-        let (new, _watch) = rig.program(&old.address.to_string(), 0, since);
+        let (fixture, since) = (SlowStartFixture::new(60.0), now());
+        let (mut old, mut watch) = fixture.program("127.0.0.1:0", ahead, 0);
+        fixture.restart(&old, &mut watch, since);
+        let (new, _watch) = fixture.program(&old.address.to_string(), 0, since);
         old.terminate();
         assert!(old.wait().success());
-        let share = rig.share(&new);
+        let share = fixture.share(&new);
         assert!(
             share < CALLS / 10,
             "{share} calls of {CALLS}, {ahead} s ahead"
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use support::*;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 /// Descriptors that are reserved for the admin endpoint.
 const ADMIN_DESCRIPTORS: usize = 12;
 
@@ -22,7 +22,7 @@
     let upstream = StubUpstream::start(StubResponse::Hold);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
-    client.send("/pay", ID, "coins").unwrap();
+    client.send("/pay", REQUEST_ID, "coins").unwrap();
     upstream.next();
     program.terminate();
     wait_until("it drains", || {
@@ -59,7 +59,10 @@
     let (program, _discovery) =
         Program::with_admin_and_descriptors(&addresses, 64 + ADMIN_DESCRIPTORS);
     assert_eq!(
-        program.client().request("/nothing", ID, &body).status(),
+        program
+            .client()
+            .request("/nothing", REQUEST_ID, &body)
+            .status(),
         400
     );
     // Only some rejections are left to capacity. Connections without a request may be evicted for
@@ -68,13 +71,16 @@
     let mut busy = Vec::new();
     for count in 1..=24 {
         let mut client = program.client();
-        client.send("/pay", ID, "coins").unwrap();
+        client.send("/pay", REQUEST_ID, "coins").unwrap();
         busy.push(client);
         let settled = || program.metric("in_flight") + program.metric("refused.pay");
         wait_until("it is settled", || settled() == count);
     }
     assert!(program.metric("refused.pay") > 0, "there is no room");
-    assert_eq!(program.client().request("/pay", ID, &body).status(), 503);
+    assert_eq!(
+        program.client().request("/pay", REQUEST_ID, &body).status(),
+        503
+    );
 }
 
 /// None may be dropped because there are too many of them.
@@ -110,7 +116,7 @@
     let mut clients: Vec<_> = (0..60).map(|_| program.client()).collect();
     let flood = "x".repeat(4 << 20);
     for client in &mut clients {
-        client.send("/pay", ID, "coins").unwrap();
+        client.send("/pay", REQUEST_ID, "coins").unwrap();
         client.write(&flood);
     }
     assert!(
@@ -128,13 +134,13 @@
     let mut clients: Vec<_> = (0..8).map(|_| program.client()).collect();
     clients
         .iter_mut()
-        .for_each(|client| assert_eq!(client.request("/pay", ID, "coins").status(), 200));
+        .for_each(|client| assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200));
     assert_eq!(upstream.seen.try_iter().count(), 8);
     program.terminate();
     for client in &mut clients {
         assert!(client.is_closed_by_peer());
         // The process may have exited by now.
-        let _ = client.send("/pay", ID, "coins");
+        let _ = client.send("/pay", REQUEST_ID, "coins");
     }
     assert!(program.wait().success());
     assert!(upstream.seen.try_recv().is_err());
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use support::*;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 /// A list that is a change of the one that the program knows.
 fn change(index: u64, entries: &[(&str, SocketAddr, &str)]) -> String {
@@ -24,13 +24,17 @@
 /// Guards against two answers, or none, when the answer comes in the very turn in which the time is up; and against a
 /// slot that is freed twice or never.
 #[test]
-fn an_answer_that_crosses_the_time_out_ends_its_request_once() {
+fn a_response_that_crosses_the_timeout_ends_its_request_once() {
     for _ in 0..3 {
         let upstream = StubUpstream::start(StubResponse::Hold);
         let (program, _discovery) = Program::with_admin(&[upstream.address]);
         let mut client = program.client();
         client
-            .send("/pay", &format!("{ID}Request-Timeout: 1.0\r\n"), "coins")
+            .send(
+                "/pay",
+                &format!("{REQUEST_ID}Request-Timeout: 1.0\r\n"),
+                "coins",
+            )
             .unwrap();
         upstream.next();
         program.suspend();
@@ -44,7 +48,7 @@
         let total = program.metric("served.pay") + program.metric("failed.pay");
         assert_eq!((total, program.metric("attempts")), (1, 1));
         // The connection goes on with answers of its own, if it goes on.
-        let answer = client.request("/pay/next", ID, "coins");
+        let answer = client.request("/pay/next", REQUEST_ID, "coins");
         assert!(
             String::from_utf8_lossy(&answer.body).starts_with("POST /pay/next"),
             "{answer:?}"
@@ -54,11 +58,11 @@
 
 /// Guards against the answer of a cancelled attempt that is taken for the next one's.
 #[test]
-fn an_answer_that_crosses_the_end_of_its_client_is_nobody_else_s() {
+fn a_response_that_crosses_its_client_s_disconnect_reaches_no_other_client() {
     let upstream = StubUpstream::start(StubResponse::Hold);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
-    client.send("/pay/gone", ID, "coins").unwrap();
+    client.send("/pay/gone", REQUEST_ID, "coins").unwrap();
     upstream.next();
     program.suspend();
     upstream.release();
@@ -66,7 +70,7 @@
     program.resume();
     wait_until("nothing is left", || program.metric("in_flight") == 0);
     for _ in 0..4 {
-        let answer = program.client().request("/pay/next", ID, "coins");
+        let answer = program.client().request("/pay/next", REQUEST_ID, "coins");
         assert!(
             String::from_utf8_lossy(&answer.body).starts_with("POST /pay/next"),
             "{answer:?}"
@@ -76,7 +80,7 @@
 
 /// Guards against breaking off, or sending again, a request of which a part has been written when a drain is told.
 #[test]
-fn what_is_half_written_when_a_drain_is_told_is_finished_there() {
+fn a_request_that_is_half_written_when_its_upstream_drains_is_completed_there() {
     let (old, new) = (
         StubUpstream::start(StubResponse::Ok),
         StubUpstream::start(StubResponse::Ok),
@@ -95,12 +99,24 @@
     let mut watch = discovery.next();
     let draining = ("u0", old.address, "terminating");
     watch.line(&change(6, &[draining, ("u1", new.address, "in_service")]));
-    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
+    assert_eq!(
+        program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
     // Where that went shows that the drain is known.
     let mut known = new.seen.try_iter().count() == 1;
     while !known {
         old.next();
-        assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
+        assert_eq!(
+            program
+                .client()
+                .request("/pay", REQUEST_ID, "coins")
+                .status(),
+            200
+        );
         known = new.seen.try_iter().count() == 1;
     }
     client.write(&"x".repeat(50_000));
@@ -111,7 +127,7 @@
 
 /// Guards against a retry at an upstream of which a drain was told while the first attempt was out.
 #[test]
-fn a_retry_goes_to_none_that_has_begun_to_drain_meanwhile() {
+fn a_retry_avoids_an_upstream_that_has_begun_to_drain() {
     let (first, draining, free) = (
         StubUpstream::start(StubResponse::Hold),
         StubUpstream::start(StubResponse::Ok),
@@ -119,7 +135,7 @@
     );
     let (program, discovery) = Program::with_admin(&[first.address]);
     let mut client = program.client();
-    client.send("/pay", ID, "coins").unwrap();
+    client.send("/pay", REQUEST_ID, "coins").unwrap();
     first.next();
     let mut watch = discovery.next();
     watch.line(&change(6, &[("u1", draining.address, "in_service")]));
@@ -131,7 +147,7 @@
     let mut used = false;
     while !used {
         let mut other = program.client();
-        other.send("/pay", ID, "coins").unwrap();
+        other.send("/pay", REQUEST_ID, "coins").unwrap();
         wait_until("it reaches one of them", || {
             used = draining.seen.try_recv().is_ok();
             used || first.seen.try_recv().is_ok()
@@ -162,7 +178,7 @@
 
 /// Guards against a request on a connection to a process that has gone, though its name and address are as before.
 #[test]
-fn connections_to_a_process_that_has_started_again_are_dropped() {
+fn connections_to_an_upstream_that_has_restarted_are_closed() {
     let (upstream, discovery) = (
         StubUpstream::start(StubResponse::Ok),
         StubDiscovery::start(),
@@ -171,7 +187,13 @@
     let config = config_with_upstreams(&[upstream.address], discovery.address, 1024)
         .replace("\"startCapacity\":0.3", "\"startCapacity\":1.0");
     let program = Program::start(&config, "127.0.0.1:0");
-    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
+    assert_eq!(
+        program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
     let again = change(6, &[("u0", upstream.address, "in_service")])
         .replace("since_ms\":0", "since_ms\":5000");
     discovery.next().line(&again);
@@ -179,32 +201,38 @@
         .closed
         .recv_timeout(TEST_TIMEOUT)
         .expect("the idle connection is closed");
-    assert_eq!(program.client().request("/pay", ID, "coins").status(), 200);
+    assert_eq!(
+        program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
     assert_eq!(upstream.connections.load(Ordering::SeqCst), 2);
 }
 
 /// Guards against giving up on a connection that comes up late, within its time.
 #[test]
-fn a_connection_that_comes_up_late_carries_its_request_once() {
-    let door = BlockedPort::new();
+fn a_connection_that_is_established_late_carries_its_request_once() {
+    let blocked = BlockedPort::new();
     let discovery = StubDiscovery::start();
     let config = with_long_timeouts(&config_with_upstreams(
-        &[door.address],
+        &[blocked.address],
         discovery.address,
         1024,
     ));
     let program = Program::start(&config, "127.0.0.1:0");
     let mut client = program.client();
-    client.send("/pay", ID, "coins").unwrap();
+    client.send("/pay", REQUEST_ID, "coins").unwrap();
     assert_eq!(program.client().request("/healthz", "", "").status(), 200);
-    let upstream = door.open(StubResponse::Ok);
+    let upstream = blocked.open(StubResponse::Ok);
     assert_eq!(client.receive().unwrap().expect("an answer").status(), 200);
     assert_eq!(upstream.seen.try_iter().count(), 1);
 }
 
 /// Guards against calling a request run, and so failed, of which the last byte was never written.
 #[test]
-fn a_reset_before_the_last_byte_shows_that_a_request_never_ran() {
+fn a_reset_before_the_last_byte_proves_that_a_request_never_ran() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (program, _discovery) = Program::with_upstreams(&[listener.local_addr().unwrap()]);
     let mut client = program.client();
@@ -223,12 +251,12 @@
 
 /// Guards against a connection that is kept for an answer without end, though its client has gone.
 #[test]
-fn an_endless_answer_ends_with_its_client() {
+fn an_endless_response_is_cancelled_when_its_client_disconnects() {
     let upstream =
         StubUpstream::raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n");
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
-    client.send("/pay", ID, "coins").unwrap();
+    client.send("/pay", REQUEST_ID, "coins").unwrap();
     upstream.next();
     drop(client);
     upstream
@@ -249,15 +277,15 @@
     let mut watch = discovery.next();
     let mut clients: Vec<_> = (0..4).map(|_| program.client()).collect();
     for _ in 0..if kept { 4 } else { 0 } {
-        clients
-            .iter_mut()
-            .for_each(|client| assert_eq!(client.request("/pay", ID, "coins").status(), 200));
+        clients.iter_mut().for_each(|client| {
+            assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200)
+        });
     }
     drains.seen.try_iter().count();
     program.suspend();
     clients
         .iter_mut()
-        .for_each(|client| client.send("/pay", ID, "coins").unwrap());
+        .for_each(|client| client.send("/pay", REQUEST_ID, "coins").unwrap());
     let names: Vec<_> = (0..others).map(|number| format!("other{number}")).collect();
     let mut list: Vec<_> = names
         .iter()
@@ -283,19 +311,19 @@
 /// Guards against a request that came before a drain was told, and is sent there after it because the program stood
 /// still meanwhile: on a kept connection and on a new one. Several rounds, as the order of what is read may be drawn.
 #[test]
-fn what_came_while_the_program_stood_still_is_not_sent_to_what_drains_since() {
+fn requests_received_while_suspended_avoid_an_upstream_that_drains_since() {
     (0..16).for_each(|round| told_while_held(round % 2 == 0, 0, 0));
 }
 
 /// Guards against the same where the list is read in many pieces.
 #[test]
-fn what_came_while_the_program_stood_still_waits_for_the_whole_of_a_long_list() {
+fn requests_received_while_suspended_wait_for_a_long_list_to_be_complete() {
     (0..4).for_each(|round| told_while_held(round % 2 == 0, 600, 0));
 }
 
 /// Guards against the same where the program is held up again and again while it hears of it.
 #[test]
-fn what_came_while_the_program_stood_still_is_not_sent_there_after_more_hold_ups() {
+fn requests_received_while_suspended_repeatedly_avoid_a_draining_upstream() {
     (0..16)
         .for_each(|round| told_while_held(round % 2 == 0, [0, 100][round % 4 / 2], 1 + round % 4));
 }
@@ -320,7 +348,7 @@
 /// Guards against a second copy beside a first one that was given up, and whose connection is still open as the second
 /// begins, where no two may be out at a time.
 #[test]
-fn an_attempt_that_is_given_up_has_its_connection_closed_before_the_next_begins() {
+fn an_abandoned_attempt_is_closed_before_the_next_begins() {
     for _ in 0..4 {
         let sides: Vec<_> = (0..2).map(|_| silent(established_connections)).collect();
         let discovery = StubDiscovery::start();
@@ -333,7 +361,7 @@
             );
         let program = Program::start(&config, "127.0.0.1:0");
         let mut client = program.client();
-        client.send("/read", ID, "").unwrap();
+        client.send("/read", REQUEST_ID, "").unwrap();
         client.receive().unwrap().expect("an answer");
         let ends = sides
             .iter()
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -7,7 +7,7 @@
 /// Guards against a program that the platform can't lead: it has to be one process, linked against the C library when it
 /// is loaded, that starts no others.
 #[test]
-fn run_is_one_process_that_is_linked_dynamically() {
+fn the_deployed_program_is_one_dynamically_linked_process() {
     let deploy =
         fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/balancer.toml")).unwrap();
     assert!(deploy
--- a/tests/descriptor_limits.rs
+++ b/tests/descriptor_limits.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use support::*;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 /// Descriptor limits: the smallest that is allowed, and larger ones.
 const DESCRIPTOR_LIMITS: [usize; 4] = [64, 128, 256, 1024];
 
@@ -85,7 +85,7 @@
         let mut requesting: Vec<_> = (0..4)
             .map(|_| {
                 let mut client = program.client();
-                client.send("/pay", ID, "coins").unwrap();
+                client.send("/pay", REQUEST_ID, "coins").unwrap();
                 open.extend(open_idle(program.address, sockets / 32));
                 client
             })
@@ -115,14 +115,14 @@
     let mut busy = Vec::new();
     while program.metric("refused.read") == 0 {
         let mut client = program.client();
-        client.send("/read", ID, "").unwrap();
+        client.send("/read", REQUEST_ID, "").unwrap();
         busy.push(client);
         let taken = || program.metric("in_flight") + program.metric("refused.read");
         wait_until("it is settled", || taken() == busy.len() as u64);
     }
     program.suspend();
     let mut late = program.client();
-    late.send("/read", ID, "").unwrap();
+    late.send("/read", REQUEST_ID, "").unwrap();
     drop(busy);
     upstream.release();
     program.resume();
@@ -163,7 +163,7 @@
 fn send_before_accept(program: &Program, path: &str) -> Client {
     program.suspend();
     let mut client = program.client();
-    client.send(path, ID, "").unwrap();
+    client.send(path, REQUEST_ID, "").unwrap();
     program.resume();
     client
 }
@@ -303,7 +303,7 @@
     watch.line("");
     let mut busy: Vec<_> = (0..110).map(|_| old.client()).collect();
     busy.iter_mut()
-        .for_each(|client| client.send("/read", ID, "").unwrap());
+        .for_each(|client| client.send("/read", REQUEST_ID, "").unwrap());
     wait_until("they are taken", || old.metric("in_flight") == 110);
     let new = Program::start_with(&variables, &config(other.address), &old.address.to_string());
     watch.reset();
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -6,7 +6,7 @@
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 #[test]
-fn a_drained_upstream_gets_nothing_new() {
+fn a_draining_upstream_gets_no_new_request() {
     let (old, new) = (
         StubUpstream::start(StubResponse::Ok),
         StubUpstream::start(StubResponse::Ok),
@@ -44,7 +44,7 @@
 /// Guards against a call that was decided before a drain was told, and begins after it: it goes elsewhere,
 /// long before its connection would have been given up.
 #[test]
-fn a_drain_stops_what_is_still_connecting() {
+fn a_drain_cancels_an_attempt_that_is_still_connecting() {
     let (old, new) = (unreachable_address(), StubUpstream::start(StubResponse::Ok));
     let discovery = StubDiscovery::start();
     let known = list(5, true, &[endpoint("u0", old, "in_service")]);
@@ -64,7 +64,7 @@
 
 /// Guards against news of a kind that is not known yet being taken for a yes.
 #[test]
-fn an_upstream_whose_status_is_unknown_gets_nothing() {
+fn an_upstream_whose_status_is_unknown_gets_no_request() {
     let (odd, good) = (
         StubUpstream::start(StubResponse::Ok),
         StubUpstream::start(StubResponse::Ok),
--- a/tests/failed_attempts.rs
+++ b/tests/failed_attempts.rs
@@ -9,7 +9,7 @@
 
 /// Guards against calling lost what never ran: a refused connection proves that it did not.
 #[test]
-fn an_unsafe_request_goes_elsewhere_when_its_connection_is_refused() {
+fn a_non_idempotent_request_is_retried_when_its_connection_is_refused() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) =
         Program::with_upstreams(&[refusing_address(), upstream.address, refusing_address()]);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_was_turned_away_unseen_goes_elsewhere() {
+fn a_request_that_its_upstream_rejected_is_retried() {
     let (full, free) = (
         StubUpstream::start(StubResponse::Rejected),
         StubUpstream::start(StubResponse::Ok),
@@ -42,7 +42,7 @@
 
 /// Guards against an effect that happens twice, and against passing on a part of an answer.
 #[test]
-fn an_unsafe_request_that_may_have_run_fails_and_is_sent_once() {
+fn a_non_idempotent_request_that_may_have_run_fails_without_a_retry() {
     for reply in [
         StubResponse::Close,
         StubResponse::Truncate,
@@ -64,7 +64,7 @@
 
 /// Guards against a client left without an answer: the module's time is up before the client's.
 #[test]
-fn a_silent_upstream_costs_an_answer_in_time_and_its_connection() {
+fn a_request_to_a_silent_upstream_fails_in_time_and_its_connection_is_closed() {
     let upstream = StubUpstream::start(StubResponse::Never);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let begin = Instant::now();
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_request_that_found_no_upstream_is_refused() {
+fn a_request_without_a_reachable_upstream_is_rejected() {
     let (program, _discovery) = Program::with_upstreams(&[refusing_address()]);
     let answer =
         program
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_connection_that_never_comes_up_was_never_used() {
+fn a_request_is_retried_when_its_connection_is_never_established() {
     let free = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[unreachable_address(), free.address]);
     let mut client = program.client();
@@ -110,7 +110,7 @@
 
 /// Guards against giving up calls that may be repeated because a few answers in a hundred are spoilt.
 #[test]
-fn spoilt_answers_to_calls_that_may_be_repeated_cost_no_failure_while_most_are_good() {
+fn malformed_responses_fail_no_idempotent_request_while_most_are_good() {
     let upstreams = [
         StubUpstream::start(StubResponse::Ok),
         StubUpstream::start(StubResponse::Ok),
@@ -134,7 +134,7 @@
 
 /// A 504 that says that the request was never started counts like such a 503: it goes elsewhere, also an unsafe one.
 #[test]
-fn a_request_that_was_never_started_goes_elsewhere_whatever_the_status() {
+fn a_request_that_was_never_started_is_retried_whatever_the_status() {
     for status in [503, 504] {
         let answer =
             format!("HTTP/1.1 {status} Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
--- a/tests/failing_system_calls.rs
+++ b/tests/failing_system_calls.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 const EINTR: i32 = 4;
 const EIO: i32 = 5;
@@ -62,7 +62,7 @@
             clients.push(client);
         }
         for client in &mut clients {
-            client.send("/read", ID, "").unwrap();
+            client.send("/read", REQUEST_ID, "").unwrap();
             let status = client
                 .receive()
                 .ok()
@@ -84,7 +84,7 @@
             format!("epoll_ctl_accepted:{error}:1:1:20,epoll_ctl_accepted:{error}:25:1:20");
         let (mut program, _discovery) = start(&faults, &[upstream.address], 256);
         let mut client = program.client();
-        client.send("/pay", ID, "coins").unwrap();
+        client.send("/pay", REQUEST_ID, "coins").unwrap();
         assert_eq!(
             client.receive().unwrap().expect("an answer").status(),
             200,
@@ -92,7 +92,7 @@
         );
         let mut clients: Vec<_> = (0..8).map(|_| program.client()).collect();
         for client in &mut clients {
-            client.send("/pay", ID, "coins").unwrap();
+            client.send("/pay", REQUEST_ID, "coins").unwrap();
         }
         program.terminate();
         for client in &mut clients {
@@ -119,7 +119,7 @@
         );
         let mut clients: Vec<_> = (0..8).map(|_| program.client()).collect();
         for client in &mut clients {
-            client.send("/pay", ID, "coins").unwrap();
+            client.send("/pay", REQUEST_ID, "coins").unwrap();
         }
         program.terminate();
         for client in &mut clients {
@@ -156,7 +156,7 @@
         program.suspend();
         let mut clients: Vec<_> = (0..200).map(|_| program.client()).collect();
         for client in &mut clients {
-            client.send("/read", ID, "").unwrap();
+            client.send("/read", REQUEST_ID, "").unwrap();
         }
         program.terminate();
         program.resume();
@@ -176,7 +176,7 @@
     program.suspend();
     let mut clients: Vec<_> = (0..300).map(|_| program.client()).collect();
     for client in &mut clients {
-        client.send("/read", ID, "").unwrap();
+        client.send("/read", REQUEST_ID, "").unwrap();
     }
     let started = Instant::now();
     program.terminate();
@@ -229,7 +229,7 @@
         let mut client = program.client();
         for _ in 0..60 {
             assert_eq!(
-                client.request("/pay", ID, "coins").status(),
+                client.request("/pay", REQUEST_ID, "coins").status(),
                 200,
                 "{call}, error {error}"
             );
@@ -254,7 +254,7 @@
         let (program, _discovery) =
             start(&format!("socket:{error}:1:1:6"), &[upstream.address], 256);
         assert_eq!(
-            program.client().request("/read", ID, "").status(),
+            program.client().request("/read", REQUEST_ID, "").status(),
             200,
             "error {error}"
         );
@@ -293,7 +293,7 @@
             let config = config_with_upstreams(&[upstream.address], discovery.address, 256);
             let program = Program::start_with(&variables, &config, "127.0.0.1:0");
             assert_eq!(
-                program.client().request("/read", ID, "").status(),
+                program.client().request("/read", REQUEST_ID, "").status(),
                 200,
                 "{faults}"
             );
@@ -339,7 +339,7 @@
         let (program, _discovery) = start(&format!("{call}:{error}:7:5:{ALWAYS}"), &addresses, 256);
         let mut client = program.client();
         for _ in 0..200 {
-            client.send("/pay", ID, "coins").unwrap();
+            client.send("/pay", REQUEST_ID, "coins").unwrap();
             let status = client
                 .receive()
                 .ok()
@@ -376,7 +376,7 @@
                 .map(|number| {
                     let mut client = program.client();
                     // The path identifies the request at the upstream.
-                    let sent = client.send(&format!("/pay/{number}"), ID, "coins");
+                    let sent = client.send(&format!("/pay/{number}"), REQUEST_ID, "coins");
                     sent.ok()
                         .and_then(|()| client.receive().ok().flatten())
                         .map(|answer| answer.status())
@@ -431,7 +431,7 @@
         program.reload(&config(&known, second.address, 256));
         second.next();
         assert_eq!(
-            program.client().request("/read", ID, "").status(),
+            program.client().request("/read", REQUEST_ID, "").status(),
             200,
             "{call}"
         );
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 fn await_drain(program: &Program) {
     wait_until("it drains", || {
@@ -22,15 +22,15 @@
     let (mut program, _discovery) = Program::with_admin(&[upstream.address]);
     let (mut idle, mut half) = (program.client(), program.client());
     for client in [&mut idle, &mut half] {
-        assert_eq!(client.request("/pay", ID, "coins").status(), 200);
+        assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
     }
     program.suspend();
-    idle.send("/pay", ID, "coins").unwrap();
+    idle.send("/pay", REQUEST_ID, "coins").unwrap();
     half.write("POST /pay HTTP/1.1\r\nHost: b\r\nRequest-");
     let mut new_connections: Vec<_> = (0..6).map(|_| program.client()).collect();
     new_connections
         .iter_mut()
-        .for_each(|client| client.send("/pay", ID, "coins").unwrap());
+        .for_each(|client| client.send("/pay", REQUEST_ID, "coins").unwrap());
     program.terminate();
     program.resume();
     for client in new_connections.iter_mut().chain([&mut idle]) {
@@ -56,7 +56,7 @@
     let upstream = StubUpstream::start(StubResponse::Hold);
     let (mut program, discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
-    client.send("/pay", ID, "coins").unwrap();
+    client.send("/pay", REQUEST_ID, "coins").unwrap();
     upstream.next();
     // SIGHUP and SIGTERM are both pending.
     program.suspend();
@@ -84,7 +84,7 @@
     let (mut program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut clients: Vec<_> = (0..6).map(|_| program.client()).collect();
     for client in &mut clients {
-        client.send("/pay", ID, "coins").unwrap();
+        client.send("/pay", REQUEST_ID, "coins").unwrap();
     }
     let begun = Instant::now();
     while program.metric("in_flight") < 6 {
@@ -112,7 +112,7 @@
     let config = with_long_timeouts(&config_with_upstreams(&[old], discovery.address, 1024));
     let program = Program::start(&config, "127.0.0.1:0");
     let mut client = program.client();
-    client.send("/pay", ID, "coins").unwrap();
+    client.send("/pay", REQUEST_ID, "coins").unwrap();
     // The request has been accepted once a later one has its response.
     assert_eq!(program.client().request("/healthz", "", "").status(), 200);
     let changes = [
@@ -135,7 +135,7 @@
     let upstream = StubUpstream::raw(&text);
     let (mut program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
-    client.send("/pay", ID, "coins").unwrap();
+    client.send("/pay", REQUEST_ID, "coins").unwrap();
     upstream.next();
     program.terminate();
     await_drain(&program);
@@ -154,7 +154,7 @@
     let (program, _discovery) = Program::with_descriptors(&[upstream.address], 64);
     let mut idle: Vec<_> = (0..20).map(|_| program.client()).collect();
     idle.iter_mut()
-        .for_each(|client| assert_eq!(client.request("/read", ID, "").status(), 200));
+        .for_each(|client| assert_eq!(client.request("/read", REQUEST_ID, "").status(), 200));
     // Now they may be evicted.
     sleep(Duration::from_millis(2100));
     program.suspend();
@@ -169,13 +169,17 @@
 }
 
 #[test]
-fn sigterm_settles_what_was_taken_and_ends_well() {
+fn accepted_requests_get_responses_after_sigterm_and_the_process_succeeds() {
     let upstream = StubUpstream::start(StubResponse::Never);
     let (mut program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let (mut busy, mut idle, mut fresh) = (program.client(), program.client(), program.client());
     assert_eq!(idle.request("/healthz", "", "").status(), 200);
-    busy.send("/pay", &format!("{ID}Request-Timeout: 2.0\r\n"), "coins")
-        .unwrap();
+    busy.send(
+        "/pay",
+        &format!("{REQUEST_ID}Request-Timeout: 2.0\r\n"),
+        "coins",
+    )
+    .unwrap();
     upstream.next();
     program.terminate();
     assert!(
@@ -202,7 +206,7 @@
 
 /// SIGKILL may come 3.7 s after SIGTERM: what still comes is settled by then, however long its client would wait.
 #[test]
-fn what_comes_after_sigterm_is_settled_before_sigkill() {
+fn requests_that_arrive_after_sigterm_get_responses_before_sigkill() {
     let upstream = StubUpstream::start(StubResponse::Never);
     loop {
         let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
@@ -222,7 +226,11 @@
         let Ok(mut client) = Client::connect(program.address) else {
             continue;
         };
-        let sent = client.send("/pay", &format!("{ID}Request-Timeout: 10.0\r\n"), "coins");
+        let sent = client.send(
+            "/pay",
+            &format!("{REQUEST_ID}Request-Timeout: 10.0\r\n"),
+            "coins",
+        );
         // On a machine that was too slow for the program's times, nothing is shown.
         if sent.is_ok() && begun.elapsed() < Duration::from_millis(400) {
             let left: f64 = upstream
--- a/tests/handover_failures.rs
+++ b/tests/handover_failures.rs
@@ -10,21 +10,21 @@
 fn a_failed_write_of_the_state_file_is_retried() {
     // ENOSPC, EIO; 8 is more than are made before the response.
     for faults in ["write:28:1:1:8", "rename:5:1:1:8"] {
-        let rig = UpgradeFixture::new();
+        let fixture = UpgradeFixture::new();
         let variables = [
             ("LD_PRELOAD", fault_injection_library()),
             ("FAULTS", faults),
         ];
-        let predecessor = rig.start_with(&variables, "127.0.0.1:0");
+        let predecessor = fixture.start_with(&variables, "127.0.0.1:0");
         assert_eq!(
             predecessor.admin_call("POST /upstreams/u0/maint").0,
             500,
             "{faults}"
         );
         wait_until("the state is stored", || {
-            rig.state_file(predecessor.address).exists()
+            fixture.state_file(predecessor.address).exists()
         });
-        let successor = rig.start(&predecessor.address.to_string());
+        let successor = fixture.start(&predecessor.address.to_string());
         wait_until("the maintenance is restored", || {
             successor.metric("upstreams_excluded") == 1
         });
@@ -34,13 +34,13 @@
 /// The folder is full for a while.
 #[test]
 fn a_failed_creation_of_the_handover_socket_is_retried() {
-    let rig = UpgradeFixture::new();
+    let fixture = UpgradeFixture::new();
     // The third bind of a process is that of the handover socket, after its two listeners.
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", "bind:28:3:1:2"),
     ];
-    let predecessor = rig.start_with(&variables, "127.0.0.1:0");
+    let predecessor = fixture.start_with(&variables, "127.0.0.1:0");
     assert_eq!(
         predecessor
             .client()
@@ -49,11 +49,12 @@
         200
     );
     wait_until("a successor is awaited", || {
-        rig.state_file(predecessor.address)
+        fixture
+            .state_file(predecessor.address)
             .with_extension("sock")
             .exists()
     });
-    let successor = rig.start(&predecessor.address.to_string());
+    let successor = fixture.start(&predecessor.address.to_string());
     wait_until("they have met", || {
         predecessor.admin_call("GET /healthcheck").0 == 200
             && successor.admin_call("GET /healthcheck").0 == 200
@@ -72,14 +73,14 @@
         "connect_unix:12:1:1:3",
         "socket_unix:23:1:1:3",
     ] {
-        let rig = UpgradeFixture::new();
-        let predecessor = rig.start("127.0.0.1:0");
+        let fixture = UpgradeFixture::new();
+        let predecessor = fixture.start("127.0.0.1:0");
         assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
         let variables = [
             ("LD_PRELOAD", fault_injection_library()),
             ("FAULTS", faults),
         ];
-        let successor = rig.start_with(&variables, &predecessor.address.to_string());
+        let successor = fixture.start_with(&variables, &predecessor.address.to_string());
         assert_eq!(successor.metric("upstreams_excluded"), 1, "{faults}");
         assert_eq!(predecessor.admin_call("POST /upstreams/u0/ready").0, 200);
         wait_until("the change has arrived", || {
@@ -94,14 +95,14 @@
         .iter()
         .flat_map(|call| [4, 105, 12].map(|error| (*call, error)))
     {
-        let rig = UpgradeFixture::new();
+        let fixture = UpgradeFixture::new();
         let faults = format!("{call}:{error}:1:2:1000000");
         let variables = [
             ("LD_PRELOAD", fault_injection_library()),
             ("FAULTS", faults.as_str()),
         ];
-        let predecessor = rig.start_with(&variables, "127.0.0.1:0");
-        let successor = rig.start_with(&variables, &predecessor.address.to_string());
+        let predecessor = fixture.start_with(&variables, "127.0.0.1:0");
+        let successor = fixture.start_with(&variables, &predecessor.address.to_string());
         for round in 0..10 {
             let (sender, receiver) = if round % 2 == 0 {
                 (&predecessor, &successor)
@@ -132,13 +133,13 @@
 /// handover socket, takes half a second.
 #[test]
 fn a_process_that_reports_that_it_listens_already_awaits_a_successor() {
-    let rig = UpgradeFixture::new();
+    let fixture = UpgradeFixture::new();
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", "bind:-500:3:1:1"),
     ];
-    let predecessor = rig.start_with(&variables, "127.0.0.1:0");
-    let successor = rig.start(&predecessor.address.to_string());
+    let predecessor = fixture.start_with(&variables, "127.0.0.1:0");
+    let successor = fixture.start(&predecessor.address.to_string());
     assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
     wait_until("the change has arrived", || {
         successor.metric("upstreams_excluded") == 1
@@ -148,18 +149,19 @@
 /// The predecessor can't register the connection (ENOMEM).
 #[test]
 fn a_successor_connects_again_if_the_first_connection_ends_at_once() {
-    let rig = UpgradeFixture::new();
+    let fixture = UpgradeFixture::new();
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", "epoll_ctl_accepted:12:1:1:1"),
     ];
-    let predecessor = rig.start_with(&variables, "127.0.0.1:0");
+    let predecessor = fixture.start_with(&variables, "127.0.0.1:0");
     wait_until("a successor is awaited", || {
-        rig.state_file(predecessor.address)
+        fixture
+            .state_file(predecessor.address)
             .with_extension("sock")
             .exists()
     });
-    let successor = rig.start(&predecessor.address.to_string());
+    let successor = fixture.start(&predecessor.address.to_string());
     assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
     wait_until("the change has arrived", || {
         successor.metric("upstreams_excluded") == 1
@@ -168,15 +170,15 @@
 
 #[test]
 fn a_kill_during_a_write_of_the_state_file_leaves_the_previous_state() {
-    let rig = UpgradeFixture::new();
+    let fixture = UpgradeFixture::new();
     // The first rename is that of the handover socket, the second that of the first state file;
     // the third takes a minute.
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", "rename:-60000:3:1:1"),
     ];
-    let mut predecessor = rig.start_with(&variables, "127.0.0.1:0");
-    let (address, state) = (predecessor.address, rig.state_file(predecessor.address));
+    let mut predecessor = fixture.start_with(&variables, "127.0.0.1:0");
+    let (address, state) = (predecessor.address, fixture.state_file(predecessor.address));
     assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
     let before = std::fs::read(&state).unwrap();
     let mut admin_client = predecessor.connect_admin();
@@ -186,7 +188,7 @@
     });
     predecessor.kill();
     assert_eq!(std::fs::read(&state).unwrap(), before);
-    let successor = rig.start(&address.to_string());
+    let successor = fixture.start(&address.to_string());
     assert_eq!(
         successor.metric("upstreams_excluded"),
         1,
--- a/tests/idle_clients.rs
+++ b/tests/idle_clients.rs
@@ -9,7 +9,7 @@
 
 /// Guards against an end, or a deaf listener, when clients hold more connections than there are descriptors.
 #[test]
-fn short_of_descriptors_it_drops_idle_connections_and_goes_on() {
+fn idle_connections_are_evicted_when_descriptors_run_short() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_descriptors(&[upstream.address], 64);
     let mut idle = Vec::new();
@@ -28,7 +28,7 @@
 /// A client that stops in the middle of a request and stays is owed an error or a close within 3 s, also where it has
 /// had an answer on that connection before.
 #[test]
-fn a_client_that_stops_in_the_middle_of_a_further_request_is_turned_away() {
+fn a_client_that_stalls_in_a_later_request_is_rejected() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let head = "POST /pay HTTP/1.1\r\nHost: b\r\n";
@@ -65,7 +65,7 @@
 /// Guards against clients that hold a connection and say nothing, or never finish: they are closed in time, and
 /// they don't keep others out.
 #[test]
-fn a_client_that_never_finishes_its_first_request_is_closed() {
+fn a_client_that_stalls_in_its_first_request_is_closed() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_descriptors(&[upstream.address], 64);
     let half = "POST /pay HTTP/1.1\r\nRequest-Id: ff01\r\n";
--- a/tests/invalid_requests.rs
+++ b/tests/invalid_requests.rs
@@ -6,7 +6,7 @@
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 #[test]
-fn bad_callers_are_told_so_and_nothing_goes_upstream() {
+fn an_invalid_request_is_rejected_and_not_forwarded() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let large = format!("{REQUEST_ID}Content-Length: 33554433\r\n");
@@ -45,7 +45,7 @@
 /// Guards against a second request that is hidden behind a first one, and against what is no request being taken
 /// for the next: after a 4xx the connection ends.
 #[test]
-fn what_is_turned_away_ends_its_connection() {
+fn a_rejected_request_ends_its_connection() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let hidden = "POST /pay HTTP/1.1\r\nRequest-Id: ff03\r\nContent-Length: 1\r\n\r\nx";
@@ -79,7 +79,7 @@
 
 /// Guards against the request of one client under the name of another's, which would run beside it.
 #[test]
-fn a_request_under_a_name_that_is_open_is_turned_away() {
+fn a_request_whose_id_is_in_flight_is_rejected() {
     let upstream = StubUpstream::start(StubResponse::Never);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let (mut one, mut two) = (program.client(), program.client());
--- a/tests/known_red/incomplete_output.rs
+++ b/tests/known_red/incomplete_output.rs
@@ -4,7 +4,7 @@
 use super::verdict::{fails, passes, ENTRY};
 
 #[test]
-fn what_fails_before_the_tests_fails_the_run() {
+fn a_command_that_fails_before_the_tests_fails_the_run() {
     let outputs = [
         ("Diff in src/lib.rs:1:\n-fn  a() {}\n+fn a() {}\n", 1),
         (
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_binary_that_ends_before_its_result_fails_the_run() {
+fn a_binary_without_a_result_fails_the_run() {
     let died = "     Running tests/rules.rs (target/debug/deps/rules-fe4fa0301ed8959d)\n\nrunning 2 tests\n\
         test keeps ... ok\nerror: test failed, to rerun pass `--test rules`\n";
     let caused = "\nCaused by:\n  process didn't exit successfully: `rules` (signal: 6, SIGABRT: process abort signal)\n";
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn counts_that_do_not_agree_fail_the_run() {
+fn inconsistent_counts_fail_the_run() {
     let changes = [
         ("running 3 tests", "running 4 tests"),
         ("test answers ... ok\n", ""),
@@ -101,7 +101,7 @@
 
 /// Guards against a failure that hides behind what a listed test printed.
 #[test]
-fn captured_output_that_looks_like_a_run_hides_nothing() {
+fn captured_output_that_looks_like_a_run_hides_no_failure() {
     let shown = |captured: &str| one_red().replace("CAPTURED", captured);
     passes(
         ENTRY,
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn log_lines_and_colours_between_change_nothing() {
+fn interleaved_log_lines_and_colours_are_ignored() {
     let output = one_red()
         .replace(
             "test answers ... ok",
--- a/tests/known_red/list_format.rs
+++ b/tests/known_red/list_format.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 #[test]
-fn a_list_that_can_not_be_read_fails_the_run() {
+fn a_list_that_cannot_be_read_fails_the_run() {
     for code in [0, 101] {
         assert_ne!(
             verdict_on(Path::new(env!("CARGO_TARGET_TMPDIR")), &one_red(), code).0,
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_fourth_line_fails_the_run() {
+fn a_list_of_more_than_three_lines_fails_the_run() {
     let tests = [
         ("a", "FAILED"),
         ("b", "FAILED"),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_line_of_another_form_fails_the_run() {
+fn a_malformed_line_fails_the_run() {
     let malformed_entries = [
         "",
         "  ",
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_name_in_two_binaries_has_to_say_which() {
+fn a_name_in_two_binaries_is_ambiguous() {
     let admin = binary("admin", &[("hangs", "FAILED")]);
     for other in ["ok", "FAILED", "ignored"] {
         let output = run(&[admin.clone(), binary("rules", &[("hangs", other)])]);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_listed_name_that_did_not_run_fails_the_run() {
+fn a_listed_test_that_did_not_run_fails_the_run() {
     for name in [
         "gone",
         "hang",
--- a/tests/known_red/results.rs
+++ b/tests/known_red/results.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 #[test]
-fn without_a_list_the_verdict_is_that_of_the_command() {
+fn without_a_list_the_exit_code_is_that_of_the_command() {
     for output in [
         one_red(),
         "error: could not compile `load-balancer`\n".into(),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_listed_test_may_fail_and_is_printed() {
+fn a_listed_failure_passes_the_run_and_is_printed() {
     passes(ENTRY, &one_red());
     passes(
         "hangs; cargo test --seed 7; the answer has no end; #12",
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 /// An upstream that responds to the first request on each connection by `response`.
 fn upstream(response: impl Fn(&mut TcpStream) + Send + 'static) -> SocketAddr {
@@ -52,7 +52,11 @@
         let (program, _discovery) = Program::with_admin(&[address]);
         let mut client = program.client();
         client
-            .send("/pay", &format!("{ID}Connection: close\r\n"), "coins")
+            .send(
+                "/pay",
+                &format!("{REQUEST_ID}Connection: close\r\n"),
+                "coins",
+            )
             .unwrap();
         let text = String::from_utf8(client.read_to_end_bytes()).unwrap();
         // The client gets either an error or a response that is not terminated.
@@ -91,7 +95,7 @@
             }
         });
         let (program, _discovery) = Program::with_upstreams(&[address]);
-        let response = program.client().request("/pay", ID, "coins");
+        let response = program.client().request("/pay", REQUEST_ID, "coins");
         assert_eq!(
             (response.status(), response.body.as_slice()),
             (200, &b"coins"[..]),
@@ -123,7 +127,7 @@
         ));
         let program = Program::start(&config, "127.0.0.1:0");
         let mut client = program.client();
-        client.send("/pay", ID, "coins").unwrap();
+        client.send("/pay", REQUEST_ID, "coins").unwrap();
         let (mut stream, _) = listener.accept().unwrap();
         let request = Message::read(&mut BufReader::new(stream.try_clone().unwrap()));
         assert!(request.unwrap().is_some());
@@ -207,7 +211,10 @@
         let (program, _discovery) = Program::with_upstreams(&[address]);
         let begun = Instant::now();
         assert_eq!(
-            program.client().request("/pay", ID, "coins").status(),
+            program
+                .client()
+                .request("/pay", REQUEST_ID, "coins")
+                .status(),
             502,
             "{begin}{again}"
         );
@@ -221,7 +228,7 @@
 /// Guards against passing on an answer that can't be told to be whole, against repeating what has run, and
 /// against using its connection again.
 #[test]
-fn a_spoilt_answer_is_a_failure_that_may_have_run() {
+fn a_malformed_response_is_a_failure_that_may_have_run() {
     let endless = "HTTP/1.1 200 OK\r\nNews: ".to_string() + &"x".repeat(1 << 20);
     let answers = [
         "what?\r\n\r\n",
@@ -239,7 +246,10 @@
         let (one, two) = (StubUpstream::raw(text), StubUpstream::raw(text));
         let (program, _discovery) = Program::with_upstreams(&[one.address, two.address]);
         assert_eq!(
-            program.client().request("/pay", ID, "coins").status(),
+            program
+                .client()
+                .request("/pay", REQUEST_ID, "coins")
+                .status(),
             502,
             "{text:.99}"
         );
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -10,7 +10,7 @@
 /// Guards against a slot that one bad answer takes for good: the limit is in whole calls, so a width that comes
 /// back to just under what it was is one call less.
 #[test]
-fn good_answers_give_back_what_a_spoilt_one_took_from_the_limit() {
+fn good_responses_restore_the_concurrency_limit_after_a_malformed_one() {
     let upstream = StubUpstream::raw("what?\r\n\r\n");
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     assert_eq!(
@@ -41,7 +41,7 @@
 
 /// Guards against an upstream that is left out for minutes because the call that was lost there was a heavy one.
 #[test]
-fn a_heavy_call_lost_in_silence_ejects_its_upstream_no_longer_than_a_light_one() {
+fn a_lost_request_ejects_its_upstream_for_no_longer_when_its_cost_is_large() {
     let (lossy, other) = (
         StubUpstream::start(StubResponse::Ok),
         StubUpstream::start(StubResponse::Ok),
@@ -88,7 +88,7 @@
 /// Guards against turning calls away at once when all upstreams are silent, as they are when trouble deeper down is
 /// blamed on them: a call waits for a slot as ever.
 #[test]
-fn a_call_waits_also_where_all_upstreams_are_ejected() {
+fn a_request_is_queued_though_all_upstreams_are_ejected() {
     let upstream = StubUpstream::start(StubResponse::Never);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let (mut one, mut two) = (program.client(), program.client());
@@ -109,7 +109,7 @@
 
 /// Guards against an upstream that draws calls because it fails them fast; errors that all have eject none.
 #[test]
-fn an_upstream_that_alone_answers_with_errors_is_left_out() {
+fn an_upstream_that_alone_responds_with_errors_is_ejected() {
     let (bad, good) = (
         StubUpstream::start(StubResponse::Status(500)),
         [(); 2].map(|()| StubUpstream::start(StubResponse::Ok)),
--- a/tests/process_start.rs
+++ b/tests/process_start.rs
@@ -6,7 +6,7 @@
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 #[test]
-fn a_killed_program_starts_again_at_its_address() {
+fn a_killed_process_restarts_at_its_address() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (mut program, discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_bad_configuration_ends_it_with_one_line() {
+fn an_invalid_configuration_ends_the_process_with_one_line() {
     let good = config("{}", refusing_address(), 1024);
     let cases = [
         ("nonsense".to_string(), "PROXY_CONFIG"),
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn health_follows_the_list() {
+fn readiness_follows_the_endpoint_list() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, discovery) = Program::with_upstreams(&[]);
     assert_eq!(program.client().request("/healthz", "", "").status(), 503);
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-const ID: &str = "Request-Id: {id}\r\nIdempotency-Key: k\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\nIdempotency-Key: k\r\n";
 
 /// A retry that is decided within the deduplication window isn't written after it, even if its
 /// connection is established late: the upstream would take it for a new request.
@@ -26,7 +26,7 @@
         let program =
             Program::start_with(&[("PROXY_CONSOLE", "127.0.0.1:0")], &config, "127.0.0.1:0");
         let mut client = program.client();
-        client.send("/hold", ID, "coins").unwrap();
+        client.send("/hold", REQUEST_ID, "coins").unwrap();
         first.next();
         let started = Instant::now();
         discovery.next().line(&list(
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn no_request_is_lost_or_run_twice_from_start_to_kill() {
+fn no_request_is_lost_or_run_twice_from_start_to_sigkill() {
     let broken: Vec<_> = seeds().flat_map(play).collect();
     assert!(broken.is_empty(), "{broken:#?}");
 }
--- a/tests/state_file.rs
+++ b/tests/state_file.rs
@@ -36,7 +36,7 @@
 /// Stored fields were renamed in between; the older version also reads the maintenance set by
 /// this one.
 #[test]
-fn versions_with_older_field_names_and_this_one_read_each_other_s_state() {
+fn state_is_compatible_with_versions_that_have_older_field_names() {
     let learned = r#"{"width":1.0,"pace":1.5,"answers":3.0,"health":[{"heard":9.0,"faults":0.1,"answers":3.0,
         "strikes":2,"rest_until":12.5}],"losses":0.0,"full_until":0.0,"suspect":0.0,"credit":0.25}"#;
     let old = format!(
@@ -62,12 +62,14 @@
     assert_ne!(new, old);
     assert_eq!(serde_json::to_value(read(&new)).unwrap(), json(&old));
 
-    let rig = UpgradeFixture::new();
-    let address = rig.start("127.0.0.1:0").address;
+    let fixture = UpgradeFixture::new();
+    let address = fixture.start("127.0.0.1:0").address;
     let state = format!(r#"{{"balancer":"{address}","out":["u0"],"knowledge":{old}}}"#);
-    std::fs::write(rig.state_file(address), state).unwrap();
+    std::fs::write(fixture.state_file(address), state).unwrap();
     assert_eq!(
-        rig.start(&address.to_string()).metric("upstreams_excluded"),
+        fixture
+            .start(&address.to_string())
+            .metric("upstreams_excluded"),
         1
     );
 }
@@ -77,11 +79,11 @@
 fn a_state_file_of_the_version_in_service_is_read() {
     let recorded: serde_json::Value = serde_json::from_str(STATE_OF_47C951F).unwrap();
     let recorded_address = recorded["balancer"].as_str().unwrap();
-    let rig = UpgradeFixture::new();
-    let address = rig.start("127.0.0.1:0").address;
+    let fixture = UpgradeFixture::new();
+    let address = fixture.start("127.0.0.1:0").address;
     let state = STATE_OF_47C951F.replace(recorded_address, &address.to_string());
-    std::fs::write(rig.state_file(address), state).unwrap();
-    let program = rig.start(&address.to_string());
+    std::fs::write(fixture.state_file(address), state).unwrap();
+    let program = fixture.start(&address.to_string());
     assert_eq!(program.metric("upstreams_excluded"), 1);
     assert_eq!(program.admin_call("POST /upstreams/u0/ready").0, 200);
     assert_eq!(program.metric("upstreams_excluded"), 0);
@@ -96,15 +98,15 @@
 /// The version in service finds every field in a state file of this one, and no others.
 #[test]
 fn a_state_file_has_the_fields_of_the_version_in_service() {
-    let rig = UpgradeFixture::new();
-    let program = rig.start("127.0.0.1:0");
+    let fixture = UpgradeFixture::new();
+    let program = fixture.start("127.0.0.1:0");
     let mut client = program.client();
     for _ in 0..3 {
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
         assert_eq!(client.request("/read", REQUEST_ID, "").status(), 200);
     }
     assert_eq!(program.admin_call("POST /upstreams/u0/maint").0, 200);
-    let written = std::fs::read(rig.state_file(program.address)).unwrap();
+    let written = std::fs::read(fixture.state_file(program.address)).unwrap();
     let written = serde_json::from_slice(&written).unwrap();
     let recorded = serde_json::from_str(STATE_OF_47C951F).unwrap();
     assert_eq!(field_paths(&written), field_paths(&recorded));
@@ -112,12 +114,12 @@
 
 #[test]
 fn an_incomplete_or_foreign_state_file_is_ignored() {
-    let rig = UpgradeFixture::new();
-    let predecessor = rig.start("127.0.0.1:0");
+    let fixture = UpgradeFixture::new();
+    let predecessor = fixture.start("127.0.0.1:0");
     let address = predecessor.address;
     assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
     drop(predecessor);
-    let text = std::fs::read(rig.state_file(address)).unwrap();
+    let text = std::fs::read(fixture.state_file(address)).unwrap();
     let foreign = String::from_utf8(text.clone())
         .unwrap()
         .replace(&address.to_string(), "127.0.0.9:1");
@@ -127,8 +129,8 @@
         (foreign.as_bytes(), 0),
         (&b"\xff\x00"[..], 0),
     ] {
-        std::fs::write(rig.state_file(address), state).unwrap();
-        let program = rig.start(&address.to_string());
+        std::fs::write(fixture.state_file(address), state).unwrap();
+        let program = fixture.start(&address.to_string());
         assert_eq!(program.metric("upstreams_excluded"), excluded);
         assert_eq!(program.admin_call("GET /healthcheck").0, 200);
     }
@@ -137,9 +139,10 @@
 /// An upgrade would undo it.
 #[test]
 fn a_change_that_cannot_be_stored_is_answered_with_an_error() {
-    let rig = UpgradeFixture::new();
-    let program = rig.start("127.0.0.1:0");
-    std::fs::create_dir(Path::new(&rig.state_file(program.address)).with_extension("new")).unwrap();
+    let fixture = UpgradeFixture::new();
+    let program = fixture.start("127.0.0.1:0");
+    std::fs::create_dir(Path::new(&fixture.state_file(program.address)).with_extension("new"))
+        .unwrap();
     assert_eq!(program.admin_call("POST /upstreams/u0/maint").0, 500);
     assert_eq!(
         program
--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery.
+//! A stub of the discovery service.
 
 use super::*;
 use socket2::SockRef;
@@ -8,13 +8,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// Discovery: each watch that comes is handed to the test.
+/// A discovery service that passes each watch that is opened to the test.
 pub struct StubDiscovery {
     pub address: SocketAddr,
     pub watches: Receiver<StubWatch>,
 }
 
-/// One watch: what it asked for, and its connection.
+/// An open watch: its request line and its connection.
 pub struct StubWatch {
     pub request_line: String,
     stream: TcpStream,
@@ -44,41 +44,43 @@
         StubDiscovery { address, watches }
     }
 
+    /// The next watch; waits until it is opened.
     pub fn next(&self) -> StubWatch {
         self.watches
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a watch comes")
+            .expect("a watch is opened")
     }
 }
 
 impl StubWatch {
-    /// Waits until the program has closed it.
+    /// Waits until the program has closed the watch.
     pub fn ended(&mut self) {
         self.stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         match self.stream.read(&mut [0]) {
-            Ok(count) => assert_eq!(count, 0, "nothing more is asked on a watch"),
-            // It closed before it had read the last line.
+            Ok(count) => assert_eq!(count, 0, "a watch carries one request"),
+            // The program closed it before it had read the last line.
             Err(error) => assert_eq!(error.kind(), io::ErrorKind::ConnectionReset),
         }
     }
 
+    /// Sends this text and a line feed, as one chunk.
     pub fn line(&mut self, text: &str) {
         self.part(&format!("{text}\n"));
     }
 
-    /// Sends this as it is, in a piece of its own.
+    /// Sends this text as one chunk.
     pub fn part(&mut self, text: &str) {
         write!(self.stream, "{:x}\r\n{text}\r\n", text.len()).unwrap();
     }
 
-    /// Resets the connection, whatever is on its way.
+    /// Resets the connection.
     pub fn reset(self) {
         SockRef::from(&self.stream)
             .set_linger(Some(Duration::ZERO))
             .unwrap();
     }
 
-    /// True if the program has not closed it.
+    /// True if the program has not closed the watch.
     pub fn is_open(&mut self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let open = matches!(self.stream.read(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock);
--- a/tests/support/message.rs
+++ b/tests/support/message.rs
@@ -1,14 +1,14 @@
-//! HTTP/1.1 messages, read off a socket.
+//! HTTP/1.1 messages.
 
 use std::io::{self, BufRead};
 
-/// A request or an answer as read off a socket.
+/// A request or a response as it was read from a connection.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// An upstream has told that it never began this request.
+    /// The upstream has rejected this request without starting it.
     pub rejected: bool,
 }
 
@@ -40,7 +40,7 @@
         if self.header("transfer-encoding").is_none() {
             let length = self
                 .header("content-length")
-                .and_then(|v| v.parse().ok())
+                .and_then(|value| value.parse().ok())
                 .unwrap_or(0);
             self.body.resize(length, 0);
             return from.read_exact(&mut self.body);
@@ -48,10 +48,10 @@
         loop {
             let mut size = String::new();
             from.read_line(&mut size)?;
-            let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
-            let size = usize::from_str_radix(size.trim_end(), 16).map_err(bad)?;
+            let invalid = |_| io::Error::from(io::ErrorKind::InvalidData);
+            let size = usize::from_str_radix(size.trim_end(), 16).map_err(invalid)?;
             let begin = self.body.len();
-            // The line end behind the chunk stands there too.
+            // The line end behind the chunk is read with it.
             self.body.resize(begin + size + 2, 0);
             from.read_exact(&mut self.body[begin..])?;
             self.body.truncate(begin + size);
@@ -61,13 +61,15 @@
         }
     }
 
+    /// The value of the first header of this name, which is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|(n, _)| n == name)
+            .find(|(header, _)| header == name)
             .map(|(_, value)| value.as_str())
     }
 
+    /// The status of a response; 0 if there is none.
     pub fn status(&self) -> u16 {
         self.start_line
             .split(' ')
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! The real program, and small loopback peers for it: upstreams, discovery and a client.
-//! Each test file uses a part of them.
+//! Runs the load balancer on loopback sockets, with stub upstreams, a stub discovery service and
+//! clients. Each test target uses a part of this.
 #![allow(dead_code, unused_imports)]
 
 mod client;
@@ -25,10 +25,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// No step of a test takes longer, also on a busy machine; whoever waits for so long has failed.
+/// The longest time that a step of a test takes, also on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until this holds; whatever it waits for has to come.
+/// Waits until `holds` returns true, and panics with `what` after `TEST_TIMEOUT`.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
--- a/tests/support/program.rs
+++ b/tests/support/program.rs
@@ -1,4 +1,4 @@
-//! The program under test.
+//! The load balancer as a process.
 
 use super::*;
 use std::io::{BufRead, BufReader};
@@ -9,19 +9,19 @@
 use std::sync::OnceLock;
 use std::thread;
 
-/// A program that is running; killed when dropped. Nobody reads its log once it listens, and it has to go on.
+/// A running process, which is killed when dropped. Its log is not read any more once it listens.
 pub struct Program {
     child: Child,
     config: PathBuf,
     pub address: SocketAddr,
-    /// Where operators connect, if the configuration names an address for them.
+    /// The address of the admin endpoint, if one is configured.
     pub admin: Option<SocketAddr>,
 }
 
-/// A new folder for what programs of one test leave to each other.
+/// Creates a folder for the files that the processes of a test share.
 pub fn create_temp_folder() -> PathBuf {
     let number = FILES.fetch_add(1, Ordering::SeqCst);
-    // Sockets have short names.
+    // The path of a Unix socket must be short.
     let path = std::env::temp_dir().join(format!("load-balancer-{}-{number}", std::process::id()));
     std::fs::create_dir(&path).unwrap();
     path
@@ -29,7 +29,8 @@
 
 static FILES: AtomicU64 = AtomicU64::new(0);
 
-/// The library that makes system calls of a program fail; see there for its variables.
+/// Builds the library that injects faults into system calls, once, and returns its path; its source
+/// lists the variables that control it.
 pub fn fault_injection_library() -> &'static str {
     static LIBRARY: OnceLock<String> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -50,17 +51,17 @@
     })
 }
 
-/// Starts the program on a configuration, without waiting for it.
+/// Starts the program with this configuration, and does not wait until it listens.
 pub fn spawn(config: &str, listen: &str) -> Child {
     spawn_with(&[], &write_config(config), listen)
 }
 
-/// The same for one that shares a folder with others.
+/// The same with a folder that it shares with other processes.
 pub fn spawn_in(folder: &Path, config: &str, listen: &str) -> Child {
     spawn_by_variables(&[("TMPDIR", folder.to_str().unwrap())], config, listen)
 }
 
-/// The same with these variables.
+/// The same with these environment variables.
 pub fn spawn_by_variables(variables: &[(&str, &str)], config: &str, listen: &str) -> Child {
     spawn_with(variables, &write_config(config), listen)
 }
@@ -76,15 +77,21 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_load-balancer");
 
 fn spawn_with(variables: &[(&str, &str)], config: &Path, listen: &str) -> Child {
-    spawn_by(Command::new(PROGRAM), variables, config, listen)
+    spawn_command(Command::new(PROGRAM), variables, config, listen)
 }
 
-fn spawn_by(mut run: Command, variables: &[(&str, &str)], config: &Path, listen: &str) -> Child {
-    run.env("PROXY_CONFIG", config)
+fn spawn_command(
+    mut command: Command,
+    variables: &[(&str, &str)],
+    config: &Path,
+    listen: &str,
+) -> Child {
+    command
+        .env("PROXY_CONFIG", config)
         .env("PROXY_LISTEN", listen)
         .env_remove("PROXY_DISCOVERY")
         .env_remove("PROXY_NAME")
-        // Programs that share it take each other for one balancer.
+        // Processes that share it take each other for predecessor and successor.
         .env_remove("TMPDIR")
         .envs(variables.iter().copied())
         .stderr(Stdio::piped())
@@ -93,84 +100,91 @@
 }
 
 impl Program {
+    /// Starts the program and waits until it listens.
     pub fn start(config: &str, listen: &str) -> Self {
         Self::start_with(&[], config, listen)
     }
 
+    /// The same with these environment variables.
     pub fn start_with(variables: &[(&str, &str)], config: &str, listen: &str) -> Self {
         let config = write_config(config);
         let child = spawn_with(variables, &config, listen);
-        Self::of(child, config)
+        Self::wait_until_listening(child, config)
     }
 
-    /// A program that the system lets hold so many descriptors, whatever its configuration says.
+    /// Starts the program with this limit on open files (`ulimit -n`).
     pub fn start_limited(descriptors: usize, variables: &[(&str, &str)], config: &str) -> Self {
         let config = write_config(config);
-        let mut run = Command::new("sh");
-        run.args([
+        let mut command = Command::new("sh");
+        command.args([
             "-c",
             "ulimit -n $0 && exec $1",
             &descriptors.to_string(),
             PROGRAM,
         ]);
-        let child = spawn_by(run, variables, &config, "127.0.0.1:0");
-        Self::of(child, config)
+        let child = spawn_command(command, variables, &config, "127.0.0.1:0");
+        Self::wait_until_listening(child, config)
     }
 
-    fn of(mut child: Child, config: PathBuf) -> Self {
+    /// Waits until the process listens, and takes its addresses from its log.
+    fn wait_until_listening(mut child: Child, config: PathBuf) -> Self {
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let (mut line, mut admin) = (String::new(), None);
-        let last = |line: &str| line.trim_end().rsplit(' ').next().unwrap().parse().unwrap();
+        let address_at_end =
+            |line: &str| line.trim_end().rsplit(' ').next().unwrap().parse().unwrap();
         while !line.contains("listening for clients: ") {
             line.clear();
             assert!(
                 log.read_line(&mut line).unwrap() > 0,
-                "the program ended before it listened"
+                "the process ended before it listened"
             );
             if line.contains("listening for admin requests: ") {
-                admin = Some(last(&line));
+                admin = Some(address_at_end(&line));
             }
         }
         Program {
             child,
             config,
-            address: last(&line),
+            address: address_at_end(&line),
             admin,
         }
     }
 
-    /// A program with a console and these upstreams.
+    /// Starts the program with an admin endpoint and these upstreams.
     pub fn with_admin(upstreams: &[SocketAddr]) -> (Self, StubDiscovery) {
         Self::with_admin_and_descriptors(upstreams, 256)
     }
 
-    /// The same with so many descriptors.
+    /// The same with this descriptor limit.
     pub fn with_admin_and_descriptors(
         upstreams: &[SocketAddr],
-        sockets: usize,
+        max_descriptors: usize,
     ) -> (Self, StubDiscovery) {
         let discovery = StubDiscovery::start();
-        let config = config_with_upstreams(upstreams, discovery.address, sockets);
+        let config = config_with_upstreams(upstreams, discovery.address, max_descriptors);
         (
             Self::start_with(&[("PROXY_CONSOLE", "127.0.0.1:0")], &config, "127.0.0.1:0"),
             discovery,
         )
     }
 
+    /// Connects to the admin endpoint.
     pub fn connect_admin(&self) -> Client {
-        Client::connect(self.admin.expect("a console")).unwrap()
+        Client::connect(self.admin.expect("an admin endpoint")).unwrap()
     }
 
-    /// An operator's call; its status and text.
-    pub fn admin_call(&self, call: &str) -> (u16, String) {
-        let mut operator = self.connect_admin();
-        operator.write(&format!("{call} HTTP/1.1\r\nHost: console\r\n\r\n"));
-        let answer = operator.receive().unwrap().expect("an answer");
-        assert!(operator.is_closed_by_peer(), "one call to a connection");
-        (answer.status(), String::from_utf8(answer.body).unwrap())
+    /// Sends a request, given by method and path, to the admin endpoint; returns status and body.
+    pub fn admin_call(&self, method_and_path: &str) -> (u16, String) {
+        let mut client = self.connect_admin();
+        client.write(&format!(
+            "{method_and_path} HTTP/1.1\r\nHost: console\r\n\r\n"
+        ));
+        let response = client.receive().unwrap().expect("a response");
+        assert!(client.is_closed_by_peer(), "one request a connection");
+        (response.status(), String::from_utf8(response.body).unwrap())
     }
 
-    /// The figure of this name.
+    /// The value of this metric.
     pub fn metric(&self, name: &str) -> u64 {
         let text = self.admin_call("GET /stats").1;
         let line = text
@@ -180,41 +194,48 @@
             .unwrap_or_else(|| panic!("{name} in {text}"))
     }
 
-    /// A program with these upstreams, named `u0`, `u1` and so on, and a discovery of its own.
+    /// Starts the program with these upstreams, named `u0`, `u1` and so on, and with discovery.
     pub fn with_upstreams(upstreams: &[SocketAddr]) -> (Self, StubDiscovery) {
         Self::with_descriptors(upstreams, 1024)
     }
 
-    pub fn with_descriptors(upstreams: &[SocketAddr], sockets: usize) -> (Self, StubDiscovery) {
+    /// The same with this descriptor limit.
+    pub fn with_descriptors(
+        upstreams: &[SocketAddr],
+        max_descriptors: usize,
+    ) -> (Self, StubDiscovery) {
         let discovery = StubDiscovery::start();
         (
             Self::start(
-                &config_with_upstreams(upstreams, discovery.address, sockets),
+                &config_with_upstreams(upstreams, discovery.address, max_descriptors),
                 "127.0.0.1:0",
             ),
             discovery,
         )
     }
 
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
+    /// Connects a client.
     pub fn client(&self) -> Client {
         Client::connect(self.address).unwrap()
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the file of its configuration and tells it so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.config, config).unwrap();
         self.signal("-HUP");
     }
 
-    /// Holds the program still until it is to go on; what it is told meanwhile waits for that.
+    /// Suspends the process until `resume`; data and signals for it are queued meanwhile.
     pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -223,18 +244,21 @@
         }
     }
 
-    /// True once the close or the reset of the client with this port has reached the machine of the program, read or not.
-    pub fn has_received_close_from(&self, client: u16) -> bool {
-        !established_connections().contains(&(self.address.port(), client))
+    /// True once the kernel has received the close or the reset of the client with this port, whether
+    /// the process has read it or not.
+    pub fn has_received_close_from(&self, client_port: u16) -> bool {
+        !established_connections().contains(&(self.address.port(), client_port))
     }
 
-    /// True while its end of the connection of the client with this port is open.
-    pub fn has_connection_to(&self, client: u16) -> bool {
-        tcp_endpoints()
-            .iter()
-            .any(|end| (end.here, end.there) == (self.address.port(), client) && end.held)
+    /// True while the process has a descriptor of its connection to the client with this port.
+    pub fn has_connection_to(&self, client_port: u16) -> bool {
+        tcp_endpoints().iter().any(|endpoint| {
+            (endpoint.local_port, endpoint.remote_port) == (self.address.port(), client_port)
+                && endpoint.has_descriptor
+        })
     }
 
+    /// Resumes a suspended process.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
@@ -248,7 +272,7 @@
             .success());
     }
 
-    /// The most memory that it has held so far, in bytes.
+    /// The peak resident memory of the process, in bytes.
     pub fn peak_memory_bytes(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status
@@ -264,18 +288,20 @@
             << 10
     }
 
-    /// The descriptors that it holds.
+    /// How many descriptors the process has open.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .unwrap()
             .count()
     }
 
+    /// Sends SIGKILL and waits for the end of the process.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
+    /// Waits for the end of the process.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
@@ -283,7 +309,7 @@
 
 impl Drop for Program {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/tests/support/tcp_table.rs
+++ b/tests/support/tcp_table.rs
@@ -1,15 +1,21 @@
 //! The kernel's table of TCP connections.
 
-/// One end of a connection, as the kernel's table has it.
+/// The state of a connection that is established.
+pub(super) const ESTABLISHED: &str = "01";
+/// The state of a connection whose SYN has not been answered.
+pub(super) const SYN_SENT: &str = "02";
+
+/// One endpoint of a TCP connection, as it stands in the kernel's table.
 pub(super) struct TcpEndpoint {
-    pub(super) here: u16,
-    pub(super) there: u16,
+    pub(super) local_port: u16,
+    pub(super) remote_port: u16,
+    /// The state's number, in hexadecimal digits.
     pub(super) state: String,
-    /// Some process has a descriptor of it.
-    pub(super) held: bool,
+    /// A process has a descriptor of it.
+    pub(super) has_descriptor: bool,
 }
 
-/// The kernel's table of all ends.
+/// All TCP endpoints over IPv4.
 pub(super) fn tcp_endpoints() -> Vec<TcpEndpoint> {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let port =
@@ -18,23 +24,21 @@
         .lines()
         .skip(1)
         .map(|line| line.split_whitespace().skip(1).collect::<Vec<_>>());
-    let end = |row: Vec<&str>| {
-        let (here, there) = (port(row[0]), port(row[1]));
-        TcpEndpoint {
-            here,
-            there,
-            state: row[2].to_string(),
-            held: row[8] != "0",
-        }
+    let endpoint = |row: Vec<&str>| TcpEndpoint {
+        local_port: port(row[0]),
+        remote_port: port(row[1]),
+        state: row[2].to_string(),
+        has_descriptor: row[8] != "0",
     };
-    rows.map(end).collect()
+    rows.map(endpoint).collect()
 }
 
-/// The ports, here and there, of all ends of connections that are up and to which no close or reset has come.
+/// The local and remote ports of all endpoints of established connections, which have received
+/// neither a close nor a reset.
 pub fn established_connections() -> Vec<(u16, u16)> {
     tcp_endpoints()
         .into_iter()
-        .filter(|end| end.state == "01")
-        .map(|end| (end.here, end.there))
+        .filter(|endpoint| endpoint.state == ESTABLISHED)
+        .map(|endpoint| (endpoint.local_port, endpoint.remote_port))
         .collect()
 }
--- a/tests/support/upgrade.rs
+++ b/tests/support/upgrade.rs
@@ -4,10 +4,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+/// Starts a process with an admin endpoint that shares this folder.
 pub fn start_in_folder(folder: &Path, config: &str, listen: &str) -> Program {
     start_in_folder_with(&[], folder, config, listen)
 }
 
+/// The same with more environment variables.
 pub fn start_in_folder_with(
     variables: &[(&str, &str)],
     folder: &Path,
@@ -21,6 +23,7 @@
     Program::start_with(&[variables, &own].concat(), config, listen)
 }
 
+/// One upstream, discovery, and the folder that processes share; the folder is deleted when dropped.
 pub struct UpgradeFixture {
     pub folder: PathBuf,
     pub upstream: StubUpstream,
@@ -36,11 +39,12 @@
         }
     }
 
+    /// Starts a process that knows the upstream.
     pub fn start(&self, listen: &str) -> Program {
         self.start_with(&[], listen)
     }
 
-    /// The same with these variables.
+    /// The same with more environment variables.
     pub fn start_with(&self, variables: &[(&str, &str)], listen: &str) -> Program {
         let known = list(
             5,
@@ -55,6 +59,7 @@
         )
     }
 
+    /// The state file of the process at this address.
     pub fn state_file(&self, address: SocketAddr) -> PathBuf {
         self.folder.join(format!("magpiechute-{address}.state"))
     }
@@ -62,7 +67,7 @@
 
 impl Drop for UpgradeFixture {
     fn drop(&mut self) {
-        // A failure leaves files behind, and nothing else.
+        // A failure only leaves files behind.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
--- a/tests/support/upstream.rs
+++ b/tests/support/upstream.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an upstream.
+//! A stub upstream.
 
 use super::*;
 use std::io::{self, BufReader, Read, Write};
@@ -9,75 +9,78 @@
 use std::thread;
 use std::time::Instant;
 
-/// What an upstream does with a request.
+/// How an upstream responds to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StubResponse {
     Ok,
-    /// Answers, then closes the connection without saying so before.
+    /// Responds, then closes the connection without `Connection: close`.
     OkThenClose,
     Status(u16),
+    /// 503 with `Not-Started: 1`.
     Rejected,
-    /// Closes the connection in place of an answer.
+    /// Closes the connection without a response.
     Close,
-    /// Closes it in the middle of the answer.
+    /// Closes the connection in the middle of the response.
     Truncate,
-    /// Closes it in the middle of a large one.
+    /// Closes the connection in the middle of a large response.
     TruncateLarge,
-    /// Answers with this text.
+    /// Responds with this text.
     Raw(&'static str),
-    /// Answers with this text and closes the connection.
+    /// Responds with this text and closes the connection.
     RawThenClose(&'static str),
-    /// Says nothing until the other side closes.
+    /// Sends nothing until the peer closes the connection.
     Never,
-    /// Holds its answer until it is released: a good one, or what is set by then.
+    /// Delays the response until `release`; then it is the one that is set by then, or `Ok`.
     Hold,
 }
 
-/// An upstream, and what it has seen.
+/// An upstream that records the requests it receives.
 pub struct StubUpstream {
     pub address: SocketAddr,
     pub seen: Receiver<Message>,
-    /// One message for each connection that ended.
+    /// One message for each connection that has ended.
     pub closed: Receiver<()>,
+    /// The number of connections that have been accepted.
     pub connections: Arc<AtomicU64>,
-    /// Answers that have been written.
-    pub answered: Arc<AtomicU64>,
-    reply: Arc<Mutex<StubResponse>>,
+    /// The number of responses that have been written.
+    pub responses: Arc<AtomicU64>,
+    response: Arc<Mutex<StubResponse>>,
     gate: Arc<Gate>,
 }
 
-/// Whether what is held may go on.
+/// Whether delayed responses have been released.
 type Gate = (Mutex<bool>, Condvar);
 
 impl StubUpstream {
-    pub fn start(reply: StubResponse) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), reply)
+    pub fn start(response: StubResponse) -> Self {
+        Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), response)
     }
 
-    pub(super) fn on(listener: TcpListener, reply: StubResponse) -> Self {
+    pub(super) fn on(listener: TcpListener, response: StubResponse) -> Self {
         let (sender, seen) = channel();
         let (closing, closed) = channel();
-        let reply = Arc::new(Mutex::new(reply));
+        let response = Arc::new(Mutex::new(response));
         let connections = Arc::new(AtomicU64::new(0));
-        let answered = Arc::new(AtomicU64::new(0));
+        let responses = Arc::new(AtomicU64::new(0));
         let gate = Arc::new((Mutex::new(false), Condvar::new()));
         let upstream = StubUpstream {
             address: listener.local_addr().unwrap(),
             seen,
             closed,
             connections: connections.clone(),
-            answered: answered.clone(),
-            reply: reply.clone(),
+            responses: responses.clone(),
+            response: response.clone(),
             gate: gate.clone(),
         };
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 connections.fetch_add(1, Ordering::SeqCst);
-                let (reply, sender, closing) = (reply.clone(), sender.clone(), closing.clone());
-                let (gate, answered) = (gate.clone(), answered.clone());
+                let (response, sender, closing) =
+                    (response.clone(), sender.clone(), closing.clone());
+                let (gate, responses) = (gate.clone(), responses.clone());
                 thread::spawn(move || {
-                    // However the connection ends, it has ended.
-                    let _ = answer_all(stream, &reply, &sender, &gate, &answered);
+                    // The end of the connection counts, whatever its cause.
+                    let _ = respond(stream, &response, &sender, &gate, &responses);
                     let _ = closing.send(());
                 });
             }
@@ -85,37 +88,38 @@
         upstream
     }
 
-    /// One that answers each request with this text, whatever it is.
+    /// Starts an upstream that responds to each request with this text.
     pub fn raw(text: &str) -> Self {
         Self::start(StubResponse::Raw(text.to_string().leak()))
     }
 
-    pub fn set_response(&self, reply: StubResponse) {
-        *self.reply.lock().unwrap() = reply;
+    pub fn set_response(&self, response: StubResponse) {
+        *self.response.lock().unwrap() = response;
     }
 
-    /// Waits until it has closed a connection, and none is left whose other side has yet to hear of that, read or not. A
-    /// busy machine may bring a close later than it tells of it here.
+    /// Waits until a connection has been closed, and until the kernel has delivered the close to the
+    /// peer, which on a busy machine may be later.
     pub fn wait_for_close(&self) {
         self.closed
             .recv_timeout(TEST_TIMEOUT)
-            .expect("its connection is closed");
+            .expect("a connection to the upstream is closed");
         let begin = Instant::now();
         while established_connections()
             .iter()
-            .any(|(_, there)| *there == self.address.port())
+            .any(|(_, remote_port)| *remote_port == self.address.port())
         {
-            assert!(begin.elapsed() < TEST_TIMEOUT, "its close arrives");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "the close is delivered");
             thread::yield_now();
         }
     }
 
-    /// Lets all that it holds go on, now and later.
+    /// Releases delayed responses, also those to later requests.
     pub fn release(&self) {
         *self.gate.0.lock().unwrap() = true;
         self.gate.1.notify_all();
     }
 
+    /// The next request; waits until it arrives.
     pub fn next(&self) -> Message {
         self.seen
             .recv_timeout(TEST_TIMEOUT)
@@ -123,29 +127,30 @@
     }
 }
 
-fn answer_all(
+/// Responds to the requests on one connection until it ends.
+fn respond(
     stream: TcpStream,
-    reply: &Mutex<StubResponse>,
+    response: &Mutex<StubResponse>,
     seen: &Sender<Message>,
     gate: &Gate,
-    answered: &AtomicU64,
+    responses: &AtomicU64,
 ) -> io::Result<()> {
-    let mut out = stream.try_clone()?;
+    let mut output = stream.try_clone()?;
     let mut input = BufReader::new(stream);
     while let Some(request) = Message::read(&mut input)? {
-        let body = format!("{} by {}", request.start_line, out.local_addr()?);
+        let body = format!("{} by {}", request.start_line, output.local_addr()?);
         let id = request.header("request-id").unwrap_or("").to_string();
-        let asked = *reply.lock().unwrap();
+        let configured = *response.lock().unwrap();
         let _ = seen.send(Message {
-            rejected: asked == StubResponse::Rejected,
+            rejected: configured == StubResponse::Rejected,
             ..request
         });
-        let reply = if asked == StubResponse::Hold {
+        let response = if configured == StubResponse::Hold {
             let open = gate.0.lock().unwrap();
             drop(gate.1.wait_while(open, |open| !*open).unwrap());
-            *reply.lock().unwrap()
+            *response.lock().unwrap()
         } else {
-            asked
+            configured
         };
         let head = |status: &str| {
             format!(
@@ -153,29 +158,33 @@
                 body.len()
             )
         };
-        match reply {
-            StubResponse::Ok | StubResponse::Hold => write!(out, "{}\r\n{body}", head("200 OK"))?,
-            StubResponse::OkThenClose => return write!(out, "{}\r\n{body}", head("200 OK")),
+        match response {
+            StubResponse::Ok | StubResponse::Hold => {
+                write!(output, "{}\r\n{body}", head("200 OK"))?
+            }
+            StubResponse::OkThenClose => return write!(output, "{}\r\n{body}", head("200 OK")),
             StubResponse::Status(code) => {
-                write!(out, "{}\r\n{body}", head(&format!("{code} Other")))?
+                write!(output, "{}\r\n{body}", head(&format!("{code} Other")))?
             }
             StubResponse::Rejected => {
-                write!(out, "{}Not-Started: 1\r\n\r\n{body}", head("503 Busy"))?
+                write!(output, "{}Not-Started: 1\r\n\r\n{body}", head("503 Busy"))?
             }
-            StubResponse::Raw(text) => out.write_all(text.as_bytes())?,
-            StubResponse::RawThenClose(text) => return out.write_all(text.as_bytes()),
+            StubResponse::Raw(text) => output.write_all(text.as_bytes())?,
+            StubResponse::RawThenClose(text) => return output.write_all(text.as_bytes()),
             StubResponse::Close => return Ok(()),
-            StubResponse::Truncate => return write!(out, "{}\r\n{}", head("200 OK"), &body[..4]),
+            StubResponse::Truncate => {
+                return write!(output, "{}\r\n{}", head("200 OK"), &body[..4])
+            }
             StubResponse::TruncateLarge => {
-                write!(out, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")?;
-                return out.write_all(&[b'x'; 500_000]);
+                write!(output, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")?;
+                return output.write_all(&[b'x'; 500_000]);
             }
             StubResponse::Never => {
                 input.read_to_end(&mut Vec::new())?;
                 return Ok(());
             }
         }
-        answered.fetch_add(1, Ordering::SeqCst);
+        responses.fetch_add(1, Ordering::SeqCst);
     }
     Ok(())
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -15,8 +15,8 @@
 /// Clients that open a connection for each request never find a closed listener.
 #[test]
 fn all_clients_are_served_during_an_upgrade() {
-    let rig = UpgradeFixture::new();
-    let mut predecessor = rig.start("127.0.0.1:0");
+    let fixture = UpgradeFixture::new();
+    let mut predecessor = fixture.start("127.0.0.1:0");
     let address = predecessor.address;
     let (stop, served) = (
         Arc::new(AtomicBool::new(false)),
@@ -45,7 +45,7 @@
         }
     };
     more(20);
-    let successor = rig.start(&address.to_string());
+    let successor = fixture.start(&address.to_string());
     assert_eq!(successor.address, address);
     assert_eq!(successor.admin_call("GET /healthcheck").0, 200);
     more(20);
@@ -62,9 +62,9 @@
 /// New connections go to the successor from then on.
 #[test]
 fn a_replaced_process_stops_listening_and_finishes_its_requests() {
-    let rig = UpgradeFixture::new();
-    let mut predecessor = rig.start("127.0.0.1:0");
-    rig.upstream.set_response(StubResponse::Never);
+    let fixture = UpgradeFixture::new();
+    let mut predecessor = fixture.start("127.0.0.1:0");
+    fixture.upstream.set_response(StubResponse::Never);
     let mut waiting = predecessor.client();
     waiting
         .send(
@@ -73,9 +73,9 @@
             "coins",
         )
         .unwrap();
-    rig.upstream.next();
-    let successor = rig.start(&predecessor.address.to_string());
-    rig.upstream.set_response(StubResponse::Ok);
+    fixture.upstream.next();
+    let successor = fixture.start(&predecessor.address.to_string());
+    fixture.upstream.set_response(StubResponse::Ok);
     predecessor.terminate();
     // The response is sent before the process ends.
     assert_eq!(waiting.receive().unwrap().unwrap().status(), 502);
@@ -92,11 +92,11 @@
 }
 
 #[test]
-fn maintenance_outlasts_an_upgrade_and_both_processes_learn_of_changes() {
-    let rig = UpgradeFixture::new();
-    let predecessor = rig.start("127.0.0.1:0");
+fn maintenance_survives_an_upgrade_and_changes_reach_both_processes() {
+    let fixture = UpgradeFixture::new();
+    let predecessor = fixture.start("127.0.0.1:0");
     assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
-    let successor = rig.start(&predecessor.address.to_string());
+    let successor = fixture.start(&predecessor.address.to_string());
     assert_eq!(successor.metric("upstreams_excluded"), 1);
     assert_eq!(successor.admin_call("POST /upstreams/u0/ready").0, 200);
     let both = |count| {
@@ -112,24 +112,24 @@
     both(1);
     drop(predecessor);
     // The successor of the successor restores it too.
-    let newest = rig.start(&successor.address.to_string());
+    let newest = fixture.start(&successor.address.to_string());
     assert_eq!(newest.metric("upstreams_excluded"), 1);
 }
 
 #[test]
 fn a_successor_accepts_clients_only_once_it_knows_an_upstream() {
-    let rig = UpgradeFixture::new();
-    let predecessor = rig.start("127.0.0.1:0");
+    let fixture = UpgradeFixture::new();
+    let predecessor = fixture.start("127.0.0.1:0");
     let address = predecessor.address.to_string();
-    let mut watch = rig.discovery.next();
+    let mut watch = fixture.discovery.next();
     watch.line("");
     let (folder, empty) = (
-        &rig.folder,
-        config(&list(0, true, &[]), rig.discovery.address, 256),
+        &fixture.folder,
+        config(&list(0, true, &[]), fixture.discovery.address, 256),
     );
     thread::scope(|scope| {
         let successor = scope.spawn(move || start_in_folder(folder, &empty, &address));
-        let mut watch = rig.discovery.next();
+        let mut watch = fixture.discovery.next();
         for _ in 0..20 {
             assert_eq!(
                 predecessor
@@ -143,7 +143,7 @@
         watch.line(&list(
             6,
             true,
-            &[endpoint("u0", rig.upstream.address, "in_service")],
+            &[endpoint("u0", fixture.upstream.address, "in_service")],
         ));
         let successor = successor.join().unwrap();
         assert_eq!(successor.admin_call("GET /healthcheck").0, 200);
@@ -152,11 +152,11 @@
 
 #[test]
 fn both_processes_together_keep_to_the_descriptor_limit_of_one() {
-    let rig = UpgradeFixture::new();
-    let predecessor = rig.start("127.0.0.1:0");
+    let fixture = UpgradeFixture::new();
+    let predecessor = fixture.start("127.0.0.1:0");
     let idle: Vec<_> = (0..120).map(|_| predecessor.client()).collect();
     assert_eq!(predecessor.admin_call("GET /healthcheck").0, 200);
-    let successor = rig.start(&predecessor.address.to_string());
+    let successor = fixture.start(&predecessor.address.to_string());
     let more: Vec<_> = (0..250).map(|_| successor.client()).collect();
     for program in [&predecessor, &successor] {
         assert_eq!(program.admin_call("GET /healthcheck").0, 200);
@@ -169,16 +169,16 @@
 /// The predecessor's changes are in the file before the successor has heard from it.
 #[test]
 fn maintenance_set_on_a_successor_at_once_keeps_that_of_the_predecessor() {
-    let rig = UpgradeFixture::new();
+    let fixture = UpgradeFixture::new();
     let other = StubUpstream::start(StubResponse::Ok);
-    let known = [("u0", rig.upstream.address), ("u1", other.address)];
+    let known = [("u0", fixture.upstream.address), ("u1", other.address)];
     let known = known.map(|(name, address)| endpoint(name, address, "in_service"));
-    let config = config(&list(5, true, &known), rig.discovery.address, 256);
-    let predecessor = start_in_folder(&rig.folder, &config, "127.0.0.1:0");
+    let config = config(&list(5, true, &known), fixture.discovery.address, 256);
+    let predecessor = start_in_folder(&fixture.folder, &config, "127.0.0.1:0");
     assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
     predecessor.suspend();
     let variables = [
-        ("TMPDIR", rig.folder.to_str().unwrap()),
+        ("TMPDIR", fixture.folder.to_str().unwrap()),
         ("PROXY_CONSOLE", "127.0.0.1:0"),
     ];
     let mut successor = spawn_by_variables(&variables, &config, &predecessor.address.to_string());
@@ -219,13 +219,13 @@
 
 #[test]
 fn sigterm_to_a_successor_that_is_not_ready_leaves_the_predecessor_serving() {
-    let rig = UpgradeFixture::new();
-    let predecessor = rig.start("127.0.0.1:0");
+    let fixture = UpgradeFixture::new();
+    let predecessor = fixture.start("127.0.0.1:0");
     let mut client = predecessor.client();
     assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
     // It knows no upstream, and discovery sends nothing.
-    let empty = config(&list(5, true, &[]), rig.discovery.address, 256);
-    let mut successor = spawn_in(&rig.folder, &empty, &predecessor.address.to_string());
+    let empty = config(&list(5, true, &[]), fixture.discovery.address, 256);
+    let mut successor = spawn_in(&fixture.folder, &empty, &predecessor.address.to_string());
     let mut log = BufReader::new(successor.stderr.take().unwrap()).lines();
     assert!(
         log.any(|line| line.unwrap().contains("peer process found")),
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -10,7 +10,7 @@
 const KEYED: &str = "Request-Id: {id}\r\nIdempotency-Key: k1\r\n";
 
 #[test]
-fn a_request_goes_on_as_it_came_and_its_connection_is_kept() {
+fn a_request_is_forwarded_unchanged_and_its_connection_is_reused() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
@@ -35,7 +35,7 @@
 
 /// Guards against a request written to a connection that its upstream has closed while it was idle.
 #[test]
-fn a_connection_that_the_upstream_closed_is_not_used_again() {
+fn a_connection_that_the_upstream_closed_is_not_reused() {
     let upstream = StubUpstream::start(StubResponse::OkThenClose);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
@@ -48,7 +48,7 @@
 
 /// Guards against bytes behind an answer that are taken for the next one.
 #[test]
-fn what_comes_behind_an_answer_is_never_the_next_one() {
+fn bytes_behind_a_response_are_never_the_next_one() {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
     let upstream = StubUpstream::raw(&format!("HTTP/1.1 103 Early Hints\r\n\r\n{answer}{answer}"));
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
@@ -66,7 +66,7 @@
 /// An idle connection is not used once it has been idle for the time in the settings, though the program stood still as
 /// that ran out and the upstream has not closed it yet.
 #[test]
-fn a_connection_that_was_idle_for_too_long_is_not_used_again() {
+fn a_connection_that_was_idle_for_too_long_is_not_reused() {
     let (upstream, discovery) = (
         StubUpstream::start(StubResponse::Ok),
         StubDiscovery::start(),
