--- a/src/bin/load-balancer/handover/state_store.rs
+++ b/src/bin/load-balancer/handover/state_store.rs
@@ -95,9 +95,8 @@
 
     /// The same; transient errors are retried for a while.
     pub async fn read_maintenance_with_retries(&self) -> Option<Result<StoredState, StateError>> {
-        let is_transient = |result: &Option<Result<StoredState, StateError>>| matches!(result, Some(Err(error)) if error.is_transient());
         FOLDER_RETRY
-            .run(is_transient, || async { self.read_maintenance() })
+            .run(has_failed_transiently, || async { self.read_maintenance() })
             .await
     }
 
@@ -124,3 +123,7 @@
         }
     }
 }
+
+fn has_failed_transiently(result: &Option<Result<StoredState, StateError>>) -> bool {
+    matches!(result, Some(Err(error)) if error.is_transient())
+}
