--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -65,17 +65,17 @@
         ),
     ];
     for (text, status) in cases {
-        let mut operator = program.connect_admin();
-        operator.write(&text);
+        let mut admin_client = program.connect_admin();
+        admin_client.write(&text);
         assert_eq!(
-            operator
+            admin_client
                 .receive()
                 .unwrap()
                 .map(|response| response.status()),
             Some(status),
             "{text:.99}"
         );
-        assert!(operator.is_closed_by_peer());
+        assert!(admin_client.is_closed_by_peer());
     }
     assert_eq!(program.client().request("/healthz", "", "").status(), 200);
 }
@@ -183,10 +183,10 @@
     }
     one.closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("its idle connection is closed");
+        .expect("the idle connection is closed");
     // Discovery removes it and lists it again as in service.
     watch.line(&list(6, true, &[endpoint("u1", two.address, "in_service")]));
-    wait_until("it has gone from the list", || {
+    wait_until("it is removed from the list", || {
         program.metric("upstreams_known") == 1
     });
     let both = [
@@ -302,7 +302,7 @@
         } else {
             program.terminate();
         }
-        wait_until("it drains", || {
+        wait_until("the process is draining", || {
             program.admin_call("GET /healthcheck").0 == 503
         });
         // Longer than the grace of an idle connection, and shorter than a head may take.
@@ -328,7 +328,9 @@
         "POST /pay HTTP/1.1\r\nHost: b\r\nRequest-Id: dd02\r\nContent-Length: 9000000\r\n\r\n",
     );
     client.write(&"x".repeat(200_000));
-    wait_until("it is taken", || program.metric("in_flight") == 1);
+    wait_until("the request is accepted", || {
+        program.metric("in_flight") == 1
+    });
     program.terminate();
     // Sends for longer than the process may live, unless a response comes.
     let mut writer = client.writer();
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -48,9 +48,9 @@
         let (program, _discovery) = Program::with_admin(&[upstream.address]);
         let mut client = program.client();
         for _ in 0..3 {
-            let answer = client.request("/read", REQUEST_ID, "");
-            assert_eq!(answer.status(), 200);
-            assert!(answer.body == body.as_bytes());
+            let received = client.request("/read", REQUEST_ID, "");
+            assert_eq!(received.status(), 200);
+            assert!(received.body == body.as_bytes());
         }
         let connections = upstream
             .connections
@@ -246,7 +246,7 @@
     upstream
         .closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("its connection is closed");
+        .expect("the connection is closed");
     assert!(upstream.seen.try_recv().is_err());
     assert_eq!(
         program
@@ -276,7 +276,7 @@
     upstream
         .closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("its connection is closed");
+        .expect("the connection is closed");
     assert!(upstream.seen.try_recv().is_err());
     assert_eq!(
         program
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -40,16 +40,18 @@
 fn disconnect_while_stopped(program: &Program, client: Client, bytes_behind: usize, reset: bool) {
     let port = client.port();
     disconnect(client, bytes_behind, reset);
-    wait_until("its end has come", || program.has_received_close_from(port));
+    wait_until("its close has arrived", || {
+        program.has_received_close_from(port)
+    });
 }
 
 /// Requests that fill an upstream's concurrency limit, two at the start, and one more that is
 /// queued.
 fn one_queued(program: &Program, upstream: &StubUpstream, path: &str) -> (Vec<Client>, Client) {
-    let next = |count, figure| {
+    let next = |count, metric| {
         let mut client = program.client();
         client.send(path, REQUEST_ID, "").unwrap();
-        wait_until(figure, || program.metric(figure) == count);
+        wait_until(metric, || program.metric(metric) == count);
         client
     };
     let running = vec![next(1, "attempts"), next(2, "attempts")];
@@ -74,7 +76,9 @@
         all_waiting.push(client);
     }
     let all = (running.len() + count) as u64;
-    wait_until("all are taken", || program.metric("in_flight") == all);
+    wait_until("all requests are accepted", || {
+        program.metric("in_flight") == all
+    });
     (running, all_waiting)
 }
 
@@ -86,7 +90,9 @@
             .send(&format!("/pay/{number}"), REQUEST_ID, "")
             .unwrap();
     }
-    wait_until("all are out", || program.metric("attempts") == 4);
+    wait_until("all requests are at an upstream", || {
+        program.metric("attempts") == 4
+    });
     clients
 }
 
@@ -94,7 +100,9 @@
 fn connecting(program: &Program, upstream: SocketAddr) -> Client {
     let mut client = program.client();
     client.send("/pay", REQUEST_ID, "coins").unwrap();
-    wait_until("it connects", || has_pending_connect(upstream));
+    wait_until("a connection is being established", || {
+        has_pending_connect(upstream)
+    });
     client
 }
 
@@ -126,7 +134,9 @@
             let (mut running, waiting) = one_queued(&program, &upstream, "/pay");
             disconnect(waiting, bytes_behind, reset);
             let left = running.len() as u64;
-            wait_until("its end is seen", || program.metric("in_flight") == left);
+            wait_until("its disconnect is noticed", || {
+                program.metric("in_flight") == left
+            });
             upstream.release();
             for client in &mut running {
                 assert_eq!(
@@ -149,7 +159,7 @@
     for (number, client) in leaving.into_iter().enumerate() {
         disconnect(client, BYTES_BEHIND[number % 3], number % 2 == 0);
     }
-    wait_until("their ends are seen", || {
+    wait_until("their disconnects are noticed", || {
         program.metric("in_flight") == running.len() as u64
     });
     upstream.release();
@@ -176,7 +186,9 @@
         full.set_response(StubResponse::Rejected);
         full.release();
         disconnect(clients.remove(leaving), bytes_behind, bytes_behind > 0);
-        wait_until("its end is seen", || program.metric("in_flight") == 3);
+        wait_until("its disconnect is noticed", || {
+            program.metric("in_flight") == 3
+        });
         busy.release();
         for client in &mut clients {
             assert_eq!(
@@ -227,9 +239,13 @@
         );
         uploading.write(&"x".repeat(100_000));
         let all = running.len() as u64 + 2;
-        wait_until("it is taken", || program.metric("in_flight") == all);
+        wait_until("the request is accepted", || {
+            program.metric("in_flight") == all
+        });
         disconnect(uploading, 0, reset);
-        wait_until("its end is seen", || program.metric("in_flight") == all - 1);
+        wait_until("its disconnect is noticed", || {
+            program.metric("in_flight") == all - 1
+        });
         upstream.release();
         for client in running.iter_mut().chain([waiting].iter_mut()) {
             assert_eq!(client.receive().unwrap().unwrap().status(), 200);
@@ -255,7 +271,7 @@
             let free = || {
                 upstream.release();
                 let count = running.len() as u64;
-                wait_until("all have answered", || {
+                wait_until("all upstreams have responded", || {
                     upstream.responses.load(Ordering::SeqCst) == count
                 });
             };
@@ -308,7 +324,7 @@
         full.set_response(StubResponse::Rejected);
         for upstream in [&full, &busy] {
             upstream.release();
-            wait_until("it has answered", || {
+            wait_until("the upstream has responded", || {
                 upstream.responses.load(Ordering::SeqCst) == 2
             });
         }
@@ -318,7 +334,9 @@
             }
         }
         program.resume();
-        wait_until("nothing is left", || program.metric("in_flight") == 0);
+        wait_until("no request is in flight", || {
+            program.metric("in_flight") == 0
+        });
         assert!(
             busy.seen
                 .try_iter()
@@ -340,12 +358,14 @@
             program.suspend();
             let all = blocked.waiting.len() as u64 + 1;
             let upstream = blocked.open(StubResponse::Ok);
-            wait_until("its connection is up", || {
+            wait_until("the connection is established", || {
                 upstream.connections.load(Ordering::SeqCst) == all
             });
             disconnect_while_stopped(&program, client, bytes_behind, false);
             program.resume();
-            wait_until("its end is seen", || program.metric("in_flight") == 0);
+            wait_until("its disconnect is noticed", || {
+                program.metric("in_flight") == 0
+            });
             expect_only_new_requests(&program, &upstream, &format!("{cancel} {bytes_behind}"));
         }
     }
@@ -377,7 +397,9 @@
             let _ = upstream.take(1000).read_to_end(&mut rest);
             assert!(rest.len() < 1000, "{cancel}");
         }
-        wait_until("nothing is left", || program.metric("in_flight") == 0);
+        wait_until("no request is in flight", || {
+            program.metric("in_flight") == 0
+        });
     }
 }
 
@@ -393,7 +415,9 @@
         waiting.half_close();
         assert!(waiting.is_closed_by_peer(), "{bytes_behind}");
         let left = running.len() as u64;
-        wait_until("its end is seen", || program.metric("in_flight") == left);
+        wait_until("its disconnect is noticed", || {
+            program.metric("in_flight") == left
+        });
         upstream.release();
         for client in &mut running {
             client.receive().unwrap().expect("a response");
@@ -402,7 +426,7 @@
         let mut early = program.client();
         early.send("/pay", REQUEST_ID, "coins").unwrap();
         early.half_close();
-        wait_until("its end has come", || {
+        wait_until("its close has arrived", || {
             program.has_received_close_from(early.port())
         });
         program.resume();
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -25,7 +25,7 @@
     client.send("/pay", REQUEST_ID, "coins").unwrap();
     upstream.next();
     program.terminate();
-    wait_until("it drains", || {
+    wait_until("the process is draining", || {
         program.admin_call("GET /healthcheck").0 == 503
     });
     upstream.set_response(StubResponse::Raw(text.leak()));
@@ -39,7 +39,9 @@
     // The end of the response is still to be read when the connection closes.
     let left = 2 << 20;
     client.take(size - left);
-    wait_until("all of it is written", || program.metric("served.pay") == 1);
+    wait_until("the response is written", || {
+        program.metric("served.pay") == 1
+    });
     sleep(Duration::from_millis(100));
     assert!((left - 1..left + 1000).contains(&client.read_to_end_bytes().len()));
     assert!(
@@ -74,7 +76,7 @@
         client.send("/pay", REQUEST_ID, "coins").unwrap();
         busy.push(client);
         let settled = || program.metric("in_flight") + program.metric("refused.pay");
-        wait_until("it is settled", || settled() == count);
+        wait_until("the request is settled", || settled() == count);
     }
     assert!(program.metric("refused.pay") > 0, "there is no room");
     assert_eq!(
@@ -180,7 +182,7 @@
         upstream.next();
         if ends {
             program.terminate();
-            wait_until("it drains", || {
+            wait_until("the process is draining", || {
                 program.admin_call("GET /healthcheck").0 == 503
             });
         } else {
--- a/tests/descriptor_limits.rs
+++ b/tests/descriptor_limits.rs
@@ -78,7 +78,9 @@
         let upstream = StubUpstream::start(StubResponse::Ok);
         let (program, _discovery) = Program::with_descriptors(&[upstream.address], sockets);
         let ended = open_idle(program.address, sockets * 2 / 3);
-        wait_until("they fill it", || program.open_descriptors() > sockets / 3);
+        wait_until("the capacity is used up", || {
+            program.open_descriptors() > sockets / 3
+        });
         program.suspend();
         drop(ended);
         let mut open = open_idle(program.address, sockets * 2 / 3);
@@ -117,8 +119,8 @@
         let mut client = program.client();
         client.send("/read", REQUEST_ID, "").unwrap();
         busy.push(client);
-        let taken = || program.metric("in_flight") + program.metric("refused.read");
-        wait_until("it is settled", || taken() == busy.len() as u64);
+        let settled = || program.metric("in_flight") + program.metric("refused.read");
+        wait_until("the request is settled", || settled() == busy.len() as u64);
     }
     program.suspend();
     let mut late = program.client();
@@ -241,7 +243,7 @@
         let new =
             [1, 2].map(|n| endpoint(&format!("u{n}"), upstreams[n - 1].address, "in_service"));
         watch.line(&list(6, true, &new));
-        wait_until("the list has come", || {
+        wait_until("the list has been received", || {
             program.metric("upstreams_known") == 2
         });
         for _ in 0..8 {
@@ -328,7 +330,7 @@
     let idle_clients = IdleClients::at(program.address, 300);
     for _ in 0..10 {
         assert_eq!(program.admin_call("GET /stats").0, 200);
-        assert!(program.open_descriptors() < 128 - 8, "some are kept free");
+        assert!(program.open_descriptors() < 128 - 8, "some stay free");
     }
     let mut watch = down.start_discovery().next();
     watch.line(&list(
@@ -336,7 +338,7 @@
         true,
         &[endpoint("u0", upstream.address, "in_service")],
     ));
-    wait_until("the list has come", || {
+    wait_until("the list has been received", || {
         program.admin_call("GET /healthcheck").0 == 200
     });
     for _ in 0..8 {
--- a/tests/failed_attempts.rs
+++ b/tests/failed_attempts.rs
@@ -82,7 +82,7 @@
     upstream
         .closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("what is out is closed");
+        .expect("the connection is closed");
 }
 
 #[test]
--- a/tests/failing_system_calls.rs
+++ b/tests/failing_system_calls.rs
@@ -56,7 +56,7 @@
         let mut clients = Vec::new();
         for number in 1..=12 {
             let client = program.client();
-            wait_until("it is accepted", || {
+            wait_until("the connection is accepted", || {
                 program.open_descriptors() >= before + number
             });
             clients.push(client);
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -9,7 +9,7 @@
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 fn await_drain(program: &Program) {
-    wait_until("it drains", || {
+    wait_until("the process is draining", || {
         program.admin_call("GET /healthcheck").0 == 503
     });
 }
--- a/tests/handover_failures.rs
+++ b/tests/handover_failures.rs
@@ -55,7 +55,7 @@
             .exists()
     });
     let successor = fixture.start(&predecessor.address.to_string());
-    wait_until("they have met", || {
+    wait_until("both processes are connected", || {
         predecessor.admin_call("GET /healthcheck").0 == 200
             && successor.admin_call("GET /healthcheck").0 == 200
     });
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -144,9 +144,12 @@
             assert_eq!(program.client().request("/healthz", "", "").status(), 200);
         }
         // More than the buffers between the two hold.
-        let taken =
+        let accepted_chunks =
             (0..400).take_while(|_| stream.write_all(again.repeat(100_000).as_bytes()).is_ok());
-        assert!(taken.count() < 400, "it is broken off: {status} {begin:?}");
+        assert!(
+            accepted_chunks.count() < 400,
+            "the response is cancelled: {status} {begin:?}"
+        );
         assert_eq!(client.receive().unwrap().expect("a response").status(), 502);
     }
 }
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -118,7 +118,7 @@
         true,
         &[endpoint("u0", upstream.address, "in_service")],
     ));
-    wait_until("the list has come", || health(&program) == 200);
+    wait_until("the list has been received", || health(&program) == 200);
     assert_eq!(
         program
             .client()
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -326,7 +326,7 @@
         runs
     }
 
-    /// Prints the figures of the run.
+    /// Prints a summary of the run.
     fn print_summary(&self, requests: &[RequestRecord], violations: usize) {
         let count = |outcome: Outcome| {
             requests
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -206,9 +206,9 @@
     });
     let mut admin_client = Client::connect(admin).unwrap();
     admin_client.write("GET /stats HTTP/1.1\r\nHost: console\r\n\r\n");
-    let figures = admin_client.receive().unwrap().expect("a response").body;
+    let metrics = admin_client.receive().unwrap().expect("a response").body;
     assert!(
-        String::from_utf8(figures)
+        String::from_utf8(metrics)
             .unwrap()
             .contains("upstreams_excluded:2|"),
         "so has the successor"
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -18,17 +18,21 @@
         format!("{KEYED}Tenant: acme\r\nRequest-Timeout: 5.5\r\nWork-Hint: 1200\r\nNews: 1\r\n");
     for _ in 0..3 {
         let response = client.request("/hold/7?a=b", &headers, "the body");
-        let seen = upstream.next();
+        let forwarded = upstream.next();
         assert_eq!(response.status(), 200);
         assert_eq!(
             response.body,
             format!("POST /hold/7?a=b HTTP/1.1 by {}", upstream.address).as_bytes()
         );
-        assert_eq!(seen.header("request-id"), response.header("saw"));
-        assert_eq!(seen.header("idempotency-key"), Some("k1"));
-        assert_eq!(seen.body, b"the body");
-        let left: f64 = seen.header("request-timeout").unwrap().parse().unwrap();
-        assert!(left > 0.0 && left < 5.5, "{left}");
+        assert_eq!(forwarded.header("request-id"), response.header("saw"));
+        assert_eq!(forwarded.header("idempotency-key"), Some("k1"));
+        assert_eq!(forwarded.body, b"the body");
+        let timeout: f64 = forwarded
+            .header("request-timeout")
+            .unwrap()
+            .parse()
+            .unwrap();
+        assert!(timeout > 0.0 && timeout < 5.5, "{timeout}");
     }
     assert_eq!(upstream.connections.load(Ordering::SeqCst), 1);
 }
@@ -60,7 +64,7 @@
         upstream
             .closed
             .recv_timeout(TEST_TIMEOUT)
-            .expect("its connection is closed");
+            .expect("the connection is closed");
     }
     assert_eq!(upstream.seen.try_iter().count(), 5);
 }
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -53,7 +53,7 @@
 
     /// Leaves an idle connection to the upstream in service. Its close shows that the change has
     /// been received.
-    fn warm(&self) {
+    fn leave_idle_connection(&self) {
         assert_eq!(
             self.program
                 .client()
@@ -64,8 +64,8 @@
         self.old.next();
     }
 
-    /// Waits until the change has been received: the connection that `warm` left is closed, and
-    /// requests go to the new upstream.
+    /// Waits until the change has been received: the connection that `leave_idle_connection` left
+    /// is closed, and requests go to the new upstream.
     fn expect_changed(&self) {
         self.old
             .closed
@@ -87,7 +87,7 @@
 #[test]
 fn a_list_may_span_several_lines() {
     let fixture = WatchFixture::new("push");
-    fixture.warm();
+    fixture.leave_idle_connection();
     let mut watch = fixture.discovery.next();
     watch.line("");
     let text = fixture
@@ -114,7 +114,7 @@
         ("ask", "\n"),
     ] {
         let fixture = WatchFixture::new(mode);
-        fixture.warm();
+        fixture.leave_idle_connection();
         let mut first = fixture.discovery.next();
         if !begin.is_empty() {
             first.part(begin);
@@ -143,7 +143,7 @@
 #[test]
 fn empty_lines_inside_a_list_are_no_heartbeat() {
     let fixture = WatchFixture::new("push");
-    fixture.warm();
+    fixture.leave_idle_connection();
     let mut first = fixture.discovery.next();
     first.part("\n{\"index\":6,\"snapshot\":false,");
     let begun = Instant::now();
@@ -163,7 +163,7 @@
 #[test]
 fn changes_that_a_silent_watch_has_missed_come_from_the_next_one() {
     let fixture = WatchFixture::new("push");
-    fixture.warm();
+    fixture.leave_idle_connection();
     let mut first = fixture.discovery.next();
     first.line("");
     let mut second = fixture.discovery.next();
@@ -190,7 +190,7 @@
     for mode in ["push", "ask"] {
         for indented in [false, true] {
             let fixture = WatchFixture::new(mode);
-            fixture.warm();
+            fixture.leave_idle_connection();
             let mut watch = fixture.discovery.next();
             let text = fixture.change(6);
             watch.line(&if indented {
@@ -214,7 +214,7 @@
 #[test]
 fn an_incomplete_list_is_discarded_and_requested_again() {
     let fixture = WatchFixture::new("push");
-    fixture.warm();
+    fixture.leave_idle_connection();
     let mut watch = fixture.discovery.next();
     let text = fixture.change(6);
     watch.part(&text[..text.len() - 1]);
@@ -271,7 +271,7 @@
 #[test]
 fn discovery_may_move_while_its_watch_is_silent() {
     let fixture = WatchFixture::new("push");
-    fixture.warm();
+    fixture.leave_idle_connection();
     let mut silent = fixture.discovery.next();
     silent.line("");
     let mut second = fixture.discovery.next();
@@ -316,7 +316,7 @@
 fn a_failed_reconnect_is_retried_beside_the_silent_watch() {
     for mode in ["push", "ask"] {
         let fixture = WatchFixture::new(mode);
-        fixture.warm();
+        fixture.leave_idle_connection();
         let mut silent = fixture.discovery.next();
         silent.line("");
         fixture.discovery.next().reset();
@@ -332,7 +332,7 @@
 #[test]
 fn a_queued_poll_is_used_though_others_were_made_beside_it() {
     let fixture = WatchFixture::new("ask");
-    fixture.warm();
+    fixture.leave_idle_connection();
     let mut waiting = fixture.discovery.next();
     let mut beside: Vec<_> = (0..3).map(|_| fixture.discovery.next()).collect();
     waiting.line(&fixture.change(6));
@@ -353,7 +353,7 @@
             let (away, elsewhere) = (RefusingPort::new(), RefusingPort::new());
             let at = |address| WatchFixture::config(&fixture.known, address, mode);
             fixture.program = Program::start(&at(away.address), "127.0.0.1:0");
-            fixture.warm();
+            fixture.leave_idle_connection();
             sleep(Duration::from_secs(8));
             let back = if moved {
                 fixture.program.reload(&at(elsewhere.address));
