--- a/tests/failed_attempts.rs
+++ b/tests/failed_attempts.rs
@@ -5,7 +5,7 @@
 use support::*;
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
-const KEYED: &str = "Request-Id: {id}\r\nIdempotency-Key: k1\r\n";
+const REQUEST_ID_AND_KEY: &str = "Request-Id: {id}\r\nIdempotency-Key: k1\r\n";
 
 /// A refused connection proves that the request never ran.
 #[test]
@@ -120,13 +120,25 @@
         Program::with_upstreams(&upstreams.each_ref().map(|upstream| upstream.address));
     for round in 0..4 {
         for _ in 0..12 {
-            assert_eq!(program.client().request("/hold", KEYED, "").status(), 200);
+            assert_eq!(
+                program
+                    .client()
+                    .request("/hold", REQUEST_ID_AND_KEY, "")
+                    .status(),
+                200
+            );
         }
         let bad = &upstreams[round % 3];
         bad.seen.try_iter().count();
         bad.set_response(StubResponse::Raw("what?\r\n\r\n"));
         while bad.seen.try_iter().count() == 0 {
-            assert_eq!(program.client().request("/hold", KEYED, "").status(), 200);
+            assert_eq!(
+                program
+                    .client()
+                    .request("/hold", REQUEST_ID_AND_KEY, "")
+                    .status(),
+                200
+            );
         }
         bad.set_response(StubResponse::Ok);
     }
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -7,15 +7,17 @@
 use support::*;
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
-const KEYED: &str = "Request-Id: {id}\r\nIdempotency-Key: k1\r\n";
+const REQUEST_ID_AND_KEY: &str = "Request-Id: {id}\r\nIdempotency-Key: k1\r\n";
 
 #[test]
 fn a_request_is_forwarded_unchanged_and_its_connection_is_reused() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
-    let headers =
-        format!("{KEYED}Tenant: acme\r\nRequest-Timeout: 5.5\r\nWork-Hint: 1200\r\nNews: 1\r\n");
+    let headers = format!(
+        "{REQUEST_ID_AND_KEY}Tenant: acme\r\nRequest-Timeout: 5.5\r\n\
+         Work-Hint: 1200\r\nNews: 1\r\n"
+    );
     for _ in 0..3 {
         let response = client.request("/hold/7?a=b", &headers, "the body");
         let forwarded = upstream.next();
