--- a/src/bin/load-balancer/dispatch/tests/notification/harness.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/harness.rs
@@ -22,15 +22,15 @@
 }
 
 /// Advances the clock until this holds, for an hour at the most.
-pub(super) async fn advance_until(mut done: impl FnMut() -> bool) {
+pub(super) async fn advance_until(mut holds: impl FnMut() -> bool) {
     for _ in 0..180_000 {
         yield_to_tasks().await;
-        if done() {
+        if holds() {
             return;
         }
         advance(CLOCK_STEP).await;
     }
-    panic!("it never comes");
+    panic!("the condition does not hold within an hour");
 }
 
 pub(super) async fn advance_seconds(seconds: u64) {
@@ -89,8 +89,8 @@
         source: discovery.address,
         version: 6,
     };
-    let has = |dispatcher: &Dispatcher| dispatcher.watches.known() == known;
-    advance_until(|| has(&dispatcher.borrow())).await;
+    let is_known = |dispatcher: &Dispatcher| dispatcher.watches.known() == known;
+    advance_until(|| is_known(&dispatcher.borrow())).await;
     begin.elapsed()
 }
 
--- a/src/bin/load-balancer/dispatch/tests/notification/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/mod.rs
@@ -35,10 +35,10 @@
 #[test]
 fn changes_are_known_in_time_whatever_became_of_earlier_calls() {
     run(async {
-        let mut late = Vec::new();
+        let mut late_changes = Vec::new();
         for (first, later) in ALL_FAILURES
             .iter()
-            .flat_map(|first| later_calls().into_iter().map(move |s| (*first, s)))
+            .flat_map(|first| later_calls().into_iter().map(move |later| (*first, later)))
         {
             let script = [vec![first], later].concat();
             for mode in ALL_MODES {
@@ -47,14 +47,14 @@
                     let dispatcher = start(discovery.address, mode, seed);
                     advance_until(|| discovery.call_count() > 0).await;
                     let time = time_until_known(&dispatcher, &discovery).await;
-                    late.extend(
+                    late_changes.extend(
                         (time > NOTIFICATION_DEADLINE)
                             .then(|| format!("{mode:?} {script:?} {time:?}")),
                     );
                 }
             }
         }
-        assert!(late.is_empty(), "{late:#?}");
+        assert!(late_changes.is_empty(), "{late_changes:#?}");
     });
 }
 
@@ -63,7 +63,7 @@
 /// and a stall of 0.15 s.
 #[test]
 fn a_pushed_watch_that_fails_is_reopened_at_once() {
-    let soon = Duration::from_millis(300);
+    let reconnect_limit = Duration::from_millis(300);
     run(async {
         for first in [Refused, Reset, ResetInList, ResetAfterList] {
             for count in [1, 2, 60] {
@@ -71,7 +71,7 @@
                 let dispatcher = start(discovery.address, DiscoveryMode::Push, 1);
                 advance_until(|| discovery.call_count() == count).await;
                 let time = time_until_known(&dispatcher, &discovery).await;
-                assert!(time <= soon, "{first:?} {count} {time:?}");
+                assert!(time <= reconnect_limit, "{first:?} {count} {time:?}");
             }
         }
         let discovery = FakeDiscovery::not_listening(&[]);
@@ -79,7 +79,7 @@
         advance_seconds(8).await;
         discovery.listen();
         let time = time_until_known(&dispatcher, &discovery).await;
-        assert!(time <= soon, "{time:?}");
+        assert!(time <= reconnect_limit, "{time:?}");
     });
 }
 
@@ -87,10 +87,10 @@
 #[test]
 fn changes_are_known_in_time_after_discovery_has_moved() {
     run(async {
-        let mut late = Vec::new();
+        let mut late_changes = Vec::new();
         for (first, later) in ALL_FAILURES
             .iter()
-            .flat_map(|first| later_calls().into_iter().map(move |s| (*first, s)))
+            .flat_map(|first| later_calls().into_iter().map(move |later| (*first, later)))
         {
             let script = [vec![first], later].concat();
             for (mode, old) in ALL_MODES
@@ -105,12 +105,12 @@
                 advance_until(|| old.call_count() > 0).await;
                 dispatcher.borrow_mut().set_discovery_address(new.address);
                 let time = time_until_known(&dispatcher, &new).await;
-                late.extend(
+                late_changes.extend(
                     (time > NOTIFICATION_DEADLINE).then(|| format!("{mode:?} {script:?} {time:?}")),
                 );
             }
         }
-        assert!(late.is_empty(), "{late:#?}");
+        assert!(late_changes.is_empty(), "{late_changes:#?}");
     });
 }
 
@@ -130,27 +130,28 @@
                 (7, 2),
                 (8, 3),
             ] {
-                for shut in [false, true] {
+                for backlog_full in [false, true] {
                     let (old, other, new) = (
                         FakeDiscovery::listening(&[Silent]),
                         FakeDiscovery::listening(&[Unanswered]),
                         FakeDiscovery::not_listening(&[]),
                     );
-                    if shut {
+                    if backlog_full {
                         new.fill_backlog();
                     }
-                    let at = |moves| if moves == 0 { new.address } else { old.address };
-                    let dispatcher = start(at(moves), mode, seed);
+                    let initial_address =
+                        |moves| if moves == 0 { new.address } else { old.address };
+                    let dispatcher = start(initial_address(moves), mode, seed);
                     // Moved to where it is not up yet, directly or over another address, or away
                     // and back.
-                    let ways = [
+                    let routes = [
                         vec![],
                         vec![&new],
                         vec![&other, &new],
                         vec![&new, &other, &new],
                     ];
-                    for place in &ways[moves] {
-                        dispatcher.borrow_mut().set_discovery_address(place.address);
+                    for next in &routes[moves] {
+                        dispatcher.borrow_mut().set_discovery_address(next.address);
                         advance_seconds(1).await;
                     }
                     advance_seconds(8).await;
@@ -158,7 +159,7 @@
                     let time = time_until_known(&dispatcher, &new).await;
                     assert!(
                         time <= NOTIFICATION_DEADLINE,
-                        "{mode:?} {moves} {shut} {time:?}"
+                        "{mode:?} {moves} {backlog_full} {time:?}"
                     );
                 }
             }
@@ -172,28 +173,28 @@
 #[test]
 fn changes_are_known_in_time_after_a_long_outage_in_a_fleet_of_any_size() {
     run(async {
-        let mut late = Vec::new();
-        for (peer_count, shut) in [30, 300, 8700]
+        let mut late_changes = Vec::new();
+        for (peer_count, backlog_full) in [30, 300, 8700]
             .iter()
-            .flat_map(|n| [(*n, false), (*n, true)])
+            .flat_map(|peer_count| [(*peer_count, false), (*peer_count, true)])
         {
-            for (seed, away) in (0..8).flat_map(|seed| [(seed, 20), (seed, 60)]) {
+            for (seed, outage_seconds) in (0..8).flat_map(|seed| [(seed, 20), (seed, 60)]) {
                 let discovery = FakeDiscovery::not_listening(&[]);
-                if shut {
+                if backlog_full {
                     discovery.fill_backlog();
                 }
                 let dispatcher =
                     start_in_fleet(discovery.address, DiscoveryMode::Poll, seed, peer_count);
-                advance_seconds(away).await;
+                advance_seconds(outage_seconds).await;
                 discovery.listen();
                 let time = time_until_known(&dispatcher, &discovery).await;
-                late.extend(
+                late_changes.extend(
                     (time > NOTIFICATION_DEADLINE)
-                        .then(|| format!("{peer_count} {shut} {away} {time:?}")),
+                        .then(|| format!("{peer_count} {backlog_full} {outage_seconds} {time:?}")),
                 );
             }
         }
-        assert!(late.is_empty(), "{late:#?}");
+        assert!(late_changes.is_empty(), "{late_changes:#?}");
     });
 }
 
@@ -201,10 +202,10 @@
 #[test]
 fn changes_are_known_in_time_after_many_refusals_in_a_fleet_of_any_size() {
     run(async {
-        let mut late = Vec::new();
+        let mut late_changes = Vec::new();
         for (peer_count, call) in [30, 300, 8700]
             .iter()
-            .flat_map(|n| [(*n, Refused), (*n, Reset)])
+            .flat_map(|peer_count| [(*peer_count, Refused), (*peer_count, Reset)])
         {
             for (seed, count) in (0..8).flat_map(|seed| [(seed, 5), (seed, 9)]) {
                 let discovery = FakeDiscovery::listening(&vec![call; count]);
@@ -212,13 +213,13 @@
                     start_in_fleet(discovery.address, DiscoveryMode::Poll, seed, peer_count);
                 advance_until(|| discovery.call_count() == count).await;
                 let time = time_until_known(&dispatcher, &discovery).await;
-                late.extend(
+                late_changes.extend(
                     (time > NOTIFICATION_DEADLINE)
                         .then(|| format!("{peer_count} {call:?} {count} {time:?}")),
                 );
             }
         }
-        assert!(late.is_empty(), "{late:#?}");
+        assert!(late_changes.is_empty(), "{late_changes:#?}");
     });
 }
 
@@ -262,9 +263,9 @@
                 ),
                 (1, false)
             );
-            let made = discovery.call_count();
+            let call_count = discovery.call_count();
             advance_seconds(60).await;
-            assert_eq!(discovery.call_count(), made, "{mode:?}");
+            assert_eq!(discovery.call_count(), call_count, "{mode:?}");
         }
     });
 }
@@ -308,7 +309,7 @@
             assert!(
                 called_at
                     .windows(2)
-                    .all(|two| two[1] - two[0] > Duration::from_millis(2500)),
+                    .all(|pair| pair[1] - pair[0] > Duration::from_millis(2500)),
                 "{called_at:?}"
             );
         }
@@ -344,11 +345,11 @@
             let discovery = FakeDiscovery::listening(&[Reset, Unanswered, Unanswered]);
             let dispatcher = start(discovery.address, mode, 1);
             let budget = dispatcher.borrow().budget.clone();
-            let taken: Vec<_> =
+            let permits: Vec<_> =
                 std::iter::from_fn(|| budget.acquire(crate::socket::Purpose::Rejection)).collect();
             // Another process takes a half of them.
             budget.set_limit(512);
-            assert!(taken.len() > 512);
+            assert!(permits.len() > 512);
             advance_until(|| discovery.call_count() > 0).await;
             let time = time_until_known(&dispatcher, &discovery).await;
             assert!(time <= Duration::from_secs(6), "{mode:?} {time:?}");
