--- a/src/bin/load-balancer/dispatch/tests/notification.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/mod.rs
@@ -1,249 +1,16 @@
 //! How long it takes until a change of the endpoint list is known, whatever became of the calls
 //! before.
-//!
-//! Real sockets and a clock that the tests advance: the times are those of the program, not of the
-//! machine.
+
+mod fake_discovery;
+mod harness;
 
 use super::super::*;
-use crate::discovery::watch_set::{ListVersion, MAX_WATCHES};
-use load_balancer::Settings;
-use socket2::{Domain, SockRef, Socket, Type};
-use std::future::Future;
-use std::net::SocketAddr;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
-use tokio::task::{yield_now, LocalSet};
-use tokio::time::{advance, sleep};
+use crate::discovery::watch_set::MAX_WATCHES;
+use fake_discovery::{CallOutcome, CallOutcome::*, FakeDiscovery};
+use harness::{advance_seconds, advance_until, run, start, start_in_fleet, time_until_known};
 
 /// A change has to be known by then; the rest of the 6 s is for a busy process.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_millis(5600);
-/// The clock is advanced by this much at a time.
-const CLOCK_STEP: Duration = Duration::from_millis(20);
-/// How often all tasks and sockets are polled in between.
-const YIELDS_PER_STEP: usize = 10;
-/// A queued call is refused after this time.
-const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
-
-const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-const REFUSAL: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-const CHANGE: &str = "{\"index\":6,\"endpoints\":[]}\n";
-
-/// What becomes of a call.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum CallOutcome {
-    Unanswered,
-    Refused,
-    /// Refused after it was queued.
-    QueuedThenRefused,
-    /// Reset before the first byte.
-    Reset,
-    ResetInList,
-    /// Answered with a version that is known already, and then reset.
-    ResetAfterList,
-    /// Alive for a moment, and silent from then on.
-    Silent,
-    /// Answered with the change after this time, in seconds.
-    AnsweredAfter(u64),
-    /// Alive, and answered with the change after this time, in seconds.
-    ChangesAfter(u64),
-}
-use CallOutcome::*;
-
-/// A discovery service with a script: the outcomes of the calls in their order. Records when they
-/// came.
-struct FakeDiscovery {
-    address: SocketAddr,
-    socket: Socket,
-    script: RefCell<VecDeque<CallOutcome>>,
-    called_at: RefCell<Vec<Instant>>,
-    /// Connections that are never accepted fill the listener's backlog.
-    backlog: RefCell<Vec<std::net::TcpStream>>,
-}
-
-impl FakeDiscovery {
-    /// One that refuses connections until `listen`. Calls beyond the script are answered at once.
-    fn not_listening(script: &[CallOutcome]) -> Rc<Self> {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket
-            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
-            .unwrap();
-        let address = socket.local_addr().unwrap().as_socket().unwrap();
-        let script = RefCell::new(script.iter().copied().collect());
-        Rc::new(FakeDiscovery {
-            address,
-            socket,
-            script,
-            called_at: RefCell::default(),
-            backlog: RefCell::default(),
-        })
-    }
-
-    fn listening(script: &[CallOutcome]) -> Rc<Self> {
-        let discovery = Self::not_listening(script);
-        discovery.listen();
-        discovery
-    }
-
-    /// From now on no connection is established.
-    fn fill_backlog(&self) {
-        self.socket.listen(0).unwrap();
-        let wait = Duration::from_millis(100);
-        let waiting =
-            std::iter::from_fn(|| std::net::TcpStream::connect_timeout(&self.address, wait).ok());
-        self.backlog.borrow_mut().extend(waiting);
-    }
-
-    fn listen(self: &Rc<Self>) {
-        self.backlog.borrow_mut().clear();
-        self.socket.listen(128).unwrap();
-        let listener: std::net::TcpListener = self.socket.try_clone().unwrap().into();
-        listener.set_nonblocking(true).unwrap();
-        let (listener, discovery) = (TcpListener::from_std(listener).unwrap(), self.clone());
-        spawn_local(async move {
-            while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(discovery.clone().answer(stream));
-            }
-        });
-    }
-
-    async fn answer(self: Rc<Self>, mut stream: TcpStream) {
-        let mut bytes = [0; 4096];
-        if !stream.read(&mut bytes).await.is_ok_and(|count| count > 0) {
-            return;
-        }
-        self.called_at.borrow_mut().push(Instant::now());
-        let call = self
-            .script
-            .borrow_mut()
-            .pop_front()
-            .unwrap_or(AnsweredAfter(0));
-        let chunk = |text: &str| format!("{RESPONSE_HEAD}{:x}\r\n{text}\r\n", text.len());
-        match call {
-            QueuedThenRefused => sleep(QUEUE_TIMEOUT).await,
-            AnsweredAfter(after) => sleep(Duration::from_secs(after)).await,
-            _ => {}
-        }
-        let text = match call {
-            Unanswered | Reset => String::new(),
-            Refused | QueuedThenRefused => REFUSAL.into(),
-            ResetInList => chunk(&CHANGE[..9]),
-            ResetAfterList => chunk("{\"index\":5,\"endpoints\":[]}\n"),
-            Silent | ChangesAfter(_) => chunk("\n"),
-            AnsweredAfter(_) => chunk(CHANGE),
-        };
-        // Fails if the balancer has closed the connection meanwhile.
-        let _ = stream.write_all(text.as_bytes()).await;
-        if matches!(call, Reset | ResetInList | ResetAfterList) {
-            yield_to_tasks().await;
-            return SockRef::from(&stream)
-                .set_linger(Some(Duration::ZERO))
-                .unwrap();
-        }
-        for seconds in (0..)
-            .step_by(2)
-            .take_while(|_| matches!(call, AnsweredAfter(_) | ChangesAfter(_)))
-        {
-            let line = if call == ChangesAfter(seconds) {
-                CHANGE
-            } else {
-                "\n"
-            };
-            let line = format!("{:x}\r\n{line}\r\n", line.len());
-            if stream.write_all(line.as_bytes()).await.is_err() {
-                return;
-            }
-            sleep(Duration::from_secs(2)).await;
-        }
-        let _ = stream.read(&mut bytes).await;
-    }
-
-    fn call_count(&self) -> usize {
-        self.called_at.borrow().len()
-    }
-}
-
-async fn yield_to_tasks() {
-    for _ in 0..YIELDS_PER_STEP {
-        yield_now().await;
-    }
-}
-
-/// Advances the clock until this holds, for an hour at the most.
-async fn advance_until(mut done: impl FnMut() -> bool) {
-    for _ in 0..180_000 {
-        yield_to_tasks().await;
-        if done() {
-            return;
-        }
-        advance(CLOCK_STEP).await;
-    }
-    panic!("it never comes");
-}
-
-async fn advance_seconds(seconds: u64) {
-    let end = Instant::now() + Duration::from_secs(seconds);
-    advance_until(|| Instant::now() >= end).await;
-}
-
-/// A balancer that knows an old list of this discovery.
-fn start(discovery: SocketAddr, mode: DiscoveryMode, seed: u64) -> Rc<RefCell<Dispatcher>> {
-    start_in_fleet(discovery, mode, seed, 1)
-}
-
-/// The same in a fleet of this size.
-fn start_in_fleet(
-    discovery: SocketAddr,
-    mode: DiscoveryMode,
-    seed: u64,
-    peer_count: usize,
-) -> Rc<RefCell<Dispatcher>> {
-    let mut settings = Settings {
-        discovery_mode: mode,
-        peer_count,
-        ..Settings::simple()
-    };
-    settings.rules.notification_deadline = 6.0;
-    let config = Config {
-        name: "n".into(),
-        listen: SocketAddr::from(([127, 0, 0, 1], 9)),
-        discovery,
-        admin: None,
-        seed,
-        max_descriptors: 1024,
-        memory_bytes: 32 << 20,
-        known_endpoints: EndpointList {
-            version: 5,
-            snapshot: true,
-            endpoints: Vec::new(),
-        },
-        settings,
-        names: NameTables::default(),
-    };
-    let resources = Resources::new(&config);
-    Dispatcher::start(config, resources).expect("good settings")
-}
-
-/// The time from now until the change of this discovery is known.
-async fn time_until_known(dispatcher: &RefCell<Dispatcher>, discovery: &FakeDiscovery) -> Duration {
-    let begin = Instant::now();
-    let known = ListVersion {
-        source: discovery.address,
-        version: 6,
-    };
-    let has = |dispatcher: &Dispatcher| dispatcher.watches.known() == known;
-    advance_until(|| has(&dispatcher.borrow())).await;
-    begin.elapsed()
-}
-
-fn run(test: impl Future<Output = ()>) {
-    let mut runtime = tokio::runtime::Builder::new_current_thread();
-    let runtime = runtime
-        .enable_all()
-        .start_paused(true)
-        .build()
-        .expect("a runtime");
-    LocalSet::new().block_on(&runtime, test);
-}
 
 const ALL_MODES: [DiscoveryMode; 2] = [DiscoveryMode::Push, DiscoveryMode::Poll];
 const ALL_FAILURES: [CallOutcome; 7] = [
@@ -268,10 +35,10 @@
 #[test]
 fn changes_are_known_in_time_whatever_became_of_earlier_calls() {
     run(async {
-        let mut late = Vec::new();
+        let mut late_changes = Vec::new();
         for (first, later) in ALL_FAILURES
             .iter()
-            .flat_map(|first| later_calls().into_iter().map(move |s| (*first, s)))
+            .flat_map(|first| later_calls().into_iter().map(move |later| (*first, later)))
         {
             let script = [vec![first], later].concat();
             for mode in ALL_MODES {
@@ -280,14 +47,14 @@
                     let dispatcher = start(discovery.address, mode, seed);
                     advance_until(|| discovery.call_count() > 0).await;
                     let time = time_until_known(&dispatcher, &discovery).await;
-                    late.extend(
+                    late_changes.extend(
                         (time > NOTIFICATION_DEADLINE)
                             .then(|| format!("{mode:?} {script:?} {time:?}")),
                     );
                 }
             }
         }
-        assert!(late.is_empty(), "{late:#?}");
+        assert!(late_changes.is_empty(), "{late_changes:#?}");
     });
 }
 
@@ -296,7 +63,7 @@
 /// and a stall of 0.15 s.
 #[test]
 fn a_pushed_watch_that_fails_is_reopened_at_once() {
-    let soon = Duration::from_millis(300);
+    let reconnect_limit = Duration::from_millis(300);
     run(async {
         for first in [Refused, Reset, ResetInList, ResetAfterList] {
             for count in [1, 2, 60] {
@@ -304,7 +71,7 @@
                 let dispatcher = start(discovery.address, DiscoveryMode::Push, 1);
                 advance_until(|| discovery.call_count() == count).await;
                 let time = time_until_known(&dispatcher, &discovery).await;
-                assert!(time <= soon, "{first:?} {count} {time:?}");
+                assert!(time <= reconnect_limit, "{first:?} {count} {time:?}");
             }
         }
         let discovery = FakeDiscovery::not_listening(&[]);
@@ -312,7 +79,7 @@
         advance_seconds(8).await;
         discovery.listen();
         let time = time_until_known(&dispatcher, &discovery).await;
-        assert!(time <= soon, "{time:?}");
+        assert!(time <= reconnect_limit, "{time:?}");
     });
 }
 
@@ -320,10 +87,10 @@
 #[test]
 fn changes_are_known_in_time_after_discovery_has_moved() {
     run(async {
-        let mut late = Vec::new();
+        let mut late_changes = Vec::new();
         for (first, later) in ALL_FAILURES
             .iter()
-            .flat_map(|first| later_calls().into_iter().map(move |s| (*first, s)))
+            .flat_map(|first| later_calls().into_iter().map(move |later| (*first, later)))
         {
             let script = [vec![first], later].concat();
             for (mode, old) in ALL_MODES
@@ -338,12 +105,12 @@
                 advance_until(|| old.call_count() > 0).await;
                 dispatcher.borrow_mut().set_discovery_address(new.address);
                 let time = time_until_known(&dispatcher, &new).await;
-                late.extend(
+                late_changes.extend(
                     (time > NOTIFICATION_DEADLINE).then(|| format!("{mode:?} {script:?} {time:?}")),
                 );
             }
         }
-        assert!(late.is_empty(), "{late:#?}");
+        assert!(late_changes.is_empty(), "{late_changes:#?}");
     });
 }
 
@@ -363,27 +130,28 @@
                 (7, 2),
                 (8, 3),
             ] {
-                for shut in [false, true] {
+                for backlog_full in [false, true] {
                     let (old, other, new) = (
                         FakeDiscovery::listening(&[Silent]),
                         FakeDiscovery::listening(&[Unanswered]),
                         FakeDiscovery::not_listening(&[]),
                     );
-                    if shut {
+                    if backlog_full {
                         new.fill_backlog();
                     }
-                    let at = |moves| if moves == 0 { new.address } else { old.address };
-                    let dispatcher = start(at(moves), mode, seed);
+                    let initial_address =
+                        |moves| if moves == 0 { new.address } else { old.address };
+                    let dispatcher = start(initial_address(moves), mode, seed);
                     // Moved to where it is not up yet, directly or over another address, or away
                     // and back.
-                    let ways = [
+                    let routes = [
                         vec![],
                         vec![&new],
                         vec![&other, &new],
                         vec![&new, &other, &new],
                     ];
-                    for place in &ways[moves] {
-                        dispatcher.borrow_mut().set_discovery_address(place.address);
+                    for next in &routes[moves] {
+                        dispatcher.borrow_mut().set_discovery_address(next.address);
                         advance_seconds(1).await;
                     }
                     advance_seconds(8).await;
@@ -391,7 +159,7 @@
                     let time = time_until_known(&dispatcher, &new).await;
                     assert!(
                         time <= NOTIFICATION_DEADLINE,
-                        "{mode:?} {moves} {shut} {time:?}"
+                        "{mode:?} {moves} {backlog_full} {time:?}"
                     );
                 }
             }
@@ -405,28 +173,28 @@
 #[test]
 fn changes_are_known_in_time_after_a_long_outage_in_a_fleet_of_any_size() {
     run(async {
-        let mut late = Vec::new();
-        for (peer_count, shut) in [30, 300, 8700]
+        let mut late_changes = Vec::new();
+        for (peer_count, backlog_full) in [30, 300, 8700]
             .iter()
-            .flat_map(|n| [(*n, false), (*n, true)])
+            .flat_map(|peer_count| [(*peer_count, false), (*peer_count, true)])
         {
-            for (seed, away) in (0..8).flat_map(|seed| [(seed, 20), (seed, 60)]) {
+            for (seed, outage_seconds) in (0..8).flat_map(|seed| [(seed, 20), (seed, 60)]) {
                 let discovery = FakeDiscovery::not_listening(&[]);
-                if shut {
+                if backlog_full {
                     discovery.fill_backlog();
                 }
                 let dispatcher =
                     start_in_fleet(discovery.address, DiscoveryMode::Poll, seed, peer_count);
-                advance_seconds(away).await;
+                advance_seconds(outage_seconds).await;
                 discovery.listen();
                 let time = time_until_known(&dispatcher, &discovery).await;
-                late.extend(
+                late_changes.extend(
                     (time > NOTIFICATION_DEADLINE)
-                        .then(|| format!("{peer_count} {shut} {away} {time:?}")),
+                        .then(|| format!("{peer_count} {backlog_full} {outage_seconds} {time:?}")),
                 );
             }
         }
-        assert!(late.is_empty(), "{late:#?}");
+        assert!(late_changes.is_empty(), "{late_changes:#?}");
     });
 }
 
@@ -434,10 +202,10 @@
 #[test]
 fn changes_are_known_in_time_after_many_refusals_in_a_fleet_of_any_size() {
     run(async {
-        let mut late = Vec::new();
+        let mut late_changes = Vec::new();
         for (peer_count, call) in [30, 300, 8700]
             .iter()
-            .flat_map(|n| [(*n, Refused), (*n, Reset)])
+            .flat_map(|peer_count| [(*peer_count, Refused), (*peer_count, Reset)])
         {
             for (seed, count) in (0..8).flat_map(|seed| [(seed, 5), (seed, 9)]) {
                 let discovery = FakeDiscovery::listening(&vec![call; count]);
@@ -445,13 +213,13 @@
                     start_in_fleet(discovery.address, DiscoveryMode::Poll, seed, peer_count);
                 advance_until(|| discovery.call_count() == count).await;
                 let time = time_until_known(&dispatcher, &discovery).await;
-                late.extend(
+                late_changes.extend(
                     (time > NOTIFICATION_DEADLINE)
                         .then(|| format!("{peer_count} {call:?} {count} {time:?}")),
                 );
             }
         }
-        assert!(late.is_empty(), "{late:#?}");
+        assert!(late_changes.is_empty(), "{late_changes:#?}");
     });
 }
 
@@ -495,9 +263,9 @@
                 ),
                 (1, false)
             );
-            let made = discovery.call_count();
+            let call_count = discovery.call_count();
             advance_seconds(60).await;
-            assert_eq!(discovery.call_count(), made, "{mode:?}");
+            assert_eq!(discovery.call_count(), call_count, "{mode:?}");
         }
     });
 }
@@ -541,7 +309,7 @@
             assert!(
                 called_at
                     .windows(2)
-                    .all(|two| two[1] - two[0] > Duration::from_millis(2500)),
+                    .all(|pair| pair[1] - pair[0] > Duration::from_millis(2500)),
                 "{called_at:?}"
             );
         }
@@ -577,11 +345,11 @@
             let discovery = FakeDiscovery::listening(&[Reset, Unanswered, Unanswered]);
             let dispatcher = start(discovery.address, mode, 1);
             let budget = dispatcher.borrow().resources.descriptors.clone();
-            let taken: Vec<_> =
+            let permits: Vec<_> =
                 std::iter::from_fn(|| budget.acquire(crate::socket::Purpose::Rejection)).collect();
             // Another process takes a half of them.
             budget.set_limit(512);
-            assert!(taken.len() > 512);
+            assert!(permits.len() > 512);
             advance_until(|| discovery.call_count() > 0).await;
             let time = time_until_known(&dispatcher, &discovery).await;
             assert!(time <= Duration::from_secs(6), "{mode:?} {time:?}");
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,7 +1,7 @@
-//! Attempts that cross their end: the program is held still until both sides of a crossing have happened.
+//! Requests and changes that race with a close, a drain or a timeout. The process is suspended
+//! until both sides of the race have happened.
 
-mod peers;
-use peers::*;
+mod support;
 use socket2::SockRef;
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
@@ -9,137 +9,164 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread::sleep;
 use std::time::Duration;
+use support::*;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-/// A list that is a change of the one that the program knows.
-fn change(index: u64, entries: &[(&str, SocketAddr, &str)]) -> String {
+/// A change of the endpoint list that the program knows.
+fn change(version: u64, entries: &[(&str, SocketAddr, &str)]) -> String {
     let entries: Vec<_> = entries
         .iter()
-        .map(|(name, at, status)| endpoint(name, *at, status))
+        .map(|(name, address, status)| endpoint(name, *address, status))
         .collect();
-    list(index, false, &entries)
+    list(version, false, &entries)
 }
 
-/// Guards against two answers, or none, when the answer comes in the very turn in which the time is up; and against a
-/// slot that is freed twice or never.
+/// A response that arrives as the timeout expires leads to exactly one final response, and its
+/// slot is freed exactly once.
 #[test]
-fn an_answer_that_crosses_the_time_out_ends_its_request_once() {
+fn a_response_that_crosses_the_timeout_ends_its_request_once() {
     for _ in 0..3 {
-        let upstream = Upstream::start(Reply::Hold);
-        let (program, _discovery) = Program::with_console(&[upstream.address]);
+        let upstream = StubUpstream::start(StubResponse::Hold);
+        let (program, _discovery) = Program::with_admin(&[upstream.address]);
         let mut client = program.client();
         client
-            .send("/pay", &format!("{ID}Request-Timeout: 1.0\r\n"), "coins")
+            .send(
+                "/pay",
+                &format!("{REQUEST_ID}Request-Timeout: 1.0\r\n"),
+                "coins",
+            )
             .unwrap();
         upstream.next();
-        program.hold();
+        program.suspend();
         upstream.release();
-        // Its time passes while the answer lies there.
+        // The timeout expires while the response is in the receive buffer.
         sleep(Duration::from_millis(1100));
-        program.go_on();
-        let status = client.receive().unwrap().expect("an answer").status();
+        program.resume();
+        let status = client.receive().unwrap().expect("a response").status();
         assert!(status == 200 || status == 502, "{status}");
-        until("nothing is left", || program.figure("in_flight") == 0);
-        let total = program.figure("served.pay") + program.figure("failed.pay");
-        assert_eq!((total, program.figure("attempts")), (1, 1));
-        // The connection goes on with answers of its own, if it goes on.
-        let answer = client.ask("/pay/next", ID, "coins");
+        wait_until("no request is in flight", || {
+            program.metric("in_flight") == 0
+        });
+        let total = program.metric("served.pay") + program.metric("failed.pay");
+        assert_eq!((total, program.metric("attempts")), (1, 1));
+        // If the connection stays open, it carries the responses to its own requests.
+        let response = client.request("/pay/next", REQUEST_ID, "coins");
         assert!(
-            String::from_utf8_lossy(&answer.body).starts_with("POST /pay/next"),
-            "{answer:?}"
+            String::from_utf8_lossy(&response.body).starts_with("POST /pay/next"),
+            "{response:?}"
         );
     }
 }
 
-/// Guards against the answer of a cancelled attempt that is taken for the next one's.
+/// The response to a cancelled attempt must not be read as that of the next one.
 #[test]
-fn an_answer_that_crosses_the_end_of_its_client_is_nobody_else_s() {
-    let upstream = Upstream::start(Reply::Hold);
-    let (program, _discovery) = Program::with_console(&[upstream.address]);
+fn a_response_that_crosses_its_client_s_disconnect_reaches_no_other_client() {
+    let upstream = StubUpstream::start(StubResponse::Hold);
+    let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
-    client.send("/pay/gone", ID, "coins").unwrap();
+    client.send("/pay/gone", REQUEST_ID, "coins").unwrap();
     upstream.next();
-    program.hold();
+    program.suspend();
     upstream.release();
     drop(client);
-    program.go_on();
-    until("nothing is left", || program.figure("in_flight") == 0);
+    program.resume();
+    wait_until("no request is in flight", || {
+        program.metric("in_flight") == 0
+    });
     for _ in 0..4 {
-        let answer = program.client().ask("/pay/next", ID, "coins");
+        let response = program.client().request("/pay/next", REQUEST_ID, "coins");
         assert!(
-            String::from_utf8_lossy(&answer.body).starts_with("POST /pay/next"),
-            "{answer:?}"
+            String::from_utf8_lossy(&response.body).starts_with("POST /pay/next"),
+            "{response:?}"
         );
     }
 }
 
-/// Guards against breaking off, or sending again, a request of which a part has been written when a drain is told.
+/// A request that is partly written when its upstream begins to drain is neither cancelled nor
+/// sent again.
 #[test]
-fn what_is_half_written_when_a_drain_is_told_is_finished_there() {
-    let (old, new) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
-    let (program, discovery) = Program::with(&[old.address]);
+fn a_request_that_is_half_written_when_its_upstream_drains_is_completed_there() {
+    let (old, new) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
+    );
+    let (program, discovery) = Program::with_upstreams(&[old.address]);
     let mut client = program.client();
     client.write(
         "POST /pay HTTP/1.1\r\nHost: b\r\nRequest-Id: c001\r\nContent-Length: 200000\r\n\r\n",
     );
     client.write(&"x".repeat(150_000));
-    until("its connection is up", || {
+    wait_until("the connection is established", || {
         old.connections.load(Ordering::SeqCst) == 1
     });
-    // Whoever asks now is answered after it has begun.
-    assert_eq!(program.client().ask("/healthz", "", "").status(), 200);
+    // A request that is sent now gets its response after that attempt has begun.
+    assert_eq!(program.client().request("/healthz", "", "").status(), 200);
     let mut watch = discovery.next();
     let draining = ("u0", old.address, "terminating");
     watch.line(&change(6, &[draining, ("u1", new.address, "in_service")]));
-    assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
-    // Where that went shows that the drain is known.
+    assert_eq!(
+        program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
+    // A request that reaches the new upstream shows that the drain has been received.
     let mut known = new.seen.try_iter().count() == 1;
     while !known {
         old.next();
-        assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
+        assert_eq!(
+            program
+                .client()
+                .request("/pay", REQUEST_ID, "coins")
+                .status(),
+            200
+        );
         known = new.seen.try_iter().count() == 1;
     }
     client.write(&"x".repeat(50_000));
-    assert_eq!(client.receive().unwrap().expect("an answer").status(), 200);
+    assert_eq!(client.receive().unwrap().expect("a response").status(), 200);
     assert_eq!(old.next().body.len(), 200_000);
     assert!(new.seen.try_recv().is_err());
 }
 
-/// Guards against a retry at an upstream of which a drain was told while the first attempt was out.
+/// The retry must not go to an upstream that began to drain during the first attempt.
 #[test]
-fn a_retry_goes_to_none_that_has_begun_to_drain_meanwhile() {
+fn a_retry_avoids_an_upstream_that_has_begun_to_drain() {
     let (first, draining, free) = (
-        Upstream::start(Reply::Hold),
-        Upstream::start(Reply::Ok),
-        Upstream::start(Reply::Ok),
+        StubUpstream::start(StubResponse::Hold),
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
     );
-    let (program, discovery) = Program::with_console(&[first.address]);
+    let (program, discovery) = Program::with_admin(&[first.address]);
     let mut client = program.client();
-    client.send("/pay", ID, "coins").unwrap();
+    client.send("/pay", REQUEST_ID, "coins").unwrap();
     first.next();
     let mut watch = discovery.next();
     watch.line(&change(6, &[("u1", draining.address, "in_service")]));
-    until("both are known", || program.figure("upstreams_known") == 2);
-    // It is used until it drains, and its idle connection shows when that is known.
-    // Those who ask stay: nothing is sent on for a client that has left. One asks at a time, so that nothing is on its
-    // way when the drain is told.
+    wait_until("both upstreams are known", || {
+        program.metric("upstreams_known") == 2
+    });
+    // The upstream is used until it drains, and the close of its idle connection shows when that
+    // is known. The clients stay connected, as nothing is forwarded for one that has left. They
+    // send one at a time, so that no request is on its way when the drain is sent.
     let mut others = Vec::new();
     let mut used = false;
     while !used {
         let mut other = program.client();
-        other.send("/pay", ID, "coins").unwrap();
-        until("it reaches one of them", || {
+        other.send("/pay", REQUEST_ID, "coins").unwrap();
+        wait_until("it reaches an upstream", || {
             used = draining.seen.try_recv().is_ok();
             used || first.seen.try_recv().is_ok()
         });
         others.push(other);
     }
-    let answer = others
+    let response = others
         .last_mut()
         .and_then(|other| other.receive().unwrap())
-        .expect("an answer");
-    assert_eq!(answer.status(), 200);
+        .expect("a response");
+    assert_eq!(response.status(), 200);
     watch.line(&change(
         7,
         &[
@@ -149,54 +176,73 @@
     ));
     draining
         .closed
-        .recv_timeout(PATIENCE)
-        .expect("its connection is closed");
-    first.set(Reply::NotStarted);
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the connection is closed");
+    first.set_response(StubResponse::Rejected);
     first.release();
-    assert_eq!(client.receive().unwrap().expect("an answer").status(), 200);
+    assert_eq!(client.receive().unwrap().expect("a response").status(), 200);
     assert!(draining.seen.try_recv().is_err());
 }
 
-/// Guards against a request on a connection to a process that has gone, though its name and address are as before.
+/// The name and the address are the same, but the connection leads to a process that has ended.
 #[test]
-fn connections_to_a_process_that_has_started_again_are_dropped() {
-    let (upstream, discovery) = (Upstream::start(Reply::Ok), DiscoveryPeer::start());
-    // It is never cold: what this is about is its connections.
-    let config = config_of(&[upstream.address], discovery.address, 1024)
+fn connections_to_an_upstream_that_has_restarted_are_closed() {
+    let (upstream, discovery) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubDiscovery::start(),
+    );
+    // Without slow start, as the test is about connections.
+    let config = config_with_upstreams(&[upstream.address], discovery.address, 1024)
         .replace("\"startCapacity\":0.3", "\"startCapacity\":1.0");
     let program = Program::start(&config, "127.0.0.1:0");
-    assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
-    let again = change(6, &[("u0", upstream.address, "in_service")])
+    assert_eq!(
+        program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
+    let restart = change(6, &[("u0", upstream.address, "in_service")])
         .replace("since_ms\":0", "since_ms\":5000");
-    discovery.next().line(&again);
+    discovery.next().line(&restart);
     upstream
         .closed
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("the idle connection is closed");
-    assert_eq!(program.client().ask("/pay", ID, "coins").status(), 200);
+    assert_eq!(
+        program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
     assert_eq!(upstream.connections.load(Ordering::SeqCst), 2);
 }
 
-/// Guards against giving up on a connection that comes up late, within its time.
+/// A connection may be established late, within the connect timeout.
 #[test]
-fn a_connection_that_comes_up_late_carries_its_request_once() {
-    let door = Door::shut();
-    let discovery = DiscoveryPeer::start();
-    let config = patient(&config_of(&[door.address], discovery.address, 1024));
+fn a_connection_that_is_established_late_carries_its_request_once() {
+    let blocked = BlockedPort::new();
+    let discovery = StubDiscovery::start();
+    let config = with_long_timeouts(&config_with_upstreams(
+        &[blocked.address],
+        discovery.address,
+        1024,
+    ));
     let program = Program::start(&config, "127.0.0.1:0");
     let mut client = program.client();
-    client.send("/pay", ID, "coins").unwrap();
-    assert_eq!(program.client().ask("/healthz", "", "").status(), 200);
-    let upstream = door.open(Reply::Ok);
-    assert_eq!(client.receive().unwrap().expect("an answer").status(), 200);
+    client.send("/pay", REQUEST_ID, "coins").unwrap();
+    assert_eq!(program.client().request("/healthz", "", "").status(), 200);
+    let upstream = blocked.open(StubResponse::Ok);
+    assert_eq!(client.receive().unwrap().expect("a response").status(), 200);
     assert_eq!(upstream.seen.try_iter().count(), 1);
 }
 
-/// Guards against calling a request run, and so failed, of which the last byte was never written.
+/// A request whose last byte was never written cannot have run, and so is rejected, not failed.
 #[test]
-fn a_reset_before_the_last_byte_shows_that_a_request_never_ran() {
+fn a_reset_before_the_last_byte_proves_that_a_request_never_ran() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (program, _discovery) = Program::with(&[listener.local_addr().unwrap()]);
+    let (program, _discovery) = Program::with_upstreams(&[listener.local_addr().unwrap()]);
     let mut client = program.client();
     client.write(
         "POST /pay HTTP/1.1\r\nHost: b\r\nRequest-Id: c002\r\nContent-Length: 200000\r\n\r\n",
@@ -208,43 +254,58 @@
         .set_linger(Some(Duration::ZERO))
         .unwrap();
     drop(stream);
-    assert_eq!(client.receive().unwrap().expect("an answer").status(), 503);
+    assert_eq!(client.receive().unwrap().expect("a response").status(), 503);
 }
 
-/// Guards against a connection that is kept for an answer without end, though its client has gone.
+/// The connection must not be held for a response without end whose client has gone.
 #[test]
-fn an_endless_answer_ends_with_its_client() {
+fn an_endless_response_is_cancelled_when_its_client_disconnects() {
     let upstream =
-        Upstream::raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n");
-    let (program, _discovery) = Program::with_console(&[upstream.address]);
+        StubUpstream::raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n");
+    let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
-    client.send("/pay", ID, "coins").unwrap();
+    client.send("/pay", REQUEST_ID, "coins").unwrap();
     upstream.next();
     drop(client);
     upstream
         .closed
-        .recv_timeout(PATIENCE)
-        .expect("its connection is closed");
-    until("nothing is left", || program.figure("in_flight") == 0);
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the connection is closed");
+    wait_until("no request is in flight", || {
+        program.metric("in_flight") == 0
+    });
+}
+
+/// The connections to upstreams that are there before the process is suspended.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum UpstreamConnections {
+    Cached,
+    New,
 }
 
-/// What a program is told while it stands still: that the first upstream drains, at the end of a list of so many more. It
-/// is held up so often again while it takes that in.
-fn told_while_held(kept: bool, others: usize, again: usize) {
-    let (drains, stays) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
-    let (program, discovery) = Program::with_console(&[drains.address, stays.address]);
+/// Suspends the process while requests and a list arrive, which drains the first upstream behind
+/// `others` more entries. The process is suspended `again` times more while it reads them.
+fn check_drain_while_suspended(round: usize, others: usize, again: usize) {
+    let connections = [UpstreamConnections::Cached, UpstreamConnections::New][round % 2];
+    let (drains, stays) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
+    );
+    let (program, discovery) = Program::with_admin(&[drains.address, stays.address]);
     let mut watch = discovery.next();
     let mut clients: Vec<_> = (0..4).map(|_| program.client()).collect();
-    for _ in 0..if kept { 4 } else { 0 } {
-        clients
-            .iter_mut()
-            .for_each(|client| assert_eq!(client.ask("/pay", ID, "coins").status(), 200));
+    if connections == UpstreamConnections::Cached {
+        for _ in 0..4 {
+            for client in &mut clients {
+                assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
+            }
+        }
     }
     drains.seen.try_iter().count();
-    program.hold();
-    clients
-        .iter_mut()
-        .for_each(|client| client.send("/pay", ID, "coins").unwrap());
+    program.suspend();
+    for client in &mut clients {
+        client.send("/pay", REQUEST_ID, "coins").unwrap();
+    }
     let names: Vec<_> = (0..others).map(|number| format!("other{number}")).collect();
     let mut list: Vec<_> = names
         .iter()
@@ -252,67 +313,79 @@
         .collect();
     list.push(("u0", drains.address, "terminating"));
     watch.line(&change(6, &list));
-    program.go_on();
+    program.resume();
     for _ in 0..again {
-        program.hold();
-        program.go_on();
+        program.suspend();
+        program.resume();
     }
-    clients.iter_mut().for_each(|client| {
+    for client in &mut clients {
         assert_eq!(
-            client.receive().unwrap().expect("an answer").status(),
+            client.receive().unwrap().expect("a response").status(),
             200,
-            "{kept}"
+            "{connections:?}"
         );
-    });
-    assert!(drains.seen.try_recv().is_err(), "{kept}");
+    }
+    assert!(drains.seen.try_recv().is_err(), "{connections:?}");
 }
 
-/// Guards against a request that came before a drain was told, and is sent there after it because the program stood
-/// still meanwhile: on a kept connection and on a new one. Several rounds, as the order of what is read may be drawn.
+/// A request that was received before the drain must not be sent there after it, on a cached
+/// connection or on a new one. There are several rounds, as the order of reads may vary.
 #[test]
-fn what_came_while_the_program_stood_still_is_not_sent_to_what_drains_since() {
-    (0..16).for_each(|round| told_while_held(round % 2 == 0, 0, 0));
+fn requests_received_while_suspended_avoid_an_upstream_that_drains_since() {
+    for round in 0..16 {
+        check_drain_while_suspended(round, 0, 0);
+    }
 }
 
-/// Guards against the same where the list is read in many pieces.
+/// The same with a list that is read in many pieces.
 #[test]
-fn what_came_while_the_program_stood_still_waits_for_the_whole_of_a_long_list() {
-    (0..4).for_each(|round| told_while_held(round % 2 == 0, 600, 0));
+fn requests_received_while_suspended_wait_for_a_long_list_to_be_complete() {
+    for round in 0..4 {
+        check_drain_while_suspended(round, 600, 0);
+    }
 }
 
-/// Guards against the same where the program is held up again and again while it hears of it.
+/// The same with a process that is suspended repeatedly while it reads.
 #[test]
-fn what_came_while_the_program_stood_still_is_not_sent_there_after_more_hold_ups() {
-    (0..16)
-        .for_each(|round| told_while_held(round % 2 == 0, [0, 100][round % 4 / 2], 1 + round % 4));
+fn requests_received_while_suspended_repeatedly_avoid_a_draining_upstream() {
+    for round in 0..16 {
+        check_drain_while_suspended(round, [0, 100][round % 4 / 2], 1 + round % 4);
+    }
 }
 
-/// Listens and says nothing; what `seen` makes of the moment in which the first byte of a connection has come.
-fn silent<T: Send + 'static>(seen: impl Fn() -> T + Send + 'static) -> (SocketAddr, Receiver<T>) {
+/// An upstream that never responds. It sends the result of `observe` when the first byte of a
+/// connection arrives.
+fn spawn_silent_upstream<T: Send + 'static>(
+    observe: impl Fn() -> T + Send + 'static,
+) -> (SocketAddr, Receiver<T>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, (sender, receiver)) = (listener.local_addr().unwrap(), channel());
     std::thread::spawn(move || {
-        let mut kept = Vec::new();
+        let mut connections = Vec::new();
         for mut stream in listener.incoming().map_while(Result::ok) {
-            // A connection that brings nothing is of no interest.
+            // A connection without a request is ignored.
             if stream.read(&mut [0]).is_ok_and(|count| count > 0) {
-                let _ = sender.send(seen());
+                let _ = sender.send(observe());
             }
-            kept.push(stream);
+            connections.push(stream);
         }
     });
     (address, receiver)
 }
 
-/// Guards against a second copy beside a first one that was given up, and whose connection is still open as the second
-/// begins, where no two may be out at a time.
+/// Without hedged requests no two attempts may be open at a time.
 #[test]
-fn an_attempt_that_is_given_up_has_its_connection_closed_before_the_next_begins() {
+fn an_abandoned_attempt_is_closed_before_the_next_begins() {
     for _ in 0..4 {
-        let sides: Vec<_> = (0..2).map(|_| silent(established)).collect();
-        let discovery = DiscoveryPeer::start();
-        let addresses: Vec<_> = sides.iter().map(|(address, _)| *address).collect();
-        let config = config_of(&addresses, discovery.address, 256)
+        let silent_upstreams: Vec<_> = (0..2)
+            .map(|_| spawn_silent_upstream(established_connections))
+            .collect();
+        let discovery = StubDiscovery::start();
+        let addresses: Vec<_> = silent_upstreams
+            .iter()
+            .map(|(address, _)| *address)
+            .collect();
+        let config = config_with_upstreams(&addresses, discovery.address, 256)
             .replace("\"mayDuplicate\":true", "\"mayDuplicate\":false")
             .replace(
                 "\"aim\":5.0,\"hardLimit\":10.0",
@@ -320,21 +393,24 @@
             );
         let program = Program::start(&config, "127.0.0.1:0");
         let mut client = program.client();
-        client.send("/read", ID, "").unwrap();
-        client.receive().unwrap().expect("an answer");
-        let ends = sides
+        client.send("/read", REQUEST_ID, "").unwrap();
+        client.receive().unwrap().expect("a response");
+        let observed = silent_upstreams
             .iter()
             .map(|(_, seen)| seen.try_iter().collect::<Vec<_>>())
             .collect::<Vec<_>>();
-        assert!(ends.iter().all(|ends| ends.len() == 1), "one attempt each");
+        assert!(
+            observed.iter().all(|observed| observed.len() == 1),
+            "one attempt each"
+        );
         let ports: Vec<_> = addresses.iter().map(SocketAddr::port).collect();
-        let both = |ends: &Vec<(u16, u16)>| {
+        let has_both = |connections: &Vec<(u16, u16)>| {
             ports
                 .iter()
-                .all(|port| ends.iter().any(|(here, _)| here == port))
+                .all(|port| connections.iter().any(|(local_port, _)| local_port == port))
         };
         assert!(
-            !ends.iter().flatten().any(both),
+            !observed.iter().flatten().any(has_both),
             "both connections were open"
         );
     }
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -1,13 +1,13 @@
-//! What the platform asks of the deploy file and of the program that it starts.
+//! What the platform requires of the deploy file and of the program that it starts.
 
-mod peers;
-use peers::*;
+mod support;
 use std::fs;
+use support::*;
 
-/// Guards against a program that the platform can't lead: it has to be one process, linked against the C library when it
-/// is loaded, that starts no others.
+/// The platform can only manage a single process that starts no others and is linked with the C
+/// library when it is loaded.
 #[test]
-fn run_is_one_process_that_is_linked_dynamically() {
+fn the_deployed_program_is_one_dynamically_linked_process() {
     let deploy =
         fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/balancer.toml")).unwrap();
     assert!(deploy
@@ -16,12 +16,12 @@
     let image = fs::read(env!("CARGO_BIN_EXE_load-balancer")).unwrap();
     let names = |name: &[u8]| image.windows(name.len()).any(|part| part == name);
     assert!(names(b"/ld-linux") && names(b"libc.so.6\0"));
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with_console(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_admin(&[upstream.address]);
     assert_eq!(
         program
             .client()
-            .ask("/pay", "Request-Id: {id}\r\n", "coins")
+            .request("/pay", "Request-Id: {id}\r\n", "coins")
             .status(),
         200
     );
--- /dev/null
+++ b/tests/failed_attempts.rs
@@ -0,0 +1,171 @@
+//! Attempts that fail: which are retried, and which response the client gets.
+
+mod support;
+use std::time::{Duration, Instant};
+use support::*;
+
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID_AND_KEY: &str = "Request-Id: {id}\r\nIdempotency-Key: k1\r\n";
+
+/// A refused connection proves that the request never ran.
+#[test]
+fn a_non_idempotent_request_is_retried_when_its_connection_is_refused() {
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) =
+        Program::with_upstreams(&[refusing_address(), upstream.address, refusing_address()]);
+    let mut client = program.client();
+    for _ in 0..4 {
+        assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
+    }
+    assert_eq!(upstream.seen.try_iter().count(), 4);
+}
+
+#[test]
+fn a_request_that_its_upstream_rejected_is_retried() {
+    let (full, free) = (
+        StubUpstream::start(StubResponse::Rejected),
+        StubUpstream::start(StubResponse::Ok),
+    );
+    let (program, _discovery) = Program::with_upstreams(&[full.address, free.address]);
+    for _ in 0..4 {
+        assert_eq!(
+            program
+                .client()
+                .request("/pay", REQUEST_ID, "coins")
+                .status(),
+            200
+        );
+    }
+    assert_eq!(free.seen.try_iter().count(), 4);
+    assert!(full.seen.try_iter().count() > 0);
+}
+
+/// A retry could run the request twice, and a part of a response must not be forwarded.
+#[test]
+fn a_non_idempotent_request_that_may_have_run_fails_without_a_retry() {
+    for reply in [
+        StubResponse::Close,
+        StubResponse::Truncate,
+        StubResponse::Status(500),
+        StubResponse::Status(503),
+        StubResponse::Status(404),
+    ] {
+        let (one, two) = (StubUpstream::start(reply), StubUpstream::start(reply));
+        let (program, _discovery) = Program::with_upstreams(&[one.address, two.address]);
+        let response = program.client().request("/pay", REQUEST_ID, "coins");
+        assert_eq!(response.status(), 502, "{reply:?}");
+        assert_eq!(
+            one.seen.try_iter().count() + two.seen.try_iter().count(),
+            1,
+            "{reply:?}"
+        );
+    }
+}
+
+/// The attempt is cancelled before the deadline of the client, which gets a response.
+#[test]
+fn a_request_to_a_silent_upstream_fails_in_time_and_its_connection_is_closed() {
+    let upstream = StubUpstream::start(StubResponse::Never);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
+    let begin = Instant::now();
+    let response = program.client().request(
+        "/pay",
+        &format!("{REQUEST_ID}Request-Timeout: 1.5\r\n"),
+        "coins",
+    );
+    assert_eq!(response.status(), 502, "it may have run");
+    assert!(
+        begin.elapsed() > Duration::from_secs(1),
+        "it was given its time"
+    );
+    assert_eq!(upstream.seen.try_iter().count(), 1);
+    upstream
+        .closed
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the connection is closed");
+}
+
+#[test]
+fn a_request_without_a_reachable_upstream_is_rejected() {
+    let (program, _discovery) = Program::with_upstreams(&[refusing_address()]);
+    let response =
+        program
+            .client()
+            .request("/pay", &format!("{REQUEST_ID}Request-Timeout: 8.0\r\n"), "");
+    assert_eq!(response.status(), 503);
+    let wait: f64 = response.header("retry-after").unwrap().parse().unwrap();
+    assert!(wait > 0.0 && wait <= 2.0, "{wait}");
+}
+
+#[test]
+fn a_request_is_retried_when_its_connection_is_never_established() {
+    let free = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[unreachable_address(), free.address]);
+    let mut client = program.client();
+    for _ in 0..2 {
+        assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
+    }
+    assert_eq!(free.seen.try_iter().count(), 2);
+}
+
+/// A few malformed responses in a hundred do not use up the retry budget.
+#[test]
+fn malformed_responses_fail_no_idempotent_request_while_most_are_good() {
+    let upstreams = [
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
+    ];
+    let (program, _discovery) =
+        Program::with_upstreams(&upstreams.each_ref().map(|upstream| upstream.address));
+    for round in 0..4 {
+        for _ in 0..12 {
+            assert_eq!(
+                program
+                    .client()
+                    .request("/hold", REQUEST_ID_AND_KEY, "")
+                    .status(),
+                200
+            );
+        }
+        let bad = &upstreams[round % 3];
+        bad.seen.try_iter().count();
+        bad.set_response(StubResponse::Raw("what?\r\n\r\n"));
+        while bad.seen.try_iter().count() == 0 {
+            assert_eq!(
+                program
+                    .client()
+                    .request("/hold", REQUEST_ID_AND_KEY, "")
+                    .status(),
+                200
+            );
+        }
+        bad.set_response(StubResponse::Ok);
+    }
+}
+
+/// A 504 with `Not-Started` is treated like such a 503: the request is retried, also one that is
+/// not idempotent.
+#[test]
+fn a_request_that_was_never_started_is_retried_whatever_the_status() {
+    for status in [503, 504] {
+        let response =
+            format!("HTTP/1.1 {status} Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
+        let (busy, free) = (
+            StubUpstream::raw(&response),
+            StubUpstream::start(StubResponse::Ok),
+        );
+        let (program, _discovery) = Program::with_upstreams(&[busy.address, free.address]);
+        for _ in 0..6 {
+            assert_eq!(
+                program
+                    .client()
+                    .request("/pay", REQUEST_ID, "coins")
+                    .status(),
+                200,
+                "{status}"
+            );
+        }
+        assert!(busy.seen.try_iter().count() > 0, "{status}");
+    }
+}
--- /dev/null
+++ b/tests/known_red/test_output.rs
@@ -0,0 +1,81 @@
+//! Made-up output of the test command.
+
+/// The output of one test binary: each test with the text behind its name.
+pub fn binary_output(name: &str, tests: &[(&str, &str)]) -> String {
+    let count = |start| {
+        tests
+            .iter()
+            .filter(|(_, result)| result.ends_with(start))
+            .count()
+    };
+    let (passed, failed, ignored) = (count("ok"), count("FAILED"), count("ignored"));
+    let mut text = match name {
+        "doc" => "   Doc-tests load_balancer\n".to_string(),
+        _ => format!("     Running tests/{name}.rs (target/debug/deps/{name}-0f6efb1662e9578c)\n"),
+    };
+    text += &format!("\nrunning {} tests\n", tests.len());
+    for (test, result) in tests {
+        text += &format!("test {test} ... {result}\n");
+    }
+    if failed > 0 {
+        let named = tests
+            .iter()
+            .filter(|(_, result)| result.ends_with("FAILED"));
+        let named: Vec<_> = named
+            .map(|(test, _)| test.trim_end_matches(" - should panic"))
+            .collect();
+        text += "\nfailures:\n";
+        for test in &named {
+            text += &format!("\n---- {test} stdout ----\nCAPTURED\n");
+        }
+        text += "\n\nfailures:\n";
+        for test in &named {
+            text += &format!("    {test}\n");
+        }
+    }
+    let word = if failed > 0 { "FAILED" } else { "ok" };
+    let counts =
+        format!("{passed} passed; {failed} failed; {ignored} ignored; 0 measured; 0 filtered out");
+    text += &format!("\ntest result: {word}. {counts}; finished in 0.01s\n\n");
+    if failed > 0 {
+        text += &format!("error: test failed, to rerun pass `--test {name}`\n");
+    }
+    text
+}
+
+/// The complete output of the test command.
+pub fn command_output(binaries: &[String]) -> String {
+    let failed = binaries
+        .iter()
+        .filter(|text| text.contains("error: test failed"))
+        .count();
+    let noun = if failed == 1 { "target" } else { "targets" };
+    let end = format!(
+        "error: {failed} {noun} failed:\n{}",
+        "    `--test x`\n".repeat(failed)
+    );
+    let start = "    Finished `test` profile [unoptimized + debuginfo] target(s) in 0.23s\n";
+    format!(
+        "{start}{}{}",
+        binaries.concat(),
+        if failed > 0 { &end } else { "" }
+    )
+}
+
+/// Output with the listed failure among tests that pass.
+pub fn output_with_one_failure() -> String {
+    let admin = binary_output(
+        "admin",
+        &[
+            ("answers", "ok"),
+            ("hangs", "FAILED"),
+            ("hangs_twice", "ok"),
+        ],
+    );
+    command_output(&[
+        binary_output("load_balancer", &[]),
+        admin,
+        binary_output("rules", &[("keeps", "ok")]),
+        binary_output("doc", &[]),
+    ])
+}
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -1,14 +1,14 @@
 //! Framing of requests and responses: all forms, in pieces, and messages that never end.
 
-mod peers;
-use peers::*;
+mod support;
 use socket2::SockRef;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
+use support::*;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 /// An upstream that responds to the first request on each connection by `response`.
 fn upstream(response: impl Fn(&mut TcpStream) + Send + 'static) -> SocketAddr {
@@ -49,12 +49,16 @@
                 .set_linger(Some(Duration::ZERO))
                 .unwrap();
         });
-        let (program, _discovery) = Program::with_console(&[address]);
+        let (program, _discovery) = Program::with_admin(&[address]);
         let mut client = program.client();
         client
-            .send("/pay", &format!("{ID}Connection: close\r\n"), "coins")
+            .send(
+                "/pay",
+                &format!("{REQUEST_ID}Connection: close\r\n"),
+                "coins",
+            )
             .unwrap();
-        let text = String::from_utf8(client.rest()).unwrap();
+        let text = String::from_utf8(client.read_to_end_bytes()).unwrap();
         // The client gets either an error or a response that is not terminated.
         let (failed, cut) = (
             text.starts_with("HTTP/1.1 502 "),
@@ -63,7 +67,7 @@
         let chunked = text.to_lowercase().contains("transfer-encoding: chunked");
         assert!(failed || chunked && cut, "{count} {pause}: {text:.99}");
         assert_eq!(
-            (program.figure("failed.pay"), program.figure("served.pay")),
+            (program.metric("failed.pay"), program.metric("served.pay")),
             (1, 0),
             "{count} {pause}"
         );
@@ -76,10 +80,13 @@
 fn responses_are_read_in_all_forms_byte_by_byte() {
     let forms = [
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ncoins",
-        "HTTP/1.1 200\r\ncONTENT-lENGTH:\t 5 \t\r\nNews:\r\nServer-Load: TEXT inflight=7\r\n\r\ncoins",
-        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 200 Fine, thanks\r\nContent-Length: 005\r\n\r\ncoins",
+        "HTTP/1.1 200\r\ncONTENT-lENGTH:\t 5 \t\r\nNews:\r\nServer-Load: TEXT inflight=7\r\n\r\n\
+            coins",
+        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\n\
+            HTTP/1.1 200 Fine, thanks\r\nContent-Length: 005\r\n\r\ncoins",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\ncoins\r\n0\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nTRANSFER-ENCODING:Chunked\r\nTrailer: Sum\r\n\r\n0002;a=\"b;c\" ; d\r\nco\r\n3 ;e\r\nins\r\n00\r\nSum: 1\r\nMore: 2\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nTRANSFER-ENCODING:Chunked\r\nTrailer: Sum\r\n\r\n\
+            0002;a=\"b;c\" ; d\r\nco\r\n3 ;e\r\nins\r\n00\r\nSum: 1\r\nMore: 2\r\n\r\n",
         "HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\ncoins",
         "HTTP/1.1 200 OK\r\nConnection: keep-alive, close\r\nContent-Length: 5\r\n\r\ncoins",
     ];
@@ -90,8 +97,8 @@
                 sleep(Duration::from_micros(300));
             }
         });
-        let (program, _discovery) = Program::with(&[address]);
-        let response = program.client().ask("/pay", ID, "coins");
+        let (program, _discovery) = Program::with_upstreams(&[address]);
+        let response = program.client().request("/pay", REQUEST_ID, "coins");
         assert_eq!(
             (response.status(), response.body.as_slice()),
             (200, &b"coins"[..]),
@@ -114,16 +121,16 @@
     for (status, begin, again) in responses {
         let (listener, discovery) = (
             TcpListener::bind("127.0.0.1:0").unwrap(),
-            DiscoveryPeer::start(),
+            StubDiscovery::start(),
         );
-        let config = patient(&config_of(
+        let config = with_long_timeouts(&config_with_upstreams(
             &[listener.local_addr().unwrap()],
             discovery.address,
             256,
         ));
         let program = Program::start(&config, "127.0.0.1:0");
         let mut client = program.client();
-        client.send("/pay", ID, "coins").unwrap();
+        client.send("/pay", REQUEST_ID, "coins").unwrap();
         let (mut stream, _) = listener.accept().unwrap();
         let request = Message::read(&mut BufReader::new(stream.try_clone().unwrap()));
         assert!(request.unwrap().is_some());
@@ -134,12 +141,15 @@
         .unwrap();
         // Later requests are responded to after that has been read.
         for _ in 0..2 {
-            assert_eq!(program.client().ask("/healthz", "", "").status(), 200);
+            assert_eq!(program.client().request("/healthz", "", "").status(), 200);
         }
         // More than the buffers between the two hold.
-        let taken =
+        let accepted_chunks =
             (0..400).take_while(|_| stream.write_all(again.repeat(100_000).as_bytes()).is_ok());
-        assert!(taken.count() < 400, "it is broken off: {status} {begin:?}");
+        assert!(
+            accepted_chunks.count() < 400,
+            "the response is cancelled: {status} {begin:?}"
+        );
         assert_eq!(client.receive().unwrap().expect("a response").status(), 502);
     }
 }
@@ -148,12 +158,15 @@
 #[test]
 fn requests_are_read_in_all_forms_byte_by_byte() {
     let forms = [
-        "\r\nPOST /pay/a?b=c%20d HTTP/1.1\r\nHost: b\r\nrequest-id: f1\r\nCONTENT-LENGTH:\t5 \r\n\r\ncoins",
-        "POST http://backend.local/pay/a?b=c%20d HTTP/1.1\r\nHost: b\r\nREQUEST-ID:f2\r\nNews:\r\nContent-Length: 05\r\n\r\ncoins",
-        "POST /pay/a?b=c%20d HTTP/1.1\r\nRequest-Id: f3\r\nTransfer-Encoding: Chunked\r\n\r\n0002;a=\"b;c\"\r\nco\r\n3 ;d\r\nins\r\n0\r\nSum: 1\r\n\r\n",
+        "\r\nPOST /pay/a?b=c%20d HTTP/1.1\r\nHost: b\r\nrequest-id: f1\r\n\
+            CONTENT-LENGTH:\t5 \r\n\r\ncoins",
+        "POST http://backend.local/pay/a?b=c%20d HTTP/1.1\r\nHost: b\r\nREQUEST-ID:f2\r\nNews:\r\n\
+            Content-Length: 05\r\n\r\ncoins",
+        "POST /pay/a?b=c%20d HTTP/1.1\r\nRequest-Id: f3\r\nTransfer-Encoding: Chunked\r\n\r\n\
+            0002;a=\"b;c\"\r\nco\r\n3 ;d\r\nins\r\n0\r\nSum: 1\r\n\r\n",
     ];
-    let upstream = Upstream::start(Reply::Ok);
-    let (program, _discovery) = Program::with(&[upstream.address]);
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
     for (number, form) in forms.iter().enumerate() {
         for byte in form.chars() {
@@ -167,7 +180,7 @@
         );
         let request = upstream.next();
         assert_eq!(
-            (request.first.as_str(), request.body.as_slice()),
+            (request.start_line.as_str(), request.body.as_slice()),
             ("POST /pay/a?b=c%20d HTTP/1.1", &b"coins"[..])
         );
         assert_eq!(
@@ -204,10 +217,13 @@
             // Until the balancer closes the connection.
             while stream.write_all(again.repeat(100).as_bytes()).is_ok() {}
         });
-        let (program, _discovery) = Program::with(&[address]);
+        let (program, _discovery) = Program::with_upstreams(&[address]);
         let begun = Instant::now();
         assert_eq!(
-            program.client().ask("/pay", ID, "coins").status(),
+            program
+                .client()
+                .request("/pay", REQUEST_ID, "coins")
+                .status(),
             502,
             "{begin}{again}"
         );
@@ -217,3 +233,41 @@
         );
     }
 }
+
+/// A response that cannot be known to be complete is not forwarded, the request may have run and
+/// is not retried, and the connection is not reused.
+#[test]
+fn a_malformed_response_is_a_failure_that_may_have_run() {
+    let endless = "HTTP/1.1 200 OK\r\nNews: ".to_string() + &"x".repeat(1 << 20);
+    let answers = [
+        "what?\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n\
+            0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi",
+        "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi",
+        "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhi",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhi\r\n0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\n\r\nhi",
+        "HTTP/1.1 101 Switching Protocols\r\nUpgrade: news\r\n\r\n",
+        "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n",
+        &endless,
+    ];
+    for text in answers {
+        let (one, two) = (StubUpstream::raw(text), StubUpstream::raw(text));
+        let (program, _discovery) = Program::with_upstreams(&[one.address, two.address]);
+        assert_eq!(
+            program
+                .client()
+                .request("/pay", REQUEST_ID, "coins")
+                .status(),
+            502,
+            "{text:.99}"
+        );
+        let count = |upstream: &StubUpstream| upstream.seen.try_iter().count();
+        assert_eq!(count(&one) + count(&two), 1, "{text:.99}");
+        // The connection has been closed, whichever upstream it was.
+        while one.closed.try_recv().is_err() && two.closed.try_recv().is_err() {
+            sleep(Duration::from_millis(1));
+        }
+    }
+}
--- /dev/null
+++ b/tests/outlier_detection.rs
@@ -0,0 +1,169 @@
+//! Ejection of upstreams that fail, and what it leaves to requests.
+
+mod support;
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+use support::*;
+
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
+
+/// The concurrency limit is a whole number of requests, so a multiplier that returns to just below
+/// its former value would be one request less for good.
+#[test]
+fn good_responses_restore_the_concurrency_limit_after_a_malformed_one() {
+    let upstream = StubUpstream::raw("what?\r\n\r\n");
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
+    assert_eq!(
+        program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        502
+    );
+    upstream.set_response(StubResponse::Ok);
+    for _ in 0..3 {
+        assert_eq!(
+            program
+                .client()
+                .request("/pay", REQUEST_ID, "coins")
+                .status(),
+            200
+        );
+    }
+    upstream.set_response(StubResponse::Never);
+    assert_eq!(upstream.seen.try_iter().count(), 4);
+    let (mut one, mut two) = (program.client(), program.client());
+    one.send("/pay", REQUEST_ID, "coins").unwrap();
+    upstream.next();
+    two.send("/pay", REQUEST_ID, "coins").unwrap();
+    upstream.next();
+}
+
+/// The time of ejection must not depend on the cost of the request that was lost.
+#[test]
+fn a_lost_request_ejects_its_upstream_for_no_longer_when_its_cost_is_large() {
+    let (lossy, other) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
+    );
+    let discovery = StubDiscovery::start();
+    let entries = [&lossy, &other].map(|upstream| {
+        endpoint(
+            &upstream.address.to_string(),
+            upstream.address,
+            "in_service",
+        )
+    });
+    let config = config(&list(5, true, &entries), discovery.address, 1024)
+        .replace("\"aim\":5.0", "\"aim\":0.3");
+    let program = Program::start(&config, "127.0.0.1:0");
+    let send_cheap = || {
+        assert_eq!(
+            program
+                .client()
+                .request("/pay", &format!("{REQUEST_ID}Work-Hint: 1000\r\n"), "")
+                .status(),
+            200
+        );
+    };
+    for _ in 0..10 {
+        send_cheap();
+    }
+    for upstream in [&lossy, &other] {
+        upstream.set_response(StubResponse::Never);
+    }
+    let costly = format!("{REQUEST_ID}Work-Hint: 900000000\r\nRequest-Timeout: 0.6\r\n");
+    assert_eq!(program.client().request("/pay", &costly, "").status(), 502);
+    for upstream in [&lossy, &other] {
+        upstream.set_response(StubResponse::Ok);
+        upstream.seen.try_iter().count();
+    }
+    let begin = Instant::now();
+    let mut seen = [0, 0];
+    while seen.contains(&0) {
+        assert!(
+            begin.elapsed() < TEST_TIMEOUT,
+            "one of them gets no requests any more"
+        );
+        send_cheap();
+        seen[0] += lossy.seen.try_iter().count();
+        seen[1] += other.seen.try_iter().count();
+        sleep(Duration::from_millis(5));
+    }
+}
+
+/// All upstreams are silent if the fault is in a dependency of theirs. A request waits in the
+/// queue then, as at other times, and is not rejected at once.
+#[test]
+fn a_request_is_queued_though_all_upstreams_are_ejected() {
+    let upstream = StubUpstream::start(StubResponse::Never);
+    let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
+    let (mut one, mut two) = (program.client(), program.client());
+    one.send("/pay", REQUEST_ID, "coins").unwrap();
+    two.send("/pay", REQUEST_ID, "coins").unwrap();
+    upstream.next();
+    upstream.next();
+    // The upstream is ejected after six times its latency estimate, which starts at a sixth of the
+    // latency objective.
+    sleep(Duration::from_millis(5200));
+    upstream.set_response(StubResponse::Ok);
+    let mut third = program.client();
+    third.send("/pay", REQUEST_ID, "coins").unwrap();
+    // The request has been accepted by now, and would have been rejected.
+    sleep(Duration::from_millis(300));
+    drop(one);
+    assert_eq!(third.receive().unwrap().unwrap().status(), 200);
+}
+
+/// An upstream that fails fast would attract requests. Errors that all upstreams return eject none
+/// of them.
+#[test]
+fn an_upstream_that_alone_responds_with_errors_is_ejected() {
+    let (bad, good) = (
+        StubUpstream::start(StubResponse::Status(500)),
+        [(); 2].map(|()| StubUpstream::start(StubResponse::Ok)),
+    );
+    let (program, _discovery) =
+        Program::with_upstreams(&[bad.address, good[0].address, good[1].address]);
+    let mut client = program.client();
+    let mut send = |times: usize| {
+        (0..times)
+            .filter(|_| client.request("/pay", REQUEST_ID, "").status() == 200)
+            .count()
+    };
+    send(90);
+    let share = bad.seen.try_iter().count();
+    assert!(
+        0 < share && share < 18,
+        "{share} of 90, where an even share is 30"
+    );
+    bad.set_response(StubResponse::Ok);
+    // A few requests go there until it has responded well for a while; then its share is even
+    // again.
+    let mut rounds = 0;
+    while bad.seen.try_iter().count() < 25 {
+        rounds += 1;
+        assert!(rounds < 200, "it stays ejected");
+        send(90);
+    }
+    let all_upstreams = || good.iter().chain([&bad]);
+    let mut shares_with = |response: StubResponse| -> Vec<_> {
+        for upstream in all_upstreams() {
+            upstream.set_response(response);
+            upstream.seen.try_iter().count();
+        }
+        send(90);
+        all_upstreams()
+            .map(|upstream| upstream.seen.try_iter().count())
+            .collect()
+    };
+    // Shares are even in response time, which varies with the machine: one even round is enough.
+    for round in 0.. {
+        let shares = shares_with(StubResponse::Status(500));
+        if shares.iter().all(|count| *count > 20) {
+            break;
+        }
+        assert!(round < 50, "{shares:?}");
+        shares_with(StubResponse::Ok);
+    }
+}
--- /dev/null
+++ b/tests/support/upgrade.rs
@@ -0,0 +1,74 @@
+//! Processes that share a folder, as a predecessor and its successor do.
+
+use super::*;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+
+/// Starts a process with an admin endpoint that shares this folder.
+pub fn start_in_folder(folder: &Path, config: &str, listen: &str) -> Program {
+    start_in_folder_with(&[], folder, config, listen)
+}
+
+/// The same with more environment variables.
+pub fn start_in_folder_with(
+    variables: &[(&str, &str)],
+    folder: &Path,
+    config: &str,
+    listen: &str,
+) -> Program {
+    let own = [
+        ("TMPDIR", folder.to_str().unwrap()),
+        ("PROXY_CONSOLE", "127.0.0.1:0"),
+    ];
+    Program::start_with(&[variables, &own].concat(), config, listen)
+}
+
+/// One upstream, discovery, and the folder that processes share; the folder is deleted when
+/// dropped.
+pub struct UpgradeFixture {
+    pub folder: PathBuf,
+    pub upstream: StubUpstream,
+    pub discovery: StubDiscovery,
+}
+
+impl UpgradeFixture {
+    pub fn new() -> Self {
+        UpgradeFixture {
+            folder: create_temp_folder(),
+            upstream: StubUpstream::start(StubResponse::Ok),
+            discovery: StubDiscovery::start(),
+        }
+    }
+
+    /// Starts a process that knows the upstream.
+    pub fn start(&self, listen: &str) -> Program {
+        self.start_with(&[], listen)
+    }
+
+    /// The same with more environment variables.
+    pub fn start_with(&self, variables: &[(&str, &str)], listen: &str) -> Program {
+        let known = list(
+            5,
+            true,
+            &[endpoint("u0", self.upstream.address, "in_service")],
+        );
+        start_in_folder_with(
+            variables,
+            &self.folder,
+            &config(&known, self.discovery.address, 256),
+            listen,
+        )
+    }
+
+    /// The state file of the process at this address.
+    pub fn state_file(&self, address: SocketAddr) -> PathBuf {
+        self.folder.join(format!("magpiechute-{address}.state"))
+    }
+}
+
+impl Drop for UpgradeFixture {
+    fn drop(&mut self) {
+        // A failure only leaves files behind.
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
--- /dev/null
+++ b/tests/support/upstream.rs
@@ -0,0 +1,190 @@
+//! A stub upstream.
+
+use super::*;
+use std::io::{self, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::{Arc, Condvar, Mutex};
+use std::thread;
+use std::time::Instant;
+
+/// How an upstream responds to a request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum StubResponse {
+    Ok,
+    /// Responds, then closes the connection without `Connection: close`.
+    OkThenClose,
+    Status(u16),
+    /// 503 with `Not-Started: 1`.
+    Rejected,
+    /// Closes the connection without a response.
+    Close,
+    /// Closes the connection in the middle of the response.
+    Truncate,
+    /// Closes the connection in the middle of a large response.
+    TruncateLarge,
+    /// Responds with this text.
+    Raw(&'static str),
+    /// Responds with this text and closes the connection.
+    RawThenClose(&'static str),
+    /// Sends nothing until the peer closes the connection.
+    Never,
+    /// Delays the response until `release`; then it is the one that is set by then, or `Ok`.
+    Hold,
+}
+
+/// An upstream that records the requests it receives.
+pub struct StubUpstream {
+    pub address: SocketAddr,
+    pub seen: Receiver<Message>,
+    /// One message for each connection that has ended.
+    pub closed: Receiver<()>,
+    /// The number of connections that have been accepted.
+    pub connections: Arc<AtomicU64>,
+    /// The number of responses that have been written.
+    pub responses: Arc<AtomicU64>,
+    response: Arc<Mutex<StubResponse>>,
+    gate: Arc<Gate>,
+}
+
+/// Whether delayed responses have been released.
+type Gate = (Mutex<bool>, Condvar);
+
+impl StubUpstream {
+    pub fn start(response: StubResponse) -> Self {
+        Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), response)
+    }
+
+    pub(super) fn on(listener: TcpListener, response: StubResponse) -> Self {
+        let (sender, seen) = channel();
+        let (closing, closed) = channel();
+        let response = Arc::new(Mutex::new(response));
+        let connections = Arc::new(AtomicU64::new(0));
+        let responses = Arc::new(AtomicU64::new(0));
+        let gate = Arc::new((Mutex::new(false), Condvar::new()));
+        let upstream = StubUpstream {
+            address: listener.local_addr().unwrap(),
+            seen,
+            closed,
+            connections: connections.clone(),
+            responses: responses.clone(),
+            response: response.clone(),
+            gate: gate.clone(),
+        };
+        thread::spawn(move || {
+            for stream in listener.incoming().map_while(Result::ok) {
+                connections.fetch_add(1, Ordering::SeqCst);
+                let (response, sender, closing) =
+                    (response.clone(), sender.clone(), closing.clone());
+                let (gate, responses) = (gate.clone(), responses.clone());
+                thread::spawn(move || {
+                    // The end of the connection counts, whatever its cause.
+                    let _ = respond(stream, &response, &sender, &gate, &responses);
+                    let _ = closing.send(());
+                });
+            }
+        });
+        upstream
+    }
+
+    /// Starts an upstream that responds to each request with this text.
+    pub fn raw(text: &str) -> Self {
+        Self::start(StubResponse::Raw(text.to_string().leak()))
+    }
+
+    pub fn set_response(&self, response: StubResponse) {
+        *self.response.lock().unwrap() = response;
+    }
+
+    /// Waits until a connection has been closed, and until the kernel has delivered the close to
+    /// the peer, which on a busy machine may be later.
+    pub fn wait_for_close(&self) {
+        self.closed
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("a connection to the upstream is closed");
+        let begin = Instant::now();
+        while established_connections()
+            .iter()
+            .any(|(_, remote_port)| *remote_port == self.address.port())
+        {
+            assert!(begin.elapsed() < TEST_TIMEOUT, "the close is delivered");
+            thread::yield_now();
+        }
+    }
+
+    /// Releases delayed responses, also those to later requests.
+    pub fn release(&self) {
+        *self.gate.0.lock().unwrap() = true;
+        self.gate.1.notify_all();
+    }
+
+    /// The next request; waits until it arrives.
+    pub fn next(&self) -> Message {
+        self.seen
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("a request reaches the upstream")
+    }
+}
+
+/// Responds to the requests on one connection until it ends.
+fn respond(
+    stream: TcpStream,
+    response: &Mutex<StubResponse>,
+    seen: &Sender<Message>,
+    gate: &Gate,
+    responses: &AtomicU64,
+) -> io::Result<()> {
+    let mut output = stream.try_clone()?;
+    let mut input = BufReader::new(stream);
+    while let Some(request) = Message::read(&mut input)? {
+        let body = format!("{} by {}", request.start_line, output.local_addr()?);
+        let id = request.header("request-id").unwrap_or("").to_string();
+        let configured = *response.lock().unwrap();
+        let _ = seen.send(Message {
+            rejected: configured == StubResponse::Rejected,
+            ..request
+        });
+        let response = if configured == StubResponse::Hold {
+            let open = gate.0.lock().unwrap();
+            drop(gate.1.wait_while(open, |open| !*open).unwrap());
+            *response.lock().unwrap()
+        } else {
+            configured
+        };
+        let head = |status: &str| {
+            format!(
+                "HTTP/1.1 {status}\r\nContent-Length: {}\r\nSaw: {id}\r\n",
+                body.len()
+            )
+        };
+        match response {
+            StubResponse::Ok | StubResponse::Hold => {
+                write!(output, "{}\r\n{body}", head("200 OK"))?;
+            }
+            StubResponse::OkThenClose => return write!(output, "{}\r\n{body}", head("200 OK")),
+            StubResponse::Status(code) => {
+                write!(output, "{}\r\n{body}", head(&format!("{code} Other")))?;
+            }
+            StubResponse::Rejected => {
+                write!(output, "{}Not-Started: 1\r\n\r\n{body}", head("503 Busy"))?;
+            }
+            StubResponse::Raw(text) => output.write_all(text.as_bytes())?,
+            StubResponse::RawThenClose(text) => return output.write_all(text.as_bytes()),
+            StubResponse::Close => return Ok(()),
+            StubResponse::Truncate => {
+                return write!(output, "{}\r\n{}", head("200 OK"), &body[..4])
+            }
+            StubResponse::TruncateLarge => {
+                write!(output, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")?;
+                return output.write_all(&[b'x'; 500_000]);
+            }
+            StubResponse::Never => {
+                input.read_to_end(&mut Vec::new())?;
+                return Ok(());
+            }
+        }
+        responses.fetch_add(1, Ordering::SeqCst);
+    }
+    Ok(())
+}
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -1,29 +1,32 @@
-//! Watches on discovery, and what is owed when one ends, stands still or crosses another.
+//! Watches on discovery: what is received when one ends, falls silent or overlaps with another.
 
-mod peers;
-use peers::*;
+mod support;
 use std::net::SocketAddr;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
+use support::*;
 
-const ID: &str = "Request-Id: {id}\r\n";
+const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-/// A program with two upstreams of which one is in service.
-struct Rig {
-    old: Upstream,
-    new: Upstream,
+/// A program that knows two upstreams, of which one is in service.
+struct WatchFixture {
+    old: StubUpstream,
+    new: StubUpstream,
     program: Program,
-    discovery: DiscoveryPeer,
+    discovery: StubDiscovery,
     known: String,
 }
 
-impl Rig {
+impl WatchFixture {
     fn new(mode: &str) -> Self {
-        let (old, new) = (Upstream::start(Reply::Ok), Upstream::start(Reply::Ok));
-        let discovery = DiscoveryPeer::start();
+        let (old, new) = (
+            StubUpstream::start(StubResponse::Ok),
+            StubUpstream::start(StubResponse::Ok),
+        );
+        let discovery = StubDiscovery::start();
         let known = list(5, true, &[endpoint("u0", old.address, "in_service")]);
         let config = Self::config(&known, discovery.address, mode);
-        Rig {
+        WatchFixture {
             old,
             new,
             program: Program::start(&config, "127.0.0.1:0"),
@@ -39,41 +42,55 @@
         )
     }
 
-    /// The one upstream drains, the other is in service.
-    fn change(&self, index: u64) -> String {
-        let news = [
+    /// The change that drains the old upstream and puts the new one into service.
+    fn change(&self, version: u64) -> String {
+        let changes = [
             endpoint("u0", self.old.address, "terminating"),
             endpoint("u1", self.new.address, "in_service"),
         ];
-        list(index, false, &news)
+        list(version, false, &changes)
     }
 
-    /// Leaves an idle connection to the upstream that is in service, so that its end shows that news have come.
-    fn warm(&self) {
-        assert_eq!(self.program.client().ask("/pay", ID, "coins").status(), 200);
+    /// Leaves an idle connection to the upstream in service. Its close shows that the change has
+    /// been received.
+    fn leave_idle_connection(&self) {
+        assert_eq!(
+            self.program
+                .client()
+                .request("/pay", REQUEST_ID, "coins")
+                .status(),
+            200
+        );
         self.old.next();
     }
 
-    /// The news have come: the connection that `warm` left is closed, and all goes to the other upstream.
-    fn changed(&self) {
+    /// Waits until the change has been received: the connection that `leave_idle_connection` left
+    /// is closed, and requests go to the new upstream.
+    fn expect_changed(&self) {
         self.old
             .closed
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("the idle connection is closed");
-        assert_eq!(self.program.client().ask("/pay", ID, "coins").status(), 200);
+        assert_eq!(
+            self.program
+                .client()
+                .request("/pay", REQUEST_ID, "coins")
+                .status(),
+            200
+        );
         self.new.next();
         assert!(self.old.seen.try_recv().is_err());
     }
 }
 
-/// Guards against a list that is lost because it stands on several lines, wherever it is cut on its way.
+/// The line breaks, and where the list is cut into chunks, make no difference.
 #[test]
-fn a_list_may_be_indented_over_several_lines() {
-    let rig = Rig::new("push");
-    rig.warm();
-    let mut watch = rig.discovery.next();
+fn a_list_may_span_several_lines() {
+    let fixture = WatchFixture::new("push");
+    fixture.leave_idle_connection();
+    let mut watch = fixture.discovery.next();
     watch.line("");
-    let text = rig
+    let text = fixture
         .change(6)
         .replace('{', "{\n  ")
         .replace(',', ",\n  ")
@@ -82,234 +99,377 @@
     let (head, tail) = text.split_at(text.len() / 2);
     watch.part(head);
     watch.part(tail);
-    rig.changed();
-    assert!(watch.is_open() && rig.discovery.watches.try_recv().is_err());
+    fixture.expect_changed();
+    assert!(watch.is_open() && fixture.discovery.watches.try_recv().is_err());
 }
 
-/// Guards against news that come while a silent watch has been closed and the next one is not open yet, and against a
-/// next one that is silent too: one of them is open all the time.
+/// A change may come between the close of a silent watch and the opening of the next, and the next
+/// may be silent too: one of them is open at any time.
 #[test]
-fn a_watch_that_falls_silent_stays_until_another_has_spoken() {
+fn a_silent_watch_stays_open_until_another_has_received_data() {
     for (mode, begin) in [
         ("push", ""),
         ("push", "\n"),
         ("push", "\n{\"index\":6,"),
         ("ask", "\n"),
     ] {
-        let rig = Rig::new(mode);
-        rig.warm();
-        let mut first = rig.discovery.next();
+        let fixture = WatchFixture::new(mode);
+        fixture.leave_idle_connection();
+        let mut first = fixture.discovery.next();
         if !begin.is_empty() {
             first.part(begin);
         }
-        let mut second = rig.discovery.next();
-        assert!(second.asked.contains("since=5"), "{}", second.asked);
+        let mut second = fixture.discovery.next();
+        assert!(
+            second.request_line.contains("since=5"),
+            "{}",
+            second.request_line
+        );
         assert!(first.is_open(), "{mode} {begin:?}");
         if mode == "push" {
-            // This one is slow as well.
-            let mut third = rig.discovery.next();
+            // The second is silent as well.
+            let mut third = fixture.discovery.next();
             assert!(first.is_open() && second.is_open());
-            third.line(&rig.change(6));
+            third.line(&fixture.change(6));
         } else {
-            second.line(&rig.change(6));
+            second.line(&fixture.change(6));
         }
-        rig.changed();
-        first.ended();
+        fixture.expect_changed();
+        first.wait_for_end();
     }
 }
 
-/// Guards against half a list that is kept alive by the empty lines behind it.
+/// Empty lines behind an incomplete list must not keep the watch alive.
 #[test]
-fn empty_lines_inside_a_list_are_no_sign_of_life() {
-    let rig = Rig::new("push");
-    rig.warm();
-    let mut first = rig.discovery.next();
+fn empty_lines_inside_a_list_are_no_heartbeat() {
+    let fixture = WatchFixture::new("push");
+    fixture.leave_idle_connection();
+    let mut first = fixture.discovery.next();
     first.part("\n{\"index\":6,\"snapshot\":false,");
     let begun = Instant::now();
     let mut second = loop {
         first.part("\n");
-        match rig.discovery.watches.try_recv() {
+        match fixture.discovery.watches.try_recv() {
             Ok(second) => break second,
             Err(_) => sleep(Duration::from_millis(20)),
         }
-        assert!(begun.elapsed() < PATIENCE, "the watch is held for alive");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "the watch counts as alive");
     };
-    second.line(&rig.change(6));
-    rig.changed();
+    second.line(&fixture.change(6));
+    fixture.expect_changed();
 }
 
-/// Guards against a change that a watch has missed in its silence, and that is lost because it told a later one when
-/// it came back.
+/// A watch that resumes after a silence may have missed a change and send only a later one.
 #[test]
-fn what_a_silent_watch_has_missed_comes_from_the_next_one() {
-    let rig = Rig::new("push");
-    rig.warm();
-    let mut first = rig.discovery.next();
+fn changes_that_a_silent_watch_has_missed_come_from_the_next_one() {
+    let fixture = WatchFixture::new("push");
+    fixture.leave_idle_connection();
+    let mut first = fixture.discovery.next();
     first.line("");
-    let mut second = rig.discovery.next();
-    // The first one speaks again, but of other things, and then breaks.
+    let mut second = fixture.discovery.next();
+    // The first one resumes with another change, and then breaks.
     first.line(&list(
         7,
         false,
-        &[endpoint("u7", rig.new.address, "terminated")],
+        &[endpoint("u7", fixture.new.address, "terminated")],
     ));
-    second.line(&rig.change(6));
-    rig.changed();
+    second.line(&fixture.change(6));
+    fixture.expect_changed();
     second.reset();
-    let again = rig.discovery.next();
-    assert!(again.asked.contains("since=6"), "{}", again.asked);
+    let again = fixture.discovery.next();
+    assert!(
+        again.request_line.contains("since=6"),
+        "{}",
+        again.request_line
+    );
 }
 
-/// Guards against a list that is lost because its connection was reset right behind it.
+/// The reset right behind the list must not discard it.
 #[test]
-fn a_list_counts_though_its_connection_is_reset_behind_it() {
+fn a_complete_list_is_used_though_its_connection_is_reset() {
     for mode in ["push", "ask"] {
         for indented in [false, true] {
-            let rig = Rig::new(mode);
-            rig.warm();
-            let mut watch = rig.discovery.next();
-            let text = rig.change(6);
+            let fixture = WatchFixture::new(mode);
+            fixture.leave_idle_connection();
+            let mut watch = fixture.discovery.next();
+            let text = fixture.change(6);
             watch.line(&if indented {
                 text.replace(',', ",\n")
             } else {
                 text
             });
             watch.reset();
-            rig.changed();
-            let again = rig.discovery.next();
-            assert!(again.asked.contains("since=6"), "{}", again.asked);
+            fixture.expect_changed();
+            let again = fixture.discovery.next();
+            assert!(
+                again.request_line.contains("since=6"),
+                "{}",
+                again.request_line
+            );
         }
     }
 }
 
-/// Guards against half a list that is taken for a whole one, and against going on behind what it was.
+/// An incomplete list is neither applied nor counted as the known version.
 #[test]
-fn half_a_list_counts_for_nothing_and_is_asked_for_again() {
-    let rig = Rig::new("push");
-    rig.warm();
-    let mut watch = rig.discovery.next();
-    let text = rig.change(6);
+fn an_incomplete_list_is_discarded_and_requested_again() {
+    let fixture = WatchFixture::new("push");
+    fixture.leave_idle_connection();
+    let mut watch = fixture.discovery.next();
+    let text = fixture.change(6);
     watch.part(&text[..text.len() - 1]);
     watch.reset();
-    let mut again = rig.discovery.next();
-    assert!(again.asked.contains("since=5"), "{}", again.asked);
-    assert_eq!(rig.program.client().ask("/pay", ID, "coins").status(), 200);
-    rig.old.next();
+    let mut again = fixture.discovery.next();
+    assert!(
+        again.request_line.contains("since=5"),
+        "{}",
+        again.request_line
+    );
+    assert_eq!(
+        fixture
+            .program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
+    fixture.old.next();
     again.line(&text);
-    rig.changed();
+    fixture.expect_changed();
 }
 
-/// Guards against a list that is thrown away, or one that is emptied, by what is no list.
+/// A malformed list neither discards nor empties the last good one.
 #[test]
 fn a_malformed_list_leaves_the_last_good_one_in_use() {
-    let rig = Rig::new("push");
-    let bad = [
+    let fixture = WatchFixture::new("push");
+    let malformed = [
         "nonsense",
         "{\"index\":9,\"snapshot\":true}",
         "{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":\"u0\"}]}",
         "{\"index\":9,\"snapshot\":tru,\"endpoints\":[]}",
         "[]",
     ];
-    for text in bad {
-        let mut watch = rig.discovery.next();
+    for text in malformed {
+        let mut watch = fixture.discovery.next();
         watch.line(text);
-        watch.ended();
+        watch.wait_for_end();
     }
-    assert!(rig.discovery.next().asked.contains("since=5"));
-    assert_eq!(rig.program.client().ask("/pay", ID, "coins").status(), 200);
-    rig.old.next();
+    assert!(fixture.discovery.next().request_line.contains("since=5"));
+    assert_eq!(
+        fixture
+            .program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
+    fixture.old.next();
 }
 
-/// Guards against drains that are told while discovery is away and has moved when it comes back: the old watch holds
-/// until the new one has spoken, and is heard till then.
+/// Discovery may be down, and return at another address. The old watch is used until the new one
+/// has received a list.
 #[test]
 fn discovery_may_move_while_its_watch_is_silent() {
-    let rig = Rig::new("push");
-    rig.warm();
-    let mut silent = rig.discovery.next();
+    let fixture = WatchFixture::new("push");
+    fixture.leave_idle_connection();
+    let mut silent = fixture.discovery.next();
     silent.line("");
-    let mut second = rig.discovery.next();
-    let elsewhere = DiscoveryPeer::start();
-    rig.program
-        .reload(&Rig::config(&rig.known, elsewhere.address, "push"));
+    let mut second = fixture.discovery.next();
+    let elsewhere = StubDiscovery::start();
+    fixture.program.reload(&WatchFixture::config(
+        &fixture.known,
+        elsewhere.address,
+        "push",
+    ));
     let mut moved = elsewhere.next();
-    assert!(moved.asked.contains("since=0"), "{}", moved.asked);
+    assert!(
+        moved.request_line.contains("since=0"),
+        "{}",
+        moved.request_line
+    );
     assert!(silent.is_open() && second.is_open());
-    // The old discovery is back and tells its watches, old and new, of a drain.
-    second.line(&rig.change(6));
-    rig.changed();
-    silent.ended();
+    // The old discovery resumes and sends a drain to its watches.
+    second.line(&fixture.change(6));
+    fixture.expect_changed();
+    silent.wait_for_end();
     assert!(moved.is_open());
     moved.line(&list(
         2,
         true,
-        &[endpoint("u1", rig.new.address, "in_service")],
+        &[endpoint("u1", fixture.new.address, "in_service")],
     ));
-    second.ended();
-    assert_eq!(rig.program.client().ask("/pay", ID, "coins").status(), 200);
-    rig.new.next();
+    second.wait_for_end();
+    assert_eq!(
+        fixture
+            .program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
+    fixture.new.next();
 }
 
-/// Guards against a reopening that fails, and is not tried again before what it would tell counts as told. The silent
-/// watch is heard meanwhile.
+/// A reconnect that fails is retried before the notification deadline. The silent watch is used
+/// meanwhile.
 #[test]
-fn a_reopening_that_fails_is_tried_again_beside_the_silent_watch() {
+fn a_failed_reconnect_is_retried_beside_the_silent_watch() {
     for mode in ["push", "ask"] {
-        let rig = Rig::new(mode);
-        rig.warm();
-        let mut silent = rig.discovery.next();
+        let fixture = WatchFixture::new(mode);
+        fixture.leave_idle_connection();
+        let mut silent = fixture.discovery.next();
         silent.line("");
-        rig.discovery.next().reset();
-        let mut third = rig.discovery.next();
+        fixture.discovery.next().reset();
+        let mut third = fixture.discovery.next();
         assert!(silent.is_open(), "{mode}");
-        third.line(&rig.change(6));
-        rig.changed();
-        silent.ended();
+        third.line(&fixture.change(6));
+        fixture.expect_changed();
+        silent.wait_for_end();
     }
 }
 
-/// Guards against throwing away what a call that had to wait in turn tells in the end, when others have been made
-/// beside it.
+/// The response to a poll that was queued is used, also if others were made beside it.
 #[test]
-fn a_call_that_waits_is_heard_though_others_were_made_beside_it() {
-    let rig = Rig::new("ask");
-    rig.warm();
-    let mut waiting = rig.discovery.next();
-    let mut beside: Vec<_> = (0..3).map(|_| rig.discovery.next()).collect();
-    waiting.line(&rig.change(6));
-    rig.changed();
-    beside.iter_mut().for_each(Watch::ended);
+fn a_queued_poll_is_used_though_others_were_made_beside_it() {
+    let fixture = WatchFixture::new("ask");
+    fixture.leave_idle_connection();
+    let mut waiting = fixture.discovery.next();
+    let mut beside: Vec<_> = (0..3).map(|_| fixture.discovery.next()).collect();
+    waiting.line(&fixture.change(6));
+    fixture.expect_changed();
+    for watch in &mut beside {
+        watch.wait_for_end();
+    }
     assert!(waiting.is_open());
 }
 
-/// Guards against waits that grow while discovery is away, and against a call that is swallowed, and one that is reset,
-/// as it comes back: what it has counts as told 6 s later.
+/// The backoff must not grow beyond the notification deadline of 6 s while discovery is down, also
+/// if one poll hangs and one is reset at its return.
 #[test]
-fn discovery_that_was_away_for_8_s_is_heard_though_calls_fail_at_its_return() {
+fn changes_after_an_outage_of_8_s_are_received_though_the_first_calls_fail() {
     for moved in [false, true] {
         for mode in ["push", "ask"] {
-            let mut rig = Rig::new(mode);
-            let (away, elsewhere) = (Refusing::new(), Refusing::new());
-            let at = |address| Rig::config(&rig.known, address, mode);
-            rig.program = Program::start(&at(away.address), "127.0.0.1:0");
-            rig.warm();
+            let mut fixture = WatchFixture::new(mode);
+            let (away, elsewhere) = (RefusingPort::new(), RefusingPort::new());
+            let at = |address| WatchFixture::config(&fixture.known, address, mode);
+            fixture.program = Program::start(&at(away.address), "127.0.0.1:0");
+            fixture.leave_idle_connection();
             sleep(Duration::from_secs(8));
             let back = if moved {
-                rig.program.reload(&at(elsewhere.address));
-                elsewhere.discovery()
+                fixture.program.reload(&at(elsewhere.address));
+                elsewhere.start_discovery()
             } else {
-                away.discovery()
+                away.start_discovery()
             };
-            // Its first call is made at once, with all these seconds to spare.
-            let mut swallowed = back
+            // Its first poll is made at once, within the deadline.
+            let mut unanswered = back
                 .watches
                 .recv_timeout(Duration::from_secs(6))
-                .expect("heard in time");
+                .expect("the first poll comes in time");
             back.next().reset();
             let mut last = back.next();
-            assert!(swallowed.is_open());
-            last.line(&rig.change(6));
-            rig.changed();
+            assert!(unanswered.is_open());
+            last.line(&fixture.change(6));
+            fixture.expect_changed();
         }
     }
 }
+
+#[test]
+fn a_broken_watch_resumes_at_its_last_version() {
+    let upstream = StubUpstream::start(StubResponse::Ok);
+    let (program, discovery) = Program::with_upstreams(&[upstream.address]);
+    let mut watch = discovery.next();
+    watch.line(&list(
+        9,
+        true,
+        &[endpoint("u0", upstream.address, "in_service")],
+    ));
+    drop(watch);
+    let mut again = discovery.next();
+    assert!(
+        again.request_line.contains("since=9"),
+        "{}",
+        again.request_line
+    );
+    // A malformed line breaks the watch as well; the known list stays in force.
+    again.line("nonsense");
+    assert!(discovery.next().request_line.contains("since=9"));
+    assert_eq!(
+        program.client().request("/read", REQUEST_ID, "").status(),
+        200
+    );
+}
+
+/// The list would become outdated behind a watch whose server has vanished.
+#[test]
+fn a_silent_watch_is_replaced() {
+    let (_program, discovery) = Program::with_upstreams(&[refusing_address()]);
+    let _silent = discovery.next();
+    assert!(discovery.next().request_line.contains("since=5"));
+}
+
+/// SIGHUP does not end the process, the known list is kept for the new discovery, and its changes
+/// are used though their versions are lower than those of the old one.
+#[test]
+fn a_reload_moves_the_watch_to_another_discovery() {
+    let (one, two) = (
+        StubUpstream::start(StubResponse::Ok),
+        StubUpstream::start(StubResponse::Ok),
+    );
+    let (old, new) = (StubDiscovery::start(), StubDiscovery::start());
+    let known = list(5, true, &[endpoint("u0", one.address, "in_service")]);
+    let variables = [("PROXY_DISCOVERY", &*old.address.to_string())];
+    let first = config(&known, old.address, 1024);
+    let program = Program::start_with(&variables, &first, "127.0.0.1:0");
+    let mut watch = old.next();
+    watch.line(&list(
+        90,
+        true,
+        &[endpoint("u0", one.address, "in_service")],
+    ));
+    program.reload("not a configuration");
+    program.reload(&config(&known, new.address, 1024));
+    // The first connection fails. It is retried, and the known list stays in force.
+    drop(new.next());
+    assert_eq!(
+        program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
+    let mut next = new.next();
+    assert!(
+        next.request_line.contains("since=0"),
+        "{}",
+        next.request_line
+    );
+    watch.line(&list(
+        91,
+        false,
+        &[endpoint("u0", one.address, "in_service")],
+    ));
+    next.line(&list(3, true, &[endpoint("u0", one.address, "in_service")]));
+    watch.wait_for_end();
+    let changes = [
+        endpoint("u0", one.address, "terminating"),
+        endpoint("u1", two.address, "in_service"),
+    ];
+    next.line(&list(4, false, &changes));
+    one.closed
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the idle connection is closed");
+    assert_eq!(
+        program
+            .client()
+            .request("/pay", REQUEST_ID, "coins")
+            .status(),
+        200
+    );
+    assert_eq!(
+        (one.seen.try_iter().count(), two.seen.try_iter().count()),
+        (1, 1)
+    );
+    assert!(old.watches.try_recv().is_err());
+}
