--- /dev/null
+++ b/src/bin/load-balancer/reload.rs
@@ -0,0 +1,47 @@
+//! Reload of the configuration on SIGHUP.
+
+use crate::config::{Config, ConfigError};
+use crate::dispatch::Dispatcher;
+use crate::log;
+use crate::retry::RetrySchedule;
+use crate::signals::Signal;
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// For a file that can't be opened: it may be just about to be replaced.
+const READ_RETRY: RetrySchedule = RetrySchedule {
+    interval: Duration::from_millis(50),
+    timeout: Duration::from_secs(2),
+};
+
+/// Reloads the configuration on each of these signals, for as long as the process runs.
+pub async fn reload_on_signal(hangup: Signal, dispatcher: Rc<RefCell<Dispatcher>>) {
+    loop {
+        hangup.received().await;
+        reload(&dispatcher).await;
+    }
+}
+
+/// Reads the whole configuration again. An invalid one changes nothing; of a valid one, the
+/// address of discovery is what takes effect without a restart.
+async fn reload(dispatcher: &RefCell<Dispatcher>) {
+    let is_unreadable = |result: &Result<Config, ConfigError>| {
+        matches!(result, Err(ConfigError::Unreadable { .. }))
+    };
+    let read = READ_RETRY.run(is_unreadable, || async { Config::reload() });
+    match read.await {
+        Ok(config) => {
+            log::line(format!(
+                "configuration reloaded: {} (discovery at {})",
+                config.name, config.discovery
+            ));
+            dispatcher
+                .borrow_mut()
+                .set_discovery_address(config.discovery);
+        }
+        Err(error) => log::line(format!(
+            "configuration not reloaded: {error}; the previous one stays in force"
+        )),
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer/server/serve.rs
@@ -0,0 +1,133 @@
+//! The task that serves one client connection, from its first request to its lingering close.
+
+use crate::body::ResponseBody;
+use crate::server::capacity::Admission;
+use crate::server::connection::{ClientConnection, Phase};
+use crate::server::connection_table::ConnectionId;
+use crate::server::response::{close_connection_after, ClientResponse};
+use crate::server::{Server, DISCONNECT_POLL_INTERVAL, IDLE_TIMEOUT};
+use crate::socket::{Socket, UnreadInput};
+use hyper::body::{Body, Incoming};
+use hyper::server::conn::http1;
+use hyper::service::{service_fn, HttpService};
+use hyper::Request;
+use std::convert::Infallible;
+use std::error::Error;
+use std::rc::Rc;
+use tokio::time::sleep;
+
+const MAX_HEAD_BYTES: usize = 32 << 10;
+const MAX_HEADERS: usize = 100;
+
+/// How the serving of a connection has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ServingEnd {
+    /// The HTTP connection has ended by itself, after its last response or on an error.
+    Completed,
+    /// The client has stalled or disconnected, or the connection has been evicted.
+    Aborted,
+}
+
+impl Server {
+    /// Serves a connection until it is closed, and removes it from the table.
+    pub(super) async fn serve(
+        self: Rc<Self>,
+        id: ConnectionId,
+        client: Rc<ClientConnection>,
+        admission: Admission,
+    ) {
+        if admission == Admission::OverCapacity || self.drain_state.is_active() {
+            client.close.set();
+        }
+        let service = service_fn(|request| self.serve_request(request, &client, admission));
+        let connection = http_builder(admission).serve_connection(client.socket.clone(), service);
+        if drive(connection, &client).await == ServingEnd::Completed {
+            linger(&client).await;
+        }
+        self.connections.remove(id);
+        client.eviction.notify_decided();
+    }
+
+    async fn serve_request(
+        &self,
+        request: Request<Incoming>,
+        client: &Rc<ClientConnection>,
+        admission: Admission,
+    ) -> Result<ClientResponse, Infallible> {
+        client.begin_request();
+        let incomplete = !request.body().is_end_stream();
+        let over_capacity =
+            admission == Admission::OverCapacity && !self.wait_for_capacity(client).await;
+        let mut response = if over_capacity {
+            self.reject_over_capacity(&request)
+        } else {
+            self.handle_request(request, client).await
+        };
+        client.record_response();
+        // After an invalid request the remaining bytes may be no request, so the connection is
+        // closed.
+        let rejected = over_capacity || response.status().is_client_error();
+        client.set_rejected_incomplete(rejected && incomplete);
+        if rejected || self.drain_state.closes_after_response(client) {
+            close_connection_after(&mut response);
+        }
+        if client.phase() != Phase::StreamingResponse {
+            client.mark_idle();
+        }
+        Ok(response)
+    }
+}
+
+fn http_builder(admission: Admission) -> http1::Builder {
+    let mut builder = http1::Builder::new();
+    builder
+        .keep_alive(admission == Admission::WithinCapacity)
+        .max_buf_size(MAX_HEAD_BYTES)
+        .max_headers(MAX_HEADERS);
+    builder
+}
+
+/// Runs the HTTP connection until it ends or is to be aborted, and drops it.
+async fn drive<S>(connection: http1::Connection<Socket, S>, client: &ClientConnection) -> ServingEnd
+where
+    S: HttpService<Incoming, ResBody = ResponseBody>,
+    S::Error: Into<Box<dyn Error + Send + Sync>>,
+{
+    let (stalled, disconnected) = (client.stalled(), client.disconnected());
+    tokio::pin!(connection, stalled, disconnected);
+    loop {
+        tokio::select! {
+            // On an error, hyper has sent the client a response if it could.
+            _ = connection.as_mut() => return ServingEnd::Completed,
+            () = client.close.requested() => {
+                if client.can_close_now() {
+                    connection.as_mut().graceful_shutdown();
+                }
+            }
+            () = &mut stalled => return ServingEnd::Aborted,
+            () = &mut disconnected => return ServingEnd::Aborted,
+            () = client.eviction.requested() => {
+                if client.accepts_eviction() {
+                    return ServingEnd::Aborted;
+                }
+                client.eviction.notify_decided();
+            }
+        }
+    }
+}
+
+/// Keeps the connection open until the client has taken the last response, is evicted, or takes
+/// too long.
+async fn linger(client: &ClientConnection) {
+    client.begin_lingering();
+    let unread = if client.is_rejected_incomplete() {
+        UnreadInput::Discard
+    } else {
+        UnreadInput::Keep
+    };
+    tokio::select! {
+        () = client.socket.linger(unread, DISCONNECT_POLL_INTERVAL) => {}
+        () = client.eviction.requested() => {}
+        () = sleep(IDLE_TIMEOUT) => {}
+    }
+}
