--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -46,6 +46,7 @@
     /// Share of the time in which a request may go to an upstream with nothing in flight,
     /// whatever the limit is.
     single_request_allowance: f64,
+    /// A request had to wait since the last successful response.
     request_waited: bool,
 }
 
--- a/src/decision/rotation.rs
+++ b/src/decision/rotation.rs
@@ -25,7 +25,7 @@
 pub(super) struct Rotation {
     /// Available upstreams in this balancer's order of preference; the subset comes first.
     order: Vec<UpstreamId>,
-    /// At most the length of `order`.
+    /// Size of the subset while nothing waits; at most the length of `order`.
     min_subset_size: f64,
     /// Size of the subset; it grows and shrinks by parts of an upstream.
     subset_size: f64,
