--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -54,8 +54,8 @@
     pub admin: Option<SocketAddr>,
     /// The seed of random choices.
     pub seed: u64,
-    /// File descriptors that the process may have open: as configured, or fewer if the system allows
-    /// fewer.
+    /// File descriptors that the process may have open: as configured, or fewer if the system
+    /// allows fewer.
     pub max_descriptors: usize,
     /// Bytes of memory that the process may use.
     pub memory_bytes: usize,
@@ -207,8 +207,9 @@
 fn cap_descriptors(configured: usize) -> usize {
     let allowed = descriptor_limit().map_or(configured, |limit| limit.max(MIN_DESCRIPTORS));
     if allowed < configured {
+        let cause = format!("RLIMIT_NOFILE allows {allowed}");
         log::line(format!(
-            "descriptor limit lowered: RLIMIT_NOFILE allows {allowed} (limits.sockets: {configured})"
+            "descriptor limit lowered: {cause} (limits.sockets: {configured})"
         ));
     }
     configured.min(allowed)
--- a/src/bin/load-balancer/config/tests.rs
+++ b/src/bin/load-balancer/config/tests.rs
@@ -10,7 +10,8 @@
         "settings": {
             "classes": [{"name": "call", "aim": 1.0, "hardLimit": 2.0, "effect": "read_like"}],
             "tenants": [], "localities": ["a", "b"], "kinds": ["std"], "me": 0, "peersTotal": 1,
-            "stages": ["only"], "limits": {"retryAfter": true, "maxRetryAfter": 2.0, "connectTimeout": 0.1}
+            "stages": ["only"],
+            "limits": {"retryAfter": true, "maxRetryAfter": 2.0, "connectTimeout": 0.1}
         }
     });
     change(&mut file);
--- a/src/decision/log_event.rs
+++ b/src/decision/log_event.rs
@@ -67,9 +67,8 @@
             }
             LogEvent::SuspectedDraining { upstream } => {
                 let name = name(upstream);
-                format!(
-                    "upstream left out until the endpoint list is current: {name} (rejects all requests)"
-                )
+                let what = "upstream left out until the endpoint list is current";
+                format!("{what}: {name} (rejects all requests)")
             }
             LogEvent::PollFailed { retry_in } => {
                 format!("discovery poll failed; polling again in {retry_in:.1} s")
--- a/src/settings_format/tests.rs
+++ b/src/settings_format/tests.rs
@@ -15,24 +15,30 @@
 fn file_and_pairs_give_the_same_settings() {
     let file = json!({
         "classes": [
-            {"name": "view", "aim": 0.5, "hardLimit": "2.5", "effect": "read_like", "worth": 3, "lateShare": 0.25},
+            {"name": "view", "aim": 0.5, "hardLimit": "2.5", "effect": "read_like", "worth": 3,
+                "lateShare": 0.25},
             {"name": "pay", "effect": "idempotency_key", "dedupScope": "cell", "dedupWindow": 8.0},
         ],
         "tenants": [{"name": "acme", "quotaRps": 100, "news": {"more": [1, 2]}}],
-        "localities": ["a", "b"], "stages": ["front", "back"], "kinds": ["std"], "tier": 1, "zone": 1, "me": 4,
-        "peersTotal": 9, "discovery": "ask", "resolution": 0.002, "overShareWorth": 0.1, "valueBy": "work",
-        "limits": {"attemptsCap": 6, "cancel": true, "mayDuplicate": "1", "connIdle": 5.0, "streamsPerConn": 2,
-            "connectTimeout": 0.15, "openCap": 70, "retryAfter": "true", "maxRetryAfter": 1.5},
-        "rules": {"askWithin": 4.0, "startCapacity": 0.31, "cold": 8.8, "fallMultiple": 2.5}, "costs": {"crossZone": 0.015}
+        "localities": ["a", "b"], "stages": ["front", "back"], "kinds": ["std"],
+        "tier": 1, "zone": 1, "me": 4, "peersTotal": 9, "discovery": "ask",
+        "resolution": 0.002, "overShareWorth": 0.1, "valueBy": "work",
+        "limits": {"attemptsCap": 6, "cancel": true, "mayDuplicate": "1", "connIdle": 5.0,
+            "streamsPerConn": 2, "connectTimeout": 0.15, "openCap": 70, "retryAfter": "true",
+            "maxRetryAfter": 1.5},
+        "rules": {"askWithin": 4.0, "startCapacity": 0.31, "cold": 8.8, "fallMultiple": 2.5},
+        "costs": {"crossZone": 0.015}
     });
-    let line = "classes.count=2 classes.0.name=view classes.0.aim=0.5 classes.0.hardLimit=2.5 classes.0.effect=read_like
-        classes.0.worth=3 classes.0.lateShare=0.25 classes.1.name=pay classes.1.effect=idempotency_key
-        classes.1.dedupScope=cell classes.1.dedupWindow=8.0 tenants.count=1 tenants.0.name=acme tenants.0.quotaRps=100
-        tenants.0.news.more=1,2 localities=a,b stages=front,back kinds=std tier=1 zone=1 me=4 peersTotal=9 discovery=ask
-        resolution=0.002 overShareWorth=0.1 valueBy=work limits.attemptsCap=6 limits.cancel=true limits.mayDuplicate=1
-        limits.connIdle=5.0 limits.streamsPerConn=2 limits.connectTimeout=0.15 limits.openCap=70 limits.retryAfter=true
-        limits.maxRetryAfter=1.5 rules.askWithin=4.0 rules.startCapacity=0.31 rules.cold=8.8 rules.fallMultiple=2.5
-        costs.crossZone=0.015";
+    let line = "classes.count=2 classes.0.name=view classes.0.aim=0.5 classes.0.hardLimit=2.5
+        classes.0.effect=read_like classes.0.worth=3 classes.0.lateShare=0.25 classes.1.name=pay
+        classes.1.effect=idempotency_key classes.1.dedupScope=cell classes.1.dedupWindow=8.0
+        tenants.count=1 tenants.0.name=acme tenants.0.quotaRps=100 tenants.0.news.more=1,2
+        localities=a,b stages=front,back kinds=std tier=1 zone=1 me=4 peersTotal=9 discovery=ask
+        resolution=0.002 overShareWorth=0.1 valueBy=work limits.attemptsCap=6 limits.cancel=true
+        limits.mayDuplicate=1 limits.connIdle=5.0 limits.streamsPerConn=2
+        limits.connectTimeout=0.15 limits.openCap=70 limits.retryAfter=true
+        limits.maxRetryAfter=1.5 rules.askWithin=4.0 rules.startCapacity=0.31 rules.cold=8.8
+        rules.fallMultiple=2.5 costs.crossZone=0.015";
     let settings = settings_from_json(&file).unwrap();
     assert_eq!(pairs(line).unwrap(), settings);
 
--- a/tests/decision/fleet_slow_start/mod.rs
+++ b/tests/decision/fleet_slow_start/mod.rs
@@ -6,12 +6,14 @@
 //! counts where over two thirds of them came from balancers that had been notified of the start.
 
 mod faults;
+mod scenario;
 mod server;
 mod simulation;
 
 use faults::Fault;
 use load_balancer::{Rules, Settings};
-use simulation::{Scenario, Simulation};
+use scenario::Scenario;
+use simulation::Simulation;
 
 const SEEDS: u64 = 2;
 const UPSTREAMS: usize = 10;
--- a/tests/decision/fleet_slow_start/simulation.rs
+++ b/tests/decision/fleet_slow_start/simulation.rs
@@ -1,6 +1,7 @@
 //! A discrete-event simulation of balancers and upstreams. All times are seconds.
 
 use super::faults::{Fault, START};
+use super::scenario::Scenario;
 use super::server::{Arrival, QueuedAttempt, Server, CAPACITY};
 use crate::harness::{entry, request};
 use load_balancer::{
@@ -25,17 +26,6 @@
 /// How often a client repeats a rejected request.
 const MAX_CLIENT_RETRIES: u32 = 2;
 
-/// What is simulated.
-#[derive(Clone, Copy, Debug)]
-pub struct Scenario {
-    pub balancers: usize,
-    pub upstreams: usize,
-    /// Mean traffic over the capacity of all upstreams.
-    pub load: f64,
-    pub fault: Fault,
-    pub seed: u64,
-}
-
 struct Attempt {
     upstream: u64,
     sent_at: f64,
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -7,16 +7,6 @@
 const MAX_FILE_LINES: usize = 500;
 /// No source line is longer, in characters.
 const MAX_LINE_CHARS: usize = 100;
-/// Files with string literals beyond this limit, which the formatter does not break. Their lines
-/// other than comments have a limit of their own.
-const FILES_WITH_LONG_LITERALS: [&str; 4] = [
-    "src/bin/load-balancer/config/mod.rs",
-    "src/bin/load-balancer/config/tests.rs",
-    "src/bin/load-balancer/handover/mod.rs",
-    "src/settings_format/tests.rs",
-];
-const MAX_LITERAL_LINE_CHARS: usize = 130;
-
 /// All files below this folder of the repository, with their text.
 fn files_below(folder: &str) -> Vec<(PathBuf, String)> {
     let mut folders = vec![Path::new(env!("CARGO_MANIFEST_DIR")).join(folder)];
@@ -46,24 +36,12 @@
     for (path, text) in sources.filter(|(path, _)| !is_recorded(path)) {
         let lines = text.lines().count();
         assert!(lines <= MAX_FILE_LINES, "{path:?}: {lines} lines");
-        let too_long = |line: &&str| line.chars().count() > max_chars(&path, line);
+        let too_long = |line: &&str| line.chars().count() > MAX_LINE_CHARS;
         let long_lines: Vec<_> = text.lines().filter(too_long).collect();
         assert!(long_lines.is_empty(), "{path:?}: {long_lines:?}");
     }
 }
 
-fn max_chars(path: &Path, line: &str) -> usize {
-    let in_repository = path.strip_prefix(env!("CARGO_MANIFEST_DIR")).unwrap();
-    let is_listed = FILES_WITH_LONG_LITERALS
-        .iter()
-        .any(|file| in_repository == Path::new(file));
-    if is_listed && !line.trim_start().starts_with("//") {
-        MAX_LITERAL_LINE_CHARS
-    } else {
-        MAX_LINE_CHARS
-    }
-}
-
 /// A module's unit tests lie beside it, in `tests.rs` or in a folder `tests`.
 fn is_test_file(path: &Path) -> bool {
     let is_tests = |part: &std::ffi::OsStr| part == "tests.rs" || part == "tests";
