--- a/tests/decision/fleet_slow_start/simulation.rs
+++ b/tests/decision/fleet_slow_start/simulation.rs
@@ -1,6 +1,6 @@
 //! A discrete-event simulation of balancers and upstreams. All times are seconds.
 
-use super::faults::{Fault, START};
+use super::faults::START;
 use super::scenario::Scenario;
 use super::server::{Arrival, QueuedAttempt, Server, CAPACITY};
 use crate::harness::{entry, request};
