--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -54,8 +54,8 @@
     pub admin: Option<SocketAddr>,
     /// The seed of random choices.
     pub seed: u64,
-    /// File descriptors that the process may have open: as configured, or fewer if the system allows
-    /// fewer.
+    /// File descriptors that the process may have open: as configured, or fewer if the system
+    /// allows fewer.
     pub max_descriptors: usize,
     /// Bytes of memory that the process may use.
     pub memory_bytes: usize,
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -5,13 +5,15 @@
 //! | --- | --- |
 //! | `settings`, `event`, `action`, `log_event` | the types that the embedder uses |
 //! | `balancer` | the state of all parts; dispatch of events |
-//! | `endpoint_list`, `maintenance`, `draining`, `poll_schedule`, `start_time` | which upstreams there are |
+//! | `endpoint_list`, `poll_schedule` | which upstreams there are |
+//! | `maintenance`, `draining`, `start_time` | which of them are in service, and since when |
 //! | `subset`, `rotation`, `selection` | the upstream for an attempt |
-//! | `concurrency_limit`, `slow_start`, `outlier`, `outlier_stats` | which upstreams accept a request now |
+//! | `concurrency_limit`, `slow_start` | how many requests an upstream gets |
+//! | `outlier`, `outlier_stats` | which upstreams are ejected |
 //! | `admission`, `queue` | how long a request waits, and which one goes first |
 //! | `attempts`, `idle_timeout` | starting attempts, on which connections |
 //! | `attempt_results`, `ended_attempt` | what the ends of attempts change |
-//! | `latency`, `congestion` | how long responses take, and how much of it is due to other requests |
+//! | `latency`, `congestion` | how long responses take, and how much requests delay others |
 //! | `moving_average` | the averages of samples that the others use |
 //! | `retry`, `conclusion` | retries, hedged requests, and the final response |
 //! | `request`, `upstream` | the state of one request and of one upstream |
