--- a/src/bin/load-balancer/handover/state_store.rs
+++ b/src/bin/load-balancer/handover/state_store.rs
@@ -13,6 +13,9 @@
 /// A failed write is retried at this interval.
 pub const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
+/// The state that was read, or why not; `None` if there was nothing to read.
+type ReadOutcome = Option<Result<StoredState, StateError>>;
+
 /// Owns the state file of this process's balancer.
 pub struct StateStore {
     folder: Rc<HandoverFolder>,
@@ -79,7 +82,7 @@
 
     /// Reads the file and applies its maintenance. `None` without a folder, and while a write is
     /// pending: the file is older than what this process knows then.
-    pub fn read_maintenance(&self) -> Option<Result<StoredState, StateError>> {
+    pub fn read_maintenance(&self) -> ReadOutcome {
         let path = self.folder.state_file()?;
         if self.has_pending_write.get() {
             return None;
@@ -93,15 +96,16 @@
         Some(state)
     }
 
-    /// The same; transient errors are retried for a while.
-    pub async fn read_maintenance_with_retries(&self) -> Option<Result<StoredState, StateError>> {
-        let is_transient = |result: &Option<Result<StoredState, StateError>>| matches!(result, Some(Err(error)) if error.is_transient());
+    /// As [`Self::read_maintenance`]; transient errors are retried for a while.
+    pub async fn read_maintenance_with_retries(&self) -> ReadOutcome {
+        let is_transient =
+            |result: &ReadOutcome| matches!(result, Some(Err(error)) if error.is_transient());
         FOLDER_RETRY
             .run(is_transient, || async { self.read_maintenance() })
             .await
     }
 
-    /// The same; a failure is logged.
+    /// As [`Self::read_maintenance_with_retries`]; a failure is logged.
     pub async fn restore_maintenance(&self) -> Option<StoredState> {
         match self.read_maintenance_with_retries().await? {
             Ok(state) => Some(state),
