--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -2,15 +2,71 @@
 
 mod support;
 use std::fs;
+use std::path::Path;
 use support::*;
 
+const REPOSITORY: &str = env!("CARGO_MANIFEST_DIR");
+
+fn deploy_file() -> String {
+    fs::read_to_string(Path::new(REPOSITORY).join("deploy/balancer.toml")).unwrap()
+}
+
+/// The strings of a list in the deploy file, in order.
+fn listed(deploy: &str, key: &str) -> Vec<String> {
+    let assignment = format!("\n{key} = [");
+    let (_, rest) = deploy.split_once(&assignment).expect("the list exists");
+    let (list, _) = rest.split_once(']').expect("the list ends");
+    let strings = list.split('"').skip(1).step_by(2);
+    strings.map(str::to_string).collect()
+}
+
+/// The paths of all files below a folder, relative to the repository and sorted.
+fn files_below(folder: &str) -> Vec<String> {
+    let mut files = Vec::new();
+    for entry in fs::read_dir(Path::new(REPOSITORY).join(folder)).unwrap() {
+        let entry = entry.unwrap();
+        let path = format!("{folder}/{}", entry.file_name().to_str().unwrap());
+        if entry.file_type().unwrap().is_dir() {
+            files.extend(files_below(&path));
+        } else {
+            files.push(path);
+        }
+    }
+    files.sort();
+    files
+}
+
+/// The platform accepts only files under `policy`, and skips a path that does not exist.
+#[test]
+fn policy_lists_exactly_the_files_of_the_decision_module() {
+    let policy = listed(&deploy_file(), "policy");
+    for path in &policy {
+        assert!(
+            Path::new(REPOSITORY).join(path).is_file(),
+            "{path} is not a file"
+        );
+    }
+    assert_eq!(policy, files_below("src/decision"));
+}
+
+/// `node` may also name folders.
+#[test]
+fn each_path_under_node_exists() {
+    let node = listed(&deploy_file(), "node");
+    assert!(!node.is_empty());
+    for path in &node {
+        assert!(
+            Path::new(REPOSITORY).join(path).exists(),
+            "{path} does not exist"
+        );
+    }
+}
+
 /// The platform can only manage a single process that starts no others and is linked with the C
 /// library when it is loaded.
 #[test]
 fn the_deployed_program_is_one_dynamically_linked_process() {
-    let deploy =
-        fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/balancer.toml")).unwrap();
-    assert!(deploy
+    assert!(deploy_file()
         .lines()
         .any(|line| line == "run = \"exec target/release/load-balancer\""));
     let image = fs::read(env!("CARGO_BIN_EXE_load-balancer")).unwrap();
