--- a/src/bin/load-balancer/metrics/mod.rs
+++ b/src/bin/load-balancer/metrics/mod.rs
@@ -70,7 +70,7 @@
         InFlightRequest {
             metrics: self.clone(),
             class,
-            is_open: Cell::new(true),
+            is_counted: Cell::new(true),
         }
     }
 
@@ -81,22 +81,22 @@
 
     /// All figures, one a line, in the format of statsd; `known` and `excluded` are the upstreams
     /// listed, and those of them that are listed as in service but get no requests.
-    pub fn render(&self, known: usize, excluded: usize) -> String {
+    pub fn render(&self, known_upstreams: usize, excluded_upstreams: usize) -> String {
         let mut text = String::new();
-        let mut figure = |name: &str, value: u64, kind: char| {
+        let mut write_metric = |name: &str, value: u64, kind: char| {
             // Writing to a string does not fail.
             let _ = writeln!(text, "balancer.{name}:{value}|{kind}");
         };
         for metrics in self.classes.borrow().iter() {
             let class = &metrics.class;
-            figure(&format!("served.{class}"), metrics.served, 'c');
-            figure(&format!("refused.{class}"), metrics.rejected, 'c');
-            figure(&format!("failed.{class}"), metrics.failed, 'c');
+            write_metric(&format!("served.{class}"), metrics.served, 'c');
+            write_metric(&format!("refused.{class}"), metrics.rejected, 'c');
+            write_metric(&format!("failed.{class}"), metrics.failed, 'c');
         }
-        figure("attempts", self.attempts.get(), 'c');
-        figure("in_flight", self.in_flight.get(), 'g');
-        figure("upstreams_known", known as u64, 'g');
-        figure("upstreams_excluded", excluded as u64, 'g');
+        write_metric("attempts", self.attempts.get(), 'c');
+        write_metric("in_flight", self.in_flight.get(), 'g');
+        write_metric("upstreams_known", known_upstreams as u64, 'g');
+        write_metric("upstreams_excluded", excluded_upstreams as u64, 'g');
         text
     }
 }
@@ -107,13 +107,13 @@
 pub struct InFlightRequest {
     metrics: Rc<Metrics>,
     class: usize,
-    is_open: Cell<bool>,
+    is_counted: Cell<bool>,
 }
 
 impl InFlightRequest {
     /// Counts how the request ended; only the first outcome counts.
     pub fn end(&self, outcome: RequestOutcome) {
-        if !self.close() {
+        if !self.stop_counting() {
             return;
         }
         if let Some(class) = self.metrics.classes.borrow_mut().get_mut(self.class) {
@@ -122,18 +122,18 @@
     }
 
     /// Takes the request out of those in flight; false if that was done before.
-    fn close(&self) -> bool {
-        let was_open = self.is_open.replace(false);
-        if was_open {
+    fn stop_counting(&self) -> bool {
+        let was_counted = self.is_counted.replace(false);
+        if was_counted {
             self.metrics.in_flight.set(self.metrics.in_flight.get() - 1);
         }
-        was_open
+        was_counted
     }
 }
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.close();
+        self.stop_counting();
     }
 }
 
--- a/src/bin/load-balancer/metrics/tests.rs
+++ b/src/bin/load-balancer/metrics/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn an_outcome_counts_once_and_a_disconnected_client_under_none() {
+fn each_request_counts_under_at_most_one_outcome() {
     let metrics = Metrics::new(&["a".into(), "b".into()]);
     let served = metrics.begin_request(0);
     let rejected = metrics.begin_request(1);
--- a/src/bin/load-balancer/socket/client_input.rs
+++ b/src/bin/load-balancer/socket/client_input.rs
@@ -39,8 +39,8 @@
         }
         let mut recent = self.recent_bytes.borrow_mut();
         let bytes = &bytes[bytes.len().saturating_sub(MAX_RECENT_BYTES)..];
-        let outdated = (recent.len() + bytes.len()).saturating_sub(MAX_RECENT_BYTES);
-        recent.drain(..outdated);
+        let excess = (recent.len() + bytes.len()).saturating_sub(MAX_RECENT_BYTES);
+        recent.drain(..excess);
         recent.extend_from_slice(bytes);
     }
 
--- a/src/bin/load-balancer/socket/closing.rs
+++ b/src/bin/load-balancer/socket/closing.rs
@@ -90,14 +90,14 @@
     pub async fn linger(&self, unread: UnreadInput, check_interval: Duration) {
         // Fails if the connection is broken or already half-closed.
         let _ = SockRef::from(&self.0.stream).shutdown(Shutdown::Write);
-        let discard = unread == UnreadInput::Discard;
-        self.set_read_ahead(discard);
-        if !discard && !self.has_unread() {
+        let is_discarding = unread == UnreadInput::Discard;
+        self.set_read_ahead(is_discarding);
+        if !is_discarding && !self.has_unread() {
             return;
         }
         while !self.is_disconnected() {
             self.readable().await;
-            if discard {
+            if is_discarding {
                 yield_now().await;
             } else {
                 sleep(check_interval).await;
--- a/src/bin/load-balancer/socket/connection.rs
+++ b/src/bin/load-balancer/socket/connection.rs
@@ -27,7 +27,7 @@
     pub(super) received: TrafficCounter,
     pub(super) sent: TrafficCounter,
     /// A write waits until the kernel takes more.
-    pub(super) write_blocked: Cell<bool>,
+    pub(super) is_write_blocked: Cell<bool>,
     pub(super) client_input: ClientInput,
     pub(super) read_ahead: ReadAheadBuffer,
     pub(super) exchange: ExchangeLimits,
@@ -95,7 +95,7 @@
             stream,
             received: TrafficCounter::new(),
             sent: TrafficCounter::new(),
-            write_blocked: Cell::new(false),
+            is_write_blocked: Cell::new(false),
             client_input: ClientInput::new(permit.is_for_client()),
             read_ahead: ReadAheadBuffer::new(permit.read_ahead_usage()),
             exchange: ExchangeLimits::none(),
@@ -130,7 +130,7 @@
     /// True if a write waits until the peer takes more.
     #[must_use]
     pub fn is_write_blocked(&self) -> bool {
-        self.0.write_blocked.get()
+        self.0.is_write_blocked.get()
     }
 
     /// Marks a client's connection as idle: the next byte belongs to a new request.
@@ -163,13 +163,13 @@
     }
 
     /// Limits the exchange to `max_received` further bytes.
-    pub fn limit_read(&self, max_received: usize) {
+    pub fn set_read_limit(&self, max_received: usize) {
         let max_received = self.bytes_read().saturating_add(max_received);
         self.0.exchange.set_max_received(max_received);
     }
 
     /// Removes the limit on received bytes.
-    pub fn unlimit_read(&self) {
+    pub fn clear_read_limit(&self) {
         self.0.exchange.set_max_received(usize::MAX);
     }
 
--- a/src/bin/load-balancer/socket/descriptor_budget.rs
+++ b/src/bin/load-balancer/socket/descriptor_budget.rs
@@ -14,7 +14,7 @@
 /// Descriptors reserved for the admin endpoint, if there is one.
 pub(super) const RESERVED_FOR_ADMIN: usize = 12;
 /// Share of the remaining descriptors that clients can't use.
-const UPSTREAM_SHARE: f64 = 0.4;
+const UPSTREAM_DESCRIPTOR_SHARE: f64 = 0.4;
 
 /// What a socket is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,7 +85,7 @@
         let unreserved = shared_limit.saturating_sub(RESERVED_FOR_REJECTIONS) as f64;
         self.shared_limit.set(shared_limit);
         self.client_limit
-            .set((unreserved * (1.0 - UPSTREAM_SHARE)) as usize);
+            .set((unreserved * (1.0 - UPSTREAM_DESCRIPTOR_SHARE)) as usize);
     }
 
     /// Descriptors in use, with all reserved ones counted as used.
--- a/src/bin/load-balancer/socket/io.rs
+++ b/src/bin/load-balancer/socket/io.rs
@@ -95,7 +95,7 @@
         self.0.exchange.check_write(self, length)?;
         loop {
             let writable = self.0.stream.poll_write_ready(cx);
-            self.0.write_blocked.set(writable.is_pending());
+            self.0.is_write_blocked.set(writable.is_pending());
             ready!(writable)?;
             match retry_on_interrupt(|| write(&self.0.stream)) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
--- a/src/bin/load-balancer/socket/read_ahead.rs
+++ b/src/bin/load-balancer/socket/read_ahead.rs
@@ -42,9 +42,9 @@
 pub(super) struct ReadAheadBuffer {
     bytes: RefCell<VecDeque<u8>>,
     /// Bytes were dropped for lack of space, so the input ends after what is buffered.
-    truncated: Cell<bool>,
+    is_truncated: Cell<bool>,
     /// Nobody reads the connection now, so that its input may be read ahead.
-    enabled: Cell<bool>,
+    is_enabled: Cell<bool>,
     usage: Rc<ReadAheadUsage>,
 }
 
@@ -52,18 +52,18 @@
     pub(super) fn new(usage: Rc<ReadAheadUsage>) -> Self {
         ReadAheadBuffer {
             bytes: RefCell::default(),
-            truncated: Cell::new(false),
-            enabled: Cell::new(false),
+            is_truncated: Cell::new(false),
+            is_enabled: Cell::new(false),
             usage,
         }
     }
 
     pub(super) fn set_enabled(&self, enabled: bool) {
-        self.enabled.set(enabled);
+        self.is_enabled.set(enabled);
     }
 
     pub(super) fn is_enabled(&self) -> bool {
-        self.enabled.get()
+        self.is_enabled.get()
     }
 
     pub(super) fn is_empty(&self) -> bool {
@@ -73,7 +73,7 @@
     /// Appends input. What exceeds the limit is dropped, and so is all input after that.
     pub(super) fn append(&self, input: &[u8]) {
         let mut bytes = self.bytes.borrow_mut();
-        let free = if self.truncated.get() {
+        let free = if self.is_truncated.get() {
             0
         } else {
             self.usage.connection_limit().saturating_sub(bytes.len())
@@ -82,7 +82,7 @@
         bytes.extend(&input[..accepted]);
         self.usage.add(accepted);
         if accepted < input.len() {
-            self.truncated.set(true);
+            self.is_truncated.set(true);
         }
     }
 
@@ -91,7 +91,7 @@
     pub(super) fn take(&self, target: &mut [u8]) -> Option<usize> {
         let mut bytes = self.bytes.borrow_mut();
         if bytes.is_empty() {
-            return self.truncated.get().then_some(0);
+            return self.is_truncated.get().then_some(0);
         }
         let count = bytes.len().min(target.len());
         self.usage.subtract(count);
--- a/src/bin/load-balancer/socket/system_errors.rs
+++ b/src/bin/load-balancer/socket/system_errors.rs
@@ -11,7 +11,7 @@
 /// Interval between two such calls.
 const STARTUP_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-fn is_one_of(error: &io::Error, numbers: &[i32]) -> bool {
+fn has_error_number(error: &io::Error, numbers: &[i32]) -> bool {
     error
         .raw_os_error()
         .is_some_and(|number| numbers.contains(&number))
@@ -28,7 +28,7 @@
         libc::ENOMEM,
         libc::ENOSPC,
     ];
-    is_one_of(error, &EXHAUSTION)
+    has_error_number(error, &EXHAUSTION)
 }
 
 /// Repeats a call until it isn't interrupted by a signal.
@@ -49,7 +49,7 @@
 #[must_use]
 pub fn is_transient(error: &io::Error) -> bool {
     const TRANSIENT: [i32; 3] = [libc::EINTR, libc::EAGAIN, libc::EIO];
-    is_resource_exhaustion(error) || is_one_of(error, &TRANSIENT)
+    is_resource_exhaustion(error) || has_error_number(error, &TRANSIENT)
 }
 
 /// Repeats a call at startup while it fails with a transient error, for a limited time. Blocks the
@@ -82,7 +82,7 @@
         libc::ENETDOWN,
         libc::ENETUNREACH,
     ];
-    is_resource_exhaustion(error) || is_one_of(error, &LOCAL)
+    is_resource_exhaustion(error) || has_error_number(error, &LOCAL)
 }
 
 /// True for an error of `accept(2)` that concerns this call only: it was interrupted, or the next
@@ -102,7 +102,7 @@
         libc::EOPNOTSUPP,
         libc::ENETUNREACH,
     ];
-    is_one_of(error, &CONNECTION)
+    has_error_number(error, &CONNECTION)
 }
 
 /// True if this process has reached its own limit of descriptors.
--- a/src/bin/load-balancer/socket/tests.rs
+++ b/src/bin/load-balancer/socket/tests.rs
@@ -9,7 +9,7 @@
 
 /// Neither clients nor upstreams can starve the other, and nothing can starve discovery.
 #[test]
-fn clients_leave_descriptors_for_upstreams_and_all_leave_some_for_discovery() {
+fn descriptor_quotas_prevent_starvation() {
     let budget = DescriptorBudget::new(256, AdminEndpoint::Present);
     let acquire_all = |purpose| std::iter::from_fn(|| budget.acquire(purpose)).collect::<Vec<_>>();
     let clients = acquire_all(Purpose::ClientConnection);
@@ -39,7 +39,7 @@
 
 /// A connection isn't idle while the end of a response is still to be written.
 #[test]
-fn a_connection_is_blocked_until_its_peer_reads_the_pending_output() {
+fn write_stays_blocked_until_peer_reads_pending_output() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/src/bin/load-balancer/upstream/attempt.rs
+++ b/src/bin/load-balancer/upstream/attempt.rs
@@ -72,7 +72,7 @@
 
 impl ExchangeEnd {
     /// The error of an exchange that has no valid response and is not repeated.
-    fn error(self, is_sent: bool, progress: &ExchangeProgress<'_>) -> AttemptError {
+    fn into_error(self, is_sent: bool, progress: &ExchangeProgress<'_>) -> AttemptError {
         match self {
             // A response that precedes the end of its request is valid only if it is an error.
             ExchangeEnd::Finished(exchange) => exchange
@@ -102,7 +102,7 @@
             let progress = ExchangeProgress::new(&connection.socket);
             let idle_for = connection.idle_for.unwrap_or(Duration::ZERO);
             self.connection_idle.set(idle_for);
-            let end = self.exchange_in_time(&progress).await?;
+            let end = self.exchange_until_deadline(&progress).await?;
             let is_sent = progress.is_request_sent();
             match end {
                 ExchangeEnd::Finished(exchange) if is_sent => {
@@ -116,7 +116,7 @@
                 ExchangeEnd::Broken if self.can_reconnect(&connection, &progress) => {
                     self.connection_idle.clear();
                 }
-                end => return Err(end.error(is_sent, &progress)),
+                end => return Err(end.into_error(is_sent, &progress)),
             }
         }
     }
@@ -134,9 +134,9 @@
         }
         let socket = tokio::select! {
             biased;
-            () = self.write_deadline_passed(|| false) => return Err(AttemptError::NotSent),
+            () = self.wait_for_write_deadline(|| false) => return Err(AttemptError::NotSent),
             socket = self.pool.connect(self.address) => socket?,
-            () = self.deadline_passed() => return Err(AttemptError::ConnectFailed),
+            () = self.wait_for_deadline() => return Err(AttemptError::ConnectFailed),
         };
         Ok(AttemptConnection {
             socket,
@@ -145,19 +145,19 @@
     }
 
     /// Runs the exchange until one of the deadlines.
-    async fn exchange_in_time(
+    async fn exchange_until_deadline(
         &self,
         progress: &ExchangeProgress<'_>,
     ) -> Result<ExchangeEnd, AttemptError> {
         tokio::select! {
             biased;
-            () = self.write_deadline_passed(|| progress.is_request_sent()) => {
+            () = self.wait_for_write_deadline(|| progress.is_request_sent()) => {
                 Err(AttemptError::NotSent)
             }
             exchange = self.exchange(progress) => {
                 Ok(exchange.map_or(ExchangeEnd::Broken, ExchangeEnd::Finished))
             }
-            () = self.deadline_passed() => Ok(ExchangeEnd::DeadlinePassed),
+            () = self.wait_for_deadline() => Ok(ExchangeEnd::DeadlinePassed),
         }
     }
 
@@ -186,7 +186,9 @@
         connection: &AttemptConnection,
         progress: &ExchangeProgress<'_>,
     ) -> bool {
-        connection.idle_for.is_some() && progress.is_unsent() && self.request.upload.is_replayable()
+        connection.idle_for.is_some()
+            && progress.has_written_nothing()
+            && self.request.upload.is_replayable()
     }
 
     pub(super) fn deadline(&self) -> Instant {
@@ -194,7 +196,7 @@
     }
 
     /// Waits for the deadline, which moves while the client sends its body.
-    async fn deadline_passed(&self) {
+    async fn wait_for_deadline(&self) {
         while self.deadline() > Instant::now() {
             sleep_until(self.deadline()).await;
         }
@@ -205,7 +207,7 @@
     ///
     /// After the deadline upstreams may have forgotten an earlier attempt, so that a retry on a
     /// slow connection would run as a new request.
-    async fn write_deadline_passed(&self, is_sent: impl Fn() -> bool) {
+    async fn wait_for_write_deadline(&self, is_sent: impl Fn() -> bool) {
         let Some(deadline) = self.write_deadline else {
             return pending().await;
         };
--- a/src/bin/load-balancer/upstream/exchange.rs
+++ b/src/bin/load-balancer/upstream/exchange.rs
@@ -19,10 +19,10 @@
 /// How far an exchange has come, from the counters of its socket.
 pub(super) struct ExchangeProgress<'a> {
     socket: &'a Socket,
-    written_before: usize,
-    read_before: usize,
+    written_at_start: usize,
+    read_at_start: usize,
     /// Bytes of the request on the wire, at least; `usize::MAX` while that is unknown.
-    request_length: Rc<Cell<usize>>,
+    min_request_length: Rc<Cell<usize>>,
 }
 
 impl<'a> ExchangeProgress<'a> {
@@ -30,25 +30,25 @@
     pub(super) fn new(socket: &'a Socket) -> Self {
         ExchangeProgress {
             socket,
-            written_before: socket.bytes_written(),
-            read_before: socket.bytes_read(),
-            request_length: Rc::new(Cell::new(usize::MAX)),
+            written_at_start: socket.bytes_written(),
+            read_at_start: socket.bytes_read(),
+            min_request_length: Rc::new(Cell::new(usize::MAX)),
         }
     }
 
     /// True if nothing of the request has been written.
-    pub(super) fn is_unsent(&self) -> bool {
-        self.socket.bytes_written() == self.written_before
+    pub(super) fn has_written_nothing(&self) -> bool {
+        self.socket.bytes_written() == self.written_at_start
     }
 
     /// True if the complete request may have been written.
     pub(super) fn is_request_sent(&self) -> bool {
-        self.socket.bytes_written() - self.written_before >= self.request_length.get()
+        self.socket.bytes_written() - self.written_at_start >= self.min_request_length.get()
     }
 
     /// True if something of the response has been read.
     pub(super) fn has_response_begun(&self) -> bool {
-        self.socket.bytes_read() > self.read_before
+        self.socket.bytes_read() > self.read_at_start
     }
 }
 
@@ -75,7 +75,7 @@
     ) -> hyper::Result<FinishedExchange> {
         let socket = progress.socket;
         socket.begin_exchange(self.request.client.clone(), MAX_OVERHEAD_BYTES);
-        let request = self.outgoing_request(progress);
+        let request = self.build_request(progress);
         let (mut sender, mut connection) = Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .handshake(socket.clone())
@@ -98,9 +98,12 @@
         let is_reusable = match received.disposition {
             Disposition::Close => false,
             Disposition::Reuse => connection.into_parts().read_buf.is_empty(),
-            Disposition::Streaming { completed, reuse } => {
+            Disposition::Streaming {
+                completed,
+                can_reuse,
+            } => {
                 let stream = StreamedExchange { sender, connection };
-                self.finish_in_background(stream, socket.clone(), completed, reuse);
+                self.finish_in_background(stream, socket.clone(), completed, can_reuse);
                 false
             }
         };
@@ -111,13 +114,13 @@
     }
 
     /// Drives the connection of a streamed response until `completed` is notified, then puts it
-    /// back into the pool if `reuse` is set.
+    /// back into the pool if `can_reuse` is set.
     fn finish_in_background(
         &self,
         exchange: StreamedExchange,
         socket: Socket,
         completed: oneshot::Receiver<()>,
-        reuse: bool,
+        can_reuse: bool,
     ) {
         let (pool, upstream, address) = (self.pool.clone(), self.upstream, self.address);
         let StreamedExchange {
@@ -132,7 +135,7 @@
             };
             // The connection ends when its sender is dropped.
             drop(sender);
-            if is_complete && reuse && connection.into_parts().read_buf.is_empty() {
+            if is_complete && can_reuse && connection.into_parts().read_buf.is_empty() {
                 pool.put(upstream, address, socket);
             }
         });
@@ -140,7 +143,7 @@
 
     /// The request with the time left. Once its length is known, it is noted in `progress` and
     /// declared to the socket.
-    fn outgoing_request(&self, progress: &ExchangeProgress<'_>) -> Request<UploadBody> {
+    fn build_request(&self, progress: &ExchangeProgress<'_>) -> Request<UploadBody> {
         let (method, uri) = (self.request.method.clone(), self.request.uri.clone());
         let mut headers = self.request.headers.clone();
         let time_left = (self.deadline() - Instant::now()).as_secs_f64();
@@ -149,11 +152,11 @@
         }
         let head_length = min_head_length(&method, &uri, &headers);
         let (socket, metrics) = (progress.socket.clone(), self.pool.metrics.clone());
-        let request_length = progress.request_length.clone();
-        let written_before = progress.written_before;
+        let min_request_length = progress.min_request_length.clone();
+        let written_at_start = progress.written_at_start;
         let body = UploadBody::new(self.request.upload.clone(), move |body_length| {
-            request_length.set(head_length + body_length as usize);
-            socket.set_request_end(written_before + request_length.get(), metrics);
+            min_request_length.set(head_length + body_length as usize);
+            socket.set_request_end(written_at_start + min_request_length.get(), metrics);
         });
         let mut request = Request::new(body);
         *request.method_mut() = method;
--- a/src/bin/load-balancer/upstream/pool.rs
+++ b/src/bin/load-balancer/upstream/pool.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 /// Idle connections are closed this share of the idle timeout before the upstream would.
-const IDLE_TIMEOUT_MARGIN: f64 = 0.1;
+const IDLE_TIMEOUT_MARGIN_SHARE: f64 = 0.1;
 /// The most idle connections to one upstream, which limits the connections of all balancers
 /// together.
 pub(super) const MAX_IDLE_PER_UPSTREAM: usize = 8;
@@ -39,7 +39,7 @@
 }
 
 pub(super) struct IdleConnection {
-    since: Instant,
+    idle_since: Instant,
     socket: Socket,
 }
 
@@ -70,7 +70,7 @@
         idle_timeout_seconds: f64,
     ) -> Self {
         let connect_timeout = connect_timeout_seconds.min(MAX_CONNECT_TIMEOUT_SECONDS);
-        let idle_timeout = idle_timeout_seconds * (1.0 - IDLE_TIMEOUT_MARGIN);
+        let idle_timeout = idle_timeout_seconds * (1.0 - IDLE_TIMEOUT_MARGIN_SHARE);
         ConnectionPool {
             upstreams: RefCell::default(),
             descriptors,
@@ -122,7 +122,7 @@
         let oldest = upstreams
             .values_mut()
             .filter(|entry| !entry.idle.is_empty())
-            .min_by_key(|entry| entry.idle[0].since);
+            .min_by_key(|entry| entry.idle[0].idle_since);
         let Some(entry) = oldest else {
             return false;
         };
@@ -143,7 +143,7 @@
         while let Some(idle) = entry.idle.pop() {
             if self.is_usable(&idle) {
                 return Some(ReusedConnection {
-                    idle_for: idle.since.elapsed(),
+                    idle_for: idle.idle_since.elapsed(),
                     socket: idle.socket,
                 });
             }
@@ -154,7 +154,7 @@
     /// False if the upstream has closed the connection or is about to: a request sent on it would
     /// meet a reset, after which it is unknown whether the request has run.
     fn is_usable(&self, idle: &IdleConnection) -> bool {
-        idle.since.elapsed() < self.idle_timeout && idle.socket.is_open_and_idle()
+        idle.idle_since.elapsed() < self.idle_timeout && idle.socket.is_open_and_idle()
     }
 
     /// Adds an idle connection, unless its upstream has been removed or has another address.
@@ -167,7 +167,7 @@
             return;
         };
         entry.idle.push(IdleConnection {
-            since: Instant::now(),
+            idle_since: Instant::now(),
             socket,
         });
         if entry.idle.len() > MAX_IDLE_PER_UPSTREAM {
--- a/src/bin/load-balancer/upstream/response.rs
+++ b/src/bin/load-balancer/upstream/response.rs
@@ -44,7 +44,7 @@
     /// notified.
     Streaming {
         completed: oneshot::Receiver<()>,
-        reuse: bool,
+        can_reuse: bool,
     },
 }
 
@@ -58,7 +58,7 @@
             Disposition::Reuse | Disposition::Close => Disposition::Close,
             Disposition::Streaming { completed, .. } => Disposition::Streaming {
                 completed,
-                reuse: false,
+                can_reuse: false,
             },
         }
     }
@@ -131,10 +131,10 @@
 
 /// Maps a status to the error that it stands for.
 fn classify(status: StatusCode, headers: &HeaderMap) -> Result<(), AttemptError> {
-    let not_started = headers.get("not-started").is_some_and(|value| value == "1");
+    let is_marked_not_started = headers.get("not-started").is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Ok(()),
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_started => {
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_marked_not_started => {
             Err(AttemptError::Rejected)
         }
         _ => Err(AttemptError::ErrorStatus),
@@ -164,45 +164,45 @@
     let permit = memory.try_acquire();
     let is_large =
         permit.is_none() || length.is_some_and(|length| length > READ_AHEAD_BYTES as u64);
-    let beginning = read_beginning(socket, &mut body, length, is_large).await?;
-    if beginning.is_complete {
+    let prefix = read_body_prefix(socket, &mut body, length, is_large).await?;
+    if prefix.is_complete {
         return Ok(ReceivedContent {
-            content: Ok(ResponseContent::Complete(concatenate(beginning.parts))),
+            content: Ok(ResponseContent::Complete(concatenate(prefix.parts))),
             disposition: Disposition::Reuse,
         });
     }
     // From here on the stall timer limits the rest of the body.
-    socket.unlimit_read();
+    socket.clear_read_limit();
     let (completion, completed) = oneshot::channel();
-    let download = Download::new(beginning.parts, body, length, completion, permit);
+    let download = Download::new(prefix.parts, body, length, completion, permit);
     Ok(ReceivedContent {
         content: Ok(ResponseContent::Streamed(Box::new(download))),
         disposition: Disposition::Streaming {
             completed,
-            reuse: true,
+            can_reuse: true,
         },
     })
 }
 
 /// The first parts of a body, or all of them.
-struct Beginning {
+struct BodyPrefix {
     parts: VecDeque<Bytes>,
     is_complete: bool,
 }
 
 /// Reads as much of a body as is held back: the first part of a large one, else up to
 /// [`READ_AHEAD_BYTES`], and of one of unknown length what comes within [`MAX_RESPONSE_DELAY`].
-async fn read_beginning(
+async fn read_body_prefix(
     socket: &Socket,
     body: &mut Incoming,
     length: Option<u64>,
     is_large: bool,
-) -> hyper::Result<Beginning> {
-    let hold_until = Instant::now() + MAX_RESPONSE_DELAY;
+) -> hyper::Result<BodyPrefix> {
+    let streaming_deadline = Instant::now() + MAX_RESPONSE_DELAY;
     let (mut parts, mut size) = (VecDeque::new(), 0);
     while size <= READ_AHEAD_BYTES && !(is_large && size > 0) {
         let frame = if length.is_none() && size > 0 {
-            match timeout_at(hold_until, next_frame(socket, body)).await {
+            match timeout_at(streaming_deadline, next_frame(socket, body)).await {
                 Ok(frame) => frame,
                 Err(_) => break,
             }
@@ -210,7 +210,7 @@
             next_frame(socket, body).await
         };
         let Some(frame) = frame else {
-            return Ok(Beginning {
+            return Ok(BodyPrefix {
                 parts,
                 is_complete: true,
             });
@@ -220,7 +220,7 @@
             parts.push_back(data);
         }
     }
-    Ok(Beginning {
+    Ok(BodyPrefix {
         parts,
         is_complete: false,
     })
@@ -249,6 +249,6 @@
 /// The next part of a body. The read limit applies anew to each part, as hyper would read an
 /// endless chunk header without passing anything on.
 async fn next_frame(socket: &Socket, body: &mut Incoming) -> Option<hyper::Result<Frame<Bytes>>> {
-    socket.limit_read(MAX_OVERHEAD_BYTES);
+    socket.set_read_limit(MAX_OVERHEAD_BYTES);
     body.frame().await
 }
--- a/src/bin/load-balancer/upstream/tests.rs
+++ b/src/bin/load-balancer/upstream/tests.rs
@@ -10,7 +10,7 @@
 
 /// Idle connections must not use up the connections that an upstream accepts from all balancers.
 #[test]
-fn few_idle_connections_to_an_upstream_are_kept() {
+fn idle_connections_per_upstream_are_limited() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
