--- a/src/bin/load-balancer/metrics/mod.rs
+++ b/src/bin/load-balancer/metrics/mod.rs
@@ -1,24 +1,23 @@
-//! The figures of the admin endpoint. Each request that ends is counted here, once.
+//! The metrics of the admin endpoint. Each request is counted under at most one outcome.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// How a request ended for its client.
+/// The outcome of a request as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With the response of an upstream.
+    /// The request ended with the response of an upstream.
     Served,
-    /// Rejected: it never ran or is idempotent, so that a retry is safe.
+    /// The request was rejected: it never ran or is idempotent, so that a retry is safe.
     Rejected,
-    /// Failed: it may have run.
+    /// The request failed and may have run.
     Failed,
 }
 
-/// The ended requests of one class, by their outcomes.
+/// The number of requests of one class that ended with each outcome.
 #[derive(Debug)]
 struct ClassMetrics {
-    /// The name of the class.
     class: String,
     served: u64,
     rejected: u64,
@@ -44,7 +43,7 @@
     }
 }
 
-/// Counters since the start of the process.
+/// Counters since the start of the process, and the number of requests in flight.
 #[derive(Debug)]
 pub struct Metrics {
     classes: RefCell<Vec<ClassMetrics>>,
@@ -53,7 +52,7 @@
 }
 
 impl Metrics {
-    /// Counters at zero for the request classes of these names.
+    /// Creates metrics with all counters at zero; `classes` are the names of the request classes.
     pub fn new(classes: &[String]) -> Rc<Self> {
         let classes = classes.iter().map(|name| ClassMetrics::new(name)).collect();
         Rc::new(Metrics {
@@ -63,8 +62,8 @@
         })
     }
 
-    /// Counts an accepted request of the class of this index as in flight until the returned guard
-    /// ends or is dropped.
+    /// Counts an accepted request of the class with index `class` as in flight until
+    /// [`InFlightRequest::end`] is called on the returned guard or the guard is dropped.
     pub fn begin_request(self: &Rc<Self>, class: usize) -> InFlightRequest {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlightRequest {
@@ -74,17 +73,18 @@
         }
     }
 
-    /// Counts an attempt, to be called once its last byte has been written.
+    /// Counts an attempt. Called once the last byte of its request has been written.
     pub fn count_attempt(&self) {
         self.attempts.set(self.attempts.get() + 1);
     }
 
-    /// All figures, one a line, in the format of statsd; `known` and `excluded` are the upstreams
-    /// listed, and those of them that are listed as in service but get no requests.
+    /// Returns all metrics in the statsd format, one per line. `known_upstreams` is the number of
+    /// listed upstreams, and `excluded_upstreams` the number of those that are listed as in service
+    /// but receive no requests.
     pub fn render(&self, known_upstreams: usize, excluded_upstreams: usize) -> String {
         let mut text = String::new();
         let mut write_metric = |name: &str, value: u64, kind: char| {
-            // Writing to a string does not fail.
+            // Writing to a string can't fail.
             let _ = writeln!(text, "balancer.{name}:{value}|{kind}");
         };
         for metrics in self.classes.borrow().iter() {
@@ -101,17 +101,18 @@
     }
 }
 
-/// A request in flight. Dropped without an outcome, it counts under none: its client has
-/// disconnected.
+/// Guard of a request in flight. If it is dropped without an outcome, because the client has
+/// disconnected, the request is counted under no outcome.
 #[derive(Debug)]
 pub struct InFlightRequest {
     metrics: Rc<Metrics>,
     class: usize,
+    /// Whether the request is still counted as in flight.
     is_counted: Cell<bool>,
 }
 
 impl InFlightRequest {
-    /// Counts how the request ended; only the first outcome counts.
+    /// Counts the request under `outcome`. Only the first call has an effect.
     pub fn end(&self, outcome: RequestOutcome) {
         if !self.stop_counting() {
             return;
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Takes the request out of those in flight; false if that was done before.
+    /// Removes the request from those in flight. Returns false if it had been removed before.
     fn stop_counting(&self) -> bool {
         let was_counted = self.is_counted.replace(false);
         if was_counted {
--- a/src/bin/load-balancer/metrics/tests.rs
+++ b/src/bin/load-balancer/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the figures of the admin endpoint.
+//! Unit tests of the metrics of the admin endpoint.
 
 use super::*;
 
--- a/src/bin/load-balancer/socket/client_input.rs
+++ b/src/bin/load-balancer/socket/client_input.rs
@@ -1,18 +1,18 @@
-//! The latest input of a client's connection.
+//! The recent input of a client's connection, and when its current request began.
 
 use std::cell::{Cell, Ref, RefCell};
 use tokio::time::Instant;
 
-/// Bytes of the latest input that are stored; a request's head usually fits.
+/// Maximum number of recent input bytes that are stored; the head of a request usually fits.
 const MAX_RECENT_BYTES: usize = 8 << 10;
 
-/// Input of a client's connection; empty on connections of other kinds.
+/// The recent input of a client's connection. Connections of other kinds store no bytes.
 #[derive(Debug)]
 pub(super) struct ClientInput {
     recent_bytes: RefCell<Vec<u8>>,
-    /// False on connections that are not a client's.
+    /// Whether input is stored: true only on connections of clients.
     records_bytes: bool,
-    /// When the first byte was read since the connection was last idle.
+    /// When the first byte of the current request was read; `None` on an idle connection.
     request_started_at: Cell<Option<Instant>>,
 }
 
@@ -25,14 +25,15 @@
         }
     }
 
-    /// Input has been read, or the end of it if `count` is 0.
+    /// Records the start of a request if `count` bytes are its first ones. A `count` of 0, the end
+    /// of the input, has no effect.
     pub(super) fn record_read(&self, count: usize) {
         if count > 0 && self.request_started_at.get().is_none() {
             self.request_started_at.set(Some(Instant::now()));
         }
     }
 
-    /// Appends to the recent bytes, and drops the oldest ones beyond the limit.
+    /// Appends to the recent bytes, and drops the oldest ones beyond [`MAX_RECENT_BYTES`].
     pub(super) fn record_bytes(&self, bytes: &[u8]) {
         if !self.records_bytes {
             return;
@@ -56,6 +57,7 @@
         self.request_started_at.get()
     }
 
+    /// Marks the connection as idle: the next byte read belongs to a new request.
     pub(super) fn mark_idle(&self) {
         self.request_started_at.set(None);
     }
--- a/src/bin/load-balancer/socket/closing.rs
+++ b/src/bin/load-balancer/socket/closing.rs
@@ -1,6 +1,6 @@
-//! Whether the peer has closed its side, and how this side closes without losing a response.
+//! Detects whether the peer has disconnected, and closes a connection without losing a response.
 //!
-//! The checks ask the kernel: the event loop only knows what had happened when it last polled.
+//! The checks query the kernel, as the event loop only knows the state of its last poll.
 
 use super::io::MAX_READ_BYTES;
 use super::system_errors::{is_resource_exhaustion, retry_on_interrupt};
@@ -17,22 +17,22 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// Calls to the kernel in one check, so that a fast sender doesn't occupy the thread.
+/// Maximum number of reads in one check, so that a fast sender doesn't occupy the thread.
 const MAX_READS_PER_CHECK: usize = 64;
 
-/// What becomes of input that nobody has read when a connection is closed.
+/// The treatment of unread input of the peer when a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreadInput {
-    /// It stays in the kernel: a request among it was not read, and its client may send it again.
+    /// Unread input stays in the kernel: a request in it was not read, and its client may retry it.
     Keep,
-    /// It is read and dropped without limit, as the rest of a rejected request.
+    /// Unread input, such as the rest of a rejected request, is read and dropped without limit.
     Discard,
 }
 
 impl Socket {
-    /// Waits until input, its end or an error can be read.
+    /// Waits until input, the end of input or an error can be read.
     pub async fn readable(&self) {
-        // If the readiness can't be awaited, the caller's next check shows the error.
+        // If waiting for readiness fails, the caller's next check returns the error.
         let _ = self
             .0
             .stream
@@ -40,8 +40,8 @@
             .await;
     }
 
-    /// True if the peer has closed its connection or its sending half, or reset it, even if bytes
-    /// sent before that are still unread.
+    /// Returns whether the peer has closed the connection or its sending half, or has reset the
+    /// connection, even if bytes sent before that are still unread.
     #[must_use]
     pub fn is_disconnected(&self) -> bool {
         let mut polled = [PollFd::new(
@@ -53,8 +53,9 @@
             || self.0.read_ahead.is_enabled() && self.read_ahead_to_end()
     }
 
-    /// Reads ahead all input that has arrived; true if its end or an error comes behind it. Unread
-    /// input could otherwise fill the receive window and keep the peer's FIN from arriving.
+    /// Reads ahead the input that has been received, and returns whether the end of input or an
+    /// error follows it. Unread input could otherwise fill the receive window and keep the peer's
+    /// FIN from being received.
     fn read_ahead_to_end(&self) -> bool {
         let mut bytes = [0; MAX_READ_BYTES];
         for _ in 0..MAX_READS_PER_CHECK {
@@ -73,7 +74,7 @@
         false
     }
 
-    /// Reads without waiting, also if the event loop has not seen the input yet.
+    /// Reads without waiting, even if the event loop has not yet reported the socket as readable.
     fn read_from_kernel(&self, bytes: &mut [u8]) -> io::Result<usize> {
         match retry_on_interrupt(|| self.0.stream.try_read(bytes)) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
@@ -83,12 +84,12 @@
         }
     }
 
-    /// Lingering close: ends the sending half, then waits until the peer has closed too if input
-    /// is unread or is to be discarded. Closing over unread input would reset the connection, and
-    /// the peer would lose what it has not read. With [`UnreadInput::Keep`] the peer is checked
-    /// once per `check_interval`.
+    /// Performs a lingering close: shuts down the sending half, then waits until the peer has
+    /// closed too if input is unread or is to be discarded. Closing a connection with unread input
+    /// would reset it, and the peer could lose a response that it has not read yet. With
+    /// [`UnreadInput::Keep`] the peer is checked once per `check_interval`.
     pub async fn linger(&self, unread: UnreadInput, check_interval: Duration) {
-        // Fails if the connection is broken or already half-closed.
+        // Fails only if the connection has failed or its sending half is already shut down.
         let _ = SockRef::from(&self.0.stream).shutdown(Shutdown::Write);
         let is_discarding = unread == UnreadInput::Discard;
         self.set_read_ahead(is_discarding);
@@ -105,20 +106,21 @@
         }
     }
 
-    /// True if input of the peer is unread, whether the connection is closed or not.
+    /// Returns whether input of the peer is unread, even if the peer has closed the connection.
     #[must_use]
     pub fn has_unread(&self) -> bool {
         !self.0.read_ahead.is_empty() || matches!(self.peek(), Ok(1..))
     }
 
-    /// True if the peer has neither closed the connection nor sent anything that is unread.
+    /// Returns whether the peer has the connection open and has sent no bytes that are unread.
     #[must_use]
     pub fn is_open_and_idle(&self) -> bool {
         self.0.read_ahead.is_empty()
             && matches!(self.peek(), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Looks for one byte, the end or an error without taking it from the kernel.
+    /// Peeks at one byte, the end of input or an error without consuming it. Returns 1 for a byte
+    /// and 0 for the end.
     fn peek(&self) -> io::Result<usize> {
         let socket = SockRef::from(&self.0.stream);
         retry_on_interrupt(|| socket.peek(&mut [MaybeUninit::uninit()]))
--- a/src/bin/load-balancer/socket/connection.rs
+++ b/src/bin/load-balancer/socket/connection.rs
@@ -1,4 +1,4 @@
-//! A TCP connection that counts its traffic, shared by its clones.
+//! A TCP connection that counts its traffic and is shared by all clones of its handle.
 
 use super::client_input::ClientInput;
 use super::exchange_limits::ExchangeLimits;
@@ -14,10 +14,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Delay before a connect is retried that failed for lack of a local resource.
+/// Delay before retrying a connect that failed with a local error, such as a lack of ports.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A connection. Its clones share it; it is closed when the last of them is dropped.
+/// A handle to a TCP connection. All clones share the connection, which is closed when the last of
+/// them is dropped.
 #[derive(Clone, Debug)]
 pub struct Socket(pub(super) Rc<Inner>);
 
@@ -26,7 +27,7 @@
     pub(super) stream: TcpStream,
     pub(super) received: TrafficCounter,
     pub(super) sent: TrafficCounter,
-    /// A write waits until the kernel takes more.
+    /// Whether a write waits until the kernel accepts more bytes.
     pub(super) is_write_blocked: Cell<bool>,
     pub(super) client_input: ClientInput,
     pub(super) read_ahead: ReadAheadBuffer,
@@ -34,7 +35,7 @@
     _permit: DescriptorPermit,
 }
 
-/// Bytes transferred in one direction, and when the kernel last transferred some.
+/// The number of bytes transferred in one direction, and when the kernel last made progress.
 #[derive(Debug)]
 pub(super) struct TrafficCounter {
     bytes: Cell<usize>,
@@ -59,12 +60,13 @@
 }
 
 impl Socket {
-    /// Opens a connection. Errors of this machine, such as a lack of ports, are retried until the
-    /// timeout is over.
+    /// Opens a connection to `address`. Local errors, such as a lack of ports, are retried until
+    /// `timeout` has passed.
     ///
     /// # Errors
     ///
-    /// `TimedOut` if the connection isn't established in time; else the error of the last call.
+    /// Returns `TimedOut` if the connection isn't established within `timeout`, otherwise the error
+    /// of the last connect.
     pub async fn connect(
         address: SocketAddr,
         permit: DescriptorPermit,
@@ -86,10 +88,10 @@
         }
     }
 
-    /// Wraps an established connection. That of a client records its recent bytes.
+    /// Wraps an established connection. If `permit` is for a client, the recent input is stored.
     #[must_use]
     pub fn new(stream: TcpStream, permit: DescriptorPermit) -> Self {
-        // Without the option small writes are only delayed.
+        // A failure is harmless: without TCP_NODELAY, small writes are only delayed.
         let _ = stream.set_nodelay(true);
         Socket(Rc::new(Inner {
             stream,
@@ -103,101 +105,106 @@
         }))
     }
 
-    /// Bytes that have been read. Those that were only read ahead don't count yet.
+    /// Returns the number of bytes that have been read from the connection. Bytes that were only
+    /// read ahead are not counted until they are taken from the read-ahead buffer.
     #[must_use]
     pub fn bytes_read(&self) -> usize {
         self.0.received.bytes.get()
     }
 
-    /// Bytes that the kernel has accepted.
+    /// Returns the number of bytes that the kernel has accepted for sending.
     #[must_use]
     pub fn bytes_written(&self) -> usize {
         self.0.sent.bytes.get()
     }
 
-    /// When the kernel last returned input, its end or an error.
+    /// Returns when a read last returned input, the end of input or an error from the kernel.
     #[must_use]
     pub fn last_read(&self) -> Instant {
         self.0.received.last_progress.get()
     }
 
-    /// When the kernel last accepted bytes.
+    /// Returns when the kernel last accepted bytes for sending.
     #[must_use]
     pub fn last_written(&self) -> Instant {
         self.0.sent.last_progress.get()
     }
 
-    /// True if a write waits until the peer takes more.
+    /// Returns whether a write waits for space in the send buffer, which the peer frees by reading.
     #[must_use]
     pub fn is_write_blocked(&self) -> bool {
         self.0.is_write_blocked.get()
     }
 
-    /// Marks a client's connection as idle: the next byte belongs to a new request.
+    /// Marks a client's connection as idle: the next byte read belongs to a new request.
     pub fn mark_idle(&self) {
         self.0.client_input.mark_idle();
     }
 
-    /// When the first byte was read since the connection was last idle.
+    /// Returns when the first byte was read since the connection was last marked idle, or `None` if
+    /// none has been read since.
     #[must_use]
     pub fn request_started_at(&self) -> Option<Instant> {
         self.0.client_input.request_started_at()
     }
 
-    /// The latest bytes read from a client, up to a limit.
+    /// Returns the most recent bytes read from a client, up to a limit.
     #[must_use]
     pub fn recent_bytes(&self) -> Ref<'_, Vec<u8>> {
         self.0.client_input.recent_bytes()
     }
 
-    /// Forgets the recent bytes.
+    /// Clears the recent bytes.
     pub fn clear_recent_bytes(&self) {
         self.0.client_input.clear_recent_bytes();
     }
 
-    /// Begins an exchange with an upstream on behalf of this client. Its first write fails unless
-    /// the connection is idle, and reading more than `max_received` bytes fails.
+    /// Begins an exchange with an upstream on behalf of `client`. The first write of the exchange
+    /// fails unless the connection is idle, and reading more than `max_received` bytes fails.
     pub fn begin_exchange(&self, client: PeerHandle, max_received: usize) {
         let max_received = self.bytes_read().saturating_add(max_received);
         self.0.exchange.begin(client, max_received);
     }
 
-    /// Limits the exchange to `max_received` further bytes.
+    /// Limits the exchange to receiving `max_received` bytes from now on.
     pub fn set_read_limit(&self, max_received: usize) {
         let max_received = self.bytes_read().saturating_add(max_received);
         self.0.exchange.set_max_received(max_received);
     }
 
-    /// Removes the limit on received bytes.
+    /// Removes the limit on received bytes from the exchange.
     pub fn clear_read_limit(&self) {
         self.0.exchange.set_max_received(usize::MAX);
     }
 
     /// Declares where the request of the exchange ends, as a value of [`Self::bytes_written`]. The
-    /// attempt is counted once all of it is written.
+    /// attempt is counted in `metrics` once the request is written up to that position.
     pub fn set_request_end(&self, position: usize, metrics: Rc<Metrics>) {
         self.0.exchange.set_request_end(position, metrics);
         self.0.exchange.record_sent(self.bytes_written());
     }
 
-    /// Allows or forbids reading ahead. Allow it only while nobody reads the connection.
+    /// Enables or disables reading ahead in [`Self::is_disconnected`]. Enable it only while nothing
+    /// else reads from the connection.
     pub fn set_read_ahead(&self, enabled: bool) {
         self.0.read_ahead.set_enabled(enabled);
     }
 
-    /// A handle that tells whether the peer is connected and doesn't keep the connection open.
+    /// Returns a handle that tells whether the peer is connected, without keeping the connection
+    /// open.
     #[must_use]
     pub fn peer(&self) -> PeerHandle {
         PeerHandle(Some(Rc::downgrade(&self.0)))
     }
 }
 
-/// The peer of a connection. The default handle has no connection and is never disconnected.
+/// A weak handle to a connection that tells whether its peer is connected. The default handle
+/// refers to no connection and never reports a disconnect.
 #[derive(Clone, Debug, Default)]
 pub struct PeerHandle(Option<Weak<Inner>>);
 
 impl PeerHandle {
-    /// True if the peer has disconnected, or the connection has been closed on this side.
+    /// Returns whether the peer has disconnected or this process has closed the connection.
     #[must_use]
     pub fn is_disconnected(&self) -> bool {
         let Some(connection) = &self.0 else {
--- a/src/bin/load-balancer/socket/descriptor_budget.rs
+++ b/src/bin/load-balancer/socket/descriptor_budget.rs
@@ -1,29 +1,31 @@
-//! The process's descriptors, divided among the purposes that sockets serve.
+//! Divides the file descriptors of the process among the purposes that sockets are used for.
 
 use super::read_ahead::ReadAheadUsage;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Descriptors that are not counted one by one: standard streams, event loop, listeners, signals.
+/// Descriptors reserved for what is not counted individually: standard streams, the event loop,
+/// listeners and signals.
 const RESERVED_FOR_PROCESS: usize = 16;
 /// Descriptors reserved for clients whose requests are rejected.
 const RESERVED_FOR_REJECTIONS: usize = 8;
-/// Descriptors reserved for discovery: the watches that are followed at a time, and one that
+/// Descriptors reserved for discovery: all concurrent watches, and one more while a new watch
 /// replaces another.
 pub(super) const RESERVED_FOR_DISCOVERY: usize = 5;
 /// Descriptors reserved for the admin endpoint, if there is one.
 pub(super) const RESERVED_FOR_ADMIN: usize = 12;
-/// Share of the remaining descriptors that clients can't use.
+/// Share of the unreserved descriptors that clients can't use, so that they remain for upstreams.
 const UPSTREAM_DESCRIPTOR_SHARE: f64 = 0.4;
 
-/// What a socket is used for.
+/// The purpose of a socket, which decides the quota that its descriptor counts towards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// A connection to an upstream.
     Upstream,
-    /// A client's connection.
+    /// A client's connection within the clients' quota.
     ClientConnection,
-    /// A client's connection beyond the clients' quota, accepted only to reject its request.
+    /// A client's connection beyond the clients' quota. Its request is rejected unless capacity has
+    /// become available.
     Rejection,
     /// A connection to discovery.
     Discovery,
@@ -34,32 +36,33 @@
 /// Whether the process has an admin endpoint, so that descriptors are reserved for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminEndpoint {
-    /// It has one.
+    /// The process has an admin endpoint.
     Present,
-    /// It has none.
+    /// The process has no admin endpoint.
     Absent,
 }
 
-/// Counts the open sockets against the process's limit of descriptors.
+/// Counts the open sockets against the descriptor limit of the process.
 ///
-/// Each purpose has a quota of its own: if clients could use every descriptor, none would be left
-/// for the upstreams that their requests need.
+/// Each purpose has its own quota: if clients could use every descriptor, none would be left for
+/// the connections to upstreams that their requests need.
 #[derive(Debug)]
 pub struct DescriptorBudget {
-    /// Open connections of clients, including those that are to be rejected.
+    /// Number of open connections of clients, including those beyond the clients' quota.
     clients: Cell<usize>,
     upstreams: Cell<usize>,
     discovery: Cell<usize>,
     admin: Cell<usize>,
-    /// Descriptors for clients and upstreams together.
+    /// Maximum number of descriptors that clients and upstreams may use together.
     shared_limit: Cell<usize>,
+    /// Maximum number of descriptors that clients may use, without those reserved for rejections.
     client_limit: Cell<usize>,
     admin_limit: usize,
     read_ahead_usage: Rc<ReadAheadUsage>,
 }
 
 impl DescriptorBudget {
-    /// A budget of this many descriptors.
+    /// Creates a budget of `descriptors` descriptors, including the reserved ones.
     #[must_use]
     pub fn new(descriptors: usize, admin: AdminEndpoint) -> Rc<Self> {
         let budget = DescriptorBudget {
@@ -79,7 +82,7 @@
         Rc::new(budget)
     }
 
-    /// Changes the process's limit. Sockets that are open beyond the new limit stay open.
+    /// Changes the descriptor limit of the process. Sockets beyond the new limit stay open.
     pub fn set_limit(&self, descriptors: usize) {
         let shared_limit = descriptors.saturating_sub(self.reserved());
         let unreserved = shared_limit.saturating_sub(RESERVED_FOR_REJECTIONS) as f64;
@@ -88,22 +91,24 @@
             .set((unreserved * (1.0 - UPSTREAM_DESCRIPTOR_SHARE)) as usize);
     }
 
-    /// Descriptors in use, with all reserved ones counted as used.
+    /// Returns the number of descriptors in use, counting those reserved for the process, discovery
+    /// and the admin endpoint as used.
     #[must_use]
     pub fn in_use(&self) -> usize {
         self.clients_and_upstreams() + self.reserved()
     }
 
-    /// Descriptors that neither clients nor upstreams can have.
+    /// Returns the number of descriptors that neither clients nor upstreams can use.
     fn reserved(&self) -> usize {
         RESERVED_FOR_PROCESS + RESERVED_FOR_DISCOVERY + self.admin_limit
     }
 
+    /// Returns the number of open connections of clients and to upstreams.
     fn clients_and_upstreams(&self) -> usize {
         self.clients.get() + self.upstreams.get()
     }
 
-    /// Reserves one descriptor, if the purpose's quota allows it.
+    /// Reserves one descriptor. Returns `None` if the quota of `purpose` is used up.
     #[must_use]
     pub fn acquire(self: &Rc<Self>, purpose: Purpose) -> Option<DescriptorPermit> {
         if !self.is_available(purpose) {
@@ -128,21 +133,22 @@
             Purpose::Rejection => {
                 clients < client_limit + RESERVED_FOR_REJECTIONS && open < shared_limit
             }
-            // Independent of the shared limit, which clients and upstreams exceed for a while
-            // after it has been lowered.
+            // Independent of the shared limit: after it has been lowered, clients and upstreams
+            // exceed it until enough of their connections are closed.
             Purpose::Discovery => self.discovery.get() < RESERVED_FOR_DISCOVERY,
             Purpose::Admin => self.admin.get() < self.admin_limit,
         }
     }
 
-    /// True while clients hold more than their quota, that is, while some use descriptors that are
-    /// reserved for rejections.
+    /// Returns whether descriptors reserved for rejections are in use: clients exceed their quota,
+    /// or clients and upstreams together exceed their unreserved descriptors.
     #[must_use]
     pub fn is_exceeded(&self) -> bool {
         self.clients.get() > self.client_limit.get()
             || self.clients_and_upstreams() + RESERVED_FOR_REJECTIONS > self.shared_limit.get()
     }
 
+    /// Returns the counter of open sockets for `purpose`.
     fn count(&self, purpose: Purpose) -> &Cell<usize> {
         match purpose {
             Purpose::ClientConnection | Purpose::Rejection => &self.clients,
@@ -153,7 +159,7 @@
     }
 }
 
-/// One reserved descriptor; released when dropped.
+/// A permit to use one descriptor, which returns it to the budget when dropped.
 #[derive(Debug)]
 pub struct DescriptorPermit {
     budget: Rc<DescriptorBudget>,
@@ -161,12 +167,12 @@
 }
 
 impl DescriptorPermit {
-    /// True for a connection that a client opened to send requests.
+    /// Returns whether the permit is for a connection that a client opened to send requests.
     pub(super) fn is_for_client(&self) -> bool {
         matches!(self.purpose, Purpose::ClientConnection | Purpose::Rejection)
     }
 
-    /// The bytes that all connections under the same budget have read ahead.
+    /// Returns the counter of bytes that all connections under the same budget have read ahead.
     pub(super) fn read_ahead_usage(&self) -> Rc<ReadAheadUsage> {
         self.budget.read_ahead_usage.clone()
     }
--- a/src/bin/load-balancer/socket/exchange_limits.rs
+++ b/src/bin/load-balancer/socket/exchange_limits.rs
@@ -1,4 +1,4 @@
-//! What an exchange with an upstream requires of its socket.
+//! The limits that an exchange with an upstream sets on reads and writes of its socket.
 
 use super::{PeerHandle, Socket};
 use crate::metrics::Metrics;
@@ -6,23 +6,25 @@
 use std::io;
 use std::rc::Rc;
 
-/// The limits of one exchange after another; on a socket without exchanges they limit nothing.
-/// All byte positions are counted from the start of the connection.
+/// The limits of the current exchange on a connection. Without an exchange, as on a client's
+/// connection, nothing is limited. Byte positions are counted from the start of the connection.
 #[derive(Debug)]
 pub(super) struct ExchangeLimits {
-    /// The exchange has not written its first byte.
+    /// Whether the exchange has not yet tried to write its first bytes.
     awaits_first_write: Cell<bool>,
     /// The connection on which the client waits for the response.
     client: RefCell<PeerHandle>,
-    /// Input beyond this position fails the connection.
+    /// Position up to which input may be received; reading beyond it fails.
     max_received: Cell<usize>,
-    /// Position behind the last byte of the request; `usize::MAX` while it is not known.
+    /// Position after the last byte of the request; `usize::MAX` while it is unknown.
     request_end: Cell<usize>,
-    /// Where the attempt is counted once its request is written completely; `None` from then on.
+    /// The metrics that count the attempt once its request is written completely. `None` while the
+    /// end of the request is unknown, and after the attempt has been counted.
     attempt_metrics: RefCell<Option<Rc<Metrics>>>,
 }
 
 impl ExchangeLimits {
+    /// Returns limits that allow every read and write.
     pub(super) fn none() -> Self {
         ExchangeLimits {
             awaits_first_write: Cell::new(false),
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Forgets the previous exchange.
+    /// Replaces the limits of the previous exchange with those of a new one.
     pub(super) fn begin(&self, client: PeerHandle, max_received: usize) {
         self.awaits_first_write.set(true);
         *self.client.borrow_mut() = client;
@@ -46,13 +48,14 @@
         self.max_received.set(position);
     }
 
-    /// The request ends at this position.
+    /// Sets the position after the last byte of the request, and the metrics that count the
+    /// attempt.
     pub(super) fn set_request_end(&self, position: usize, metrics: Rc<Metrics>) {
         self.request_end.set(position);
         *self.attempt_metrics.borrow_mut() = Some(metrics);
     }
 
-    /// Counts the attempt when everything up to the request's end has been written.
+    /// Counts the attempt, once, if the request has been written completely by `position`.
     pub(super) fn record_sent(&self, position: usize) {
         let is_complete = position >= self.request_end.get();
         if let Some(metrics) = self.attempt_metrics.borrow_mut().take_if(|_| is_complete) {
@@ -60,7 +63,8 @@
         }
     }
 
-    /// Fails if more has been received than the exchange allows, such as an endless response.
+    /// Returns an error if more bytes have been received than the exchange allows, as of an endless
+    /// response.
     pub(super) fn check_received(&self, position: usize) -> io::Result<()> {
         if position > self.max_received.get() {
             return Err(io::ErrorKind::InvalidData.into());
@@ -68,11 +72,12 @@
         Ok(())
     }
 
-    /// Fails if the next `length` bytes must not be written.
+    /// Returns an error if the next `length` bytes must not be written.
     ///
-    /// The first write needs an idle connection: one that the upstream has closed would lose the
-    /// request, and late bytes of the previous exchange would be taken for the response. The first
-    /// and the last write need a client that still waits, as the upstream may start on either.
+    /// The first write requires an open and idle connection: on a connection that the upstream has
+    /// closed, the request would be lost, and late bytes of the previous exchange would be read as
+    /// the response. The first and the last write require that the client is still connected, as
+    /// the upstream may start the request after either of them.
     pub(super) fn check_write(&self, socket: &Socket, length: usize) -> io::Result<()> {
         let is_first = self.awaits_first_write.replace(false);
         if is_first && !socket.is_open_and_idle() {
--- a/src/bin/load-balancer/socket/io.rs
+++ b/src/bin/load-balancer/socket/io.rs
@@ -1,4 +1,4 @@
-//! Reading and writing a socket through hyper's traits.
+//! Implements hyper's I/O traits for [`Socket`].
 
 use super::system_errors::{is_resource_exhaustion, retry_on_interrupt};
 use super::Socket;
@@ -10,7 +10,7 @@
 use std::task::{ready, Context, Poll};
 use tokio::net::TcpStream;
 
-/// Bytes that one call reads at most.
+/// Maximum number of bytes that one call reads.
 pub(super) const MAX_READ_BYTES: usize = 8 << 10;
 
 impl Read for Socket {
@@ -63,7 +63,7 @@
 }
 
 impl Socket {
-    /// Reads what was read ahead, else from the kernel.
+    /// Reads from the read-ahead buffer, or from the kernel if the buffer is empty.
     fn poll_input(&self, cx: &mut Context<'_>, bytes: &mut [u8]) -> Poll<io::Result<usize>> {
         if let Some(count) = self.0.read_ahead.take(bytes) {
             return Poll::Ready(Ok(count));
@@ -73,7 +73,7 @@
             match retry_on_interrupt(|| self.0.stream.try_read(bytes)) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) if is_resource_exhaustion(&error) => {
-                    // The bytes stay in the kernel; other tasks run before the next read.
+                    // The bytes stay in the kernel. Other tasks run before the read is retried.
                     cx.waker().wake_by_ref();
                     return Poll::Pending;
                 }
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Writes by `write`, which offers `length` bytes to the kernel.
+    /// Checks the limits of the exchange, and calls `write` once the socket is writable. `write`
+    /// passes `length` bytes to the kernel and returns the number of bytes accepted.
     fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
@@ -112,6 +113,7 @@
         }
     }
 
+    /// Records that the kernel has accepted `count` bytes.
     fn record_sent(&self, count: usize) {
         self.0.sent.add(count);
         self.0.sent.record_progress();
--- a/src/bin/load-balancer/socket/mod.rs
+++ b/src/bin/load-balancer/socket/mod.rs
@@ -1,11 +1,11 @@
-//! Sockets: the budget of descriptors that all of them share, their traffic, and how they close.
+//! Sockets: the descriptor budget that they share, counters of their traffic, and how they close.
 //!
 //! - [`DescriptorBudget`] divides the process's descriptors among clients, upstreams, discovery
 //!   and the admin endpoint.
 //! - [`Socket`] is a connection with counters, with hyper's I/O traits in `io`.
-//! - Of clients' connections, `client_input` holds the latest bytes and the start of a request,
-//!   and `read_ahead` the bytes that were read before the server reads them.
-//! - Of upstreams' connections, `exchange_limits` holds what an attempt requires.
+//! - For connections of clients, `client_input` stores the recent input and when the current
+//!   request began, and `read_ahead` buffers bytes that are received before the server reads them.
+//! - For connections to upstreams, `exchange_limits` checks the reads and writes of an exchange.
 //! - `closing` detects disconnects and implements the lingering close.
 //! - [`system_errors`] classifies errors of system calls.
 
--- a/src/bin/load-balancer/socket/read_ahead.rs
+++ b/src/bin/load-balancer/socket/read_ahead.rs
@@ -1,20 +1,22 @@
-//! Bytes read from a client before the server asks for them.
+//! Buffers bytes of a client that are read from the kernel before the server reads them.
 //!
-//! A client's close is queued behind the bytes it sent before. While nobody reads a connection,
-//! these bytes are moved to a buffer, so that the close can be seen.
+//! A client's close is received only after all bytes that the client sent before. While the server
+//! doesn't read a connection, these bytes are moved to a buffer, so that the close is detected.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Bytes that one connection may buffer, as clients may pipeline many requests.
+/// Maximum number of bytes that one connection may buffer, as clients may pipeline many requests.
 const MAX_READ_AHEAD_BYTES: usize = 512 << 10;
-/// Bytes that one connection may buffer while all connections together exceed the threshold.
+/// Maximum number of bytes that one connection may buffer while all connections together buffer
+/// [`READ_AHEAD_PRESSURE_BYTES`] or more.
 const MAX_READ_AHEAD_BYTES_UNDER_PRESSURE: usize = 16 << 10;
-/// Bytes buffered by all connections together above which the lower limit holds.
+/// Number of bytes buffered by all connections together from which on each connection has the
+/// lower limit.
 const READ_AHEAD_PRESSURE_BYTES: usize = 2 << 20;
 
-/// Bytes that all connections together have read ahead.
+/// The number of bytes that all connections together have read ahead and still buffer.
 #[derive(Debug, Default)]
 pub(super) struct ReadAheadUsage(Cell<usize>);
 
@@ -27,7 +29,7 @@
         self.0.set(self.0.get() - bytes);
     }
 
-    /// Bytes that one connection may buffer now.
+    /// Returns how many bytes one connection may buffer now.
     fn connection_limit(&self) -> usize {
         if self.0.get() < READ_AHEAD_PRESSURE_BYTES {
             MAX_READ_AHEAD_BYTES
@@ -37,13 +39,14 @@
     }
 }
 
-/// The read-ahead buffer of one connection. Its bytes come before those still in the kernel.
+/// The read-ahead buffer of one connection. Its bytes precede those that are still in the kernel.
 #[derive(Debug)]
 pub(super) struct ReadAheadBuffer {
     bytes: RefCell<VecDeque<u8>>,
-    /// Bytes were dropped for lack of space, so the input ends after what is buffered.
+    /// Whether bytes were dropped because the limit was reached. The input then ends after the
+    /// buffered bytes.
     is_truncated: Cell<bool>,
-    /// Nobody reads the connection now, so that its input may be read ahead.
+    /// Whether input may be read ahead, which is so while the server doesn't read the connection.
     is_enabled: Cell<bool>,
     usage: Rc<ReadAheadUsage>,
 }
@@ -70,7 +73,7 @@
         self.bytes.borrow().is_empty()
     }
 
-    /// Appends input. What exceeds the limit is dropped, and so is all input after that.
+    /// Appends input. Bytes beyond the limit are dropped, and so is all input after them.
     pub(super) fn append(&self, input: &[u8]) {
         let mut bytes = self.bytes.borrow_mut();
         let free = if self.is_truncated.get() {
@@ -86,8 +89,8 @@
         }
     }
 
-    /// Moves buffered bytes to `target` and returns their number: 0 at the end of a truncated
-    /// input, `None` if the input goes on in the kernel.
+    /// Moves buffered bytes to `target` and returns how many. Once the buffer is empty, returns 0
+    /// (the end of input) if input was dropped, or `None` if input is to be read from the kernel.
     pub(super) fn take(&self, target: &mut [u8]) -> Option<usize> {
         let mut bytes = self.bytes.borrow_mut();
         if bytes.is_empty() {
--- a/src/bin/load-balancer/socket/tests.rs
+++ b/src/bin/load-balancer/socket/tests.rs
@@ -7,7 +7,8 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Neither clients nor upstreams can starve the other, and nothing can starve discovery.
+/// Clients and upstreams must not use up each other's descriptors, and neither may use those that
+/// are reserved for discovery and the admin endpoint.
 #[test]
 fn descriptor_quotas_prevent_starvation() {
     let budget = DescriptorBudget::new(256, AdminEndpoint::Present);
@@ -21,7 +22,8 @@
     );
     assert_eq!(acquire_all(Purpose::Admin).len(), RESERVED_FOR_ADMIN);
     assert!(budget.in_use() > 200);
-    // A second process gets half of them. A watch must not wait until enough clients have left.
+    // During an upgrade a second process gets half of the descriptors. A watch must not have to
+    // wait until clients have closed enough connections.
     budget.set_limit(128);
     assert_eq!(
         acquire_all(Purpose::Discovery).len(),
@@ -37,7 +39,8 @@
     assert!(!acquire_all(Purpose::Upstream).is_empty());
 }
 
-/// A connection isn't idle while the end of a response is still to be written.
+/// A connection must not be treated as idle, and evicted, while a part of the response is still to
+/// be written.
 #[test]
 fn write_stays_blocked_until_peer_reads_pending_output() {
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/src/bin/load-balancer/upstream/attempt.rs
+++ b/src/bin/load-balancer/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt: from the connection to the response or the reason why there is none.
+//! An attempt to serve a request: from the connection to the response or an [`AttemptError`].
 
 use super::exchange::{ExchangeProgress, FinishedExchange};
 use super::{AttemptError, ConnectionPool, ForwardedRequest, UpstreamResponse};
@@ -11,70 +11,74 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// For how long the connection of an attempt had been idle before; `None` until the attempt is
-/// about to write its first byte. Clones share it.
+/// How long the connection of an attempt had been idle before the attempt used it; unset until the
+/// attempt is about to write its first byte. All clones share one value.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionIdle(Rc<Cell<Option<Duration>>>);
 
 impl ConnectionIdle {
-    /// The attempt is about to write its first byte on a connection that had been idle for `idle`.
+    /// Stores the idle time; called right before the attempt writes its first byte.
     pub fn set(&self, idle: Duration) {
         self.0.set(Some(idle));
     }
 
-    /// The attempt has written nothing, and goes on with another connection.
+    /// Resets the idle time after a connection failed before any byte of the request was written:
+    /// the attempt continues on another connection.
     fn clear(&self) {
         self.0.set(None);
     }
 
-    /// The time, once the first byte was about to be written.
+    /// Returns the idle time, or `None` before the attempt is about to write its first byte.
     #[must_use]
     pub fn get(&self) -> Option<Duration> {
         self.0.get()
     }
 }
 
-/// One attempt to have an upstream serve a request. It ends at the request's deadline at the
-/// latest; dropping its future closes the connection.
+/// One attempt to have an upstream serve a request. It ends `deadline_margin` before the request's
+/// deadline at the latest; dropping the future of [`Attempt::run`] closes the connection.
 pub struct Attempt {
-    /// Where connections are taken from and put back.
+    /// The pool that provides the connection and takes it back.
     pub pool: Rc<ConnectionPool>,
-    /// The upstream's id.
+    /// The id of the upstream that the request is sent to.
     pub upstream: UpstreamId,
-    /// The upstream's address.
+    /// The address of that upstream.
     pub address: SocketAddr,
     /// The request to forward.
     pub request: Rc<ForwardedRequest>,
-    /// If set, the request must be written completely by then, or not be sent at all.
+    /// If set, the attempt is abandoned as [`AttemptError::NotSent`] unless the request has been
+    /// written completely by this time.
     pub write_deadline: Option<Instant>,
-    /// How long before the request's deadline the attempt ends, so that the response reaches the
-    /// client in time.
+    /// How long before the request's deadline the attempt times out, so that the response still
+    /// reaches the client in time.
     pub deadline_margin: Duration,
-    /// Set right before the first byte is written.
+    /// The idle time of the connection, set right before the first byte is written.
     pub connection_idle: ConnectionIdle,
 }
 
-/// The connection of an attempt.
+/// The connection of an attempt: one taken from the pool, or a new one.
 struct AttemptConnection {
     socket: Socket,
-    /// How long a reused connection was idle; `None` for a new one.
+    /// How long a reused connection was idle; `None` for a new connection.
     idle_for: Option<Duration>,
 }
 
-/// How an exchange ended.
+/// How an exchange on one connection ended.
 enum ExchangeEnd {
     Finished(FinishedExchange),
-    /// The connection broke, or carried something that is not HTTP.
+    /// The connection failed, or the received bytes are not valid HTTP.
     Broken,
-    /// The deadline passed first.
+    /// The deadline of the attempt passed before the exchange finished.
     DeadlinePassed,
 }
 
 impl ExchangeEnd {
-    /// The error of an exchange that has no valid response and is not repeated.
+    /// Returns the error of an exchange without a valid response that is not repeated on another
+    /// connection. `is_sent` tells whether the complete request may have been written.
     fn into_error(self, is_sent: bool, progress: &ExchangeProgress<'_>) -> AttemptError {
         match self {
-            // A response that precedes the end of its request is valid only if it is an error.
+            // A response received before the request was sent completely is valid only if it is an
+            // error.
             ExchangeEnd::Finished(exchange) => exchange
                 .response
                 .err()
@@ -90,12 +94,13 @@
 }
 
 impl Attempt {
-    /// Sends the request and reads its response, or the beginning of a large one.
+    /// Sends the request and reads its response, or the first part of a large one.
     ///
     /// # Errors
     ///
-    /// [`AttemptError`]. Errors that mean that the request never ran are returned only if its last
-    /// byte can't have been written, or if the upstream says so.
+    /// Returns an [`AttemptError`] if there is no successful response. Errors which mean that the
+    /// request never ran are returned only if its last byte can't have been written, or if the
+    /// upstream's response says that it was not started.
     pub async fn run(self) -> Result<UpstreamResponse, AttemptError> {
         loop {
             let connection = self.connect().await?;
@@ -121,7 +126,7 @@
         }
     }
 
-    /// Takes an idle connection or opens one, the latter only for a client that still waits.
+    /// Takes an idle connection from the pool, or opens one if the client is still connected.
     async fn connect(&self) -> Result<AttemptConnection, AttemptError> {
         if let Some(reused) = self.pool.take(self.upstream, self.address) {
             return Ok(AttemptConnection {
@@ -144,7 +149,7 @@
         })
     }
 
-    /// Runs the exchange until one of the deadlines.
+    /// Runs the exchange until it finishes or one of the two deadlines passes.
     async fn exchange_until_deadline(
         &self,
         progress: &ExchangeProgress<'_>,
@@ -161,7 +166,8 @@
         }
     }
 
-    /// The response to a request that was sent completely.
+    /// Returns the response to a request that was sent completely, and puts a reusable connection
+    /// back into the pool.
     fn finish(
         &self,
         socket: Socket,
@@ -173,14 +179,15 @@
         exchange.response
     }
 
-    /// True if the client is the reason that the exchange failed: its body broke off, or it
+    /// Returns whether the client caused the exchange to fail: reading its body failed, or it
     /// disconnected before its request was sent.
     fn has_client_failed(&self, is_sent: bool) -> bool {
         self.request.upload.error().is_some() || !is_sent && self.request.client.is_disconnected()
     }
 
-    /// True if the request can go on another connection: a reused one was found broken before
-    /// anything was written, which says nothing about the upstream.
+    /// Returns whether the request can be sent on another connection: a reused connection failed
+    /// before any byte was written, which says nothing about the health of the upstream, and the
+    /// body can be sent again from its start.
     fn can_reconnect(
         &self,
         connection: &AttemptConnection,
@@ -191,22 +198,24 @@
             && self.request.upload.is_replayable()
     }
 
+    /// Returns when the attempt times out.
     pub(super) fn deadline(&self) -> Instant {
         self.request.deadline() - self.deadline_margin
     }
 
-    /// Waits for the deadline, which moves while the client sends its body.
+    /// Waits until the attempt times out. The deadline is checked again after each sleep, as it
+    /// moves while the client sends its body.
     async fn wait_for_deadline(&self) {
         while self.deadline() > Instant::now() {
             sleep_until(self.deadline()).await;
         }
     }
 
-    /// Waits for the write deadline. Never returns if there is none, or if the request was sent by
-    /// then.
+    /// Waits for the write deadline. Never returns if there is none, or if the request has been
+    /// sent when it passes.
     ///
-    /// After the deadline upstreams may have forgotten an earlier attempt, so that a retry on a
-    /// slow connection would run as a new request.
+    /// After this deadline an upstream may have discarded its record of an earlier attempt, so that
+    /// a retry delivered by a slow connection would run as a new request.
     async fn wait_for_write_deadline(&self, is_sent: impl Fn() -> bool) {
         let Some(deadline) = self.write_deadline else {
             return pending().await;
--- a/src/bin/load-balancer/upstream/error.rs
+++ b/src/bin/load-balancer/upstream/error.rs
@@ -1,15 +1,16 @@
-//! Why an attempt got no usable response.
+//! The error of an attempt, and the outcome that it is reported as.
 
 use load_balancer::AttemptOutcome;
 use thiserror::Error;
 
-/// Why an attempt got no usable response.
+/// Why an attempt has no successful response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum AttemptError {
     /// The request was not sent, for a reason that says nothing about the upstream.
     #[error("the request was not sent")]
     NotSent,
-    /// No connection, or one that broke before the request was sent completely.
+    /// No connection was established, or the connection failed or the deadline passed before the
+    /// request was sent completely.
     #[error("the upstream could not be reached")]
     ConnectFailed,
     /// The upstream rejected the request without starting it.
@@ -18,13 +19,14 @@
     /// The upstream responded with an error status.
     #[error("the upstream responded with an error status")]
     ErrorStatus,
-    /// What the upstream sent can't be used as a response, or ends early.
+    /// The response is malformed, too large or truncated.
     #[error("the response is invalid")]
     InvalidResponse,
-    /// The connection broke before the response began.
+    /// The connection failed after the request was sent and before any byte of the response was
+    /// received.
     #[error("the connection was reset")]
     Reset,
-    /// No response before the deadline.
+    /// The deadline passed before the response was received.
     #[error("no response before the deadline")]
     TimedOut,
 }
--- a/src/bin/load-balancer/upstream/exchange.rs
+++ b/src/bin/load-balancer/upstream/exchange.rs
@@ -16,17 +16,19 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// How far an exchange has come, from the counters of its socket.
+/// The progress of an exchange, derived from the byte counters of its socket.
 pub(super) struct ExchangeProgress<'a> {
     socket: &'a Socket,
+    /// Bytes written to the socket before the exchange.
     written_at_start: usize,
+    /// Bytes read from the socket before the exchange.
     read_at_start: usize,
-    /// Bytes of the request on the wire, at least; `usize::MAX` while that is unknown.
+    /// Lower bound of the request's size on the wire in bytes; `usize::MAX` while it is unknown.
     min_request_length: Rc<Cell<usize>>,
 }
 
 impl<'a> ExchangeProgress<'a> {
-    /// The progress of an exchange that is about to begin.
+    /// Returns the progress of an exchange that is about to begin on `socket`.
     pub(super) fn new(socket: &'a Socket) -> Self {
         ExchangeProgress {
             socket,
@@ -36,39 +38,39 @@
         }
     }
 
-    /// True if nothing of the request has been written.
+    /// Returns whether no byte of the request has been written.
     pub(super) fn has_written_nothing(&self) -> bool {
         self.socket.bytes_written() == self.written_at_start
     }
 
-    /// True if the complete request may have been written.
+    /// Returns whether the complete request may have been written.
     pub(super) fn is_request_sent(&self) -> bool {
         self.socket.bytes_written() - self.written_at_start >= self.min_request_length.get()
     }
 
-    /// True if something of the response has been read.
+    /// Returns whether a part of the response has been read.
     pub(super) fn has_response_begun(&self) -> bool {
         self.socket.bytes_read() > self.read_at_start
     }
 }
 
-/// A response, or the error that it stands for.
+/// A response or the error that it is mapped to, and whether its connection is free.
 pub(super) struct FinishedExchange {
     pub(super) response: Result<UpstreamResponse, AttemptError>,
-    /// The connection can be put back into the pool at once.
+    /// Whether the connection can be put back into the pool at once.
     pub(super) is_reusable: bool,
 }
 
 impl Attempt {
-    /// Sends the request and reads its response, or the beginning of a large one.
+    /// Sends the request and reads its response, or the first part of a large one.
     ///
-    /// Each exchange has an HTTP connection of its own on the socket. At its end the connection is
-    /// taken apart: bytes behind the response in its buffer would be taken for the beginning of
-    /// the next response, so that the socket is reused only if there are none.
+    /// Each exchange creates a new hyper connection on the socket and disassembles it at the end.
+    /// The socket is reused only if hyper's read buffer is empty then: bytes after the response
+    /// would be read as the start of the next response.
     ///
     /// # Errors
     ///
-    /// Those of the connection.
+    /// Returns the error of the connection if the request or the response can't be transferred.
     pub(super) async fn exchange(
         &self,
         progress: &ExchangeProgress<'_>,
@@ -88,7 +90,7 @@
             tokio::select! {
                 biased;
                 received = &mut receive => received?,
-                // The connection has ended; what it has read before is still available.
+                // The connection has ended; the bytes that it read before are still available.
                 _ = &mut connection => ReceivedResponse {
                     disposition: Disposition::Close,
                     ..receive.await?
@@ -113,8 +115,8 @@
         })
     }
 
-    /// Drives the connection of a streamed response until `completed` is notified, then puts it
-    /// back into the pool if `can_reuse` is set.
+    /// Drives the connection of a streamed response until `completed` is notified, then puts the
+    /// socket back into the pool if `can_reuse` is set.
     fn finish_in_background(
         &self,
         exchange: StreamedExchange,
@@ -133,7 +135,7 @@
                 completed = completed => completed.is_ok(),
                 _ = &mut connection => false,
             };
-            // The connection ends when its sender is dropped.
+            // Dropping the sender ends the connection.
             drop(sender);
             if is_complete && can_reuse && connection.into_parts().read_buf.is_empty() {
                 pool.put(upstream, address, socket);
@@ -141,7 +143,8 @@
         });
     }
 
-    /// The request with the time left. Once its length is known, it is noted in `progress` and
+    /// Builds the request to send, with the remaining time in its Request-Timeout header. Once the
+    /// length of the body is known, the request's length is stored in `progress`, and its end is
     /// declared to the socket.
     fn build_request(&self, progress: &ExchangeProgress<'_>) -> Request<UploadBody> {
         let (method, uri) = (self.request.method.clone(), self.request.uri.clone());
@@ -166,14 +169,14 @@
     }
 }
 
-/// A connection that carries the rest of a response.
+/// A hyper connection that carries the rest of a streamed response.
 struct StreamedExchange {
     sender: SendRequest<UploadBody>,
     connection: Connection<Socket, UploadBody>,
 }
 
-/// Bytes that a head has on the wire at least: hyper writes these headers as they are, and may add
-/// some. A connection that broke before as many were written has not carried the complete request.
+/// Returns the minimum size in bytes of a request's head on the wire: hyper writes these headers
+/// unchanged and may add others. If fewer bytes were written, the request was not sent completely.
 fn min_head_length(method: &Method, uri: &Uri, headers: &HeaderMap) -> usize {
     let request_line =
         method.as_str().len() + " ".len() + uri.to_string().len() + " HTTP/1.1\r\n".len();
--- a/src/bin/load-balancer/upstream/headers.rs
+++ b/src/bin/load-balancer/upstream/headers.rs
@@ -2,8 +2,8 @@
 
 use hyper::header::{HeaderMap, HeaderName, CONNECTION};
 
-/// The headers that a proxy forwards: all but those that concern one connection only, and those
-/// that describe the body, which are set anew.
+/// Returns the headers that a proxy forwards. Hop-by-hop headers are dropped, and so are headers
+/// that describe the body, which are set again for the forwarded message.
 #[must_use]
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     const HOP_BY_HOP: [&str; 10] = [
@@ -28,7 +28,7 @@
         .collect()
 }
 
-/// True if the comma-separated values of the header `list` contain this token, in any case.
+/// Returns whether the comma-separated values of the header `list` contain `token`, ignoring case.
 pub(super) fn lists_token(headers: &HeaderMap, list: HeaderName, token: &str) -> bool {
     headers
         .get_all(list)
--- a/src/bin/load-balancer/upstream/mod.rs
+++ b/src/bin/load-balancer/upstream/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! An [`Attempt`] takes a connection from the [`ConnectionPool`] or opens one, runs one `exchange`
 //! of a [`ForwardedRequest`] and its response on it, and returns an [`UpstreamResponse`] or an
-//! [`AttemptError`]. `response` classifies responses and reads their bodies.
+//! [`AttemptError`]. `response` classifies responses by status and reads their bodies.
 
 mod attempt;
 mod error;
--- a/src/bin/load-balancer/upstream/pool.rs
+++ b/src/bin/load-balancer/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to upstreams.
+//! The pool of idle connections to upstreams.
 
 use super::AttemptError;
 use crate::body::MemoryBudget;
@@ -13,13 +13,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Idle connections are closed this share of the idle timeout before the upstream would.
+/// Share of the upstream's idle timeout by which the pool closes an idle connection earlier than
+/// the upstream does.
 const IDLE_TIMEOUT_MARGIN_SHARE: f64 = 0.1;
-/// The most idle connections to one upstream, which limits the connections of all balancers
-/// together.
+/// Maximum number of idle connections that are kept to one upstream. It bounds the connections
+/// that all balancers together hold to the upstream.
 pub(super) const MAX_IDLE_PER_UPSTREAM: usize = 8;
-/// Longest timeouts in effect, in seconds.
+/// Upper bound of the configured connect timeout, in seconds.
 const MAX_CONNECT_TIMEOUT_SECONDS: f64 = 60.0;
+/// Upper bound of the idle timeout after the margin is subtracted, in seconds.
 const MAX_IDLE_TIMEOUT_SECONDS: f64 = 3600.0;
 
 /// Idle connections to upstreams, and the resources that all attempts share.
@@ -32,7 +34,8 @@
     idle_timeout: Duration,
 }
 
-/// The address of a listed upstream, and the idle connections to it, the latest one last.
+/// The address of a listed upstream and the idle connections to it, ordered by the start of their
+/// idle time with the most recent one last.
 pub(super) struct UpstreamConnections {
     address: SocketAddr,
     pub(super) idle: Vec<IdleConnection>,
@@ -59,8 +62,9 @@
 }
 
 impl ConnectionPool {
-    /// A pool with timeouts in seconds: for a connect, and after which upstreams close idle
-    /// connections. Bodies of responses are read ahead within `memory`.
+    /// Creates an empty pool. `connect_timeout_seconds` limits each connect,
+    /// `idle_timeout_seconds` is the time after which upstreams close idle connections, and
+    /// `memory` limits the bytes of response bodies that are read ahead.
     #[must_use]
     pub fn new(
         descriptors: Rc<DescriptorBudget>,
@@ -81,7 +85,8 @@
         }
     }
 
-    /// Pools idle connections to this upstream from now on, and closes those to another address.
+    /// Allows idle connections to `upstream` at `address` to be pooled. Closes those to a previous
+    /// address of the upstream.
     pub fn allow(&self, upstream: UpstreamId, address: SocketAddr) {
         let mut upstreams = self.upstreams.borrow_mut();
         let entry = upstreams
@@ -92,19 +97,19 @@
         }
     }
 
-    /// Closes the idle connections to this upstream, and pools no more of them.
+    /// Closes the idle connections to `upstream`; none are pooled until it is allowed again.
     pub fn remove(&self, upstream: UpstreamId) {
         self.upstreams.borrow_mut().remove(&upstream);
     }
 
-    /// Closes the idle connections to this upstream.
+    /// Closes the idle connections to `upstream`.
     pub fn close_idle(&self, upstream: UpstreamId) {
         if let Some(entry) = self.upstreams.borrow_mut().get_mut(&upstream) {
             entry.idle.clear();
         }
     }
 
-    /// Closes all idle connections, and pools no more of them.
+    /// Closes all idle connections; none are pooled until their upstreams are allowed again.
     pub fn close_all(&self) {
         self.upstreams.borrow_mut().clear();
     }
@@ -116,7 +121,8 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest; false if there is none.
+    /// Closes the connection that has been idle for the longest time. Returns false if the pool has
+    /// no idle connection.
     pub fn evict_oldest(&self) -> bool {
         let mut upstreams = self.upstreams.borrow_mut();
         let oldest = upstreams
@@ -130,7 +136,8 @@
         true
     }
 
-    /// Takes the connection that was used last, so that the others can expire.
+    /// Takes the most recently used connection to `upstream`, so that the others can expire.
+    /// Returns `None` if no usable connection to `address` is pooled.
     pub(super) fn take(
         &self,
         upstream: UpstreamId,
@@ -151,13 +158,15 @@
         None
     }
 
-    /// False if the upstream has closed the connection or is about to: a request sent on it would
-    /// meet a reset, after which it is unknown whether the request has run.
+    /// Returns false if the upstream has closed the connection or is about to. A request sent on
+    /// such a connection could be reset, and it would be unknown whether the request has run.
     fn is_usable(&self, idle: &IdleConnection) -> bool {
         idle.idle_since.elapsed() < self.idle_timeout && idle.socket.is_open_and_idle()
     }
 
-    /// Adds an idle connection, unless its upstream has been removed or has another address.
+    /// Adds an idle connection. Drops it instead if its upstream has been removed or has another
+    /// address by now, or if the connection is not open and idle. Beyond
+    /// [`MAX_IDLE_PER_UPSTREAM`], the connection that has been idle longest is closed.
     pub(super) fn put(&self, upstream: UpstreamId, address: SocketAddr, socket: Socket) {
         let mut upstreams = self.upstreams.borrow_mut();
         let Some(entry) = upstreams
@@ -175,12 +184,14 @@
         }
     }
 
-    /// Opens a connection; if no descriptor is free, closes an idle connection first.
+    /// Opens a connection to `address`. If no descriptor is free, first closes the connection that
+    /// has been idle longest.
     ///
     /// # Errors
     ///
-    /// [`AttemptError::NotSent`] if this process lacks descriptors or memory, which says nothing
-    /// about the upstream, else [`AttemptError::ConnectFailed`].
+    /// Returns [`AttemptError::NotSent`] if this process lacks descriptors or memory, which says
+    /// nothing about the health of the upstream, and [`AttemptError::ConnectFailed`] if the connect
+    /// fails for another reason or times out.
     pub(super) async fn connect(&self, address: SocketAddr) -> Result<Socket, AttemptError> {
         let permit = self.descriptors.acquire(Purpose::Upstream).or_else(|| {
             self.evict_oldest();
--- a/src/bin/load-balancer/upstream/request.rs
+++ b/src/bin/load-balancer/upstream/request.rs
@@ -8,27 +8,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request as each attempt forwards it, except for the header with the time left.
+/// A request as it is forwarded by each attempt, without the Request-Timeout header: its value
+/// depends on the time of the attempt.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// The client's method.
+    /// The method of the client's request.
     pub method: Method,
-    /// The client's path and query.
+    /// The path and query of the client's request.
     pub uri: Uri,
-    /// The headers that are forwarded.
+    /// The headers of the client's request that are forwarded.
     pub headers: HeaderMap,
-    /// The client's body.
+    /// The body of the client's request.
     pub upload: Rc<Upload>,
-    /// The client's connection.
+    /// The connection on which the client waits for the response.
     pub client: PeerHandle,
-    /// How long the client waits after it has sent its last byte.
+    /// How long the client waits after it has sent the last byte of its body.
     pub timeout: Duration,
-    /// The request ends by then in any case.
+    /// The end of a graceful shutdown, which limits the deadline of the request.
     pub shutdown_deadline: ShutdownDeadline,
 }
 
 impl ForwardedRequest {
-    /// When the client gives up, unless it sends more of its body.
+    /// Returns when the request times out. The deadline moves when the client sends a further part
+    /// of its body.
     #[must_use]
     pub fn deadline(&self) -> Instant {
         self.shutdown_deadline
--- a/src/bin/load-balancer/upstream/response.rs
+++ b/src/bin/load-balancer/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Responses of upstreams: their classification, and how their bodies are read.
+//! Classifies the responses of upstreams by status and reads their bodies.
 
 use super::headers::lists_token;
 use super::AttemptError;
@@ -14,17 +14,17 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout_at, Instant};
 
-/// Largest head of a response, in bytes.
+/// Maximum size of a response's head, in bytes.
 pub(super) const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Bytes that may come before the first part of a body (the head and interim responses), and
-/// before each further part (a chunk's size and its extensions).
+/// Maximum number of bytes that may precede the first part of a body (interim responses and the
+/// head), or each further part (the size of a chunk and its extensions).
 pub(super) const MAX_OVERHEAD_BYTES: usize = 4 * MAX_HEAD_BYTES;
 
 /// A successful response.
 pub struct UpstreamResponse {
-    /// All headers that the upstream sent.
+    /// All headers of the upstream's response, hop-by-hop headers included.
     pub headers: HeaderMap,
-    /// The body.
+    /// The body, read completely or streamed.
     pub body: ResponseContent,
 }
 
@@ -32,16 +32,18 @@
 pub enum ResponseContent {
     /// A body that has been read completely.
     Complete(Bytes),
-    /// A body whose beginning has been read.
+    /// A body of which a first part has been read and the rest is streamed.
     Streamed(Box<Download>),
 }
 
-/// What becomes of a connection after a response.
+/// How a connection is used after a response.
 pub(super) enum Disposition {
+    /// The response is complete, and the connection can carry another request.
     Reuse,
+    /// The connection is closed.
     Close,
-    /// It carries the rest of the body. If `reuse` is set, it can be reused once `completed` is
-    /// notified.
+    /// The connection carries the rest of the body. If `can_reuse` is set, it can carry another
+    /// request once `completed` is notified.
     Streaming {
         completed: oneshot::Receiver<()>,
         can_reuse: bool,
@@ -49,7 +51,7 @@
 }
 
 impl Disposition {
-    /// Rules out reuse if the upstream doesn't keep the connection alive.
+    /// Returns this disposition, without reuse if the upstream doesn't keep the connection alive.
     fn with_keep_alive(self, keep_alive: bool) -> Self {
         if keep_alive {
             return self;
@@ -64,17 +66,17 @@
     }
 }
 
-/// A response, or the error that it stands for, and what becomes of its connection.
+/// A response or the error that it is mapped to, and how its connection is used next.
 pub(super) struct ReceivedResponse {
     pub(super) response: Result<UpstreamResponse, AttemptError>,
     pub(super) disposition: Disposition,
 }
 
-/// Reads a response, or the beginning of a large one.
+/// Reads the body of a response, or the first part of a large one, and classifies the response.
 ///
 /// # Errors
 ///
-/// Those of the connection while the body is read.
+/// Returns the error of the connection if it fails while the body is read.
 pub(super) async fn read_response(
     socket: &Socket,
     memory: &MemoryBudget,
@@ -106,8 +108,8 @@
     })
 }
 
-/// True if the head says unambiguously where the body ends. Otherwise a part of the body could be
-/// taken for all of it, or the next response for a part of this one.
+/// Returns whether the head unambiguously defines where the body ends. Otherwise a truncated body
+/// could be taken for a complete one, or the next response for a part of this body.
 fn is_framed(head: &Parts) -> bool {
     if head.status == StatusCode::SWITCHING_PROTOCOLS {
         return false;
@@ -123,13 +125,14 @@
     ) {
         (Some(length), None, None, None) => is_number(length),
         (None, None, Some(coding), None) => coding.as_bytes().eq_ignore_ascii_case(b"chunked"),
-        // The body ends with the connection, which has to be declared.
+        // The body ends when the connection closes, which `Connection: close` has to announce.
         (None, None, None, None) => lists_token(&head.headers, CONNECTION, "close"),
         _ => false,
     }
 }
 
-/// Maps a status to the error that it stands for.
+/// Maps the status of a response to an [`AttemptError`]; only 200 is a success. A 503 or 504 with
+/// `Not-Started: 1` means that the upstream rejected the request without starting it.
 fn classify(status: StatusCode, headers: &HeaderMap) -> Result<(), AttemptError> {
     let is_marked_not_started = headers.get("not-started").is_some_and(|value| value == "1");
     match status {
@@ -141,14 +144,14 @@
     }
 }
 
-/// The body of a successful response, and what becomes of its connection.
+/// The body of a successful response, and how its connection is used next.
 struct ReceivedContent {
     content: Result<ResponseContent, AttemptError>,
     disposition: Disposition,
 }
 
-/// Reads the body of a successful response, or the beginning of a large one, as its client is
-/// waiting for that.
+/// Reads the body of a successful response. Of a large body only the first part is read, so that
+/// the client receives it without waiting for the rest.
 async fn read_content(
     socket: &Socket,
     memory: &MemoryBudget,
@@ -171,7 +174,7 @@
             disposition: Disposition::Reuse,
         });
     }
-    // From here on the stall timer limits the rest of the body.
+    // From here on the stall timer of the download limits the rest of the body.
     socket.clear_read_limit();
     let (completion, completed) = oneshot::channel();
     let download = Download::new(prefix.parts, body, length, completion, permit);
@@ -184,14 +187,16 @@
     })
 }
 
-/// The first parts of a body, or all of them.
+/// The first parts of a body, or all parts if `is_complete` is set.
 struct BodyPrefix {
     parts: VecDeque<Bytes>,
     is_complete: bool,
 }
 
-/// Reads as much of a body as is held back: the first part of a large one, else up to
-/// [`READ_AHEAD_BYTES`], and of one of unknown length what comes within [`MAX_RESPONSE_DELAY`].
+/// Reads the part of a body that must be received before the response is passed on. That is the
+/// first part of a large body; of any other body it is everything up to the part that exceeds
+/// [`READ_AHEAD_BYTES`], and if its length is unknown, only as far as it is received within
+/// [`MAX_RESPONSE_DELAY`].
 async fn read_body_prefix(
     socket: &Socket,
     body: &mut Incoming,
@@ -234,7 +239,8 @@
     body.freeze()
 }
 
-/// Reads the body of an error, so that the connection can be reused; a large one is not read.
+/// Discards the body of an error response, so that the connection can be reused. The connection is
+/// closed instead if the body exceeds [`READ_AHEAD_BYTES`].
 async fn discard_body(socket: &Socket, body: &mut Incoming) -> hyper::Result<Disposition> {
     let mut size = 0;
     while let Some(frame) = next_frame(socket, body).await {
@@ -246,8 +252,8 @@
     Ok(Disposition::Reuse)
 }
 
-/// The next part of a body. The read limit applies anew to each part, as hyper would read an
-/// endless chunk header without passing anything on.
+/// Returns the next part of a body. The read limit starts again with each part: without a limit,
+/// hyper would read an endless chunk header without returning anything.
 async fn next_frame(socket: &Socket, body: &mut Incoming) -> Option<hyper::Result<Frame<Bytes>>> {
     socket.set_read_limit(MAX_OVERHEAD_BYTES);
     body.frame().await
--- a/src/bin/load-balancer/upstream/tests.rs
+++ b/src/bin/load-balancer/upstream/tests.rs
@@ -8,7 +8,8 @@
 use load_balancer::UpstreamId;
 use tokio::net::TcpListener;
 
-/// Idle connections must not use up the connections that an upstream accepts from all balancers.
+/// An upstream accepts a limited number of connections from all balancers together. Without a limit
+/// per upstream, idle connections could use them up.
 #[test]
 fn idle_connections_per_upstream_are_limited() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -44,7 +45,7 @@
         assert_eq!(
             used_before - budget.in_use(),
             MAX_IDLE_PER_UPSTREAM,
-            "the others have been closed"
+            "the connections beyond the limit were closed before the removal"
         );
     });
 }
