--- a/tests/decision/concurrency_limit.rs
+++ b/tests/decision/concurrency_limit.rs
@@ -8,8 +8,8 @@
     Action, AttemptOutcome, AttemptResult, Event, Idempotency, RequestId, Settings,
 };
 
-/// Attempts in flight at the only upstream after these losses and one success; an even share is
-/// two.
+/// Returns how many slots the only upstream has after attempts with these outcomes, each on a
+/// connection that had been idle for the given seconds, and one success. An even share is two.
 fn slots_after_losses(outcomes: &[(AttemptOutcome, f64)]) -> u64 {
     let mut harness = Harness::new(without_retries(Settings::simple()), 1);
     harness.handle(request(1, 0, 2.0));
@@ -26,22 +26,22 @@
             request_concluded: false,
         }));
     }
-    // After a possible ejection.
+    // Longer than a possible ejection lasts.
     harness.now += 20.0;
     harness.handle(request(50, 0, 2.0));
     harness.handle(attempt_ended(50, 0, AttemptOutcome::Success));
     harness.fill_slots(100, 0) - 100
 }
 
-/// Single connections break for many reasons, which must not keep the limit low.
+/// A single connection breaks for many reasons, so it must not keep the limit low.
 #[test]
 fn single_broken_connection_lowers_the_limit_like_an_error() {
     for outcome in [AttemptOutcome::Reset, AttemptOutcome::ConnectFailed] {
         assert_eq!(slots_after_losses(&[(outcome, 0.0)]), 2, "{outcome:?}");
-        // Without a response in between, the upstream is to blame.
+        // Three losses without a response in between are the fault of the upstream.
         assert_eq!(slots_after_losses(&[(outcome, 0.0); 3]), 1, "{outcome:?}");
     }
-    // The connections may have been dropped while idle.
+    // Connections that had been idle may have been dropped meanwhile.
     assert_eq!(slots_after_losses(&[(AttemptOutcome::Reset, 0.5); 3]), 2);
 }
 
@@ -68,7 +68,7 @@
     };
     assert!(
         raised(1) > raised(0),
-        "{} in tier 1, {} in tier 0",
+        "{} attempts in flight in tier 1, {} in tier 0",
         raised(1),
         raised(0)
     );
@@ -109,7 +109,7 @@
         assert_eq!(
             dispatched + started_attempts(&harness.fire_timer_after(0.2, *queued)).len(),
             1,
-            "sent after the pause"
+            "one queued request is sent at once or after the pause"
         );
         dispatched == 0
     };
@@ -118,8 +118,8 @@
 
 #[test]
 fn raised_limit_decays_slowly() {
-    // Requests wait and get fast responses, so the limit grows; then twenty requests come one by
-    // one.
+    // The limit grows because requests are queued and responses are fast. Then twenty requests
+    // arrive one at a time, which need no more than one slot.
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 1);
     let mut started = Vec::new();
     for id in 1..=200 {
@@ -135,7 +135,10 @@
         harness.now += 0.01;
     }
     let raised = harness.balancer.load().attempts_in_flight;
-    assert!(raised > 3, "{raised}");
+    assert!(
+        raised > 3,
+        "{raised} attempts in flight; an even share is two"
+    );
     while let Some(StartedAttempt { request: id, .. }) = started.pop() {
         started.extend(started_attempts(&harness.handle(attempt_ended(
             id,
@@ -150,12 +153,13 @@
     let queued = harness.fill_slots(400, 0);
     assert!(
         queued - 400 >= 4,
-        "{} after {raised}; an even share is two",
+        "{} slots, reduced from {raised}; an even share is two",
         queued - 400
     );
 }
 
-/// Slots of one upstream after so many responses that take `elapsed`, while requests always wait.
+/// Returns how many slots one upstream has after `responses` responses while requests are always
+/// queued. `elapsed` returns the latency of each response in seconds, by its number from 1.
 fn slots_after(responses: u64, elapsed: impl Fn(u64) -> f64) -> usize {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 1);
     let mut started = Vec::new();
@@ -174,20 +178,24 @@
     harness.balancer.load().attempts_in_flight
 }
 
-/// The work alone may take much of the latency objective, which is one second.
+/// The work alone may take much of the latency objective, which is one second. Only latency above
+/// the baseline counts as congestion.
 #[test]
 fn limit_grows_while_latency_is_at_its_baseline() {
     let at_baseline = slots_after(400, |_| 0.35);
     let above_baseline = slots_after(400, |id| if id < 100 { 0.35 } else { 0.7 });
-    assert!(at_baseline > 4, "{at_baseline}; an even share is two");
-    assert!(above_baseline <= 2, "{above_baseline}");
-    // A balancer that starts under congestion has never seen the baseline.
+    assert!(at_baseline > 4, "{at_baseline} slots; an even share is two");
+    assert!(
+        above_baseline <= 2,
+        "{above_baseline} slots; an even share is two"
+    );
+    // A balancer that starts under congestion has never observed the baseline.
     let congested = slots_after(400, |_| 0.9);
-    assert!(congested <= 2, "{congested}");
+    assert!(congested <= 2, "{congested} slots; an even share is two");
 }
 
-/// Some responses are late for other reasons, as when a connection behind the upstream is
-/// established late. Congestion delays most of them.
+/// Some responses are late for other reasons than congestion, such as a slow connection setup
+/// behind the upstream. Congestion delays most responses.
 #[test]
 fn tail_latency_is_no_congestion() {
     let late =
@@ -195,22 +203,23 @@
     let at_baseline = slots_after(400, late(0, 1));
     for (share, of) in [(1, 4), (1, 3), (2, 5)] {
         let tail = slots_after(400, late(share, of));
-        assert_eq!(tail, at_baseline, "{share} of {of} are late");
+        assert_eq!(tail, at_baseline, "{share} of {of} responses are late");
     }
     let congested = slots_after(400, late(3, 4));
-    assert!(congested <= 2, "{congested}; an even share is two");
+    assert!(congested <= 2, "{congested} slots; an even share is two");
 }
 
-/// A restarted balancer would reject requests for long while its upstreams have capacity.
+/// If the limit of a restarted balancer grew slowly, the balancer would reject requests for long
+/// although its upstreams have capacity.
 #[test]
 fn limit_of_a_new_balancer_grows_fast_until_congestion() {
     let fresh = slots_after(24, |_| 0.2);
-    assert!(fresh >= 8, "{fresh}");
-    // Late responses lower it; from then on it grows slowly.
+    assert!(fresh >= 8, "{fresh} slots after 24 responses");
+    // Late responses lower the limit; after them it grows slowly.
     let before = slots_after(80, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
     let after = slots_after(100, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
     assert!(
         (before..=before + 3).contains(&after) && after < fresh,
-        "{before} and {after}"
+        "{before} slots after 80 responses, {after} after 100, {fresh} before congestion"
     );
 }
--- a/tests/decision/endpoint_list.rs
+++ b/tests/decision/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: upstreams that drain, are removed, or may have done so unnoticed.
+//! The endpoint list: draining and removed upstreams, and lists that may be out of date.
 
 use crate::harness::{
     attempt_ended, entry, is_rejected, request, started_attempts, Harness, StartedAttempt,
@@ -12,7 +12,7 @@
     for state in [UpstreamState::Draining, UpstreamState::Removed] {
         let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 2);
         let queued = harness.fill_slots(1, 0);
-        // Requests queued at the draining upstream are reassigned to the other.
+        // Requests queued at upstream 1 are reassigned to upstream 2.
         harness.update_endpoints(ListScope::Delta, vec![UpstreamEntry { state, ..entry(1) }]);
         for id in 1..queued {
             assert!(started_attempts(&harness.handle(attempt_ended(
@@ -108,8 +108,9 @@
     Stale,
 }
 
-/// A balancer whose list is stale or current, with `upstreams` of which the first `rejecting`
-/// reject all requests. Returns how many requests each got.
+/// Sends requests through a balancer whose list is stale or current. The first `rejecting` of its
+/// `upstreams` upstreams reject all requests. Returns the balancer and, by upstream id, how many
+/// attempts each upstream received.
 fn send_with_rejections(
     list: ListAge,
     upstreams: u64,
@@ -130,6 +131,8 @@
     (harness, counts)
 }
 
+/// Sends requests with ids from `first` on, and adds the attempts that each upstream receives to
+/// `counts`.
 fn send_requests(
     harness: &mut Harness,
     first: u64,
@@ -157,7 +160,8 @@
     }
 }
 
-/// While the list is stale, upstreams may drain unnoticed.
+/// While the list is stale, the balancer does not learn which upstreams drain. A draining upstream
+/// rejects all requests.
 #[test]
 fn upstreams_that_reject_everything_are_left_out_while_the_list_is_stale() {
     let (mut harness, mut counts) = send_with_rejections(ListAge::Stale, 6, 2, 300);
@@ -165,16 +169,17 @@
     assert_eq!(
         harness.balancer.excluded_upstreams(),
         2,
-        "shown to operators"
+        "excluded upstreams shown to operators"
     );
-    // The list is current again, and they are in it.
+    // The list is current again and contains both upstreams.
     harness.update_endpoints(ListScope::Delta, vec![]);
     let before = counts.clone();
     send_requests(&mut harness, 1000, 0, 300, &mut counts);
     assert!(counts[1] > before[1] && counts[2] > before[2], "{counts:?}");
 }
 
-/// A current list takes precedence, and if most upstreams reject they are overloaded.
+/// A current list takes precedence over rejections. If most upstreams reject requests, they are
+/// overloaded, not draining.
 #[test]
 fn rejecting_upstreams_stay_in_use_while_the_list_is_current_or_most_reject() {
     let (_, counts) = send_with_rejections(ListAge::Current, 6, 2, 300);
--- a/tests/decision/fleet_poll_schedule.rs
+++ b/tests/decision/fleet_poll_schedule.rs
@@ -1,7 +1,7 @@
-//! The polls of a whole fleet at one discovery.
+//! Simulates a fleet of balancers that poll the same discovery.
 //!
-//! Discovery handles polls one after the other. Each costs it the same, also one that it refuses
-//! after a timeout in its queue: a fleet that polls too often would be refused forever.
+//! Discovery handles polls one at a time. A poll that it refuses after a timeout in its queue costs
+//! it as much as any other, so a fleet that polls too often would be refused forever.
 //! All times are seconds.
 
 use crate::harness::entry;
@@ -12,43 +12,47 @@
 pub const NOTIFICATION_DEADLINE: f64 = 6.0;
 /// Discovery refuses a poll that has been queued for this long.
 pub const QUEUE_TIMEOUT: f64 = 2.0;
-/// With more work than this in its queue, discovery refuses a poll at once, at no cost.
+/// If the polls in its queue take longer than this, discovery refuses a poll at once, at no cost.
 const MAX_QUEUED_WORK: f64 = 4.0;
-/// The fleet starts at 0 and has its lists; discovery is down from here to `OUTAGE_END`.
+/// Discovery is down from this moment until `OUTAGE_END`. The fleet starts at 0 and has received
+/// its lists by then.
 const OUTAGE_START: f64 = 8.0;
 const OUTAGE_END: f64 = 16.0;
-/// A third of the fleet restarts then, as in a release.
+/// A third of the fleet restarts at this moment, as in a release.
 const RESTART: f64 = OUTAGE_END + 3.0;
 const END: f64 = 46.0;
 
-/// What happens to a node, and when; the earliest comes first in the order.
+/// An event of one node, ordered by its time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledStep {
+    /// Time of the event in microseconds.
     micros: u64,
     node: usize,
     incarnation: u32,
     event: ScheduledEvent,
 }
 
-/// What happens to a balancer.
+/// An event of one node.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ScheduledEvent {
-    /// Its timer with this token fires.
+    /// The timer with this token fires.
     Timer(u64),
-    /// Its list comes.
+    /// The endpoint list is received.
     List,
-    /// Its poll is refused.
+    /// The poll is refused.
     Refusal,
 }
 
+/// A balancer of the fleet.
 struct Node {
     balancer: Balancer,
-    /// Counts its restarts; what was scheduled before a restart is void.
+    /// Number of restarts. Events that were scheduled before a restart are dropped.
     incarnation: u32,
+    /// When the list was received; `None` while it is stale.
     list_since: Option<f64>,
 }
 
-/// A fleet of services of several sizes.
+/// The balancers of several services, and the discovery that they poll.
 struct Fleet {
     settings: Vec<Settings>,
     nodes: Vec<Node>,
@@ -109,7 +113,7 @@
         }
     }
 
-    /// Passes a list, or a failure, to a balancer and schedules its next poll.
+    /// Passes a list, or a failed poll, to a balancer and schedules its next poll.
     fn pass_list(&mut self, index: usize, now: f64, scope: ListScope) {
         let mut actions = Vec::new();
         let endpoints = if scope == ListScope::Failed {
@@ -135,7 +139,7 @@
         }));
     }
 
-    /// A poll comes to discovery.
+    /// Schedules the list, or the refusal, with which discovery answers a poll.
     fn poll(&mut self, index: usize, now: f64) {
         let queued_work = (self.busy_until - now).max(0.0);
         if is_in_outage(now) {
@@ -152,7 +156,7 @@
         }
     }
 
-    /// All lists become stale.
+    /// Marks all lists as stale and reports a failure to the balancers that had one.
     fn begin_outage(&mut self) {
         self.busy_until = 0.0;
         for index in 0..self.nodes.len() {
@@ -188,8 +192,8 @@
         }
     }
 
-    /// Runs to the end. Returns how long after the outage, or after its own restart, each
-    /// balancer had its list, in ascending order.
+    /// Runs the simulation. Returns in ascending order how long after the outage, or after its own
+    /// restart, each balancer received its list; infinity if it received none.
     fn run(mut self) -> Vec<f64> {
         let count = self.nodes.len();
         let mut waits_since = vec![OUTAGE_END; count];
@@ -227,19 +231,20 @@
 fn fleet_recovers_its_lists_after_a_discovery_outage() {
     for seed in 0..6 {
         for services in [&[270][..], &[50, 220], &[30, 90, 150], &[500]] {
-            // One poll of each balancer takes discovery six seconds.
+            // Discovery needs six seconds for one poll of each balancer.
             let balancers = services.iter().sum::<usize>() as f64;
             let waits = Fleet::new(services, balancers / 6.0, seed).run();
             let (median, longest) = (waits[waits.len() / 2], waits[waits.len() - 1]);
             assert!(
                 median < NOTIFICATION_DEADLINE && longest < 4.0 * NOTIFICATION_DEADLINE,
-                "{services:?}, seed {seed}: {median} {longest}"
+                "services {services:?}, seed {seed}: median {median} s, longest {longest} s"
             );
         }
     }
 }
 
-/// A small fleet need not wait as a large one has to.
+/// The polls of a small fleet do not overload discovery, so it need not delay them as a large one
+/// does.
 #[test]
 fn small_fleet_recovers_within_the_notification_deadline() {
     for seed in 0..20 {
@@ -247,7 +252,7 @@
             let waits = Fleet::new(&[size], 20.0, seed).run();
             assert!(
                 waits.iter().all(|wait| *wait < NOTIFICATION_DEADLINE - 0.4),
-                "{size}, seed {seed}: {waits:?}"
+                "{size} balancers, seed {seed}: {waits:?}"
             );
         }
     }
--- a/tests/decision/fleet_slow_start/faults.rs
+++ b/tests/decision/fleet_slow_start/faults.rs
@@ -1,30 +1,30 @@
-//! The faults that a simulation can have: they schedule what happens to upstreams and what
-//! balancers learn of it.
+//! The faults of a simulation. Each schedules events of upstreams and notifications of balancers.
 
 use super::simulation::{ScheduledEvent, Simulation};
 use crate::harness::entry;
 use load_balancer::{Maintenance, UpstreamEntry, UpstreamState};
 use rand::Rng;
 
-/// When upstreams start, in seconds. The load rises by half for some seconds then.
+/// When the affected upstreams start, in seconds. The load is higher by half for some seconds from
+/// then on.
 pub const START: f64 = 4.0;
-/// For how long an upstream is down before it starts again, in seconds.
+/// How long a restarting upstream is down, in seconds.
 const DOWNTIME: f64 = 0.5;
 
-/// What happens to some of the upstreams.
+/// A fault and the number of upstreams that it affects.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// So many restart at once.
+    /// The upstreams restart at once.
     Restart(usize),
-    /// So many are replaced one after the other within seven seconds.
+    /// The upstreams are replaced one after the other within seven seconds.
     RollingReplacement(usize),
-    /// So many are replaced at once.
+    /// The upstreams are replaced at once.
     Replacement(usize),
-    /// So many restart behind a network that lets nothing through for two seconds.
+    /// The upstreams restart, and the network drops everything sent to them for two seconds.
     NetworkOutage(usize),
-    /// So many restart while they are in maintenance, and return together.
+    /// The upstreams restart during maintenance and return to service together.
     Maintenance(usize),
-    /// So many restart while seven in ten balancers are new and have learned nothing.
+    /// The upstreams restart, and so do seven in ten balancers, which lose their learned state.
     NewBalancers(usize),
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Returns the new entries.
+    /// Schedules the restart of the first `count` upstreams and returns their new entries.
     fn restart_upstreams(&mut self, count: usize) -> Vec<UpstreamEntry> {
         for upstream in 1..=count as u64 {
             let restart = ScheduledEvent::Start {
@@ -142,7 +142,8 @@
         self.notify_all(START, &entries);
     }
 
-    /// Notifies all balancers within half a second, some up to three seconds late.
+    /// Schedules the notification of all balancers: most within half a second, about 15 % within
+    /// three seconds.
     fn notify_all(&mut self, moment: f64, entries: &[UpstreamEntry]) {
         for balancer in 0..self.scenario.balancers {
             let is_late = self.rng.random_bool(0.15);
--- a/tests/decision/fleet_slow_start/mod.rs
+++ b/tests/decision/fleet_slow_start/mod.rs
@@ -1,9 +1,10 @@
 //! Slow start of the fleet: what all balancers together send to upstreams that have just started.
 //!
-//! The budget of a window of `WINDOW` seconds is the overload multiple x the least share of
-//! capacity that slow start promises by then x what a warm upstream can take, N. More than N + 2
-//! sqrt(N) + 2 arrivals within a window during slow start, rejected or not, are an overload. It
-//! counts where over two thirds of them came from balancers that had been notified of the start.
+//! Each window of `WINDOW` seconds during slow start has a budget of N + 2 sqrt(N) + 2 arrivals.
+//! N is the overload multiple x the least share of capacity that the upstream has at the start of
+//! the window x the requests that a warm upstream can take in a window. More arrivals than the
+//! budget, rejected or not, are an overload. An overload counts only if over two thirds of the
+//! arrivals came from balancers that had been notified of the upstream's start.
 
 mod faults;
 mod scenario;
@@ -18,11 +19,11 @@
 const SEEDS: u64 = 2;
 const UPSTREAMS: usize = 10;
 
-/// What a simulation shows.
+/// The result of a simulation.
 struct Outcome {
-    /// The worst window's arrivals over its budget.
+    /// Arrivals in the worst window, divided by its budget.
     worst_window: f64,
-    /// Share of the requests from the start of the fault on that were served in time.
+    /// Share of the measured requests that were served in time.
     served: f64,
 }
 
@@ -41,7 +42,7 @@
     }
 }
 
-/// Simulates all faults, with a load that the fleet can take and with twice as much.
+/// Simulates each fault, with a load within the capacity of the upstreams and with twice as much.
 fn check_all_faults(balancers: usize) {
     for fault in [
         Fault::Restart(1),
@@ -113,6 +114,6 @@
     let restarted = sum_of_worst(Fault::Restart(3));
     assert!(
         returned <= 1.1 * restarted,
-        "{returned:.2} against {restarted:.2} of three budgets"
+        "{returned:.2} budgets after maintenance, {restarted:.2} after a restart (sums of 3 seeds)"
     );
 }
--- a/tests/decision/fleet_slow_start/scenario.rs
+++ b/tests/decision/fleet_slow_start/scenario.rs
@@ -1,13 +1,13 @@
-//! What a simulation plays.
+//! The scenario of a simulation.
 
 use super::faults::Fault;
 
-/// What is simulated.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     pub balancers: usize,
     pub upstreams: usize,
-    /// Mean traffic over the capacity of all upstreams.
+    /// Mean request rate, as a share of the capacity of all upstreams.
     pub load: f64,
     pub fault: Fault,
     pub seed: u64,
--- a/tests/decision/fleet_slow_start/server.rs
+++ b/tests/decision/fleet_slow_start/server.rs
@@ -1,22 +1,23 @@
-//! An upstream of the simulation, and the budget of its slow start. All times are seconds.
+//! An upstream of the simulation, and its budget of arrivals during slow start. All times are
+//! seconds.
 
 use load_balancer::Rules;
 use std::collections::VecDeque;
 
-/// Length of the windows that have a budget.
+/// Length of a window with a budget of arrivals.
 const WINDOW: f64 = 3.0;
-/// Requests of mean work per second that a warm upstream can take: few, so that one request of
-/// each balancer matters.
+/// Requests of mean work that a warm upstream can process per second. The number is small so that
+/// a single request from each balancer matters.
 pub const CAPACITY: f64 = 4.0;
 
 /// Arrival of an attempt at an upstream.
 pub struct Arrival {
     pub moment: f64,
-    /// The balancer had been notified of the upstream's start.
+    /// Whether the balancer had been notified of the upstream's start.
     pub was_notified: bool,
 }
 
-/// An attempt that waits for a core.
+/// An attempt that is queued until a core is free.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct QueuedAttempt {
     pub request: u64,
@@ -24,7 +25,7 @@
     pub attempt: u32,
 }
 
-/// An upstream.
+/// A simulated upstream.
 #[derive(Default)]
 pub struct Server {
     pub started_at: f64,
@@ -35,7 +36,7 @@
 }
 
 impl Server {
-    /// Arrivals over the budget in the worst window of slow start.
+    /// Returns the arrivals in the worst window of slow start, divided by its budget.
     pub fn worst_window(&self, rules: &Rules) -> f64 {
         let slow_start = self.started_at..self.started_at + rules.slow_start_window;
         let arrivals = self.arrivals.iter();
--- a/tests/decision/fleet_slow_start/simulation.rs
+++ b/tests/decision/fleet_slow_start/simulation.rs
@@ -13,17 +13,17 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// For how long the load is higher by half, from `START` on.
+/// How long the load is higher by half, from `START` on.
 const BURST: f64 = 6.0;
-/// For how long requests are counted, from `START` on.
+/// How long requests are counted as measured, from `START` on.
 const MEASURED: f64 = 10.0;
-/// No requests arrive after this moment.
+/// When the arrival of requests ends.
 const END: f64 = 14.0;
 /// Requests that an upstream processes at a time.
 const CORES: usize = 3;
-/// Requests that may wait at an upstream.
+/// Requests that may be queued at an upstream.
 const QUEUE_CAPACITY: usize = 12;
-/// How often a client repeats a rejected request.
+/// How often a client repeats a rejected request at most.
 const MAX_CLIENT_RETRIES: u32 = 2;
 
 struct Attempt {
@@ -33,13 +33,13 @@
 }
 
 struct Request {
-    /// How often its client had sent it before.
+    /// How often the client has sent this request before.
     client_retries: u32,
     attempts: Vec<Attempt>,
     deadline: f64,
 }
 
-/// What happens at a scheduled moment.
+/// An event that is scheduled for a moment.
 pub enum ScheduledEvent {
     RequestArrival {
         balancer: usize,
@@ -50,8 +50,8 @@
         balancer: usize,
         token: u64,
     },
-    /// An upstream has processed a request. `started_at` tells its process from the one after a
-    /// restart.
+    /// An upstream has processed a request. `started_at` identifies the process, because events of
+    /// the process before a restart are ignored.
     CoreFree {
         upstream: u64,
         started_at: f64,
@@ -87,11 +87,11 @@
     pub rng: Pcg64Mcg,
     settings: Settings,
     now: f64,
-    /// Moments in microseconds, and keys of `scheduled_events`.
+    /// Times in microseconds and keys of `scheduled_events`.
     schedule: BinaryHeap<Reverse<(u64, u64)>>,
     scheduled_events: BTreeMap<u64, ScheduledEvent>,
     balancers: Vec<Balancer>,
-    /// What each balancer has been notified of.
+    /// The latest entry of each upstream that each balancer has been notified of.
     notified: Vec<BTreeMap<u64, UpstreamEntry>>,
     servers: BTreeMap<u64, Server>,
     requests: BTreeMap<u64, Request>,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// An id that shows the balancer.
+    /// Returns a new request id, whose remainder modulo 1000 is the balancer's index.
     fn next_request_id(&mut self, balancer: usize) -> u64 {
         self.next_key += 1;
         self.next_key * 1000 + balancer as u64
@@ -290,7 +290,7 @@
         self.handle(balancer, Event::EndpointList { scope, endpoints });
     }
 
-    /// Attempts in flight at the upstream are reset.
+    /// Restarts an upstream, which resets the attempts in flight there.
     fn restart_upstream(&mut self, upstream: u64, downtime: f64) {
         let started_at = self.now + downtime;
         let server = self.servers.entry(upstream).or_default();
@@ -363,7 +363,7 @@
         }
     }
 
-    /// The client of a rejected request sends it again after 0.2 s.
+    /// Schedules the client's retry of a rejected request after 0.2 s, if any retries are left.
     fn repeat_rejected(&mut self, balancer: usize, id: u64) {
         let client_retries = self.requests[&id].client_retries + 1;
         if client_retries > MAX_CLIENT_RETRIES {
@@ -401,7 +401,7 @@
         }
     }
 
-    /// Counts the arrival of an attempt; `Some` if it is not queued.
+    /// Records the arrival of an attempt. Returns its outcome if it is not queued.
     fn refusal(&mut self, balancer: usize, upstream: u64) -> Option<AttemptOutcome> {
         let moment = self.now;
         let server = self.servers.get_mut(&upstream).unwrap();
@@ -426,7 +426,8 @@
         }
     }
 
-    /// Processes the next requests. An upstream in slow start is slower by its share of capacity.
+    /// Starts queued attempts while cores are free. During slow start, an upstream processes them
+    /// at its present share of capacity.
     fn process_queue(&mut self, upstream: u64) {
         loop {
             let server = self.servers.get_mut(&upstream).unwrap();
@@ -483,7 +484,7 @@
         self.served_requests / self.measured_requests
     }
 
-    /// Arrivals over the budget in the worst window of all upstreams in slow start.
+    /// Returns the largest ratio of arrivals to budget of all windows of slow start.
     pub fn worst_window(&self) -> f64 {
         let rules = &self.settings.rules;
         let servers = self.servers.values();
--- a/tests/decision/harness.rs
+++ b/tests/decision/harness.rs
@@ -5,7 +5,7 @@
     ListScope, Maintenance, Request, RequestId, Settings, UpstreamEntry, UpstreamId, UpstreamState,
 };
 
-/// All classes of idempotency with a key.
+/// Idempotency with a key, in each deduplication scope.
 pub const WITH_IDEMPOTENCY_KEY: [Idempotency; 3] = [
     Idempotency::IdempotencyKey {
         scope: DeduplicationScope::All,
@@ -18,7 +18,7 @@
     },
 ];
 
-/// A request class with a deduplication window of one second.
+/// Returns a request class with a deduplication window of one second.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         idempotency,
@@ -27,13 +27,13 @@
     }
 }
 
-/// These settings, but without retries.
+/// Returns these settings with a limit of one attempt per request.
 pub fn without_retries(mut settings: Settings) -> Settings {
     settings.limits.max_attempts = 1;
     settings
 }
 
-/// An active upstream that started long ago. There are two cells.
+/// Returns an active upstream that started long ago. Even and odd ids are in different cells.
 pub fn entry(id: u64) -> UpstreamEntry {
     UpstreamEntry {
         id: UpstreamId(id),
@@ -45,7 +45,7 @@
     }
 }
 
-/// A request whose client waits for `remaining` seconds.
+/// Returns the arrival of a request whose client waits for `remaining` seconds.
 pub fn request(id: u64, class: usize, remaining: f64) -> Event {
     Event::Request(Request {
         id: RequestId(id),
@@ -57,7 +57,7 @@
     })
 }
 
-/// The end of an attempt after 0.1 s.
+/// Returns the end of an attempt after 0.1 s. A success concludes the request.
 pub fn attempt_ended(id: u64, attempt: u32, outcome: AttemptOutcome) -> Event {
     Event::AttemptEnded(AttemptResult {
         id: RequestId(id),
@@ -69,7 +69,7 @@
     })
 }
 
-/// The success of a first attempt after `elapsed` seconds.
+/// Returns the success of a first attempt after `elapsed` seconds.
 pub fn attempt_succeeded(id: u64, elapsed: f64) -> Event {
     Event::AttemptEnded(AttemptResult {
         id: RequestId(id),
@@ -81,7 +81,7 @@
     })
 }
 
-/// The end of a first attempt without a response, after `elapsed` seconds.
+/// Returns the end of a first attempt without a response, after `elapsed` seconds.
 pub fn attempt_lost(id: u64, outcome: AttemptOutcome, elapsed: f64) -> Event {
     Event::AttemptEnded(AttemptResult {
         id: RequestId(id),
@@ -93,7 +93,7 @@
     })
 }
 
-/// Operators take an upstream out of service or put it back.
+/// Returns the event that operators take an upstream out of service or return it to service.
 pub fn maintenance(upstream: u64, change: Maintenance) -> Event {
     Event::Maintenance {
         upstream: UpstreamId(upstream),
@@ -101,7 +101,7 @@
     }
 }
 
-/// An endpoint list without upstreams, as far as this scope says.
+/// Returns the event of an endpoint list of this scope without entries.
 pub fn empty_list(scope: ListScope) -> Event {
     Event::EndpointList {
         scope,
@@ -112,12 +112,12 @@
 /// A balancer and its clock.
 pub struct Harness {
     pub balancer: Balancer,
-    /// In seconds.
+    /// The time of the clock in seconds.
     pub now: f64,
 }
 
 impl Harness {
-    /// A balancer with the upstreams 1 to `upstreams`.
+    /// Creates a balancer whose endpoint list has the upstreams 1 to `upstreams`.
     pub fn new(settings: Settings, upstreams: u64) -> Self {
         let mut harness = Harness {
             balancer: Balancer::new(settings, 7, 100.0).unwrap(),
@@ -127,7 +127,8 @@
         harness
     }
 
-    /// The same with one class for each of these.
+    /// Creates a balancer with one class of each of these kinds of idempotency, and an endpoint
+    /// list with the upstreams 1 to `upstreams`.
     pub fn with_classes(idempotency: &[Idempotency], upstreams: u64) -> Self {
         let settings = Settings {
             classes: idempotency.iter().copied().map(class).collect(),
@@ -136,25 +137,25 @@
         Harness::new(settings, upstreams)
     }
 
-    /// Open requests, and attempts in flight.
+    /// Returns the number of open requests and the number of attempts in flight.
     pub fn open_and_in_flight(&self) -> (usize, usize) {
         let load = self.balancer.load();
         (load.open_requests, load.attempts_in_flight)
     }
 
-    /// Passes an event to the balancer; returns its actions.
+    /// Passes an event to the balancer and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Sends a request that an upstream accepts at once; returns the upstream.
+    /// Sends a request that is dispatched at once; returns the upstream of its first attempt.
     pub fn send(&mut self, request: Event) -> u64 {
         started_attempts(&self.handle(request))[0].upstream
     }
 
-    /// Passes an endpoint list or a change of it.
+    /// Passes an endpoint list, or a change of it, to the balancer.
     pub fn update_endpoints(
         &mut self,
         scope: ListScope,
@@ -163,13 +164,14 @@
         self.handle(Event::EndpointList { scope, endpoints })
     }
 
-    /// Fires the timer of a request after some seconds.
+    /// Advances the clock by `seconds` and fires the timer of request `id`.
     pub fn fire_timer_after(&mut self, seconds: f64, id: u64) -> Vec<Action> {
         self.now += seconds;
         self.handle(Event::TimerFired(id))
     }
 
-    /// Fills all slots with requests numbered from `first`; returns the first one that is queued.
+    /// Sends requests with ids from `first` on until all slots are taken. Returns the id of the
+    /// first request that is not dispatched at once.
     pub fn fill_slots(&mut self, first: u64, class: usize) -> u64 {
         (first..)
             .find(|id| started_attempts(&self.handle(request(*id, class, 2.0))).is_empty())
@@ -184,7 +186,7 @@
     pub upstream: u64,
 }
 
-/// The attempts started, in their order.
+/// Returns the attempts that these actions start, in order.
 pub fn started_attempts(actions: &[Action]) -> Vec<StartedAttempt> {
     let started = |action: &Action| match action {
         Action::StartAttempt { id, upstream, .. } => Some(StartedAttempt {
@@ -196,14 +198,14 @@
     actions.iter().filter_map(started).collect()
 }
 
-/// The request is rejected.
+/// Returns whether one of these actions rejects the request.
 pub fn is_rejected(actions: &[Action], request: u64) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Reject { id, .. } if id.0 == request))
 }
 
-/// The request has failed.
+/// Returns whether one of these actions fails the request.
 pub fn is_failed(actions: &[Action], request: u64) -> bool {
     actions.contains(&Action::Fail {
         id: RequestId(request),
--- a/tests/decision/idempotency.rs
+++ b/tests/decision/idempotency.rs
@@ -55,7 +55,10 @@
         harness.handle(request(1, 0, 5.0));
         harness.now += 1.5;
         let actions = harness.handle(attempt_ended(1, 0, AttemptOutcome::Reset));
-        assert!(started_attempts(&actions).is_empty(), "the window is over");
+        assert!(
+            started_attempts(&actions).is_empty(),
+            "the deduplication window is over"
+        );
         assert_eq!(
             is_rejected(&actions, 1),
             idempotency
@@ -66,7 +69,7 @@
     }
 }
 
-/// A retry may start inside the window and arrive after it.
+/// A retry may start within the deduplication window and arrive after it.
 #[test]
 fn retry_with_idempotency_key_has_to_be_written_within_the_window() {
     let write_within = |actions: &[Action]| {
--- a/tests/decision/idle_connections.rs
+++ b/tests/decision/idle_connections.rs
@@ -1,10 +1,10 @@
-//! Idle connections: how long they are trusted.
+//! Idle connections: how long they may be reused.
 
 use crate::harness::{attempt_ended, attempt_lost, request, started_attempts, Harness};
 use load_balancer::{Action, AttemptOutcome, Idempotency};
 
-/// Requests to one upstream at intervals of a second, which end as `outcome` says after 50 ms.
-/// Returns how often idle connections are closed.
+/// Sends 20 requests to one upstream, each a second after the previous one ended. Each ends with
+/// the `outcome` of its id after 50 ms. Returns how often idle connections are closed.
 fn count_closes(outcome: impl Fn(u64) -> AttemptOutcome) -> usize {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
     let mut closes = 0;
@@ -47,7 +47,8 @@
         }
     });
     assert!(closes >= 12, "closed {closes} times");
-    // Each may cost a request that can't be repeated, so few are enough.
+    // Each reset may cost a request that can't be repeated, so two are enough even if there are
+    // responses between them.
     assert!(
         count_closes(|id| if id == 2 || id == 11 {
             AttemptOutcome::Reset
@@ -57,7 +58,7 @@
     );
 }
 
-/// A new connection for each request would not help.
+/// If new connections break as well, a new connection for each request does not help.
 #[test]
 fn idle_connections_are_kept_while_new_ones_break_as_well() {
     // The request after a reset finds no idle connection, so every other reset is on a new one.
@@ -69,7 +70,7 @@
         }
     };
     assert_eq!(count_closes(on_idle_and_new), 0);
-    // A reset on a new connection restores the timeout that two on idle ones lowered.
+    // A reset on a new connection restores the timeout that two resets on idle ones lowered.
     assert_eq!(
         count_closes(|id| if [2, 4, 6].contains(&id) {
             AttemptOutcome::Reset
@@ -80,7 +81,8 @@
     );
 }
 
-/// Connections are quiet for as long while a request is in flight.
+/// A connection is silent for 0.1 s during each request here, so a pause of 20 ms between requests
+/// does not count as idle time.
 #[test]
 fn connections_idle_for_less_than_a_request_takes_are_kept() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
--- a/tests/decision/invariants.rs
+++ b/tests/decision/invariants.rs
@@ -1,4 +1,4 @@
-//! What holds for any sequence of events.
+//! Invariants that hold for any sequence of events.
 
 use crate::harness::{attempt_ended, class, entry, request, Harness, WITH_IDEMPOTENCY_KEY};
 use load_balancer::{
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// Of the request classes.
+/// The idempotency of each request class, by class index.
 const IDEMPOTENCY: [Idempotency; 5] = [
     Idempotency::Idempotent,
     Idempotency::NonIdempotent,
@@ -17,6 +17,7 @@
     WITH_IDEMPOTENCY_KEY[2],
 ];
 
+/// The outcomes to draw from; a success is twice as likely as any other.
 const OUTCOMES: [AttemptOutcome; 9] = [
     AttemptOutcome::Success,
     AttemptOutcome::Success,
@@ -30,17 +31,18 @@
 ];
 
 const UPSTREAMS: u64 = 6;
-/// How long clients wait, in seconds.
+/// How long each client waits for its response, in seconds.
 const REMAINING: f64 = 2.0;
-/// How far the clock goes on at a step without an event, in seconds.
+/// How far the clock advances in a step without an event, in seconds.
 const TICK: f64 = 0.02;
 /// Deduplication window of the harness's classes, in seconds.
 const WINDOW: f64 = 1.0;
 
-/// One random step: what happens, to which request or upstream, and how.
+/// One random step: the kind of event, the choice of its attempt, upstream or client, and its
+/// detail (class, outcome or state).
 type Step = (u8, u64, u8);
 
-/// An attempt as the test knows it.
+/// An attempt that the balancer has started.
 struct SentAttempt {
     upstream: u64,
     sent_at: f64,
@@ -53,7 +55,7 @@
     }
 }
 
-/// A request as the test knows it.
+/// A request that the balancer has received.
 #[derive(Default)]
 struct SentRequest {
     class: usize,
@@ -79,7 +81,7 @@
     /// Whether each upstream is listed as active.
     is_active: BTreeMap<u64, bool>,
     requests: BTreeMap<u64, SentRequest>,
-    /// Moment and token.
+    /// Time and token of each timer that is set.
     timers: Vec<(f64, u64)>,
     next_request: u64,
 }
@@ -129,7 +131,8 @@
         Ok(())
     }
 
-    /// The event of a step; `None`: only the clock goes on. What is due goes first.
+    /// Returns the end of an attempt whose client's deadline has passed, else a timer that is due,
+    /// else the event of this step. `None`: only the clock advances.
     fn next_event(&mut self, (kind, pick, detail): Step) -> Option<Event> {
         let in_flight = self.in_flight();
         let now = self.harness.now;
@@ -154,6 +157,7 @@
         }
     }
 
+    /// Returns the attempts in flight by request id and attempt index.
     fn in_flight(&self) -> Vec<(u64, usize)> {
         let of_request = |(id, request): (&u64, &SentRequest)| {
             let attempts = request.attempts.iter().enumerate();
@@ -228,7 +232,10 @@
             Action::Fail { id } => self.check_final_response(*id, false)?,
             Action::CancelAttempt { .. } => {
                 let allowed = self.settings.limits.cancellation_allowed;
-                prop_assert!(allowed, "cancelled where that is not allowed");
+                prop_assert!(
+                    allowed,
+                    "attempt cancelled though the settings do not allow it"
+                );
             }
             Action::SetTimer { after, token } => {
                 self.timers.push((self.harness.now + after, *token));
@@ -241,8 +248,14 @@
     fn check_attempt(&mut self, id: RequestId, upstream: UpstreamId) -> Result<(), TestCaseError> {
         let limits = &self.settings.limits;
         let request = self.requests.get_mut(&id.0).unwrap();
-        prop_assert!(!request.is_concluded, "sent after its final response");
-        prop_assert!(self.is_active[&upstream.0], "sent to a draining upstream");
+        prop_assert!(
+            !request.is_concluded,
+            "{id:?} sent after its final response"
+        );
+        prop_assert!(
+            self.is_active[&upstream.0],
+            "{id:?} sent to draining {upstream:?}"
+        );
         prop_assert!(request.attempts.len() < limits.max_attempts as usize);
         let mut attempts = request.attempts.iter();
         let all_have_ended = attempts.all(|attempt| attempt.outcome.is_some());
@@ -264,14 +277,14 @@
         is_rejection: bool,
     ) -> Result<(), TestCaseError> {
         let request = self.requests.get_mut(&id.0).unwrap();
-        prop_assert!(!request.is_concluded, "a second final response");
+        prop_assert!(!request.is_concluded, "second final response to {id:?}");
         let may_have_run = request.first_possible_run().is_some();
         let idempotency = request.idempotency();
         let is_unsafe_to_repeat = idempotency == Idempotency::NonIdempotent
             || WITH_IDEMPOTENCY_KEY[1..].contains(&idempotency);
         prop_assert!(
             !(is_rejection && may_have_run && is_unsafe_to_repeat),
-            "rejected what may have run"
+            "{id:?} rejected though it may have run"
         );
         request.is_concluded = true;
         Ok(())
@@ -281,15 +294,15 @@
         for (id, request) in &self.requests {
             prop_assert!(
                 request.is_concluded || self.harness.now <= request.deadline + TICK,
-                "{id} has no final response"
+                "request {id} has no final response by its deadline"
             );
         }
         Ok(())
     }
 }
 
-/// Checks an attempt that follows one which may have run. Upstreams with the same remainder by 2
-/// share a cell, by 3 a zone.
+/// Checks an attempt that follows one that may have run. Upstreams whose ids are equal modulo 2
+/// share a cell; those whose ids are equal modulo 3 share a zone.
 fn check_repeat(
     idempotency: Idempotency,
     first: &SentAttempt,
@@ -298,7 +311,10 @@
 ) -> Result<(), TestCaseError> {
     match idempotency {
         Idempotency::Idempotent => {}
-        Idempotency::NonIdempotent => prop_assert!(false, "may run twice"),
+        Idempotency::NonIdempotent => prop_assert!(
+            false,
+            "non-idempotent request may run a second time at {upstream:?}"
+        ),
         Idempotency::IdempotencyKey { scope } => {
             let is_same_cell = first.upstream % 2 == upstream.0 % 2;
             let is_same_zone = first.upstream % 3 == upstream.0 % 3;
@@ -330,7 +346,7 @@
     }
 }
 
-/// The settings of one of two balancers.
+/// Returns the settings of one of two balancers.
 fn settings_of_peer(peer_index: usize) -> Settings {
     Settings {
         classes: [Idempotency::Idempotent, Idempotency::NonIdempotent]
@@ -350,6 +366,7 @@
     }
 }
 
+/// Advances the clock and passes an event that depends only on `step`; returns the actions.
 fn handle_step(harness: &mut Harness, step: u64) -> Vec<Action> {
     harness.now += 0.02;
     match step % 7 {
--- a/tests/decision/learned_state.rs
+++ b/tests/decision/learned_state.rs
@@ -1,5 +1,5 @@
-//! The stored form of what a balancer has learned: two versions read it from each other during
-//! an upgrade.
+//! The serialized form of a balancer's learned state, which two versions of the program exchange
+//! during an upgrade.
 
 use crate::harness::{
     attempt_ended, class, entry, maintenance, request, started_attempts, without_retries, Harness,
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// What `served_lost_and_ejected` wrote at commit 47c951f.
+/// The learned state of `served_lost_and_ejected` as commit 47c951f wrote it.
 const RECORDED: &str = include_str!("../data/learned-state-47c951f.json");
 
 fn settings() -> Settings {
@@ -30,6 +30,8 @@
     }
 }
 
+/// Returns five upstreams of two machine kinds. Upstream 4 started at `started_at`, the others
+/// started long ago.
 fn listed(started_at: f64) -> Vec<UpstreamEntry> {
     let entry_of_kind = |id: u64| UpstreamEntry {
         machine_kind: id as usize % 2,
@@ -39,8 +41,8 @@
     (1..=5).map(entry_of_kind).collect()
 }
 
-/// A balancer that has served, lost and retried requests, has ejected an upstream that fails,
-/// has one in slow start and one returned from maintenance.
+/// Returns a balancer that has served, lost and retried requests and has ejected a failing
+/// upstream. One of its upstreams is in slow start, and one has returned from maintenance.
 fn served_lost_and_ejected() -> Harness {
     let mut harness = Harness::new(settings(), 0);
     harness.update_endpoints(ListScope::Full, listed(98.0));
@@ -59,8 +61,8 @@
             streamed: false,
         }));
         harness.now += 0.05;
-        // Each attempt ends before the next request arrives; a retry follows from the end before
-        // it.
+        // Each attempt ends before the next request arrives. A retry starts when the attempt before
+        // it ends.
         let mut attempt = 0;
         while let Some(StartedAttempt { request, upstream }) =
             started_attempts(&actions).first().copied()
@@ -90,8 +92,8 @@
     serde_json::to_value(state).unwrap()
 }
 
-/// The paths of all fields, one for the elements of all arrays and for all numbers that serve as
-/// keys.
+/// Collects the paths of all fields. The elements of an array share one path, and so do fields
+/// whose names are numbers.
 fn field_paths(value: &Value, path: &str, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -124,17 +126,13 @@
     let recorded: Value = serde_json::from_str(RECORDED).unwrap();
     assert_eq!(paths_of(&written), paths_of(&recorded));
     let text = serde_json::to_string(&harness.balancer.learned_state()).unwrap();
-    assert_eq!(
-        text,
-        RECORDED.trim_end(),
-        "order and figures are the same too"
-    );
+    assert_eq!(text, RECORDED.trim_end(), "order and values of the fields");
 }
 
 #[test]
 fn what_47c951f_wrote_is_read_and_written_again_unchanged() {
     let state: LearnedState = serde_json::from_str(RECORDED).unwrap();
-    // Both sides go through the same parser, which may round the last digit of a figure.
+    // Both sides are read by the same parser, which may round the last digit of a number.
     let recorded: Value = serde_json::from_str(RECORDED).unwrap();
     assert_eq!(json(&state), recorded);
 }
@@ -144,7 +142,7 @@
     let recorded: LearnedState = serde_json::from_str(RECORDED).unwrap();
     let mut harness = Harness::new(settings(), 0);
     harness.update_endpoints(ListScope::Full, listed(98.0));
-    // Both processes' clocks show the same.
+    // The clocks of both processes agree.
     harness.now = json(&recorded)["at"].as_f64().unwrap();
     let before = json(&harness.balancer.learned_state());
     harness.balancer.restore(harness.now, 0.0, recorded.clone());
@@ -152,7 +150,7 @@
     assert_eq!(json(&harness.balancer.learned_state()), json(&recorded));
 }
 
-/// Settings of balancers that do not retry, so that each request to the failing upstream is lost.
+/// Returns settings without retries, so that each request sent to the failing upstream is lost.
 fn settings_without_retries() -> Settings {
     without_retries(Settings {
         classes: vec![class(Idempotency::NonIdempotent)],
@@ -160,7 +158,7 @@
     })
 }
 
-/// Sends 39 requests; upstream 1 fails all that it gets. Returns how many those are.
+/// Sends 39 requests. Upstream 1 fails all that it receives; returns how many it received.
 fn count_lost(harness: &mut Harness) -> u32 {
     let mut lost = 0;
     for id in 1..40 {
@@ -184,11 +182,15 @@
     Restarted,
 }
 
-/// After an upgrade the new process need not lose requests to learn the same again.
+/// After an upgrade, the new process must not lose requests to learn again what the old process
+/// had learned.
 #[test]
 fn restored_balancer_knows_what_the_other_learned() {
     let mut old = Harness::new(settings_without_retries(), 4);
-    assert!(count_lost(&mut old) >= 2, "before the outlier is detected");
+    assert!(
+        count_lost(&mut old) >= 2,
+        "two requests are lost before the outlier is detected"
+    );
     let text = serde_json::to_string(&old.balancer.learned_state()).unwrap();
     let lost_after_restore = |clock_offset: f64, age: f64, upstream: Upstream| {
         let mut new = Harness::new(settings_without_retries(), 4);
@@ -207,12 +209,21 @@
     assert_eq!(lost_after_restore(0.0, 0.1, Upstream::SameProcess), 0);
     for clock_offset in [-3600.0, -5.0, 5.0, 3600.0] {
         let lost = lost_after_restore(clock_offset, 0.1, Upstream::SameProcess);
-        assert_eq!(lost, 0, "its clock is {clock_offset} s ahead");
+        assert_eq!(
+            lost, 0,
+            "the clock of the new process is {clock_offset} s ahead"
+        );
     }
     let lost = lost_after_restore(0.0, 0.1, Upstream::Restarted);
-    assert!(lost >= 2, "it may run another program now");
+    assert!(
+        lost >= 2,
+        "{lost} lost; after its restart the upstream may run another program"
+    );
     let lost = lost_after_restore(0.0, 60.0, Upstream::SameProcess);
-    assert!(lost >= 2, "too long ago");
+    assert!(
+        lost >= 2,
+        "{lost} lost; the state was saved too long ago to be restored"
+    );
 }
 
 #[test]
@@ -226,7 +237,7 @@
     assert!(other.fill_slots(1, 0) > 1);
 }
 
-/// Names that other versions than 47c951f have written.
+/// Versions other than 47c951f have written these fields under other names.
 #[test]
 fn aliases_of_stored_fields_are_read() {
     let aliases = [
--- a/tests/decision/lifecycle.rs
+++ b/tests/decision/lifecycle.rs
@@ -46,7 +46,7 @@
     assert_eq!(
         harness.open_and_in_flight(),
         (1, 1),
-        "its slot is taken until its attempt ends"
+        "the slot is taken until the attempt ends"
     );
     let actions = harness.handle(attempt_ended(1, 0, AttemptOutcome::TimedOut));
     let is_log = |a: &Action| matches!(a, Action::Log(_));
@@ -91,12 +91,12 @@
         .is_empty());
     assert!(
         harness.fire_timer_after(30.0, 1).is_empty(),
-        "its timer has no effect"
+        "the timer of the request has no effect"
     );
     assert_eq!(
         harness.open_and_in_flight(),
         (1, 1),
-        "its slot is taken while the response is streamed"
+        "the slot is taken while the response is streamed"
     );
     assert!(harness
         .handle(attempt_ended(1, 0, AttemptOutcome::Success))
--- a/tests/decision/log_event.rs
+++ b/tests/decision/log_event.rs
@@ -1,4 +1,4 @@
-//! The lines that a balancer's events make in the log.
+//! Log events: when a balancer reports them, and the text of their lines.
 
 use crate::harness::{attempt_ended, class, request, without_retries, Harness};
 use load_balancer::{
@@ -14,7 +14,7 @@
     vec![named("view"), named("pay")]
 }
 
-/// The line of an event; only upstream 3 has a name.
+/// Returns the log line of an event. Only upstream 3 has a name.
 fn line(event: LogEvent) -> String {
     let name = |upstream: UpstreamId| (upstream == UpstreamId(3)).then_some("u3");
     event.text(name, &classes())
@@ -97,7 +97,7 @@
     assert_eq!(Some(upstream.0), failing);
     assert_eq!(scope, EjectionScope::Class(1));
     assert_eq!(cause, AttemptOutcome::Error);
-    assert!(duration > 0.1, "{duration} s");
+    assert!(duration > 0.1, "ejected for {duration} s");
 }
 
 #[test]
--- a/tests/decision/maintenance.rs
+++ b/tests/decision/maintenance.rs
@@ -1,17 +1,17 @@
-//! Maintenance: upstreams that operators take out of service and put back.
+//! Maintenance: upstreams that operators take out of service and return to service.
 
 use crate::harness::{attempt_ended, entry, maintenance, request, started_attempts, Harness};
 use load_balancer::{
     AttemptOutcome, Idempotency, ListScope, Maintenance, Settings, UpstreamEntry, UpstreamState,
 };
 
-/// Orders of operators take precedence over discovery.
+/// Operators' maintenance takes precedence over the endpoint list.
 #[test]
 fn upstream_in_maintenance_gets_no_requests_whatever_is_listed() {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
     harness.fill_slots(1, 0);
     let open = harness.balancer.load().open_requests as u64;
-    // Queued requests are reassigned; attempts in flight go on.
+    // Queued requests are reassigned; attempts in flight continue.
     assert!(started_attempts(&harness.handle(maintenance(1, Maintenance::Begin))).is_empty());
     harness.handle(maintenance(1, Maintenance::Begin));
     let relisted = UpstreamEntry {
@@ -45,11 +45,11 @@
     assert_eq!(harness.balancer.excluded_upstreams(), 1);
     harness.handle(maintenance(1, Maintenance::End));
     assert_eq!(harness.balancer.excluded_upstreams(), 0);
-    // Unknown upstreams are accepted.
+    // The end of maintenance of an unknown upstream is accepted.
     harness.handle(maintenance(77, Maintenance::End));
 }
 
-/// It may have been restarted while it was out of service.
+/// The upstream may have been restarted while it was out of service.
 #[test]
 fn upstream_returned_from_maintenance_is_in_slow_start() {
     let requests_after = |restarted_at: Option<f64>, listed_before: bool| {
@@ -86,12 +86,13 @@
         let count = requests_after(restarted_at, listed_before);
         assert!(
             (15..=50).contains(&count),
-            "{count} of 300 for {restarted_at:?}, {listed_before}"
+            "{count} of 300 requests; restarted at {restarted_at:?}, listed before its return: \
+             {listed_before}"
         );
     }
 }
 
-/// Operators who put an upstream back expect to see it in use.
+/// Operators who return an upstream to service expect to see a request sent to it.
 #[test]
 fn upstream_returned_from_maintenance_is_used_once_outside_the_subset() {
     let mut harness = Harness::new(
@@ -109,9 +110,12 @@
     };
     let used: Vec<_> = (1..60).map(|id| send(&mut harness, id)).collect();
     let idle: Vec<_> = (1..=12).filter(|id| !used.contains(id)).collect();
-    assert!(idle.len() > 5, "the subset is small");
+    assert!(
+        idle.len() > 5,
+        "the subset is small: unused upstreams {idle:?}"
+    );
     harness.handle(maintenance(idle[0], Maintenance::Begin));
-    // It is restarted, and removed from the list meanwhile.
+    // The upstream is removed from the list while it restarts, and then listed again.
     harness.update_endpoints(
         ListScope::Delta,
         vec![UpstreamEntry {
@@ -126,7 +130,7 @@
             ..entry(idle[0])
         }],
     );
-    // The second event has no effect.
+    // Ending maintenance a second time has no effect.
     harness.handle(maintenance(idle[0], Maintenance::End));
     harness.handle(maintenance(idle[0], Maintenance::End));
     let after_return: Vec<_> = (100..200).map(|id| send(&mut harness, id)).collect();
--- a/tests/decision/outlier_classes.rs
+++ b/tests/decision/outlier_classes.rs
@@ -3,8 +3,9 @@
 use crate::harness::{attempt_ended, class, request, without_retries, Harness};
 use load_balancer::{AttemptOutcome, Idempotency, Settings};
 
-/// Two classes at four upstreams; upstream 1 serves only the first. Returns how many requests of
-/// each class it gets.
+/// Sends 200 requests of two classes to four upstreams. At upstream 1, requests of the second class
+/// end with `outcome`; all others succeed. Returns how many requests of each class upstream 1
+/// receives after the first 50 requests.
 fn fail_one_class(outcome: AttemptOutcome) -> [u32; 2] {
     let classes = vec![
         class(Idempotency::NonIdempotent),
@@ -44,22 +45,22 @@
     let [served, failed] = fail_one_class(AttemptOutcome::TimedOut);
     assert!(
         served >= 6 && failed <= 2,
-        "{served} of the class served, {failed} of the other"
+        "{served} requests of the served class, {failed} of the other"
     );
     let [served, served_too] = fail_one_class(AttemptOutcome::Success);
     assert!(
         served >= 15 && served_too >= 12,
-        "{served} and {served_too}"
+        "{served} and {served_too} requests of two served classes"
     );
 }
 
-/// Each rejected request has held a slot until it came back.
+/// Each rejected request holds a slot until the rejection is received.
 #[test]
 fn upstream_that_alone_rejects_one_class_keeps_the_others() {
     let [served, rejected] = fail_one_class(AttemptOutcome::Rejected);
     assert!(
         served >= 15 && rejected <= 4,
-        "{served} of the class served, {rejected} of the other"
+        "{served} requests of the served class, {rejected} of the other"
     );
 }
 
@@ -68,7 +69,7 @@
     let mut harness = Harness::new(without_retries(Settings::simple()), 4);
     let mut counts = [0; 5];
     for id in 1..=200 {
-        // After the pause that follows each rejection.
+        // Longer than the pause that follows each rejection.
         harness.now += 1.0;
         counts[harness.send(request(id, 0, 2.0)) as usize] += 1;
         harness.handle(attempt_ended(
@@ -104,8 +105,8 @@
     assert!(counts[1..].iter().all(|n| *n > 20), "{counts:?}");
 }
 
-/// Requests of three classes in turn; upstream 1 of four fails them all. Returns how many of
-/// each class it gets.
+/// Sends requests of three classes in turn to four upstreams, of which upstream 1 fails all that it
+/// receives. Returns how many requests of each class it receives.
 fn fail_all_classes(classes: [Idempotency; 3], requests: u64) -> [u32; 3] {
     let classes = classes.map(class).to_vec();
     let mut harness = Harness::new(
@@ -139,11 +140,11 @@
     let failed = fail_all_classes([Idempotency::NonIdempotent; 3], 60);
     assert!(
         failed.iter().sum::<u32>() <= 5,
-        "{failed:?}; each class by itself takes two"
+        "{failed:?} failures; each class by itself would take two"
     );
 }
 
-/// A trial request that can not be repeated may be lost.
+/// A trial request may fail, and is lost if it can't be repeated.
 #[test]
 fn idempotent_requests_do_the_trials_of_a_failing_upstream() {
     let mixed = fail_all_classes(
@@ -154,12 +155,15 @@
         ],
         6000,
     );
-    assert!(mixed[0] >= 4, "{mixed:?}: there are trials");
-    assert!(mixed[1] + mixed[2] <= 6, "{mixed:?}");
-    // There are no others to do the trials.
+    assert!(
+        mixed[0] >= 4,
+        "{mixed:?} failures; the first class does the trials"
+    );
+    assert!(mixed[1] + mixed[2] <= 6, "{mixed:?} failures");
+    // Without an idempotent class, the non-idempotent ones do the trials.
     let non_idempotent = fail_all_classes([Idempotency::NonIdempotent; 3], 6000);
     assert!(
         non_idempotent.iter().all(|failed| *failed >= 4),
-        "{non_idempotent:?}"
+        "{non_idempotent:?} failures"
     );
 }
--- a/tests/decision/outliers.rs
+++ b/tests/decision/outliers.rs
@@ -87,7 +87,7 @@
     );
 }
 
-/// An upstream may lose a part of a class and respond to the rest.
+/// An upstream may lose some requests of a class and respond to the others.
 #[test]
 fn overdue_attempt_excludes_its_class_though_others_get_responses() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
@@ -109,11 +109,13 @@
     assert!(!upstreams.contains(&upstream_of_lost), "{upstreams:?}");
 }
 
-/// Where all upstreams lose single requests, ejections would hit one after the other.
+/// If all upstreams lose single requests, ejections would hit one upstream after the other.
 #[test]
 fn silent_losses_at_all_upstreams_eject_none() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
     let mut id = 0;
+    // Loses one request silently while 24 others succeed. Returns how many of them its upstream
+    // receives while the lost request is overdue.
     let mut lose_one = |harness: &mut Harness| {
         let lost = id;
         let upstream_of_lost = harness.send(request(lost, 0, 2.0));
@@ -123,7 +125,7 @@
             let upstream = harness.send(request(id, 0, 2.0));
             harness.now += 0.08;
             harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
-            // It is overdue from the second half on.
+            // The lost request is overdue in the second half.
             count += u32::from(number > 12 && upstream == upstream_of_lost);
         }
         harness.handle(attempt_lost(lost, AttemptOutcome::TimedOut, 1.92));
@@ -133,16 +135,16 @@
     assert_eq!(
         lose_one(&mut harness),
         0,
-        "a loss at one upstream alone excludes it"
+        "a loss at one upstream alone excludes this upstream"
     );
     for _ in 0..8 {
         lose_one(&mut harness);
     }
     let late: u32 = (0..4).map(|_| lose_one(&mut harness)).sum();
-    assert!(late >= 8, "{late} of 48, where an even share is 12");
+    assert!(late >= 8, "{late} of 48 requests; an even share is 12");
 }
 
-/// The upstream is to blame for neither.
+/// The upstream is not to blame for a short client deadline, nor for a single broken connection.
 #[test]
 fn short_client_deadline_or_single_broken_connection_ejects_none() {
     for outcome in [
@@ -187,6 +189,6 @@
             .filter(|started| started.upstream == uploading_to)
             .count()
     };
-    assert!(requests_there(false) > 0, "its client is still uploading");
-    assert_eq!(requests_there(true), 0, "it is overdue");
+    assert!(requests_there(false) > 0, "the client is still uploading");
+    assert_eq!(requests_there(true), 0, "the request is overdue");
 }
--- a/tests/decision/poll_schedule.rs
+++ b/tests/decision/poll_schedule.rs
@@ -26,16 +26,23 @@
             balancer.handle(sum, Event::TimerFired(token), &mut actions);
             assert_eq!(actions, [Action::WatchEndpoints]);
             if scope == ListScope::Cached {
-                assert!(after < settings.rules.poll_interval, "polled in time");
+                assert!(
+                    after < settings.rules.poll_interval,
+                    "first poll after {after} s"
+                );
                 delays.push(after);
             }
         }
     }
     delays.sort_by(f64::total_cmp);
-    assert!(delays[40] - delays[10] > 1.0, "the moments are spread");
+    assert!(
+        delays[40] - delays[10] > 1.0,
+        "first polls after {delays:?} s"
+    );
 }
 
-/// Also where a watch broke, and after it up to two polls failed at once.
+/// The notification deadline also holds if a watch breaks and up to two polls after it fail at
+/// once.
 #[test]
 fn polls_are_repeated_within_the_notification_deadline() {
     let mut settings = Settings {
@@ -43,6 +50,8 @@
         ..Settings::simple()
     };
     settings.rules.notification_deadline = 6.0;
+    // Passes an empty list or a failure to the balancer and fires the timer that it sets. Returns
+    // the delay of the timer.
     let next_delay = |balancer: &mut Balancer, now, scope| {
         let mut actions = Vec::new();
         balancer.handle(now, empty_list(scope), &mut actions);
@@ -55,23 +64,27 @@
     for seed in 0..50 {
         let mut balancer = Balancer::new(settings.clone(), seed, 0.0).unwrap();
         let mut now = next_delay(&mut balancer, 0.0, ListScope::Cached);
-        assert!(now < 1.6, "{now}");
+        assert!(now < 1.6, "first poll after {now} s");
         // A poll fails after `elapsed` seconds, and the next three at once.
         for elapsed in [2.0, 100.0] {
             let after = next_delay(&mut balancer, now + elapsed, ListScope::Failed);
-            assert!(after < 1.6, "{after}");
+            assert!(
+                after < 1.6,
+                "next poll {after} s after a failure at {elapsed} s"
+            );
             now += elapsed + after;
             let mut sum = 0.0;
             for _ in 0..3 {
                 sum += next_delay(&mut balancer, now + sum, ListScope::Failed);
             }
-            assert!(sum < 2.0, "{sum}");
+            assert!(sum < 2.0, "three polls take {sum} s");
             now += sum;
         }
     }
 }
 
-/// Holds unless all polls have failed for longer than the deadline.
+/// A balancer misses the notification deadline only if its polls keep failing for longer than
+/// that.
 #[test]
 fn polls_end_within_the_notification_deadline_in_fleets_of_any_size() {
     for (peer_count, seed) in [1, 3, 30, 100, 1000, 8700]
@@ -103,7 +116,7 @@
             };
             assert!(
                 after + QUEUE_TIMEOUT < NOTIFICATION_DEADLINE - 0.3,
-                "{peer_count} {count} {after}"
+                "{peer_count} peers, seed {seed}, poll {count}: {after} s"
             );
             now += after;
             balancer.handle(now, Event::TimerFired(token), &mut actions);
--- a/tests/decision/queues.rs
+++ b/tests/decision/queues.rs
@@ -1,4 +1,4 @@
-//! Queues: when requests wait, for how long, and which goes first.
+//! Queues: when requests are queued, for how long, and which one is dispatched first.
 
 use crate::harness::{
     attempt_ended, class, is_rejected, request, started_attempts, Harness, StartedAttempt,
@@ -18,7 +18,7 @@
             upstream: 1
         }]
     );
-    // An error lowers the limit by up to one slot, so the second one frees a slot at the latest.
+    // An error lowers the limit by up to one slot, so the second error frees a slot at the latest.
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
     let queued = harness.fill_slots(1, 0);
     let mut dispatched =
@@ -58,7 +58,10 @@
     let rejections = (1..200)
         .filter(|id| is_rejected(&harness.handle(request(*id, 0, 2.0)), *id))
         .count();
-    assert!(rejections > 100, "only {rejections} rejected at once");
+    assert!(
+        rejections > 100,
+        "only {rejections} of 199 requests rejected at once"
+    );
     assert!(harness.balancer.load().open_requests < 100);
 }
 
@@ -70,7 +73,7 @@
         let actions = harness.handle(request(id, 0, 2.0));
         queued += u32::from(!is_rejected(&actions, id) && started_attempts(&actions).is_empty());
     }
-    // All three queues are used, so more requests wait than one queue takes.
+    // All three queues are used, so more requests are queued than one queue holds.
     let mut one = Harness::with_classes(&[Idempotency::Idempotent], 1);
     let one_queue = (1..200)
         .filter(|id| !is_rejected(&one.handle(request(*id, 0, 2.0)), *id))
@@ -92,7 +95,7 @@
     assert_eq!(
         harness.balancer.load().open_requests,
         0,
-        "its only upstream was tried, so it is rejected"
+        "the only upstream has rejected the request, so the client gets a rejection"
     );
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 2);
     let queued = harness.fill_slots(1, 0);
@@ -103,11 +106,11 @@
         .count();
     assert!(
         waiting >= 1,
-        "the latency objective of one second can't be met"
+        "the latency objective of one second can't be met, but {waiting} requests are rejected"
     );
 }
 
-/// A request that is given up has its final response at once.
+/// A request that can't be retried gets its final response at once.
 #[test]
 fn rejection_carries_retry_after_where_allowed() {
     for (max, upper_bound) in [(None, 0.0), (Some(0.01), 0.01), (Some(2.0), 2.0)] {
@@ -129,7 +132,8 @@
     }
 }
 
-/// Two classes with the same latency; the second has the larger priority weight.
+/// Returns settings with two classes that differ only in priority weight: the second has the larger
+/// one.
 fn two_priorities() -> Settings {
     let low = class(Idempotency::NonIdempotent);
     let high = Class {
--- a/tests/decision/rotation.rs
+++ b/tests/decision/rotation.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn rotation_is_even_in_response_time() {
-    // The machine kind of upstreams 1 and 2 takes three times as long as that of 3 and 4.
+    // Upstreams 1 and 2 are of a machine kind that takes three times as long as that of 3 and 4.
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 0);
     let entries = (1..=4)
         .map(|id| UpstreamEntry {
@@ -43,7 +43,7 @@
     assert!((2 * slow..4 * slow).contains(&fast), "{counts:?}");
 }
 
-/// On slow upstreams large requests would be late, while small ones go to all.
+/// Large requests would be late at slow upstreams. Small ones are sent to all upstreams.
 #[test]
 fn large_request_prefers_a_fast_upstream() {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
@@ -80,7 +80,7 @@
         started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Rejected)));
     assert_ne!(
         started_next[0].upstream, rejecting,
-        "the retry goes elsewhere"
+        "the retry is sent to another upstream"
     );
     for id in 2..=6 {
         started_next = started_attempts(&harness.handle(request(id, 0, 2.0)));
--- a/tests/decision/slow_start.rs
+++ b/tests/decision/slow_start.rs
@@ -7,7 +7,7 @@
     AttemptOutcome, Balancer, Event, Idempotency, ListScope, Settings, UpstreamEntry,
 };
 
-/// How many of 200 requests go to the last of ten upstreams.
+/// Sends 200 requests and returns how many of them go to the last of ten upstreams.
 fn requests_to_the_last(harness: &mut Harness) -> u32 {
     let mut count = 0;
     for id in 1..=200 {
@@ -19,7 +19,7 @@
 
 #[test]
 fn warming_upstream_gets_its_share_of_capacity() {
-    // One of ten started `age` seconds ago, at a fifth of its capacity.
+    // One of ten upstreams started `age` seconds ago with a fifth of its capacity.
     let count = |age: f64| {
         let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 9);
         harness.update_endpoints(
@@ -32,12 +32,20 @@
         harness.now += age;
         requests_to_the_last(&mut harness)
     };
-    assert!((2..=5).contains(&count(0.0)), "{} at the start", count(0.0));
-    assert!((9..=13).contains(&count(5.0)), "{} half-way", count(5.0));
+    assert!(
+        (2..=5).contains(&count(0.0)),
+        "{} requests at the start",
+        count(0.0)
+    );
+    assert!(
+        (9..=13).contains(&count(5.0)),
+        "{} requests half-way",
+        count(5.0)
+    );
     assert_eq!(count(10.0), 20);
 }
 
-/// Lists an upstream that started then.
+/// Adds an upstream that started at `started_at` to the endpoint list.
 fn list_start(harness: &mut Harness, id: u64, started_at: f64) {
     let started = UpstreamEntry {
         started_at,
@@ -56,18 +64,18 @@
         let count = requests_to_the_last(&mut harness);
         assert!(
             (2..=5).contains(&count),
-            "{count} at the start, {ahead} s ahead"
+            "{count} requests at the start, clock {ahead} s ahead"
         );
         harness.now += 10.0;
         let count = requests_to_the_last(&mut harness);
         assert!(
             (18..=22).contains(&count),
-            "{count} after slow start, {ahead} s ahead"
+            "{count} requests after slow start, clock {ahead} s ahead"
         );
     }
 }
 
-/// The least delay so far shows by how much a start is listed late.
+/// A start counts as older by as much as its delay exceeds the least delay so far.
 #[test]
 fn start_that_is_listed_late_counts_as_older() {
     // The second start is listed late because of a network fault.
@@ -81,13 +89,13 @@
         let count = requests_to_the_last(&mut harness);
         assert!(
             (min..=max).contains(&count),
-            "{count}, listed {delay} s late"
+            "{count} requests, listed {delay} s after the start"
         );
     }
 }
 
-/// Starts listed as the balancer starts lie in the past: ten upstreams that started long before
-/// take every request.
+/// Upstreams in the first list of a new balancer may have started long before it. Ten upstreams
+/// that started 20 s before take every request at once.
 #[test]
 fn starts_of_the_first_list_lie_in_the_past() {
     for scope in [ListScope::Cached, ListScope::Full, ListScope::Delta] {
@@ -123,7 +131,7 @@
             ..entry(4)
         }],
     );
-    // Three upstreams reject all requests; the warming one still gets no more than its share.
+    // Three upstreams reject all requests; the warming one still receives no more than its share.
     let (mut id, mut to_warming) = (1, 0);
     while id <= 100 {
         let mut started = started_attempts(&harness.handle(request(id, 0, 2.0)));
@@ -180,15 +188,15 @@
     }
     assert!(
         first <= 50,
-        "{first} of 100 new balancers sent to it at once"
+        "{first} of 100 new balancers sent a request to the warming upstream at once"
     );
 }
 
 #[test]
 fn balancers_whose_subsets_grow_together_spare_a_warming_upstream() {
-    // The subsets of forty balancers have three of nine upstreams each; a tenth is listed that
-    // stays at a hundredth of its capacity. After many requests each, all have to queue and grow
-    // their subsets.
+    // The subsets of forty balancers have three of nine upstreams each. A tenth upstream is listed
+    // that stays at a hundredth of its capacity. After 600 requests each, all balancers have to
+    // queue requests and grow their subsets.
     let mut to_warming = 0;
     for peer_index in 0..40 {
         let mut settings = Settings {
@@ -237,5 +245,8 @@
                 .count();
         }
     }
-    assert!(to_warming <= 8, "{to_warming} requests of 40 balancers");
+    assert!(
+        to_warming <= 8,
+        "{to_warming} requests of 40 balancers to the warming upstream"
+    );
 }
