--- a/tests/decision/concurrency_limit.rs
+++ b/tests/decision/concurrency_limit.rs
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn deeper_tiers_raise_the_limit_though_responses_take_long() {
-    let raised = |tier: usize| {
+fn limit_grows_in_deeper_tiers_despite_slow_responses() {
+    let attempts_in_tier = |tier: usize| {
         let mut harness = Harness::new(
             Settings {
                 tier,
@@ -67,10 +67,10 @@
         harness.balancer.load().attempts_in_flight
     };
     assert!(
-        raised(1) > raised(0),
+        attempts_in_tier(1) > attempts_in_tier(0),
         "{} attempts in flight in tier 1, {} in tier 0",
-        raised(1),
-        raised(0)
+        attempts_in_tier(1),
+        attempts_in_tier(0)
     );
 }
 
@@ -160,7 +160,7 @@
 
 /// Returns how many slots one upstream has after `responses` responses while requests are always
 /// queued. `elapsed` returns the latency of each response in seconds, by its number from 1.
-fn slots_after(responses: u64, elapsed: impl Fn(u64) -> f64) -> usize {
+fn slots_after_responses(responses: u64, elapsed: impl Fn(u64) -> f64) -> usize {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 1);
     let mut started = Vec::new();
     for id in 1..=responses {
@@ -182,30 +182,30 @@
 /// the baseline counts as congestion.
 #[test]
 fn limit_grows_while_latency_is_at_its_baseline() {
-    let at_baseline = slots_after(400, |_| 0.35);
-    let above_baseline = slots_after(400, |id| if id < 100 { 0.35 } else { 0.7 });
+    let at_baseline = slots_after_responses(400, |_| 0.35);
+    let above_baseline = slots_after_responses(400, |id| if id < 100 { 0.35 } else { 0.7 });
     assert!(at_baseline > 4, "{at_baseline} slots; an even share is two");
     assert!(
         above_baseline <= 2,
         "{above_baseline} slots; an even share is two"
     );
     // A balancer that starts under congestion has never observed the baseline.
-    let congested = slots_after(400, |_| 0.9);
+    let congested = slots_after_responses(400, |_| 0.9);
     assert!(congested <= 2, "{congested} slots; an even share is two");
 }
 
 /// Some responses are late for other reasons than congestion, such as a slow connection setup
 /// behind the upstream. Congestion delays most responses.
 #[test]
-fn tail_latency_is_no_congestion() {
+fn tail_latency_is_not_congestion() {
     let late =
         |share: u64, of: u64| move |id: u64| if id > 40 && id % of < share { 1.5 } else { 0.1 };
-    let at_baseline = slots_after(400, late(0, 1));
+    let at_baseline = slots_after_responses(400, late(0, 1));
     for (share, of) in [(1, 4), (1, 3), (2, 5)] {
-        let tail = slots_after(400, late(share, of));
+        let tail = slots_after_responses(400, late(share, of));
         assert_eq!(tail, at_baseline, "{share} of {of} responses are late");
     }
-    let congested = slots_after(400, late(3, 4));
+    let congested = slots_after_responses(400, late(3, 4));
     assert!(congested <= 2, "{congested} slots; an even share is two");
 }
 
@@ -213,11 +213,11 @@
 /// although its upstreams have capacity.
 #[test]
 fn limit_of_a_new_balancer_grows_fast_until_congestion() {
-    let fresh = slots_after(24, |_| 0.2);
+    let fresh = slots_after_responses(24, |_| 0.2);
     assert!(fresh >= 8, "{fresh} slots after 24 responses");
     // Late responses lower the limit; after them it grows slowly.
-    let before = slots_after(80, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
-    let after = slots_after(100, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
+    let before = slots_after_responses(80, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
+    let after = slots_after_responses(100, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
     assert!(
         (before..=before + 3).contains(&after) && after < fresh,
         "{before} slots after 80 responses, {after} after 100, {fresh} before congestion"
--- a/tests/decision/endpoint_list.rs
+++ b/tests/decision/endpoint_list.rs
@@ -186,7 +186,7 @@
     assert!(counts[1] > 3 && counts[2] > 3, "{counts:?}");
     let (_, counts) = send_with_rejections(ListAge::Stale, 6, 6, 300);
     assert!(
-        counts[1..].iter().filter(|counts| **counts > 3).count() >= 3,
+        counts[1..].iter().filter(|count| **count > 3).count() >= 3,
         "{counts:?}"
     );
 }
--- a/tests/decision/fleet_poll_schedule.rs
+++ b/tests/decision/fleet_poll_schedule.rs
@@ -19,8 +19,8 @@
 const OUTAGE_START: f64 = 8.0;
 const OUTAGE_END: f64 = 16.0;
 /// A third of the fleet restarts at this moment, as in a release.
-const RESTART: f64 = OUTAGE_END + 3.0;
-const END: f64 = 46.0;
+const RESTART_AT: f64 = OUTAGE_END + 3.0;
+const SIMULATION_END: f64 = 46.0;
 
 /// An event of one node, ordered by its time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -168,8 +168,8 @@
 
     fn restart(&mut self, index: usize) {
         let incarnation = self.nodes[index].incarnation + 1;
-        self.nodes[index] = self.start_node(index, incarnation, RESTART);
-        self.pass_list(index, RESTART, ListScope::Cached);
+        self.nodes[index] = self.start_node(index, incarnation, RESTART_AT);
+        self.pass_list(index, RESTART_AT, ListScope::Cached);
     }
 
     fn run_scheduled(&mut self, index: usize, now: f64, scheduled: ScheduledEvent) {
@@ -196,21 +196,21 @@
     /// restart, each balancer received its list; infinity if it received none.
     fn run(mut self) -> Vec<f64> {
         let count = self.nodes.len();
-        let mut waits_since = vec![OUTAGE_END; count];
+        let mut waiting_since = vec![OUTAGE_END; count];
         let mut outage_has_begun = false;
         let mut to_restart: Vec<_> = (0..count).filter(|index| index % 3 == 0).collect();
         while let Some(Reverse(next)) = self.schedule.pop() {
             let now = next.micros as f64 / 1e6;
-            if now >= END {
+            if now >= SIMULATION_END {
                 break;
             }
             if now >= OUTAGE_START && !outage_has_begun {
                 outage_has_begun = true;
                 self.begin_outage();
             }
-            if now >= RESTART {
+            if now >= RESTART_AT {
                 for index in std::mem::take(&mut to_restart) {
-                    waits_since[index] = RESTART;
+                    waiting_since[index] = RESTART_AT;
                     self.restart(index);
                 }
             }
@@ -220,7 +220,7 @@
         }
         let wait =
             |(node, since): (&Node, f64)| node.list_since.map_or(f64::INFINITY, |at| at - since);
-        let mut waits: Vec<_> = self.nodes.iter().zip(waits_since).map(wait).collect();
+        let mut waits: Vec<_> = self.nodes.iter().zip(waiting_since).map(wait).collect();
         waits.sort_by(f64::total_cmp);
         waits
     }
--- a/tests/decision/fleet_slow_start/faults.rs
+++ b/tests/decision/fleet_slow_start/faults.rs
@@ -7,7 +7,7 @@
 
 /// When the affected upstreams start, in seconds. The load is higher by half for some seconds from
 /// then on.
-pub const START: f64 = 4.0;
+pub const UPSTREAM_START: f64 = 4.0;
 /// How long a restarting upstream is down, in seconds.
 const DOWNTIME: f64 = 0.5;
 
@@ -28,14 +28,14 @@
     NewBalancers(usize),
 }
 
-fn started(id: u64, started_at: f64) -> UpstreamEntry {
+fn started_entry(id: u64, started_at: f64) -> UpstreamEntry {
     UpstreamEntry {
         started_at,
         ..entry(id)
     }
 }
 
-fn draining(id: u64) -> UpstreamEntry {
+fn draining_entry(id: u64) -> UpstreamEntry {
     UpstreamEntry {
         state: UpstreamState::Draining,
         ..entry(id)
@@ -56,33 +56,38 @@
     }
 
     /// Schedules the restart of the first `count` upstreams and returns their new entries.
-    fn restart_upstreams(&mut self, count: usize) -> Vec<UpstreamEntry> {
+    fn schedule_upstream_restarts(&mut self, count: usize) -> Vec<UpstreamEntry> {
         for upstream in 1..=count as u64 {
             let restart = ScheduledEvent::Start {
                 upstream,
                 downtime: DOWNTIME,
             };
-            self.schedule(START - DOWNTIME, restart);
+            self.schedule(UPSTREAM_START - DOWNTIME, restart);
         }
-        (1..=count as u64).map(|id| started(id, START)).collect()
+        (1..=count as u64)
+            .map(|id| started_entry(id, UPSTREAM_START))
+            .collect()
     }
 
     fn schedule_restart(&mut self, count: usize) {
-        let entries = self.restart_upstreams(count);
-        self.notify_all(START, &entries);
+        let entries = self.schedule_upstream_restarts(count);
+        self.schedule_notifications(UPSTREAM_START, &entries);
     }
 
     fn schedule_rolling_replacement(&mut self, count: u64) {
         let upstreams = self.scenario.upstreams as u64;
         for n in 0..count {
-            let moment = START + 7.0 * n as f64 / count as f64;
+            let moment = UPSTREAM_START + 7.0 * n as f64 / count as f64;
             let upstream = upstreams + 1 + n;
             let start = ScheduledEvent::Start {
                 upstream,
                 downtime: 0.0,
             };
             self.schedule(moment, start);
-            self.notify_all(moment, &[draining(1 + n), started(upstream, moment)]);
+            self.schedule_notifications(
+                moment,
+                &[draining_entry(1 + n), started_entry(upstream, moment)],
+            );
         }
     }
 
@@ -93,19 +98,19 @@
                 upstream: upstreams + n,
                 downtime: 0.0,
             };
-            self.schedule(START, start);
+            self.schedule(UPSTREAM_START, start);
         }
-        let new = (1..=count).map(|n| started(upstreams + n, START));
-        let entries: Vec<_> = new.chain((1..=count).map(draining)).collect();
-        self.notify_all(START, &entries);
+        let new = (1..=count).map(|n| started_entry(upstreams + n, UPSTREAM_START));
+        let entries: Vec<_> = new.chain((1..=count).map(draining_entry)).collect();
+        self.schedule_notifications(UPSTREAM_START, &entries);
     }
 
     fn schedule_network_outage(&mut self, count: usize) {
-        let entries = self.restart_upstreams(count);
+        let entries = self.schedule_upstream_restarts(count);
         for id in 1..=count as u64 {
-            self.server(id).down_until = START + 2.0;
+            self.server(id).down_until = UPSTREAM_START + 2.0;
         }
-        self.notify_all(START, &entries);
+        self.schedule_notifications(UPSTREAM_START, &entries);
     }
 
     fn schedule_maintenance(&mut self, count: u64) {
@@ -114,37 +119,40 @@
                 upstream,
                 downtime: 1.0,
             };
-            self.schedule(START - 1.0, restart);
+            self.schedule(UPSTREAM_START - 1.0, restart);
             for balancer in 0..self.scenario.balancers {
                 let delay = self.rng.random_range(0.0..0.2);
                 for (moment, change) in [
-                    (START - 3.0 + delay, Maintenance::Begin),
-                    (START + delay, Maintenance::End),
+                    (UPSTREAM_START - 3.0 + delay, Maintenance::Begin),
+                    (UPSTREAM_START + delay, Maintenance::End),
                 ] {
-                    let order = ScheduledEvent::Maintenance {
+                    let event = ScheduledEvent::Maintenance {
                         balancer,
                         upstream,
                         change,
                     };
-                    self.schedule(moment, order);
+                    self.schedule(moment, event);
                 }
             }
         }
     }
 
     fn schedule_new_balancers(&mut self, count: usize) {
-        let entries = self.restart_upstreams(count);
+        let entries = self.schedule_upstream_restarts(count);
         for balancer in 0..self.scenario.balancers {
             if self.rng.random_bool(0.7) {
-                self.schedule(START + 0.2, ScheduledEvent::BalancerRestart { balancer });
+                self.schedule(
+                    UPSTREAM_START + 0.2,
+                    ScheduledEvent::BalancerRestart { balancer },
+                );
             }
         }
-        self.notify_all(START, &entries);
+        self.schedule_notifications(UPSTREAM_START, &entries);
     }
 
     /// Schedules the notification of all balancers: most within half a second, about 15 % within
     /// three seconds.
-    fn notify_all(&mut self, moment: f64, entries: &[UpstreamEntry]) {
+    fn schedule_notifications(&mut self, moment: f64, entries: &[UpstreamEntry]) {
         for balancer in 0..self.scenario.balancers {
             let is_late = self.rng.random_bool(0.15);
             let max_delay = if is_late { 3.0 } else { 0.5 };
--- a/tests/decision/fleet_slow_start/mod.rs
+++ b/tests/decision/fleet_slow_start/mod.rs
@@ -1,9 +1,9 @@
 //! Slow start of the fleet: what all balancers together send to upstreams that have just started.
 //!
-//! Each window of `WINDOW` seconds during slow start has a budget of N + 2 sqrt(N) + 2 arrivals.
-//! N is the overload multiple x the least share of capacity that the upstream has at the start of
-//! the window x the requests that a warm upstream can take in a window. More arrivals than the
-//! budget, rejected or not, are an overload. An overload counts only if over two thirds of the
+//! Each window of `BUDGET_WINDOW` seconds during slow start has a budget of N + 2 sqrt(N) + 2
+//! arrivals. N is the overload multiple x the least share of capacity that the upstream has at the
+//! start of the window x the requests that a warm upstream can take in a window. More arrivals than
+//! the budget, rejected or not, are an overload. An overload counts only if over two thirds of the
 //! arrivals came from balancers that had been notified of the upstream's start.
 
 mod faults;
@@ -16,18 +16,18 @@
 use scenario::Scenario;
 use simulation::Simulation;
 
-const SEEDS: u64 = 2;
-const UPSTREAMS: usize = 10;
+const SEED_COUNT: u64 = 2;
+const UPSTREAM_COUNT: usize = 10;
 
 /// The result of a simulation.
-struct Outcome {
+struct SimulationResult {
     /// Arrivals in the worst window, divided by its budget.
-    worst_window: f64,
+    worst_budget_ratio: f64,
     /// Share of the measured requests that were served in time.
-    served: f64,
+    served_share: f64,
 }
 
-fn simulate(scenario: Scenario) -> Outcome {
+fn simulate(scenario: Scenario) -> SimulationResult {
     let rules = Rules {
         initial_capacity_share: 0.31,
         slow_start_window: 9.0,
@@ -36,9 +36,9 @@
     };
     let mut simulation = Simulation::new(scenario, rules);
     simulation.run();
-    Outcome {
-        worst_window: simulation.worst_window(),
-        served: simulation.served_share(),
+    SimulationResult {
+        worst_budget_ratio: simulation.worst_budget_ratio(),
+        served_share: simulation.served_share(),
     }
 }
 
@@ -55,16 +55,16 @@
     ] {
         for load in [0.7, 1.4] {
             let (mut worst, mut served): (f64, f64) = (0.0, 0.0);
-            for seed in 1..=SEEDS {
-                let outcome = simulate(Scenario {
+            for seed in 1..=SEED_COUNT {
+                let result = simulate(Scenario {
                     balancers,
-                    upstreams: UPSTREAMS,
+                    upstreams: UPSTREAM_COUNT,
                     load,
                     fault,
                     seed,
                 });
-                worst = worst.max(outcome.worst_window);
-                served += outcome.served / SEEDS as f64;
+                worst = worst.max(result.worst_budget_ratio);
+                served += result.served_share / SEED_COUNT as f64;
             }
             let case = format!("{balancers} balancers, {fault:?}, load {load}");
             println!("{case}: {worst:.2} of the budget, served {served:.2}");
@@ -74,22 +74,22 @@
 }
 
 #[test]
-fn three_balancers_spare_warming_upstreams() {
+fn three_balancers_do_not_overload_warming_upstreams() {
     check_all_faults(3);
 }
 
 #[test]
-fn ten_balancers_spare_warming_upstreams() {
+fn ten_balancers_do_not_overload_warming_upstreams() {
     check_all_faults(10);
 }
 
 #[test]
-fn thirty_balancers_spare_warming_upstreams() {
+fn thirty_balancers_do_not_overload_warming_upstreams() {
     check_all_faults(30);
 }
 
 #[test]
-fn a_hundred_balancers_spare_warming_upstreams() {
+fn a_hundred_balancers_do_not_overload_warming_upstreams() {
     check_all_faults(100);
 }
 
@@ -101,12 +101,12 @@
         let worst = |seed| {
             let scenario = Scenario {
                 balancers: 100,
-                upstreams: UPSTREAMS,
+                upstreams: UPSTREAM_COUNT,
                 load: 1.4,
                 fault,
                 seed,
             };
-            simulate(scenario).worst_window
+            simulate(scenario).worst_budget_ratio
         };
         (1..=3).map(worst).sum::<f64>()
     };
--- a/tests/decision/fleet_slow_start/server.rs
+++ b/tests/decision/fleet_slow_start/server.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 /// Length of a window with a budget of arrivals.
-const WINDOW: f64 = 3.0;
+const BUDGET_WINDOW: f64 = 3.0;
 /// Requests of mean work that a warm upstream can process per second. The number is small so that
 /// a single request from each balancer matters.
 pub const CAPACITY: f64 = 4.0;
@@ -37,7 +37,7 @@
 
 impl Server {
     /// Returns the arrivals in the worst window of slow start, divided by its budget.
-    pub fn worst_window(&self, rules: &Rules) -> f64 {
+    pub fn worst_budget_ratio(&self, rules: &Rules) -> f64 {
         let slow_start = self.started_at..self.started_at + rules.slow_start_window;
         let arrivals = self.arrivals.iter();
         let arrivals: Vec<_> = arrivals
@@ -46,10 +46,10 @@
         let mut worst: f64 = 0.0;
         for (first, begin) in arrivals.iter().enumerate() {
             let share = rules.slow_start_share(self.started_at, begin.moment);
-            let allowed = rules.overload_multiple * CAPACITY * share * WINDOW;
+            let allowed = rules.overload_multiple * CAPACITY * share * BUDGET_WINDOW;
             let budget = allowed + 2.0 * allowed.sqrt() + 2.0;
             let (mut count, mut notified) = (0.0, 0.0);
-            let end = begin.moment + WINDOW;
+            let end = begin.moment + BUDGET_WINDOW;
             for arrival in arrivals[first..]
                 .iter()
                 .take_while(|arrival| arrival.moment < end)
--- a/tests/decision/fleet_slow_start/simulation.rs
+++ b/tests/decision/fleet_slow_start/simulation.rs
@@ -1,6 +1,6 @@
 //! A discrete-event simulation of balancers and upstreams. All times are seconds.
 
-use super::faults::START;
+use super::faults::UPSTREAM_START;
 use super::scenario::Scenario;
 use super::server::{Arrival, QueuedAttempt, Server, CAPACITY};
 use crate::harness::{entry, request};
@@ -13,12 +13,12 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// How long the load is higher by half, from `START` on.
-const BURST: f64 = 6.0;
-/// How long requests are counted as measured, from `START` on.
-const MEASURED: f64 = 10.0;
+/// How long the load is higher by half, from `UPSTREAM_START` on.
+const BURST_DURATION: f64 = 6.0;
+/// How long requests are counted as measured, from `UPSTREAM_START` on.
+const MEASURED_DURATION: f64 = 10.0;
 /// When the arrival of requests ends.
-const END: f64 = 14.0;
+const ARRIVALS_END: f64 = 14.0;
 /// Requests that an upstream processes at a time.
 const CORES: usize = 3;
 /// Requests that may be queued at an upstream.
@@ -101,7 +101,7 @@
 }
 
 fn is_measured(moment: f64) -> bool {
-    (START..START + MEASURED).contains(&moment)
+    (UPSTREAM_START..UPSTREAM_START + MEASURED_DURATION).contains(&moment)
 }
 
 impl Simulation {
@@ -173,8 +173,8 @@
             .iter()
             .map(|weight| weight.min(5.0 * mean))
             .collect();
-        let capacity = self.scenario.load * self.scenario.upstreams as f64 * CAPACITY;
-        let rate_per_weight = capacity / weights.iter().sum::<f64>();
+        let total_rate = self.scenario.load * self.scenario.upstreams as f64 * CAPACITY;
+        let rate_per_weight = total_rate / weights.iter().sum::<f64>();
         let shift = self.rng.random_range(0..count);
         for (n, weight) in weights.iter().enumerate() {
             self.schedule_requests_of((n * 7 + shift) % count, rate_per_weight * weight);
@@ -183,8 +183,8 @@
 
     fn schedule_requests_of(&mut self, balancer: usize, rate: f64) {
         let mut moment = 0.0;
-        while moment < END {
-            let is_in_burst = (START..START + BURST).contains(&moment);
+        while moment < ARRIVALS_END {
+            let is_in_burst = (UPSTREAM_START..UPSTREAM_START + BURST_DURATION).contains(&moment);
             let factor = if is_in_burst { 1.5 } else { 1.0 };
             moment -= (1.0 - self.rng.random::<f64>()).ln() / (rate * factor);
             let id = self.next_request_id(balancer);
@@ -240,7 +240,7 @@
                 balancer,
                 upstream,
                 change,
-            } => self.maintain(balancer, upstream, change),
+            } => self.change_maintenance(balancer, upstream, change),
             ScheduledEvent::Start { upstream, downtime } => {
                 self.restart_upstream(upstream, downtime);
             }
@@ -273,10 +273,10 @@
         self.handle(balancer, Event::EndpointList { scope, endpoints });
     }
 
-    fn maintain(&mut self, balancer: usize, upstream: u64, change: Maintenance) {
+    fn change_maintenance(&mut self, balancer: usize, upstream: u64, change: Maintenance) {
         if change == Maintenance::End {
             if let Some(entry) = self.notified[balancer].get_mut(&upstream) {
-                entry.started_at = START;
+                entry.started_at = UPSTREAM_START;
             }
         }
         let upstream = UpstreamId(upstream);
@@ -341,7 +341,7 @@
                     self.schedule(self.now + after, ScheduledEvent::Timer { balancer, token });
                 }
                 Action::CancelAttempt { id, attempt } => self.cancel_attempt(id.0, attempt),
-                Action::Reject { id, .. } => self.repeat_rejected(balancer, id.0),
+                Action::Reject { id, .. } => self.schedule_client_retry(balancer, id.0),
                 _ => {}
             }
         }
@@ -364,7 +364,7 @@
     }
 
     /// Schedules the client's retry of a rejected request after 0.2 s, if any retries are left.
-    fn repeat_rejected(&mut self, balancer: usize, id: u64) {
+    fn schedule_client_retry(&mut self, balancer: usize, id: u64) {
         let client_retries = self.requests[&id].client_retries + 1;
         if client_retries > MAX_CLIENT_RETRIES {
             return;
@@ -389,7 +389,7 @@
             is_in_flight: true,
         });
         self.schedule_end(deadline, id, index, AttemptOutcome::TimedOut, sent_at);
-        match self.refusal(balancer, upstream) {
+        match self.record_arrival(balancer, upstream) {
             Some(outcome) => self.schedule_end(sent_at + 0.002, id, index, outcome, sent_at),
             None => {
                 self.server(upstream).queue.push_back(QueuedAttempt {
@@ -402,7 +402,7 @@
     }
 
     /// Records the arrival of an attempt. Returns its outcome if it is not queued.
-    fn refusal(&mut self, balancer: usize, upstream: u64) -> Option<AttemptOutcome> {
+    fn record_arrival(&mut self, balancer: usize, upstream: u64) -> Option<AttemptOutcome> {
         let moment = self.now;
         let server = self.servers.get_mut(&upstream).unwrap();
         if moment < server.down_until {
@@ -445,8 +445,9 @@
             let started_at = server.started_at;
             let rules = &self.settings.rules;
             let share = rules.slow_start_share(started_at, self.now);
-            let time = -(1.0 - self.rng.random::<f64>()).ln() * CORES as f64 / CAPACITY / share;
-            let done = self.now + time;
+            let processing_time =
+                -(1.0 - self.rng.random::<f64>()).ln() * CORES as f64 / CAPACITY / share;
+            let done = self.now + processing_time;
             let sent_at = self.requests[&id].attempts[attempt as usize].sent_at;
             self.schedule_end(done, id, attempt, AttemptOutcome::Success, sent_at);
             let core_free = ScheduledEvent::CoreFree {
@@ -485,10 +486,12 @@
     }
 
     /// Returns the largest ratio of arrivals to budget of all windows of slow start.
-    pub fn worst_window(&self) -> f64 {
+    pub fn worst_budget_ratio(&self) -> f64 {
         let rules = &self.settings.rules;
         let servers = self.servers.values();
         let started = servers.filter(|server| server.started_at > 0.0);
-        started.fold(0.0, |worst, server| worst.max(server.worst_window(rules)))
+        started.fold(0.0, |worst, server| {
+            worst.max(server.worst_budget_ratio(rules))
+        })
     }
 }
--- a/tests/decision/invariants.rs
+++ b/tests/decision/invariants.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// The idempotency of each request class, by class index.
-const IDEMPOTENCY: [Idempotency; 5] = [
+const IDEMPOTENCY_BY_CLASS: [Idempotency; 5] = [
     Idempotency::Idempotent,
     Idempotency::NonIdempotent,
     WITH_IDEMPOTENCY_KEY[0],
@@ -30,13 +30,13 @@
     AttemptOutcome::NotSent,
 ];
 
-const UPSTREAMS: u64 = 6;
+const UPSTREAM_COUNT: u64 = 6;
 /// How long each client waits for its response, in seconds.
-const REMAINING: f64 = 2.0;
+const CLIENT_TIMEOUT: f64 = 2.0;
 /// How far the clock advances in a step without an event, in seconds.
 const TICK: f64 = 0.02;
 /// Deduplication window of the harness's classes, in seconds.
-const WINDOW: f64 = 1.0;
+const DEDUPLICATION_WINDOW: f64 = 1.0;
 
 /// One random step: the kind of event, the choice of its attempt, upstream or client, and its
 /// detail (class, outcome or state).
@@ -66,7 +66,7 @@
 
 impl SentRequest {
     fn idempotency(&self) -> Idempotency {
-        IDEMPOTENCY[self.class]
+        IDEMPOTENCY_BY_CLASS[self.class]
     }
 
     fn first_possible_run(&self) -> Option<&SentAttempt> {
@@ -96,19 +96,19 @@
 impl RandomRun {
     fn new(hedging_allowed: bool, cancellation_allowed: bool, mode: DiscoveryMode) -> Self {
         let mut settings = Settings {
-            classes: IDEMPOTENCY.map(class).to_vec(),
+            classes: IDEMPOTENCY_BY_CLASS.map(class).to_vec(),
             discovery_mode: mode,
             ..Settings::simple()
         };
         settings.limits.hedging_allowed = hedging_allowed;
         settings.limits.cancellation_allowed = cancellation_allowed;
         let mut harness = Harness::new(settings.clone(), 0);
-        let entries = (1..=UPSTREAMS).map(entry_in_zone).collect();
+        let entries = (1..=UPSTREAM_COUNT).map(entry_in_zone).collect();
         harness.update_endpoints(ListScope::Full, entries);
         RandomRun {
             settings,
             harness,
-            is_active: (1..=UPSTREAMS).map(|id| (id, true)).collect(),
+            is_active: (1..=UPSTREAM_COUNT).map(|id| (id, true)).collect(),
             requests: BTreeMap::new(),
             timers: Vec::new(),
             next_request: 1,
@@ -145,13 +145,13 @@
             return self.timers.pop().map(|(_, token)| Event::TimerFired(token));
         }
         match kind {
-            0..=2 => Some(self.send_request(detail as usize % IDEMPOTENCY.len())),
+            0..=2 => Some(self.send_request(detail as usize % IDEMPOTENCY_BY_CLASS.len())),
             3..=5 if !in_flight.is_empty() => {
                 let (id, attempt) = in_flight[pick as usize % in_flight.len()];
                 let outcome = OUTCOMES[detail as usize % OUTCOMES.len()];
                 Some(self.end_attempt(id, attempt, outcome, 0.05))
             }
-            6 => Some(self.change_state(1 + pick % UPSTREAMS, detail % 3 != 0)),
+            6 => Some(self.change_state(1 + pick % UPSTREAM_COUNT, detail % 3 != 0)),
             7 if !self.requests.is_empty() => Some(self.disconnect_client(pick)),
             _ => None,
         }
@@ -173,11 +173,11 @@
         self.next_request += 1;
         let sent = SentRequest {
             class,
-            deadline: self.harness.now + REMAINING,
+            deadline: self.harness.now + CLIENT_TIMEOUT,
             ..SentRequest::default()
         };
         self.requests.insert(id, sent);
-        request(id, class, REMAINING)
+        request(id, class, CLIENT_TIMEOUT)
     }
 
     fn end_attempt(
@@ -320,7 +320,7 @@
             let is_same_zone = first.upstream % 3 == upstream.0 % 3;
             prop_assert!(scope != DeduplicationScope::Cell || is_same_cell);
             prop_assert!(scope != DeduplicationScope::Zone || is_same_zone);
-            prop_assert!(now < first.sent_at + WINDOW);
+            prop_assert!(now < first.sent_at + DEDUPLICATION_WINDOW);
         }
     }
     Ok(())
--- a/tests/decision/learned_state.rs
+++ b/tests/decision/learned_state.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// The learned state of `served_lost_and_ejected` as commit 47c951f wrote it.
+/// The learned state of `balancer_with_history` as commit 47c951f wrote it.
 const RECORDED: &str = include_str!("../data/learned-state-47c951f.json");
 
 fn settings() -> Settings {
@@ -32,7 +32,7 @@
 
 /// Returns five upstreams of two machine kinds. Upstream 4 started at `started_at`, the others
 /// started long ago.
-fn listed(started_at: f64) -> Vec<UpstreamEntry> {
+fn endpoints(started_at: f64) -> Vec<UpstreamEntry> {
     let entry_of_kind = |id: u64| UpstreamEntry {
         machine_kind: id as usize % 2,
         started_at: if id == 4 { started_at } else { 0.0 },
@@ -43,9 +43,9 @@
 
 /// Returns a balancer that has served, lost and retried requests and has ejected a failing
 /// upstream. One of its upstreams is in slow start, and one has returned from maintenance.
-fn served_lost_and_ejected() -> Harness {
+fn balancer_with_history() -> Harness {
     let mut harness = Harness::new(settings(), 0);
-    harness.update_endpoints(ListScope::Full, listed(98.0));
+    harness.update_endpoints(ListScope::Full, endpoints(98.0));
     for id in 1..=60 {
         match id {
             10 => drop(harness.handle(maintenance(5, Maintenance::Begin))),
@@ -98,8 +98,8 @@
     match value {
         Value::Object(fields) => {
             for (name, field) in fields {
-                let number = name.bytes().all(|byte| byte.is_ascii_digit());
-                let name = if number { "*" } else { name };
+                let is_number = name.bytes().all(|byte| byte.is_ascii_digit());
+                let name = if is_number { "*" } else { name };
                 field_paths(field, &format!("{path}.{name}"), paths);
             }
         }
@@ -115,13 +115,13 @@
 }
 
 #[test]
-fn what_is_written_has_the_fields_that_47c951f_reads() {
+fn written_state_equals_that_of_47c951f() {
     let paths_of = |value: &Value| {
         let mut paths = BTreeSet::new();
         field_paths(value, "", &mut paths);
         paths
     };
-    let harness = served_lost_and_ejected();
+    let harness = balancer_with_history();
     let written = json(&harness.balancer.learned_state());
     let recorded: Value = serde_json::from_str(RECORDED).unwrap();
     assert_eq!(paths_of(&written), paths_of(&recorded));
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn what_47c951f_wrote_is_read_and_written_again_unchanged() {
+fn state_written_by_47c951f_survives_a_round_trip() {
     let state: LearnedState = serde_json::from_str(RECORDED).unwrap();
     // Both sides are read by the same parser, which may round the last digit of a number.
     let recorded: Value = serde_json::from_str(RECORDED).unwrap();
@@ -138,10 +138,10 @@
 }
 
 #[test]
-fn what_47c951f_wrote_is_restored_whole() {
+fn state_written_by_47c951f_is_restored_completely() {
     let recorded: LearnedState = serde_json::from_str(RECORDED).unwrap();
     let mut harness = Harness::new(settings(), 0);
-    harness.update_endpoints(ListScope::Full, listed(98.0));
+    harness.update_endpoints(ListScope::Full, endpoints(98.0));
     // The clocks of both processes agree.
     harness.now = json(&recorded)["at"].as_f64().unwrap();
     let before = json(&harness.balancer.learned_state());
@@ -177,7 +177,7 @@
 
 /// Whether the failing upstream restarts before the state is restored.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Upstream {
+enum FailingUpstream {
     SameProcess,
     Restarted,
 }
@@ -185,17 +185,17 @@
 /// After an upgrade, the new process must not lose requests to learn again what the old process
 /// had learned.
 #[test]
-fn restored_balancer_knows_what_the_other_learned() {
+fn restored_state_prevents_repeated_losses() {
     let mut old = Harness::new(settings_without_retries(), 4);
     assert!(
         count_lost(&mut old) >= 2,
         "two requests are lost before the outlier is detected"
     );
     let text = serde_json::to_string(&old.balancer.learned_state()).unwrap();
-    let lost_after_restore = |clock_offset: f64, age: f64, upstream: Upstream| {
+    let lost_after_restore = |clock_offset: f64, age: f64, upstream: FailingUpstream| {
         let mut new = Harness::new(settings_without_retries(), 4);
         new.now = old.now + age + clock_offset;
-        if upstream == Upstream::Restarted {
+        if upstream == FailingUpstream::Restarted {
             let restarted = UpstreamEntry {
                 started_at: new.now - 50.0,
                 ..entry(1)
@@ -206,20 +206,23 @@
         new.balancer.restore(new.now, age, state);
         count_lost(&mut new)
     };
-    assert_eq!(lost_after_restore(0.0, 0.1, Upstream::SameProcess), 0);
+    assert_eq!(
+        lost_after_restore(0.0, 0.1, FailingUpstream::SameProcess),
+        0
+    );
     for clock_offset in [-3600.0, -5.0, 5.0, 3600.0] {
-        let lost = lost_after_restore(clock_offset, 0.1, Upstream::SameProcess);
+        let lost = lost_after_restore(clock_offset, 0.1, FailingUpstream::SameProcess);
         assert_eq!(
             lost, 0,
             "the clock of the new process is {clock_offset} s ahead"
         );
     }
-    let lost = lost_after_restore(0.0, 0.1, Upstream::Restarted);
+    let lost = lost_after_restore(0.0, 0.1, FailingUpstream::Restarted);
     assert!(
         lost >= 2,
         "{lost} lost; after its restart the upstream may run another program"
     );
-    let lost = lost_after_restore(0.0, 60.0, Upstream::SameProcess);
+    let lost = lost_after_restore(0.0, 60.0, FailingUpstream::SameProcess);
     assert!(
         lost >= 2,
         "{lost} lost; the state was saved too long ago to be restored"
--- a/tests/decision/lifecycle.rs
+++ b/tests/decision/lifecycle.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn clock_that_steps_back_does_no_harm() {
+fn backward_clock_step_is_tolerated() {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
     harness.handle(request(1, 0, 2.0));
     harness.now -= 50.0;
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn started_response_is_left_alone() {
+fn started_response_is_final() {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 3);
     harness.handle(request(1, 0, 2.0));
     assert!(harness
--- a/tests/decision/log_event.rs
+++ b/tests/decision/log_event.rs
@@ -15,7 +15,7 @@
 }
 
 /// Returns the log line of an event. Only upstream 3 has a name.
-fn line(event: LogEvent) -> String {
+fn log_line(event: LogEvent) -> String {
     let name = |upstream: UpstreamId| (upstream == UpstreamId(3)).then_some("u3");
     event.text(name, &classes())
 }
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn line_says_what_happened_where_and_figures() {
+fn log_lines_have_the_expected_text() {
     let ejected = |upstream, scope, cause| LogEvent::Ejected {
         upstream: UpstreamId(upstream),
         scope,
@@ -61,7 +61,7 @@
             "discovery poll failed; polling again in 0.6 s",
         ),
     ] {
-        assert_eq!(line(event), text);
+        assert_eq!(log_line(event), text);
     }
 }
 
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn failed_poll_reports_the_delay_of_the_next_one() {
+fn failed_poll_reports_the_delay_of_the_next_poll() {
     let settings = Settings {
         discovery_mode: DiscoveryMode::Poll,
         ..Settings::simple()
--- a/tests/decision/maintenance.rs
+++ b/tests/decision/maintenance.rs
@@ -7,7 +7,7 @@
 
 /// Operators' maintenance takes precedence over the endpoint list.
 #[test]
-fn upstream_in_maintenance_gets_no_requests_whatever_is_listed() {
+fn upstream_in_maintenance_gets_no_requests_even_if_listed() {
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
     harness.fill_slots(1, 0);
     let open = harness.balancer.load().open_requests as u64;
@@ -52,7 +52,7 @@
 /// The upstream may have been restarted while it was out of service.
 #[test]
 fn upstream_returned_from_maintenance_is_in_slow_start() {
-    let requests_after = |restarted_at: Option<f64>, listed_before: bool| {
+    let count_requests = |restarted_at: Option<f64>, is_listed_before_return: bool| {
         let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 3);
         harness.handle(maintenance(1, Maintenance::Begin));
         let restarted_entry = UpstreamEntry {
@@ -60,15 +60,15 @@
             ..entry(1)
         };
         harness.now += 5.0;
-        let list = |harness: &mut Harness| {
+        let list_restarted = |harness: &mut Harness| {
             harness.update_endpoints(ListScope::Delta, vec![restarted_entry.clone()]);
         };
-        if listed_before {
-            list(&mut harness);
+        if is_listed_before_return {
+            list_restarted(&mut harness);
         }
         harness.handle(maintenance(1, Maintenance::End));
-        if !listed_before {
-            list(&mut harness);
+        if !is_listed_before_return {
+            list_restarted(&mut harness);
         }
         let upstreams = (1..=300).map(|id| {
             let upstream = harness.send(request(id, 0, 2.0));
@@ -77,17 +77,17 @@
         });
         upstreams.filter(|upstream| *upstream == 1).count()
     };
-    for (restarted_at, listed_before) in [
+    for (restarted_at, is_listed_before_return) in [
         (None, true),
         (None, false),
         (Some(104.0), true),
         (Some(104.0), false),
     ] {
-        let count = requests_after(restarted_at, listed_before);
+        let count = count_requests(restarted_at, is_listed_before_return);
         assert!(
             (15..=50).contains(&count),
             "{count} of 300 requests; restarted at {restarted_at:?}, listed before its return: \
-             {listed_before}"
+             {is_listed_before_return}"
         );
     }
 }
--- a/tests/decision/outlier_classes.rs
+++ b/tests/decision/outlier_classes.rs
@@ -146,7 +146,7 @@
 
 /// A trial request may fail, and is lost if it can't be repeated.
 #[test]
-fn idempotent_requests_do_the_trials_of_a_failing_upstream() {
+fn trial_requests_are_idempotent_if_possible() {
     let mixed = fail_all_classes(
         [
             Idempotency::Idempotent,
--- a/tests/decision/outliers.rs
+++ b/tests/decision/outliers.rs
@@ -89,7 +89,7 @@
 
 /// An upstream may lose some requests of a class and respond to the others.
 #[test]
-fn overdue_attempt_excludes_its_class_though_others_get_responses() {
+fn overdue_attempt_excludes_its_class_despite_other_responses() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
     let upstream_of_lost = harness.send(request(1, 0, 20.0));
     let mut count = 0;
@@ -140,8 +140,11 @@
     for _ in 0..8 {
         lose_one(&mut harness);
     }
-    let late: u32 = (0..4).map(|_| lose_one(&mut harness)).sum();
-    assert!(late >= 8, "{late} of 48 requests; an even share is 12");
+    let while_overdue: u32 = (0..4).map(|_| lose_one(&mut harness)).sum();
+    assert!(
+        while_overdue >= 8,
+        "{while_overdue} of 48 requests; an even share is 12"
+    );
 }
 
 /// The upstream is not to blame for a short client deadline, nor for a single broken connection.
@@ -168,7 +171,7 @@
 /// The upstream is not to blame for a slow upload.
 #[test]
 fn streamed_request_is_overdue_only_after_its_upload() {
-    let requests_there = |is_uploaded: bool| {
+    let requests_to_upstream = |is_uploaded: bool| {
         let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 3);
         let streamed = Request {
             id: RequestId(1),
@@ -189,6 +192,9 @@
             .filter(|started| started.upstream == uploading_to)
             .count()
     };
-    assert!(requests_there(false) > 0, "the client is still uploading");
-    assert_eq!(requests_there(true), 0, "the request is overdue");
+    assert!(
+        requests_to_upstream(false) > 0,
+        "the client is still uploading"
+    );
+    assert_eq!(requests_to_upstream(true), 0, "the request is overdue");
 }
--- a/tests/decision/queues.rs
+++ b/tests/decision/queues.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn queued_request_is_given_up_once_at_its_queue_deadline() {
+fn queued_request_is_rejected_once_at_its_queue_deadline() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
     let queued = harness.fill_slots(1, 0);
     let actions = harness.fire_timer_after(2.1, queued);
@@ -74,11 +74,11 @@
         queued += u32::from(!is_rejected(&actions, id) && started_attempts(&actions).is_empty());
     }
     // All three queues are used, so more requests are queued than one queue holds.
-    let mut one = Harness::with_classes(&[Idempotency::Idempotent], 1);
+    let mut one_upstream = Harness::with_classes(&[Idempotency::Idempotent], 1);
     let one_queue = (1..200)
-        .filter(|id| !is_rejected(&one.handle(request(*id, 0, 2.0)), *id))
+        .filter(|id| !is_rejected(&one_upstream.handle(request(*id, 0, 2.0)), *id))
         .count()
-        - one.balancer.load().attempts_in_flight;
+        - one_upstream.balancer.load().attempts_in_flight;
     assert!(
         queued as usize >= 3 * one_queue / 2,
         "{queued} in three queues, {one_queue} in one"
@@ -101,12 +101,12 @@
     let queued = harness.fill_slots(1, 0);
     harness.handle(attempt_ended(1, 0, AttemptOutcome::Rejected));
     harness.now += 0.95;
-    let waiting = (1..=queued)
+    let rejected = (1..=queued)
         .filter(|id| is_rejected(&harness.handle(Event::TimerFired(*id)), *id))
         .count();
     assert!(
-        waiting >= 1,
-        "the latency objective of one second can't be met, but {waiting} requests are rejected"
+        rejected >= 1,
+        "the latency objective of one second can't be met, but {rejected} requests are rejected"
     );
 }
 
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn higher_priority_weight_is_dispatched_first() {
+fn class_with_higher_priority_weight_is_dispatched_first() {
     let mut harness = Harness::new(two_priorities(), 1);
     let low = harness.fill_slots(1, 0);
     let high = low + 1;
@@ -176,7 +176,7 @@
         },
         1,
     );
-    let from = |id: u64, tenant: usize| {
+    let request_from = |id: u64, tenant: usize| {
         let id = RequestId(id);
         Event::Request(Request {
             id,
@@ -188,14 +188,14 @@
         })
     };
     for id in 1..100 {
-        harness.handle(from(id, 0));
+        harness.handle(request_from(id, 0));
         if id < 95 {
             harness.handle(Event::ClientDisconnected(RequestId(id)));
             harness.handle(attempt_ended(id, 0, AttemptOutcome::Cancelled));
         }
     }
     assert!(
-        started_attempts(&harness.handle(from(200, 1))).is_empty(),
+        started_attempts(&harness.handle(request_from(200, 1))).is_empty(),
         "the slots are taken"
     );
     assert_eq!(
--- a/tests/decision/retries.rs
+++ b/tests/decision/retries.rs
@@ -61,20 +61,20 @@
 fn broken_connections_are_retried_within_the_budget() {
     let count_given_up = |outcome: AttemptOutcome| {
         let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 4);
-        let mut count_given_up = 0;
+        let mut given_up = 0;
         for id in 1..=300 {
             harness.handle(request(id, 0, 2.0));
             harness.now += 0.1;
             // One attempt in twenty is lost, and its retry succeeds.
             if id % 20 == 0 {
                 let actions = harness.handle(attempt_lost(id, outcome, 0.001));
-                count_given_up += u32::from(started_attempts(&actions).is_empty());
+                given_up += u32::from(started_attempts(&actions).is_empty());
                 harness.handle(attempt_ended(id, 1, AttemptOutcome::Success));
             } else {
                 harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
             }
         }
-        count_given_up
+        given_up
     };
     assert_eq!(count_given_up(AttemptOutcome::Reset), 0);
     assert!(
--- a/tests/decision/rotation.rs
+++ b/tests/decision/rotation.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn rotation_is_even_in_response_time() {
+fn rotation_is_weighted_by_response_time() {
     // Upstreams 1 and 2 are of a machine kind that takes three times as long as that of 3 and 4.
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 0);
     let entries = (1..=4)
--- a/tests/decision/slow_start.rs
+++ b/tests/decision/slow_start.rs
@@ -46,7 +46,7 @@
 }
 
 /// Adds an upstream that started at `started_at` to the endpoint list.
-fn list_start(harness: &mut Harness, id: u64, started_at: f64) {
+fn list_upstream(harness: &mut Harness, id: u64, started_at: f64) {
     let started = UpstreamEntry {
         started_at,
         ..entry(id)
@@ -56,36 +56,36 @@
 
 #[test]
 fn upstream_age_does_not_depend_on_wall_clocks() {
-    for ahead in [-3600.0, -5.0, 0.0, 5.0, 3600.0] {
+    for clock_offset in [-3600.0, -5.0, 0.0, 5.0, 3600.0] {
         let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 9);
         harness.now += 10_000.0;
-        let started_at = harness.now - ahead;
-        list_start(&mut harness, 10, started_at);
+        let started_at = harness.now - clock_offset;
+        list_upstream(&mut harness, 10, started_at);
         let count = requests_to_the_last(&mut harness);
         assert!(
             (2..=5).contains(&count),
-            "{count} requests at the start, clock {ahead} s ahead"
+            "{count} requests at the start, clock {clock_offset} s fast"
         );
         harness.now += 10.0;
         let count = requests_to_the_last(&mut harness);
         assert!(
             (18..=22).contains(&count),
-            "{count} requests after slow start, clock {ahead} s ahead"
+            "{count} requests after slow start, clock {clock_offset} s fast"
         );
     }
 }
 
 /// A start counts as older by as much as its delay exceeds the least delay so far.
 #[test]
-fn start_that_is_listed_late_counts_as_older() {
+fn start_listed_late_counts_as_older() {
     // The second start is listed late because of a network fault.
     for (delay, min, max) in [(0.5, 2, 5), (5.5, 9, 13), (10.5, 18, 22)] {
         let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 9);
         let now = harness.now;
-        list_start(&mut harness, 9, now - 0.5);
+        list_upstream(&mut harness, 9, now - 0.5);
         harness.now += 20.0;
         let now = harness.now;
-        list_start(&mut harness, 10, now - delay);
+        list_upstream(&mut harness, 10, now - delay);
         let count = requests_to_the_last(&mut harness);
         assert!(
             (min..=max).contains(&count),
@@ -97,7 +97,7 @@
 /// Upstreams in the first list of a new balancer may have started long before it. Ten upstreams
 /// that started 20 s before take every request at once.
 #[test]
-fn starts_of_the_first_list_lie_in_the_past() {
+fn upstreams_of_the_first_list_may_be_past_slow_start() {
     for scope in [ListScope::Cached, ListScope::Full, ListScope::Delta] {
         let settings = Settings {
             classes: vec![class(Idempotency::Idempotent)],
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn warming_upstream_keeps_to_its_share_while_others_are_down() {
+fn warming_upstream_gets_only_its_share_while_others_reject() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 3);
     harness.update_endpoints(
         ListScope::Delta,
@@ -158,8 +158,8 @@
 }
 
 #[test]
-fn new_balancers_spare_a_warming_upstream() {
-    let mut first = 0;
+fn new_balancers_do_not_overload_a_warming_upstream() {
+    let mut first_requests = 0;
     for seed in 0..100 {
         let mut balancer = Balancer::new(Settings::simple(), seed, 100.0).unwrap();
         let mut actions = Vec::new();
@@ -181,19 +181,19 @@
         for id in 1..=2 {
             balancer.handle(100.0, request(id, 0, 2.0), &mut actions);
         }
-        first += started_attempts(&actions)
+        first_requests += started_attempts(&actions)
             .iter()
             .filter(|started| started.upstream == 2)
             .count();
     }
     assert!(
-        first <= 50,
-        "{first} of 100 new balancers sent a request to the warming upstream at once"
+        first_requests <= 50,
+        "{first_requests} of 100 new balancers sent a request to the warming upstream at once"
     );
 }
 
 #[test]
-fn balancers_whose_subsets_grow_together_spare_a_warming_upstream() {
+fn balancers_with_growing_subsets_do_not_overload_a_warming_upstream() {
     // The subsets of forty balancers have three of nine upstreams each. A tenth upstream is listed
     // that stays at a hundredth of its capacity. After 600 requests each, all balancers have to
     // queue requests and grow their subsets.
