--- a/tests/decision/fleet_poll_schedule.rs
+++ b/tests/decision/fleet_poll_schedule.rs
@@ -14,11 +14,11 @@
 pub const QUEUE_TIMEOUT: f64 = 2.0;
 /// If the polls in its queue take longer than this, discovery refuses a poll at once, at no cost.
 const MAX_QUEUED_WORK: f64 = 4.0;
-/// Discovery is down from this moment until `OUTAGE_END`. The fleet starts at 0 and has received
+/// Discovery is down from this time until `OUTAGE_END`. The fleet starts at 0 and has received
 /// its lists by then.
 const OUTAGE_START: f64 = 8.0;
 const OUTAGE_END: f64 = 16.0;
-/// A third of the fleet restarts at this moment, as in a release.
+/// A third of the fleet restarts at this time, as in a release.
 const RESTART_AT: f64 = OUTAGE_END + 3.0;
 const SIMULATION_END: f64 = 46.0;
 
@@ -130,9 +130,9 @@
         }
     }
 
-    fn schedule(&mut self, index: usize, moment: f64, event: ScheduledEvent) {
+    fn schedule(&mut self, index: usize, time: f64, event: ScheduledEvent) {
         self.schedule.push(Reverse(ScheduledStep {
-            micros: micros(moment),
+            micros: micros(time),
             node: index,
             incarnation: self.nodes[index].incarnation,
             event,
--- a/tests/decision/fleet_slow_start/faults.rs
+++ b/tests/decision/fleet_slow_start/faults.rs
@@ -77,16 +77,16 @@
     fn schedule_rolling_replacement(&mut self, count: u64) {
         let upstreams = self.scenario.upstreams as u64;
         for n in 0..count {
-            let moment = UPSTREAM_START + 7.0 * n as f64 / count as f64;
+            let time = UPSTREAM_START + 7.0 * n as f64 / count as f64;
             let upstream = upstreams + 1 + n;
             let start = ScheduledEvent::Start {
                 upstream,
                 downtime: 0.0,
             };
-            self.schedule(moment, start);
+            self.schedule(time, start);
             self.schedule_notifications(
-                moment,
-                &[draining_entry(1 + n), started_entry(upstream, moment)],
+                time,
+                &[draining_entry(1 + n), started_entry(upstream, time)],
             );
         }
     }
@@ -122,7 +122,7 @@
             self.schedule(UPSTREAM_START - 1.0, restart);
             for balancer in 0..self.scenario.balancers {
                 let delay = self.rng.random_range(0.0..0.2);
-                for (moment, change) in [
+                for (time, change) in [
                     (UPSTREAM_START - 3.0 + delay, Maintenance::Begin),
                     (UPSTREAM_START + delay, Maintenance::End),
                 ] {
@@ -131,7 +131,7 @@
                         upstream,
                         change,
                     };
-                    self.schedule(moment, event);
+                    self.schedule(time, event);
                 }
             }
         }
@@ -152,14 +152,14 @@
 
     /// Schedules the notification of all balancers: most within half a second, about 15 % within
     /// three seconds.
-    fn schedule_notifications(&mut self, moment: f64, entries: &[UpstreamEntry]) {
+    fn schedule_notifications(&mut self, time: f64, entries: &[UpstreamEntry]) {
         for balancer in 0..self.scenario.balancers {
             let is_late = self.rng.random_bool(0.15);
             let max_delay = if is_late { 3.0 } else { 0.5 };
             let delay = self.rng.random_range(0.0..max_delay);
             let entries = entries.to_vec();
             self.schedule(
-                moment + delay,
+                time + delay,
                 ScheduledEvent::Notification { balancer, entries },
             );
         }
--- a/tests/decision/fleet_slow_start/mod.rs
+++ b/tests/decision/fleet_slow_start/mod.rs
@@ -22,7 +22,7 @@
 /// The result of a simulation.
 struct SimulationResult {
     /// Arrivals in the worst window, divided by its budget.
-    worst_budget_ratio: f64,
+    worst_ratio: f64,
     /// Share of the measured requests that were served in time.
     served_share: f64,
 }
@@ -37,7 +37,7 @@
     let mut simulation = Simulation::new(scenario, rules);
     simulation.run();
     SimulationResult {
-        worst_budget_ratio: simulation.worst_budget_ratio(),
+        worst_ratio: simulation.worst_ratio(),
         served_share: simulation.served_share(),
     }
 }
@@ -63,7 +63,7 @@
                     fault,
                     seed,
                 });
-                worst = worst.max(result.worst_budget_ratio);
+                worst = worst.max(result.worst_ratio);
                 served += result.served_share / SEED_COUNT as f64;
             }
             let case = format!("{balancers} balancers, {fault:?}, load {load}");
@@ -106,7 +106,7 @@
                 fault,
                 seed,
             };
-            simulate(scenario).worst_budget_ratio
+            simulate(scenario).worst_ratio
         };
         (1..=3).map(worst).sum::<f64>()
     };
--- a/tests/decision/fleet_slow_start/server.rs
+++ b/tests/decision/fleet_slow_start/server.rs
@@ -12,7 +12,7 @@
 
 /// Arrival of an attempt at an upstream.
 pub struct Arrival {
-    pub moment: f64,
+    pub time: f64,
     /// Whether the balancer had been notified of the upstream's start.
     pub was_notified: bool,
 }
@@ -37,22 +37,22 @@
 
 impl Server {
     /// Returns the arrivals in the worst window of slow start, divided by its budget.
-    pub fn worst_budget_ratio(&self, rules: &Rules) -> f64 {
+    pub fn worst_ratio(&self, rules: &Rules) -> f64 {
         let slow_start = self.started_at..self.started_at + rules.slow_start_window;
         let arrivals = self.arrivals.iter();
         let arrivals: Vec<_> = arrivals
-            .filter(|arrival| slow_start.contains(&arrival.moment))
+            .filter(|arrival| slow_start.contains(&arrival.time))
             .collect();
         let mut worst: f64 = 0.0;
         for (first, begin) in arrivals.iter().enumerate() {
-            let share = rules.slow_start_share(self.started_at, begin.moment);
+            let share = rules.slow_start_share(self.started_at, begin.time);
             let allowed = rules.overload_multiple * CAPACITY * share * BUDGET_WINDOW;
             let budget = allowed + 2.0 * allowed.sqrt() + 2.0;
             let (mut count, mut notified) = (0.0, 0.0);
-            let end = begin.moment + BUDGET_WINDOW;
+            let end = begin.time + BUDGET_WINDOW;
             for arrival in arrivals[first..]
                 .iter()
-                .take_while(|arrival| arrival.moment < end)
+                .take_while(|arrival| arrival.time < end)
             {
                 count += 1.0;
                 notified += f64::from(u8::from(arrival.was_notified));
--- a/tests/decision/fleet_slow_start/simulation.rs
+++ b/tests/decision/fleet_slow_start/simulation.rs
@@ -39,7 +39,7 @@
     deadline: f64,
 }
 
-/// An event that is scheduled for a moment.
+/// A scheduled event.
 pub enum ScheduledEvent {
     RequestArrival {
         balancer: usize,
@@ -100,8 +100,8 @@
     served_requests: f64,
 }
 
-fn is_measured(moment: f64) -> bool {
-    (UPSTREAM_START..UPSTREAM_START + MEASURED_DURATION).contains(&moment)
+fn is_measured(time: f64) -> bool {
+    (UPSTREAM_START..UPSTREAM_START + MEASURED_DURATION).contains(&time)
 }
 
 impl Simulation {
@@ -157,8 +157,8 @@
         Balancer::new(settings, self.rng.random(), self.now).unwrap()
     }
 
-    pub fn schedule(&mut self, moment: f64, scheduled: ScheduledEvent) {
-        let micros = (moment * 1e6).ceil() as u64;
+    pub fn schedule(&mut self, time: f64, scheduled: ScheduledEvent) {
+        let micros = (time * 1e6).ceil() as u64;
         self.schedule.push(Reverse((micros, self.next_key)));
         self.scheduled_events.insert(self.next_key, scheduled);
         self.next_key += 1;
@@ -182,18 +182,18 @@
     }
 
     fn schedule_requests_of(&mut self, balancer: usize, rate: f64) {
-        let mut moment = 0.0;
-        while moment < ARRIVALS_END {
-            let is_in_burst = (UPSTREAM_START..UPSTREAM_START + BURST_DURATION).contains(&moment);
+        let mut time = 0.0;
+        while time < ARRIVALS_END {
+            let is_in_burst = (UPSTREAM_START..UPSTREAM_START + BURST_DURATION).contains(&time);
             let factor = if is_in_burst { 1.5 } else { 1.0 };
-            moment -= (1.0 - self.rng.random::<f64>()).ln() / (rate * factor);
+            time -= (1.0 - self.rng.random::<f64>()).ln() / (rate * factor);
             let id = self.next_request_id(balancer);
             let arrival = ScheduledEvent::RequestArrival {
                 balancer,
                 id,
                 client_retries: 0,
             };
-            self.schedule(moment, arrival);
+            self.schedule(time, arrival);
         }
     }
 
@@ -313,7 +313,7 @@
 
     fn schedule_end(
         &mut self,
-        moment: f64,
+        time: f64,
         id: u64,
         attempt: u32,
         outcome: AttemptOutcome,
@@ -325,7 +325,7 @@
             outcome,
             sent_at,
         };
-        self.schedule(moment, end);
+        self.schedule(time, end);
     }
 
     /// Passes an event to a balancer and carries out its actions.
@@ -358,8 +358,8 @@
         };
         queue.retain(|queued| *queued != cancelled);
         if is_in_flight {
-            let moment = self.now + 0.001;
-            self.schedule_end(moment, id, index, AttemptOutcome::Cancelled, sent_at);
+            let time = self.now + 0.001;
+            self.schedule_end(time, id, index, AttemptOutcome::Cancelled, sent_at);
         }
     }
 
@@ -403,18 +403,15 @@
 
     /// Records the arrival of an attempt. Returns its outcome if it is not queued.
     fn record_arrival(&mut self, balancer: usize, upstream: u64) -> Option<AttemptOutcome> {
-        let moment = self.now;
+        let time = self.now;
         let server = self.servers.get_mut(&upstream).unwrap();
-        if moment < server.down_until {
+        if time < server.down_until {
             return Some(AttemptOutcome::ConnectFailed);
         }
         let entry = self.notified[balancer].get(&upstream);
         let was_notified =
             entry.is_some_and(|entry| (entry.started_at - server.started_at).abs() < 1e-3);
-        server.arrivals.push(Arrival {
-            moment,
-            was_notified,
-        });
+        server.arrivals.push(Arrival { time, was_notified });
         (server.queue.len() >= QUEUE_CAPACITY).then_some(AttemptOutcome::Rejected)
     }
 
@@ -486,12 +483,10 @@
     }
 
     /// Returns the largest ratio of arrivals to budget of all windows of slow start.
-    pub fn worst_budget_ratio(&self) -> f64 {
+    pub fn worst_ratio(&self) -> f64 {
         let rules = &self.settings.rules;
         let servers = self.servers.values();
         let started = servers.filter(|server| server.started_at > 0.0);
-        started.fold(0.0, |worst, server| {
-            worst.max(server.worst_budget_ratio(rules))
-        })
+        started.fold(0.0, |worst, server| worst.max(server.worst_ratio(rules)))
     }
 }
--- a/tests/decision/invariants.rs
+++ b/tests/decision/invariants.rs
@@ -141,7 +141,7 @@
             return Some(self.end_attempt(id, attempt, AttemptOutcome::TimedOut, 1.0));
         }
         self.timers.sort_by(|a, b| b.0.total_cmp(&a.0));
-        if self.timers.last().is_some_and(|(moment, _)| *moment <= now) {
+        if self.timers.last().is_some_and(|(time, _)| *time <= now) {
             return self.timers.pop().map(|(_, token)| Event::TimerFired(token));
         }
         match kind {
