--- a/tests/decision/fleet_slow_start/faults.rs
+++ b/tests/decision/fleet_slow_start/faults.rs
@@ -1,41 +1,41 @@
-//! The faults that a simulation can have: they schedule what happens to upstreams and what
-//! balancers learn of it.
+//! The faults of a simulation. Each schedules events of upstreams and notifications of balancers.
 
 use super::simulation::{ScheduledEvent, Simulation};
 use crate::harness::entry;
 use load_balancer::{Maintenance, UpstreamEntry, UpstreamState};
 use rand::Rng;
 
-/// When upstreams start, in seconds. The load rises by half for some seconds then.
-pub const START: f64 = 4.0;
-/// For how long an upstream is down before it starts again, in seconds.
+/// When the affected upstreams start, in seconds. The load is higher by half for some seconds from
+/// then on.
+pub const UPSTREAM_START: f64 = 4.0;
+/// How long a restarting upstream is down, in seconds.
 const DOWNTIME: f64 = 0.5;
 
-/// What happens to some of the upstreams.
+/// A fault and the number of upstreams that it affects.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// So many restart at once.
+    /// The upstreams restart at once.
     Restart(usize),
-    /// So many are replaced one after the other within seven seconds.
+    /// The upstreams are replaced one after the other within seven seconds.
     RollingReplacement(usize),
-    /// So many are replaced at once.
+    /// The upstreams are replaced at once.
     Replacement(usize),
-    /// So many restart behind a network that lets nothing through for two seconds.
+    /// The upstreams restart, and the network drops everything sent to them for two seconds.
     NetworkOutage(usize),
-    /// So many restart while they are in maintenance, and return together.
+    /// The upstreams restart during maintenance and return to service together.
     Maintenance(usize),
-    /// So many restart while seven in ten balancers are new and have learned nothing.
+    /// The upstreams restart, and so do seven in ten balancers, which lose their learned state.
     NewBalancers(usize),
 }
 
-fn started(id: u64, started_at: f64) -> UpstreamEntry {
+fn started_entry(id: u64, started_at: f64) -> UpstreamEntry {
     UpstreamEntry {
         started_at,
         ..entry(id)
     }
 }
 
-fn draining(id: u64) -> UpstreamEntry {
+fn draining_entry(id: u64) -> UpstreamEntry {
     UpstreamEntry {
         state: UpstreamState::Draining,
         ..entry(id)
@@ -55,34 +55,39 @@
         }
     }
 
-    /// Returns the new entries.
-    fn restart_upstreams(&mut self, count: usize) -> Vec<UpstreamEntry> {
+    /// Schedules the restart of the first `count` upstreams and returns their new entries.
+    fn schedule_upstream_restarts(&mut self, count: usize) -> Vec<UpstreamEntry> {
         for upstream in 1..=count as u64 {
             let restart = ScheduledEvent::Start {
                 upstream,
                 downtime: DOWNTIME,
             };
-            self.schedule(START - DOWNTIME, restart);
+            self.schedule(UPSTREAM_START - DOWNTIME, restart);
         }
-        (1..=count as u64).map(|id| started(id, START)).collect()
+        (1..=count as u64)
+            .map(|id| started_entry(id, UPSTREAM_START))
+            .collect()
     }
 
     fn schedule_restart(&mut self, count: usize) {
-        let entries = self.restart_upstreams(count);
-        self.notify_all(START, &entries);
+        let entries = self.schedule_upstream_restarts(count);
+        self.schedule_notifications(UPSTREAM_START, &entries);
     }
 
     fn schedule_rolling_replacement(&mut self, count: u64) {
         let upstreams = self.scenario.upstreams as u64;
         for n in 0..count {
-            let moment = START + 7.0 * n as f64 / count as f64;
+            let time = UPSTREAM_START + 7.0 * n as f64 / count as f64;
             let upstream = upstreams + 1 + n;
             let start = ScheduledEvent::Start {
                 upstream,
                 downtime: 0.0,
             };
-            self.schedule(moment, start);
-            self.notify_all(moment, &[draining(1 + n), started(upstream, moment)]);
+            self.schedule(time, start);
+            self.schedule_notifications(
+                time,
+                &[draining_entry(1 + n), started_entry(upstream, time)],
+            );
         }
     }
 
@@ -93,19 +98,19 @@
                 upstream: upstreams + n,
                 downtime: 0.0,
             };
-            self.schedule(START, start);
+            self.schedule(UPSTREAM_START, start);
         }
-        let new = (1..=count).map(|n| started(upstreams + n, START));
-        let entries: Vec<_> = new.chain((1..=count).map(draining)).collect();
-        self.notify_all(START, &entries);
+        let new = (1..=count).map(|n| started_entry(upstreams + n, UPSTREAM_START));
+        let entries: Vec<_> = new.chain((1..=count).map(draining_entry)).collect();
+        self.schedule_notifications(UPSTREAM_START, &entries);
     }
 
     fn schedule_network_outage(&mut self, count: usize) {
-        let entries = self.restart_upstreams(count);
+        let entries = self.schedule_upstream_restarts(count);
         for id in 1..=count as u64 {
-            self.server(id).down_until = START + 2.0;
+            self.server(id).down_until = UPSTREAM_START + 2.0;
         }
-        self.notify_all(START, &entries);
+        self.schedule_notifications(UPSTREAM_START, &entries);
     }
 
     fn schedule_maintenance(&mut self, count: u64) {
@@ -114,43 +119,47 @@
                 upstream,
                 downtime: 1.0,
             };
-            self.schedule(START - 1.0, restart);
+            self.schedule(UPSTREAM_START - 1.0, restart);
             for balancer in 0..self.scenario.balancers {
                 let delay = self.rng.random_range(0.0..0.2);
-                for (moment, change) in [
-                    (START - 3.0 + delay, Maintenance::Begin),
-                    (START + delay, Maintenance::End),
+                for (time, change) in [
+                    (UPSTREAM_START - 3.0 + delay, Maintenance::Begin),
+                    (UPSTREAM_START + delay, Maintenance::End),
                 ] {
-                    let order = ScheduledEvent::Maintenance {
+                    let event = ScheduledEvent::Maintenance {
                         balancer,
                         upstream,
                         change,
                     };
-                    self.schedule(moment, order);
+                    self.schedule(time, event);
                 }
             }
         }
     }
 
     fn schedule_new_balancers(&mut self, count: usize) {
-        let entries = self.restart_upstreams(count);
+        let entries = self.schedule_upstream_restarts(count);
         for balancer in 0..self.scenario.balancers {
             if self.rng.random_bool(0.7) {
-                self.schedule(START + 0.2, ScheduledEvent::BalancerRestart { balancer });
+                self.schedule(
+                    UPSTREAM_START + 0.2,
+                    ScheduledEvent::BalancerRestart { balancer },
+                );
             }
         }
-        self.notify_all(START, &entries);
+        self.schedule_notifications(UPSTREAM_START, &entries);
     }
 
-    /// Notifies all balancers within half a second, some up to three seconds late.
-    fn notify_all(&mut self, moment: f64, entries: &[UpstreamEntry]) {
+    /// Schedules the notification of all balancers: most within half a second, about 15 % within
+    /// three seconds.
+    fn schedule_notifications(&mut self, time: f64, entries: &[UpstreamEntry]) {
         for balancer in 0..self.scenario.balancers {
             let is_late = self.rng.random_bool(0.15);
             let max_delay = if is_late { 3.0 } else { 0.5 };
             let delay = self.rng.random_range(0.0..max_delay);
             let entries = entries.to_vec();
             self.schedule(
-                moment + delay,
+                time + delay,
                 ScheduledEvent::Notification { balancer, entries },
             );
         }
--- a/tests/decision/fleet_slow_start/server.rs
+++ b/tests/decision/fleet_slow_start/server.rs
@@ -1,22 +1,23 @@
-//! An upstream of the simulation, and the budget of its slow start. All times are seconds.
+//! An upstream of the simulation, and its budget of arrivals during slow start. All times are
+//! seconds.
 
 use load_balancer::Rules;
 use std::collections::VecDeque;
 
-/// Length of the windows that have a budget.
-const WINDOW: f64 = 3.0;
-/// Requests of mean work per second that a warm upstream can take: few, so that one request of
-/// each balancer matters.
+/// Length of a window with a budget of arrivals.
+const BUDGET_WINDOW: f64 = 3.0;
+/// Requests of mean work that a warm upstream can process per second. The number is small so that
+/// a single request from each balancer matters.
 pub const CAPACITY: f64 = 4.0;
 
 /// Arrival of an attempt at an upstream.
 pub struct Arrival {
-    pub moment: f64,
-    /// The balancer had been notified of the upstream's start.
+    pub time: f64,
+    /// Whether the balancer had been notified of the upstream's start.
     pub was_notified: bool,
 }
 
-/// An attempt that waits for a core.
+/// An attempt that is queued until a core is free.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct QueuedAttempt {
     pub request: u64,
@@ -24,7 +25,7 @@
     pub attempt: u32,
 }
 
-/// An upstream.
+/// A simulated upstream.
 #[derive(Default)]
 pub struct Server {
     pub started_at: f64,
@@ -35,23 +36,23 @@
 }
 
 impl Server {
-    /// Arrivals over the budget in the worst window of slow start.
-    pub fn worst_window(&self, rules: &Rules) -> f64 {
+    /// Returns the arrivals in the worst window of slow start, divided by its budget.
+    pub fn worst_ratio(&self, rules: &Rules) -> f64 {
         let slow_start = self.started_at..self.started_at + rules.slow_start_window;
         let arrivals = self.arrivals.iter();
         let arrivals: Vec<_> = arrivals
-            .filter(|arrival| slow_start.contains(&arrival.moment))
+            .filter(|arrival| slow_start.contains(&arrival.time))
             .collect();
         let mut worst: f64 = 0.0;
         for (first, begin) in arrivals.iter().enumerate() {
-            let share = rules.slow_start_share(self.started_at, begin.moment);
-            let allowed = rules.overload_multiple * CAPACITY * share * WINDOW;
+            let share = rules.slow_start_share(self.started_at, begin.time);
+            let allowed = rules.overload_multiple * CAPACITY * share * BUDGET_WINDOW;
             let budget = allowed + 2.0 * allowed.sqrt() + 2.0;
             let (mut count, mut notified) = (0.0, 0.0);
-            let end = begin.moment + WINDOW;
+            let end = begin.time + BUDGET_WINDOW;
             for arrival in arrivals[first..]
                 .iter()
-                .take_while(|arrival| arrival.moment < end)
+                .take_while(|arrival| arrival.time < end)
             {
                 count += 1.0;
                 notified += f64::from(u8::from(arrival.was_notified));
--- a/tests/decision/fleet_slow_start/simulation.rs
+++ b/tests/decision/fleet_slow_start/simulation.rs
@@ -1,6 +1,6 @@
 //! A discrete-event simulation of balancers and upstreams. All times are seconds.
 
-use super::faults::START;
+use super::faults::UPSTREAM_START;
 use super::scenario::Scenario;
 use super::server::{Arrival, QueuedAttempt, Server, CAPACITY};
 use crate::harness::{entry, request};
@@ -13,17 +13,17 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// For how long the load is higher by half, from `START` on.
-const BURST: f64 = 6.0;
-/// For how long requests are counted, from `START` on.
-const MEASURED: f64 = 10.0;
-/// No requests arrive after this moment.
-const END: f64 = 14.0;
+/// How long the load is higher by half, from `UPSTREAM_START` on.
+const BURST_DURATION: f64 = 6.0;
+/// How long requests are counted as measured, from `UPSTREAM_START` on.
+const MEASURED_DURATION: f64 = 10.0;
+/// When the arrival of requests ends.
+const ARRIVALS_END: f64 = 14.0;
 /// Requests that an upstream processes at a time.
 const CORES: usize = 3;
-/// Requests that may wait at an upstream.
+/// Requests that may be queued at an upstream.
 const QUEUE_CAPACITY: usize = 12;
-/// How often a client repeats a rejected request.
+/// How often a client repeats a rejected request at most.
 const MAX_CLIENT_RETRIES: u32 = 2;
 
 struct Attempt {
@@ -33,13 +33,13 @@
 }
 
 struct Request {
-    /// How often its client had sent it before.
+    /// How often the client has sent this request before.
     client_retries: u32,
     attempts: Vec<Attempt>,
     deadline: f64,
 }
 
-/// What happens at a scheduled moment.
+/// A scheduled event.
 pub enum ScheduledEvent {
     RequestArrival {
         balancer: usize,
@@ -50,8 +50,8 @@
         balancer: usize,
         token: u64,
     },
-    /// An upstream has processed a request. `started_at` tells its process from the one after a
-    /// restart.
+    /// An upstream has processed a request. `started_at` identifies the process, because events of
+    /// the process before a restart are ignored.
     CoreFree {
         upstream: u64,
         started_at: f64,
@@ -87,11 +87,11 @@
     pub rng: Pcg64Mcg,
     settings: Settings,
     now: f64,
-    /// Moments in microseconds, and keys of `scheduled_events`.
+    /// Times in microseconds and keys of `scheduled_events`.
     schedule: BinaryHeap<Reverse<(u64, u64)>>,
     scheduled_events: BTreeMap<u64, ScheduledEvent>,
     balancers: Vec<Balancer>,
-    /// What each balancer has been notified of.
+    /// The latest entry of each upstream that each balancer has been notified of.
     notified: Vec<BTreeMap<u64, UpstreamEntry>>,
     servers: BTreeMap<u64, Server>,
     requests: BTreeMap<u64, Request>,
@@ -100,8 +100,8 @@
     served_requests: f64,
 }
 
-fn is_measured(moment: f64) -> bool {
-    (START..START + MEASURED).contains(&moment)
+fn is_measured(time: f64) -> bool {
+    (UPSTREAM_START..UPSTREAM_START + MEASURED_DURATION).contains(&time)
 }
 
 impl Simulation {
@@ -157,8 +157,8 @@
         Balancer::new(settings, self.rng.random(), self.now).unwrap()
     }
 
-    pub fn schedule(&mut self, moment: f64, scheduled: ScheduledEvent) {
-        let micros = (moment * 1e6).ceil() as u64;
+    pub fn schedule(&mut self, time: f64, scheduled: ScheduledEvent) {
+        let micros = (time * 1e6).ceil() as u64;
         self.schedule.push(Reverse((micros, self.next_key)));
         self.scheduled_events.insert(self.next_key, scheduled);
         self.next_key += 1;
@@ -173,8 +173,8 @@
             .iter()
             .map(|weight| weight.min(5.0 * mean))
             .collect();
-        let capacity = self.scenario.load * self.scenario.upstreams as f64 * CAPACITY;
-        let rate_per_weight = capacity / weights.iter().sum::<f64>();
+        let total_rate = self.scenario.load * self.scenario.upstreams as f64 * CAPACITY;
+        let rate_per_weight = total_rate / weights.iter().sum::<f64>();
         let shift = self.rng.random_range(0..count);
         for (n, weight) in weights.iter().enumerate() {
             self.schedule_requests_of((n * 7 + shift) % count, rate_per_weight * weight);
@@ -182,22 +182,22 @@
     }
 
     fn schedule_requests_of(&mut self, balancer: usize, rate: f64) {
-        let mut moment = 0.0;
-        while moment < END {
-            let is_in_burst = (START..START + BURST).contains(&moment);
+        let mut time = 0.0;
+        while time < ARRIVALS_END {
+            let is_in_burst = (UPSTREAM_START..UPSTREAM_START + BURST_DURATION).contains(&time);
             let factor = if is_in_burst { 1.5 } else { 1.0 };
-            moment -= (1.0 - self.rng.random::<f64>()).ln() / (rate * factor);
+            time -= (1.0 - self.rng.random::<f64>()).ln() / (rate * factor);
             let id = self.next_request_id(balancer);
             let arrival = ScheduledEvent::RequestArrival {
                 balancer,
                 id,
                 client_retries: 0,
             };
-            self.schedule(moment, arrival);
+            self.schedule(time, arrival);
         }
     }
 
-    /// An id that shows the balancer.
+    /// Returns a new request id, whose remainder modulo 1000 is the balancer's index.
     fn next_request_id(&mut self, balancer: usize) -> u64 {
         self.next_key += 1;
         self.next_key * 1000 + balancer as u64
@@ -240,7 +240,7 @@
                 balancer,
                 upstream,
                 change,
-            } => self.maintain(balancer, upstream, change),
+            } => self.change_maintenance(balancer, upstream, change),
             ScheduledEvent::Start { upstream, downtime } => {
                 self.restart_upstream(upstream, downtime);
             }
@@ -273,10 +273,10 @@
         self.handle(balancer, Event::EndpointList { scope, endpoints });
     }
 
-    fn maintain(&mut self, balancer: usize, upstream: u64, change: Maintenance) {
+    fn change_maintenance(&mut self, balancer: usize, upstream: u64, change: Maintenance) {
         if change == Maintenance::End {
             if let Some(entry) = self.notified[balancer].get_mut(&upstream) {
-                entry.started_at = START;
+                entry.started_at = UPSTREAM_START;
             }
         }
         let upstream = UpstreamId(upstream);
@@ -290,7 +290,7 @@
         self.handle(balancer, Event::EndpointList { scope, endpoints });
     }
 
-    /// Attempts in flight at the upstream are reset.
+    /// Restarts an upstream, which resets the attempts in flight there.
     fn restart_upstream(&mut self, upstream: u64, downtime: f64) {
         let started_at = self.now + downtime;
         let server = self.servers.entry(upstream).or_default();
@@ -313,7 +313,7 @@
 
     fn schedule_end(
         &mut self,
-        moment: f64,
+        time: f64,
         id: u64,
         attempt: u32,
         outcome: AttemptOutcome,
@@ -325,7 +325,7 @@
             outcome,
             sent_at,
         };
-        self.schedule(moment, end);
+        self.schedule(time, end);
     }
 
     /// Passes an event to a balancer and carries out its actions.
@@ -341,7 +341,7 @@
                     self.schedule(self.now + after, ScheduledEvent::Timer { balancer, token });
                 }
                 Action::CancelAttempt { id, attempt } => self.cancel_attempt(id.0, attempt),
-                Action::Reject { id, .. } => self.repeat_rejected(balancer, id.0),
+                Action::Reject { id, .. } => self.schedule_client_retry(balancer, id.0),
                 _ => {}
             }
         }
@@ -358,13 +358,13 @@
         };
         queue.retain(|queued| *queued != cancelled);
         if is_in_flight {
-            let moment = self.now + 0.001;
-            self.schedule_end(moment, id, index, AttemptOutcome::Cancelled, sent_at);
+            let time = self.now + 0.001;
+            self.schedule_end(time, id, index, AttemptOutcome::Cancelled, sent_at);
         }
     }
 
-    /// The client of a rejected request sends it again after 0.2 s.
-    fn repeat_rejected(&mut self, balancer: usize, id: u64) {
+    /// Schedules the client's retry of a rejected request after 0.2 s, if any retries are left.
+    fn schedule_client_retry(&mut self, balancer: usize, id: u64) {
         let client_retries = self.requests[&id].client_retries + 1;
         if client_retries > MAX_CLIENT_RETRIES {
             return;
@@ -389,7 +389,7 @@
             is_in_flight: true,
         });
         self.schedule_end(deadline, id, index, AttemptOutcome::TimedOut, sent_at);
-        match self.refusal(balancer, upstream) {
+        match self.record_arrival(balancer, upstream) {
             Some(outcome) => self.schedule_end(sent_at + 0.002, id, index, outcome, sent_at),
             None => {
                 self.server(upstream).queue.push_back(QueuedAttempt {
@@ -401,20 +401,17 @@
         }
     }
 
-    /// Counts the arrival of an attempt; `Some` if it is not queued.
-    fn refusal(&mut self, balancer: usize, upstream: u64) -> Option<AttemptOutcome> {
-        let moment = self.now;
+    /// Records the arrival of an attempt. Returns its outcome if it is not queued.
+    fn record_arrival(&mut self, balancer: usize, upstream: u64) -> Option<AttemptOutcome> {
+        let time = self.now;
         let server = self.servers.get_mut(&upstream).unwrap();
-        if moment < server.down_until {
+        if time < server.down_until {
             return Some(AttemptOutcome::ConnectFailed);
         }
         let entry = self.notified[balancer].get(&upstream);
         let was_notified =
             entry.is_some_and(|entry| (entry.started_at - server.started_at).abs() < 1e-3);
-        server.arrivals.push(Arrival {
-            moment,
-            was_notified,
-        });
+        server.arrivals.push(Arrival { time, was_notified });
         (server.queue.len() >= QUEUE_CAPACITY).then_some(AttemptOutcome::Rejected)
     }
 
@@ -426,7 +423,8 @@
         }
     }
 
-    /// Processes the next requests. An upstream in slow start is slower by its share of capacity.
+    /// Starts queued attempts while cores are free. During slow start, an upstream processes them
+    /// at its present share of capacity.
     fn process_queue(&mut self, upstream: u64) {
         loop {
             let server = self.servers.get_mut(&upstream).unwrap();
@@ -444,8 +442,9 @@
             let started_at = server.started_at;
             let rules = &self.settings.rules;
             let share = rules.slow_start_share(started_at, self.now);
-            let time = -(1.0 - self.rng.random::<f64>()).ln() * CORES as f64 / CAPACITY / share;
-            let done = self.now + time;
+            let processing_time =
+                -(1.0 - self.rng.random::<f64>()).ln() * CORES as f64 / CAPACITY / share;
+            let done = self.now + processing_time;
             let sent_at = self.requests[&id].attempts[attempt as usize].sent_at;
             self.schedule_end(done, id, attempt, AttemptOutcome::Success, sent_at);
             let core_free = ScheduledEvent::CoreFree {
@@ -483,11 +482,11 @@
         self.served_requests / self.measured_requests
     }
 
-    /// Arrivals over the budget in the worst window of all upstreams in slow start.
-    pub fn worst_window(&self) -> f64 {
+    /// Returns the largest ratio of arrivals to budget of all windows of slow start.
+    pub fn worst_ratio(&self) -> f64 {
         let rules = &self.settings.rules;
         let servers = self.servers.values();
         let started = servers.filter(|server| server.started_at > 0.0);
-        started.fold(0.0, |worst, server| worst.max(server.worst_window(rules)))
+        started.fold(0.0, |worst, server| worst.max(server.worst_ratio(rules)))
     }
 }
--- a/tests/decision/learned_state.rs
+++ b/tests/decision/learned_state.rs
@@ -1,5 +1,5 @@
-//! The stored form of what a balancer has learned: two versions read it from each other during
-//! an upgrade.
+//! The serialized form of a balancer's learned state, which two versions of the program exchange
+//! during an upgrade.
 
 use crate::harness::{
     attempt_ended, class, entry, maintenance, request, started_attempts, without_retries, Harness,
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// What `served_lost_and_ejected` wrote at commit 47c951f.
+/// The learned state of `balancer_with_history` as commit 47c951f wrote it.
 const RECORDED: &str = include_str!("../data/learned-state-47c951f.json");
 
 fn settings() -> Settings {
@@ -30,7 +30,9 @@
     }
 }
 
-fn listed(started_at: f64) -> Vec<UpstreamEntry> {
+/// Returns five upstreams of two machine kinds. Upstream 4 started at `started_at`, the others
+/// started long ago.
+fn endpoints(started_at: f64) -> Vec<UpstreamEntry> {
     let entry_of_kind = |id: u64| UpstreamEntry {
         machine_kind: id as usize % 2,
         started_at: if id == 4 { started_at } else { 0.0 },
@@ -39,11 +41,11 @@
     (1..=5).map(entry_of_kind).collect()
 }
 
-/// A balancer that has served, lost and retried requests, has ejected an upstream that fails,
-/// has one in slow start and one returned from maintenance.
-fn served_lost_and_ejected() -> Harness {
+/// Returns a balancer that has served, lost and retried requests and has ejected a failing
+/// upstream. One of its upstreams is in slow start, and one has returned from maintenance.
+fn balancer_with_history() -> Harness {
     let mut harness = Harness::new(settings(), 0);
-    harness.update_endpoints(ListScope::Full, listed(98.0));
+    harness.update_endpoints(ListScope::Full, endpoints(98.0));
     for id in 1..=60 {
         match id {
             10 => drop(harness.handle(maintenance(5, Maintenance::Begin))),
@@ -59,8 +61,8 @@
             streamed: false,
         }));
         harness.now += 0.05;
-        // Each attempt ends before the next request arrives; a retry follows from the end before
-        // it.
+        // Each attempt ends before the next request arrives. A retry starts when the attempt before
+        // it ends.
         let mut attempt = 0;
         while let Some(StartedAttempt { request, upstream }) =
             started_attempts(&actions).first().copied()
@@ -90,14 +92,14 @@
     serde_json::to_value(state).unwrap()
 }
 
-/// The paths of all fields, one for the elements of all arrays and for all numbers that serve as
-/// keys.
+/// Collects the paths of all fields. The elements of an array share one path, and so do fields
+/// whose names are numbers.
 fn field_paths(value: &Value, path: &str, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
             for (name, field) in fields {
-                let number = name.bytes().all(|byte| byte.is_ascii_digit());
-                let name = if number { "*" } else { name };
+                let is_number = name.bytes().all(|byte| byte.is_ascii_digit());
+                let name = if is_number { "*" } else { name };
                 field_paths(field, &format!("{path}.{name}"), paths);
             }
         }
@@ -113,38 +115,34 @@
 }
 
 #[test]
-fn what_is_written_has_the_fields_that_47c951f_reads() {
+fn written_state_equals_that_of_47c951f() {
     let paths_of = |value: &Value| {
         let mut paths = BTreeSet::new();
         field_paths(value, "", &mut paths);
         paths
     };
-    let harness = served_lost_and_ejected();
+    let harness = balancer_with_history();
     let written = json(&harness.balancer.learned_state());
     let recorded: Value = serde_json::from_str(RECORDED).unwrap();
     assert_eq!(paths_of(&written), paths_of(&recorded));
     let text = serde_json::to_string(&harness.balancer.learned_state()).unwrap();
-    assert_eq!(
-        text,
-        RECORDED.trim_end(),
-        "order and figures are the same too"
-    );
+    assert_eq!(text, RECORDED.trim_end(), "order and values of the fields");
 }
 
 #[test]
-fn what_47c951f_wrote_is_read_and_written_again_unchanged() {
+fn state_written_by_47c951f_survives_a_round_trip() {
     let state: LearnedState = serde_json::from_str(RECORDED).unwrap();
-    // Both sides go through the same parser, which may round the last digit of a figure.
+    // Both sides are read by the same parser, which may round the last digit of a number.
     let recorded: Value = serde_json::from_str(RECORDED).unwrap();
     assert_eq!(json(&state), recorded);
 }
 
 #[test]
-fn what_47c951f_wrote_is_restored_whole() {
+fn state_written_by_47c951f_is_restored_completely() {
     let recorded: LearnedState = serde_json::from_str(RECORDED).unwrap();
     let mut harness = Harness::new(settings(), 0);
-    harness.update_endpoints(ListScope::Full, listed(98.0));
-    // Both processes' clocks show the same.
+    harness.update_endpoints(ListScope::Full, endpoints(98.0));
+    // The clocks of both processes agree.
     harness.now = json(&recorded)["at"].as_f64().unwrap();
     let before = json(&harness.balancer.learned_state());
     harness.balancer.restore(harness.now, 0.0, recorded.clone());
@@ -152,7 +150,7 @@
     assert_eq!(json(&harness.balancer.learned_state()), json(&recorded));
 }
 
-/// Settings of balancers that do not retry, so that each request to the failing upstream is lost.
+/// Returns settings without retries, so that each request sent to the failing upstream is lost.
 fn settings_without_retries() -> Settings {
     without_retries(Settings {
         classes: vec![class(Idempotency::NonIdempotent)],
@@ -160,7 +158,7 @@
     })
 }
 
-/// Sends 39 requests; upstream 1 fails all that it gets. Returns how many those are.
+/// Sends 39 requests. Upstream 1 fails all that it receives; returns how many it received.
 fn count_lost(harness: &mut Harness) -> u32 {
     let mut lost = 0;
     for id in 1..40 {
@@ -179,21 +177,25 @@
 
 /// Whether the failing upstream restarts before the state is restored.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Upstream {
+enum FailingUpstream {
     SameProcess,
     Restarted,
 }
 
-/// After an upgrade the new process need not lose requests to learn the same again.
+/// After an upgrade, the new process must not lose requests to learn again what the old process
+/// had learned.
 #[test]
-fn restored_balancer_knows_what_the_other_learned() {
+fn restored_state_prevents_repeated_losses() {
     let mut old = Harness::new(settings_without_retries(), 4);
-    assert!(count_lost(&mut old) >= 2, "before the outlier is detected");
+    assert!(
+        count_lost(&mut old) >= 2,
+        "two requests are lost before the outlier is detected"
+    );
     let text = serde_json::to_string(&old.balancer.learned_state()).unwrap();
-    let lost_after_restore = |clock_offset: f64, age: f64, upstream: Upstream| {
+    let lost_after_restore = |clock_offset: f64, age: f64, upstream: FailingUpstream| {
         let mut new = Harness::new(settings_without_retries(), 4);
         new.now = old.now + age + clock_offset;
-        if upstream == Upstream::Restarted {
+        if upstream == FailingUpstream::Restarted {
             let restarted = UpstreamEntry {
                 started_at: new.now - 50.0,
                 ..entry(1)
@@ -204,15 +206,27 @@
         new.balancer.restore(new.now, age, state);
         count_lost(&mut new)
     };
-    assert_eq!(lost_after_restore(0.0, 0.1, Upstream::SameProcess), 0);
+    assert_eq!(
+        lost_after_restore(0.0, 0.1, FailingUpstream::SameProcess),
+        0
+    );
     for clock_offset in [-3600.0, -5.0, 5.0, 3600.0] {
-        let lost = lost_after_restore(clock_offset, 0.1, Upstream::SameProcess);
-        assert_eq!(lost, 0, "its clock is {clock_offset} s ahead");
+        let lost = lost_after_restore(clock_offset, 0.1, FailingUpstream::SameProcess);
+        assert_eq!(
+            lost, 0,
+            "the clock of the new process is {clock_offset} s ahead"
+        );
     }
-    let lost = lost_after_restore(0.0, 0.1, Upstream::Restarted);
-    assert!(lost >= 2, "it may run another program now");
-    let lost = lost_after_restore(0.0, 60.0, Upstream::SameProcess);
-    assert!(lost >= 2, "too long ago");
+    let lost = lost_after_restore(0.0, 0.1, FailingUpstream::Restarted);
+    assert!(
+        lost >= 2,
+        "{lost} lost; after its restart the upstream may run another program"
+    );
+    let lost = lost_after_restore(0.0, 60.0, FailingUpstream::SameProcess);
+    assert!(
+        lost >= 2,
+        "{lost} lost; the state was saved too long ago to be restored"
+    );
 }
 
 #[test]
@@ -226,7 +240,7 @@
     assert!(other.fill_slots(1, 0) > 1);
 }
 
-/// Names that other versions than 47c951f have written.
+/// Versions other than 47c951f have written these fields under other names.
 #[test]
 fn aliases_of_stored_fields_are_read() {
     let aliases = [
--- a/tests/decision/log_event.rs
+++ b/tests/decision/log_event.rs
@@ -1,4 +1,4 @@
-//! The lines that a balancer's events make in the log.
+//! Log events: when a balancer reports them, and the text of their lines.
 
 use crate::harness::{attempt_ended, class, request, without_retries, Harness};
 use load_balancer::{
@@ -14,8 +14,8 @@
     vec![named("view"), named("pay")]
 }
 
-/// The line of an event; only upstream 3 has a name.
-fn line(event: LogEvent) -> String {
+/// Returns the log line of an event. Only upstream 3 has a name.
+fn log_line(event: LogEvent) -> String {
     let name = |upstream: UpstreamId| (upstream == UpstreamId(3)).then_some("u3");
     event.text(name, &classes())
 }
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn line_says_what_happened_where_and_figures() {
+fn log_lines_have_the_expected_text() {
     let ejected = |upstream, scope, cause| LogEvent::Ejected {
         upstream: UpstreamId(upstream),
         scope,
@@ -61,7 +61,7 @@
             "discovery poll failed; polling again in 0.6 s",
         ),
     ] {
-        assert_eq!(line(event), text);
+        assert_eq!(log_line(event), text);
     }
 }
 
@@ -97,11 +97,11 @@
     assert_eq!(Some(upstream.0), failing);
     assert_eq!(scope, EjectionScope::Class(1));
     assert_eq!(cause, AttemptOutcome::Error);
-    assert!(duration > 0.1, "{duration} s");
+    assert!(duration > 0.1, "ejected for {duration} s");
 }
 
 #[test]
-fn failed_poll_reports_the_delay_of_the_next_one() {
+fn failed_poll_reports_the_delay_of_the_next_poll() {
     let settings = Settings {
         discovery_mode: DiscoveryMode::Poll,
         ..Settings::simple()
--- a/tests/decision/queues.rs
+++ b/tests/decision/queues.rs
@@ -1,4 +1,4 @@
-//! Queues: when requests wait, for how long, and which goes first.
+//! Queues: when requests are queued, for how long, and which one is dispatched first.
 
 use crate::harness::{
     attempt_ended, class, is_rejected, request, started_attempts, Harness, StartedAttempt,
@@ -18,7 +18,7 @@
             upstream: 1
         }]
     );
-    // An error lowers the limit by up to one slot, so the second one frees a slot at the latest.
+    // An error lowers the limit by up to one slot, so the second error frees a slot at the latest.
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
     let queued = harness.fill_slots(1, 0);
     let mut dispatched =
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn queued_request_is_given_up_once_at_its_queue_deadline() {
+fn queued_request_is_rejected_once_at_its_queue_deadline() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
     let queued = harness.fill_slots(1, 0);
     let actions = harness.fire_timer_after(2.1, queued);
@@ -58,7 +58,10 @@
     let rejections = (1..200)
         .filter(|id| is_rejected(&harness.handle(request(*id, 0, 2.0)), *id))
         .count();
-    assert!(rejections > 100, "only {rejections} rejected at once");
+    assert!(
+        rejections > 100,
+        "only {rejections} of 199 requests rejected at once"
+    );
     assert!(harness.balancer.load().open_requests < 100);
 }
 
@@ -70,12 +73,12 @@
         let actions = harness.handle(request(id, 0, 2.0));
         queued += u32::from(!is_rejected(&actions, id) && started_attempts(&actions).is_empty());
     }
-    // All three queues are used, so more requests wait than one queue takes.
-    let mut one = Harness::with_classes(&[Idempotency::Idempotent], 1);
+    // All three queues are used, so more requests are queued than one queue holds.
+    let mut one_upstream = Harness::with_classes(&[Idempotency::Idempotent], 1);
     let one_queue = (1..200)
-        .filter(|id| !is_rejected(&one.handle(request(*id, 0, 2.0)), *id))
+        .filter(|id| !is_rejected(&one_upstream.handle(request(*id, 0, 2.0)), *id))
         .count()
-        - one.balancer.load().attempts_in_flight;
+        - one_upstream.balancer.load().attempts_in_flight;
     assert!(
         queued as usize >= 3 * one_queue / 2,
         "{queued} in three queues, {one_queue} in one"
@@ -92,22 +95,22 @@
     assert_eq!(
         harness.balancer.load().open_requests,
         0,
-        "its only upstream was tried, so it is rejected"
+        "the only upstream has rejected the request, so the client gets a rejection"
     );
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 2);
     let queued = harness.fill_slots(1, 0);
     harness.handle(attempt_ended(1, 0, AttemptOutcome::Rejected));
     harness.now += 0.95;
-    let waiting = (1..=queued)
+    let rejected = (1..=queued)
         .filter(|id| is_rejected(&harness.handle(Event::TimerFired(*id)), *id))
         .count();
     assert!(
-        waiting >= 1,
-        "the latency objective of one second can't be met"
+        rejected >= 1,
+        "the latency objective of one second can't be met, but {rejected} requests are rejected"
     );
 }
 
-/// A request that is given up has its final response at once.
+/// A request that can't be retried gets its final response at once.
 #[test]
 fn rejection_carries_retry_after_where_allowed() {
     for (max, upper_bound) in [(None, 0.0), (Some(0.01), 0.01), (Some(2.0), 2.0)] {
@@ -129,7 +132,8 @@
     }
 }
 
-/// Two classes with the same latency; the second has the larger priority weight.
+/// Returns settings with two classes that differ only in priority weight: the second has the larger
+/// one.
 fn two_priorities() -> Settings {
     let low = class(Idempotency::NonIdempotent);
     let high = Class {
@@ -143,7 +147,7 @@
 }
 
 #[test]
-fn higher_priority_weight_is_dispatched_first() {
+fn class_with_higher_priority_weight_is_dispatched_first() {
     let mut harness = Harness::new(two_priorities(), 1);
     let low = harness.fill_slots(1, 0);
     let high = low + 1;
@@ -172,7 +176,7 @@
         },
         1,
     );
-    let from = |id: u64, tenant: usize| {
+    let request_from = |id: u64, tenant: usize| {
         let id = RequestId(id);
         Event::Request(Request {
             id,
@@ -184,14 +188,14 @@
         })
     };
     for id in 1..100 {
-        harness.handle(from(id, 0));
+        harness.handle(request_from(id, 0));
         if id < 95 {
             harness.handle(Event::ClientDisconnected(RequestId(id)));
             harness.handle(attempt_ended(id, 0, AttemptOutcome::Cancelled));
         }
     }
     assert!(
-        started_attempts(&harness.handle(from(200, 1))).is_empty(),
+        started_attempts(&harness.handle(request_from(200, 1))).is_empty(),
         "the slots are taken"
     );
     assert_eq!(
