--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -25,7 +25,7 @@
 
 impl RequestRate {
     /// When the last request was counted.
-    pub(super) fn moment(&mut self) -> &mut f64 {
+    pub(super) fn timestamp_mut(&mut self) -> &mut f64 {
         &mut self.updated_at
     }
 
--- a/src/decision/attempt_results.rs
+++ b/src/decision/attempt_results.rs
@@ -85,13 +85,13 @@
                     .add_relative_latency(machine_kind, stats, response.relative_latency);
                 self.retry_budget.add_response();
                 let congestion = self.latency.congestion();
-                let demand = self.limit.on_success(
+                let load_level = self.limit.on_success(
                     stats,
                     response.is_congested,
                     congestion,
                     self.rotation.covers_all(),
                 );
-                self.rotation.resize_subset(demand);
+                self.rotation.resize_subset(load_level);
             }
             AttemptOutcome::Error => decrease_after_error(stats),
             // An upstream that rejects has nothing in flight, and would draw every request.
@@ -104,6 +104,7 @@
             }
             _ => {}
         }
-        self.limit.finish_result(stats, ended.elapsed, self.now);
+        self.limit
+            .apply_min_limit_and_pause(stats, ended.elapsed, self.now);
     }
 }
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -28,9 +28,9 @@
         let limits = &self.settings.limits;
         let connection_idle =
             take_connection(upstream, &mut self.idle_timeout, limits, self.now, actions);
-        self.maintenance.note_request(upstream_id);
+        self.maintenance.record_request(upstream_id);
         upstream.stats.take_slow_start_token();
-        request.queued_at = None;
+        request.queued_upstream = None;
         let class = &self.settings.classes[request.class];
         let write_within = request.deduplication_time_left(class, self.now);
         request.attempts.push(Attempt {
@@ -75,7 +75,7 @@
         let Some(upstream) = self.upstreams.get_mut(&attempt.upstream.id) else {
             return;
         };
-        if let Some(attempt) = upstream.in_flight_of(id) {
+        if let Some(attempt) = upstream.in_flight_attempt_of(id) {
             attempt.upload_completed_at = self.now;
         }
     }
@@ -93,7 +93,7 @@
 ) -> f64 {
     let timeout = idle_timeout.raise(now, limits.connection_idle_timeout);
     upstream.drop_expired_connections(limits.connection_idle_timeout, now);
-    if upstream.drop_untrusted_connections(timeout, now) {
+    if upstream.drop_possibly_closed_connections(timeout, now) {
         actions.push(Action::CloseIdleConnections {
             upstream: upstream.entry.id,
         });
--- a/src/decision/congestion.rs
+++ b/src/decision/congestion.rs
@@ -17,7 +17,7 @@
     /// latency.
     pub(super) level: f64,
     /// There has been congestion since the start.
-    pub(super) was_seen: bool,
+    pub(super) has_occurred: bool,
 }
 
 impl Congestion {
@@ -42,7 +42,7 @@
     /// tier bounds what comes, and a waiting request holds a slot there.
     pub(super) fn update(&mut self, tier: usize) -> bool {
         let is_congested = tier == 0 && self.level > CONGESTION_THRESHOLD;
-        self.was_seen |= is_congested;
+        self.has_occurred |= is_congested;
         is_congested
     }
 }
--- a/src/decision/draining.rs
+++ b/src/decision/draining.rs
@@ -21,7 +21,7 @@
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
-        let seems_draining = upstream.count_rejections(outcome);
+        let seems_draining = upstream.update_rejection_count(outcome);
         if !seems_draining || !upstream.is_available() || !self.poll_schedule.is_stale() {
             return;
         }
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -21,7 +21,7 @@
             .on_list(scope, &self.settings, self.now, &mut self.rng, actions);
         if !self.poll_schedule.is_stale() {
             for upstream in self.upstreams.values_mut() {
-                upstream.clear_suspicion();
+                upstream.clear_draining_suspicion();
             }
         }
         if matches!(scope, ListScope::Full | ListScope::Cached) {
@@ -56,7 +56,7 @@
                 upstream
             }
         };
-        upstream.in_maintenance = self.maintenance.is_out(id);
+        upstream.is_in_maintenance = self.maintenance.is_out_of_service(id);
     }
 
     /// The statistics of an upstream of which nothing is known. Draws a random number.
--- a/src/decision/idle_timeout.rs
+++ b/src/decision/idle_timeout.rs
@@ -7,14 +7,14 @@
 /// Evidence that one response on an old connection removes; a reset adds 1. A reset costs a
 /// request, a new connection a small part of one, so the resets tolerated are this share of the
 /// responses.
-const EVIDENCE_PER_RESPONSE: f64 = 0.04;
+const RESPONSE_SCORE_DECREASE: f64 = 0.04;
 /// Evidence at which the timeout is lowered: two resets with few responses between them.
-const EVIDENCE_THRESHOLD: f64 = 1.5;
+const DROP_SCORE_THRESHOLD: f64 = 1.5;
 /// A reset within this share of the expected latency comes so soon that no work can have been
 /// done.
 const IMMEDIATE_RESET_SHARE: f64 = 0.1;
 /// The timeout doubles in this time after it was lowered, in seconds.
-const DOUBLING_TIME: f64 = 30.0;
+const TIMEOUT_DOUBLING_SECONDS: f64 = 30.0;
 
 /// How long an idle connection may be reused. All times are seconds.
 pub(super) struct IdleTimeoutEstimator {
@@ -22,7 +22,7 @@
     /// When `timeout` was last raised.
     updated_at: f64,
     /// How strongly recent resets suggest a shorter timeout.
-    evidence: f64,
+    drop_score: f64,
     /// The timeout that they suggest.
     suggested_timeout: f64,
 }
@@ -32,7 +32,7 @@
     /// Connections idle for this long may have been dropped.
     Dropped { idle: f64 },
     /// The connection broke though it had not been idle: connections break for other reasons.
-    BrokenAnyway,
+    ResetWithoutIdle,
     /// A response came on a connection idle for this long; 0 if there was no response.
     Reused { idle: f64 },
 }
@@ -44,14 +44,14 @@
         IdleTimeoutEstimator {
             timeout: max_timeout,
             updated_at: now,
-            evidence: 0.0,
+            drop_score: 0.0,
             suggested_timeout: max_timeout,
         }
     }
 
     /// The current estimate, raised for the time that has passed.
     pub(super) fn raise(&mut self, now: f64, max_timeout: f64) -> f64 {
-        let doublings = (now - self.updated_at) / DOUBLING_TIME;
+        let doublings = (now - self.updated_at) / TIMEOUT_DOUBLING_SECONDS;
         self.timeout = (self.timeout * doublings.exp2()).min(max_timeout);
         self.updated_at = now;
         self.timeout
@@ -84,21 +84,21 @@
     fn add(&mut self, observation: &Observation, max_timeout: f64) {
         match *observation {
             Observation::Dropped { idle } => {
-                self.evidence += 1.0;
+                self.drop_score += 1.0;
                 self.suggested_timeout = self.suggested_timeout.min(idle / 2.0);
             }
-            Observation::BrokenAnyway => {
-                self.evidence = (self.evidence - 1.0).max(0.0);
+            Observation::ResetWithoutIdle => {
+                self.drop_score = (self.drop_score - 1.0).max(0.0);
                 self.timeout = max_timeout;
             }
             Observation::Reused { idle } if idle > self.suggested_timeout => {
-                self.evidence = (self.evidence - EVIDENCE_PER_RESPONSE).max(0.0);
+                self.drop_score = (self.drop_score - RESPONSE_SCORE_DECREASE).max(0.0);
             }
             Observation::Reused { .. } => {}
         }
-        if self.evidence >= EVIDENCE_THRESHOLD {
+        if self.drop_score >= DROP_SCORE_THRESHOLD {
             self.timeout = self.timeout.min(self.suggested_timeout);
-            (self.evidence, self.suggested_timeout) = (0.0, max_timeout);
+            (self.drop_score, self.suggested_timeout) = (0.0, max_timeout);
         }
     }
 }
@@ -118,7 +118,7 @@
     if is_immediate_reset && was_idle(ended) {
         Observation::Dropped { idle }
     } else if is_immediate_reset {
-        Observation::BrokenAnyway
+        Observation::ResetWithoutIdle
     } else if ended.is_response && suspect_idle_time > 0.0 && idle < suspect_idle_time / 2.0 {
         Observation::Dropped {
             idle: suspect_idle_time,
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -40,7 +40,7 @@
     #[serde(rename = "pass")]
     single_request_allowance: f64,
     #[serde(rename = "met_crowd")]
-    congestion_was_seen: bool,
+    congestion_has_occurred: bool,
     #[serde(rename = "strain")]
     congestion_level: f64,
 }
@@ -73,18 +73,19 @@
 }
 
 impl LearnedState {
-    /// The same with all moments shifted by this many seconds. A moment of 0 means never, and
+    /// The same with all timestamps shifted by this many seconds. A moment of 0 means never, and
     /// stays.
     fn shifted(mut self, seconds: f64) -> Self {
-        let shift = |moment: &mut f64| *moment += if *moment > 0.0 { seconds } else { 0.0 };
+        let shift =
+            |timestamp: &mut f64| *timestamp += if *timestamp > 0.0 { seconds } else { 0.0 };
         for upstream in self.upstreams.values_mut() {
             shift(&mut upstream.returned_at);
-            upstream.stats.moments().for_each(shift);
+            upstream.stats.timestamps_mut().for_each(shift);
         }
         self.started_at.values_mut().for_each(shift);
         self.tenant_rates
             .iter_mut()
-            .map(RequestRate::moment)
+            .map(RequestRate::timestamp_mut)
             .for_each(shift);
         self
     }
@@ -114,7 +115,7 @@
             relative_latency_by_kind: self.rotation.relative_latency_by_kind().clone(),
             subset_size: self.rotation.subset_size(),
             single_request_allowance: self.limit.single_request_allowance(),
-            congestion_was_seen: self.latency.congestion().was_seen,
+            congestion_has_occurred: self.latency.congestion().has_occurred,
             congestion_level: self.latency.congestion().level,
         }
     }
@@ -137,7 +138,7 @@
         }
         let congestion = Congestion {
             level: state.congestion_level,
-            was_seen: state.congestion_was_seen,
+            has_occurred: state.congestion_has_occurred,
         };
         self.latency = LatencyModel::restore(state.latency, congestion);
         self.tenant_rates = state.tenant_rates;
@@ -155,7 +156,7 @@
         started_at: Option<f64>,
     ) {
         let stats = &stored.stats;
-        let has_all_classes = stats.outliers.has_classes(self.settings.classes.len());
+        let has_all_classes = stats.outliers.has_class_count(self.settings.classes.len());
         if !has_all_classes || stats.limit_multiplier <= 0.0 {
             return;
         }
--- a/src/decision/maintenance.rs
+++ b/src/decision/maintenance.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 /// An upstream that operators have put back.
-struct Return {
-    at: f64,
+struct ReturnToService {
+    returned_at: f64,
     awaits_request: bool,
 }
 
@@ -17,12 +17,12 @@
 pub(super) struct MaintenanceRegister {
     /// Upstreams out of service, and since when.
     out_since: BTreeMap<UpstreamId, f64>,
-    returned: BTreeMap<UpstreamId, Return>,
+    returned: BTreeMap<UpstreamId, ReturnToService>,
 }
 
 impl MaintenanceRegister {
     /// Operators have taken this upstream out of service.
-    pub(super) fn is_out(&self, upstream: UpstreamId) -> bool {
+    pub(super) fn is_out_of_service(&self, upstream: UpstreamId) -> bool {
         self.out_since.contains_key(&upstream)
     }
 
@@ -42,11 +42,11 @@
     /// This upstream was put back less than `window` seconds ago.
     pub(super) fn returned_within(&self, upstream: UpstreamId, window: f64, now: f64) -> bool {
         let returned = self.returned.get(&upstream);
-        returned.is_some_and(|returned| now - returned.at < window)
+        returned.is_some_and(|returned| now - returned.returned_at < window)
     }
 
     /// A request has gone to this upstream.
-    pub(super) fn note_request(&mut self, upstream: UpstreamId) {
+    pub(super) fn record_request(&mut self, upstream: UpstreamId) {
         if let Some(returned) = self.returned.get_mut(&upstream) {
             returned.awaits_request = false;
         }
@@ -60,8 +60,8 @@
     /// Returns since when the upstream was out; `None` if it was not.
     fn end(&mut self, upstream: UpstreamId, now: f64) -> Option<f64> {
         let out_since = self.out_since.remove(&upstream)?;
-        let returned = Return {
-            at: now,
+        let returned = ReturnToService {
+            returned_at: now,
             awaits_request: true,
         };
         self.returned.insert(upstream, returned);
@@ -83,20 +83,20 @@
             Maintenance::Begin => {
                 self.maintenance.begin(id, self.now);
                 let upstream = self.upstreams.get_mut(&id);
-                let Some(upstream) = upstream.filter(|upstream| !upstream.in_maintenance) else {
+                let Some(upstream) = upstream.filter(|upstream| !upstream.is_in_maintenance) else {
                     return;
                 };
-                upstream.in_maintenance = true;
+                upstream.is_in_maintenance = true;
             }
             Maintenance::End => {
                 let Some(out_since) = self.maintenance.end(id, self.now) else {
                     return;
                 };
                 let upstream = self.upstreams.get_mut(&id);
-                let Some(upstream) = upstream.filter(|upstream| upstream.in_maintenance) else {
+                let Some(upstream) = upstream.filter(|upstream| upstream.is_in_maintenance) else {
                     return;
                 };
-                upstream.in_maintenance = false;
+                upstream.is_in_maintenance = false;
                 // Discovery may report a restart late or never, so the upstream counts as warming
                 // up unless it is known to have started before.
                 upstream.returned_at = if upstream.started_at < out_since {
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -11,7 +11,7 @@
 use super::latency::MAX_EXCESS_WORK;
 use super::log_event::{EjectionScope, LogEvent};
 use super::moving_average::{add_sample, SLOW_SMOOTHING};
-use super::outlier_stats::{Change, Evidence, OutlierStats, Scope, Verdict};
+use super::outlier_stats::{HealthChange, OutlierSample, OutlierStats, StatsScope, StatsUpdate};
 use super::selection::OutlierPolicy;
 use super::settings::{Class, Idempotency};
 use super::upstream::{upstream_of_attempt, Upstream};
@@ -46,10 +46,10 @@
     pub(super) fn is_eligible(&self, upstream: &Upstream, class: usize) -> bool {
         let stats = &upstream.stats.outliers;
         let all_stats = stats.all_requests();
-        let (mut of_class, mut unanswered) = (0, 0);
+        let (mut in_flight_of_class, mut unanswered) = (0, 0);
         let mut has_overdue_of_class = false;
         for attempt in &upstream.in_flight {
-            of_class += usize::from(attempt.class == class);
+            in_flight_of_class += usize::from(attempt.class == class);
             if attempt.is_overdue(self.now) {
                 // Counts though later requests got a response: the upstream may lose a part
                 // of the class.
@@ -61,7 +61,9 @@
         let is_silent = unanswered > 1 || (may_be_silent && !self.has_common_losses(upstream));
         !is_silent
             && all_stats.allows_request(upstream.in_flight.len(), self.now)
-            && stats.class(class).allows_request(of_class, self.now)
+            && stats
+                .class(class)
+                .allows_request(in_flight_of_class, self.now)
     }
 
     /// The peers lose requests silently about as often, so the losses happen on the way to all of
@@ -89,10 +91,10 @@
         ended: &EndedAttempt,
         actions: &mut Vec<Action>,
     ) {
-        let is_common_loss = self.add_to_loss_rate(id, ended);
+        let is_common_loss = self.update_loss_rate(id, ended);
         let peers = self.peer_error_rates(id, ended.class);
         let mean_latency = self.latency.of_class(ended.class).mean();
-        let evidence = Evidence {
+        let sample = OutlierSample {
             ended,
             is_common_loss,
             // Work hints are rough, so a large request must not lead to an ejection of minutes.
@@ -101,25 +103,25 @@
         };
         let upstream = upstream_of_attempt(&mut self.upstreams, id);
         let stats = &mut upstream.stats.outliers;
-        let of_all =
+        let all_requests_update =
             stats
                 .all_requests_mut()
-                .add(&evidence, Scope::AllRequests, peers.all_requests);
-        let scope = Scope::Class {
-            is_upstream_outlier: of_all.is_outlier,
+                .add(&sample, StatsScope::AllRequests, peers.all_requests);
+        let scope = StatsScope::Class {
+            is_upstream_outlier: all_requests_update.is_outlier,
         };
         let stats = stats.classes_mut();
-        let of_class = stats[ended.class].add(&evidence, scope, peers.class);
-        actions.extend(ejection_log(id, &of_all, &of_class, ended));
+        let class_update = stats[ended.class].add(&sample, scope, peers.class);
+        actions.extend(ejection_log(id, &all_requests_update, &class_update, ended));
         let classes = &self.settings.classes;
         if classes[ended.class].idempotency != Idempotency::NonIdempotent {
-            schedule_trials(stats, classes, &of_class.change, self.now);
+            schedule_trials(stats, classes, &class_update.change, self.now);
         }
     }
 
     /// Adds to the upstream's rate of silent losses. Returns whether this is such a loss and its
     /// peers have them too.
-    fn add_to_loss_rate(&mut self, id: UpstreamId, ended: &EndedAttempt) -> bool {
+    fn update_loss_rate(&mut self, id: UpstreamId, ended: &EndedAttempt) -> bool {
         let is_lost_silently = ended.is_lost_silently();
         let upstream = upstream_of_attempt(&mut self.upstreams, id);
         let rate = &mut upstream.stats.silent_loss_rate;
@@ -128,10 +130,10 @@
     }
 
     fn peer_error_rates(&self, id: UpstreamId, class: usize) -> PeerErrorRates {
-        let (mut all_requests, mut of_class, mut peers) = (0.0, 0.0, 0.0);
+        let (mut all_requests_sum, mut class_sum, mut peers) = (0.0, 0.0, 0.0);
         for peer in self.rotation.peers_of(id, &self.upstreams) {
-            all_requests += peer.stats.outliers.all_requests().error_rate();
-            of_class += peer.stats.outliers.class(class).error_rate();
+            all_requests_sum += peer.stats.outliers.all_requests().error_rate();
+            class_sum += peer.stats.outliers.class(class).error_rate();
             peers += 1.0;
         }
         if peers == 0.0 {
@@ -141,8 +143,8 @@
             };
         }
         PeerErrorRates {
-            all_requests: all_requests / peers,
-            class: of_class / peers,
+            all_requests: all_requests_sum / peers,
+            class: class_sum / peers,
         }
     }
 }
@@ -151,16 +153,16 @@
 /// the class.
 fn ejection_log(
     upstream: UpstreamId,
-    of_all: &Verdict,
-    of_class: &Verdict,
+    all_requests_update: &StatsUpdate,
+    class_update: &StatsUpdate,
     ended: &EndedAttempt,
 ) -> Option<Action> {
-    let (scope, change) = if let Change::Ejected { .. } = of_all.change {
-        (EjectionScope::AllRequests, &of_all.change)
+    let (scope, change) = if let HealthChange::Ejected { .. } = all_requests_update.change {
+        (EjectionScope::AllRequests, &all_requests_update.change)
     } else {
-        (EjectionScope::Class(ended.class), &of_class.change)
+        (EjectionScope::Class(ended.class), &class_update.change)
     };
-    let Change::Ejected {
+    let HealthChange::Ejected {
         duration,
         is_first: true,
     } = *change
@@ -177,7 +179,7 @@
 
 /// A trial request after an ejection may be lost. Where the class of a result can be repeated, it
 /// does the trials for those that can't: they come after it, and wait longer if it fails.
-fn schedule_trials(stats: &mut [OutlierStats], classes: &[Class], change: &Change, now: f64) {
+fn schedule_trials(stats: &mut [OutlierStats], classes: &[Class], change: &HealthChange, now: f64) {
     for (stats, class) in stats.iter_mut().zip(classes) {
         if class.idempotency == Idempotency::NonIdempotent {
             stats.schedule_trial(change, now);
--- a/src/decision/outlier_stats.rs
+++ b/src/decision/outlier_stats.rs
@@ -9,14 +9,14 @@
 /// Ejection time over the expected latency; it doubles with each consecutive failure.
 const EJECTION_FACTOR: f64 = 4.0;
 /// Consecutive failures beyond which the ejection time does not grow.
-const MAX_FAILURES: i32 = 4;
+const MAX_COUNTED_FAILURES: i32 = 4;
 /// An upstream is an outlier if its error rate exceeds that of its peers by more than this.
 const ERROR_RATE_MARGIN: f64 = 0.3;
 /// After a failed trial request of a class that can be repeated, those of classes that can't wait
 /// for this many times its ejection time.
 const TRIAL_DELAY_FACTOR: f64 = 2.0;
 /// Responses without error that an upstream is presumed to have given before the first.
-const PRESUMED_RESPONSES: f64 = 3.0;
+const PRESUMED_SUCCESSES: f64 = 3.0;
 
 /// Outlier statistics of an upstream: of all its requests, then of each class.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
 
 /// The statistics that a result is added to.
 #[derive(Clone, Copy)]
-pub(super) enum Scope {
+pub(super) enum StatsScope {
     /// Those of all requests.
     AllRequests,
     /// Those of one class.
@@ -53,7 +53,7 @@
 }
 
 /// A result, and what it has to be judged by. Times are seconds.
-pub(super) struct Evidence<'a> {
+pub(super) struct OutlierSample<'a> {
     pub(super) ended: &'a EndedAttempt,
     /// It is a silent loss, and the peers have such losses too.
     pub(super) is_common_loss: bool,
@@ -63,16 +63,16 @@
 }
 
 /// What a result says of a scope.
-pub(super) struct Verdict {
+pub(super) struct StatsUpdate {
     /// Its error rate exceeds that of the peers.
     pub(super) is_outlier: bool,
-    pub(super) change: Change,
+    pub(super) change: HealthChange,
 }
 
 /// What adding a result to the statistics of a scope has led to.
-pub(super) enum Change {
+pub(super) enum HealthChange {
     /// Neither of the others.
-    None,
+    Unchanged,
     /// A success has ended a series of failures.
     Recovered,
     /// The upstream gets no request of this scope for some time.
@@ -84,7 +84,7 @@
     },
 }
 
-impl Evidence<'_> {
+impl OutlierSample<'_> {
     /// Consecutive failures that lead to an ejection. One broken connection says little: if the
     /// process is gone, the next one fails too. Nor does one silent loss where the peers have
     /// them as well.
@@ -96,15 +96,15 @@
         }
     }
 
-    fn ejection_time(&self, failures: i32) -> f64 {
-        let time = EJECTION_FACTOR * self.expected_latency * f64::from(1 << failures);
+    fn ejection_duration(&self, failures: i32) -> f64 {
+        let duration = EJECTION_FACTOR * self.expected_latency * f64::from(1 << failures);
         // After the ejection a trial request may be lost for as long again.
-        let silence = if self.ended.is_lost_silently() {
+        let min_duration = if self.ended.is_lost_silently() {
             self.ended.elapsed
         } else {
             0.0
         };
-        time.max(silence)
+        duration.max(min_duration)
     }
 }
 
@@ -116,7 +116,7 @@
     }
 
     /// It has statistics of this many classes.
-    pub(super) fn has_classes(&self, class_count: usize) -> bool {
+    pub(super) fn has_class_count(&self, class_count: usize) -> bool {
         self.0.len() == 1 + class_count
     }
 
@@ -140,9 +140,9 @@
         &mut self.0[1..]
     }
 
-    /// All moments in it.
-    pub(super) fn moments(&mut self) -> impl Iterator<Item = &mut f64> {
-        self.0.iter_mut().flat_map(OutlierStats::moments)
+    /// All timestamps in it.
+    pub(super) fn timestamps_mut(&mut self) -> impl Iterator<Item = &mut f64> {
+        self.0.iter_mut().flat_map(OutlierStats::timestamps_mut)
     }
 }
 
@@ -155,7 +155,7 @@
         }
     }
 
-    fn moments(&mut self) -> impl Iterator<Item = &mut f64> {
+    fn timestamps_mut(&mut self) -> impl Iterator<Item = &mut f64> {
         [&mut self.last_response_at, &mut self.ejected_until].into_iter()
     }
 
@@ -165,8 +165,8 @@
     }
 
     /// The upstream has not responded since this moment.
-    pub(super) fn is_silent_since(&self, moment: f64) -> bool {
-        self.last_response_at <= moment
+    pub(super) fn is_silent_since(&self, timestamp: f64) -> bool {
+        self.last_response_at <= timestamp
     }
 
     /// Share of errors and rejections among the responses.
@@ -182,14 +182,14 @@
     /// Adds the end of an attempt.
     pub(super) fn add(
         &mut self,
-        evidence: &Evidence,
-        scope: Scope,
+        sample: &OutlierSample,
+        scope: StatsScope,
         peers_error_rate: f64,
-    ) -> Verdict {
-        let ended = evidence.ended;
+    ) -> StatsUpdate {
+        let ended = sample.ended;
         let is_success = ended.outcome == AttemptOutcome::Success;
         if !ended.is_lost {
-            self.last_response_at = evidence.now;
+            self.last_response_at = sample.now;
         }
         if ended.is_error() || is_success {
             self.add_response(ended.is_error());
@@ -197,33 +197,33 @@
         let is_outlier = self.error_rate > peers_error_rate + ERROR_RATE_MARGIN;
         let change = if is_success {
             self.add_success(scope, is_outlier)
-        } else if self.is_failure(evidence, scope, is_outlier) {
-            self.add_failure(evidence)
+        } else if self.is_failure(sample, scope, is_outlier) {
+            self.add_failure(sample)
         } else {
-            Change::None
+            HealthChange::Unchanged
         };
-        Verdict { is_outlier, change }
+        StatsUpdate { is_outlier, change }
     }
 
     /// A success ends a series of failures, but not that of a class whose error rate shows that
     /// it fails in part.
-    fn add_success(&mut self, scope: Scope, is_outlier: bool) -> Change {
-        let is_class = matches!(scope, Scope::Class { .. });
+    fn add_success(&mut self, scope: StatsScope, is_outlier: bool) -> HealthChange {
+        let is_class = matches!(scope, StatsScope::Class { .. });
         let had_failures = self.consecutive_failures > 0;
         if !(is_outlier && is_class) {
             self.consecutive_failures = 0;
         }
         if is_class && had_failures {
-            Change::Recovered
+            HealthChange::Recovered
         } else {
-            Change::None
+            HealthChange::Unchanged
         }
     }
 
     fn add_response(&mut self, is_error: bool) {
         self.responses += 1.0;
         let error = f64::from(u8::from(is_error));
-        let weight = weight_after(self.responses + PRESUMED_RESPONSES);
+        let weight = weight_after(self.responses + PRESUMED_SUCCESSES);
         add_sample(&mut self.error_rate, error, weight);
     }
 
@@ -231,31 +231,31 @@
     /// also if the upstream responds to others, and so do errors that its peers do not have: an
     /// upstream that fails fast would draw requests as it is always free, and a rejection has
     /// taken a slot until it came back.
-    fn is_failure(&self, evidence: &Evidence, scope: Scope, is_outlier: bool) -> bool {
-        let ended = evidence.ended;
+    fn is_failure(&self, sample: &OutlierSample, scope: StatsScope, is_outlier: bool) -> bool {
+        let ended = sample.ended;
         let is_unanswered = ended.is_lost && self.is_silent_since(ended.sent_at);
         match scope {
-            Scope::AllRequests => is_unanswered,
-            Scope::Class {
+            StatsScope::AllRequests => is_unanswered,
+            StatsScope::Class {
                 is_upstream_outlier,
             } => {
-                let is_own_loss = ended.is_lost_silently() && !evidence.is_common_loss;
+                let is_own_loss = ended.is_lost_silently() && !sample.is_common_loss;
                 let is_own_error = ended.is_error() && (is_outlier || is_upstream_outlier);
-                let is_ejected = evidence.now < self.ejected_until;
+                let is_ejected = sample.now < self.ejected_until;
                 is_unanswered || is_own_loss || (is_own_error && !is_ejected)
             }
         }
     }
 
-    fn add_failure(&mut self, evidence: &Evidence) -> Change {
-        self.consecutive_failures = (self.consecutive_failures + 1).min(MAX_FAILURES);
-        let failures_to_eject = evidence.failures_to_eject();
+    fn add_failure(&mut self, sample: &OutlierSample) -> HealthChange {
+        self.consecutive_failures = (self.consecutive_failures + 1).min(MAX_COUNTED_FAILURES);
+        let failures_to_eject = sample.failures_to_eject();
         if self.consecutive_failures < failures_to_eject {
-            return Change::None;
+            return HealthChange::Unchanged;
         }
-        let duration = evidence.ejection_time(self.consecutive_failures);
-        self.ejected_until = evidence.now + duration;
-        Change::Ejected {
+        let duration = sample.ejection_duration(self.consecutive_failures);
+        self.ejected_until = sample.now + duration;
+        HealthChange::Ejected {
             duration,
             is_first: self.consecutive_failures == failures_to_eject,
         }
@@ -263,14 +263,14 @@
 
     /// After failures, moves the next trial request to follow one of a class that can be repeated,
     /// which has led to this change.
-    pub(super) fn schedule_trial(&mut self, change: &Change, now: f64) {
+    pub(super) fn schedule_trial(&mut self, change: &HealthChange, now: f64) {
         if self.consecutive_failures == 0 {
             return;
         }
         match *change {
-            Change::None => {}
-            Change::Recovered => self.ejected_until = self.ejected_until.min(now),
-            Change::Ejected { duration, .. } => {
+            HealthChange::Unchanged => {}
+            HealthChange::Recovered => self.ejected_until = self.ejected_until.min(now),
+            HealthChange::Ejected { duration, .. } => {
                 let trial_at = now + TRIAL_DELAY_FACTOR * duration;
                 self.ejected_until = self.ejected_until.max(trial_at);
             }
--- a/src/decision/poll_schedule.rs
+++ b/src/decision/poll_schedule.rs
@@ -16,17 +16,17 @@
 // Shares of the notification deadline. Two delays and the polls that they precede fit within it.
 
 /// Longest delay of the first poll.
-const FIRST_DELAY_SHARE: f64 = 0.25;
+const FIRST_DELAY_DEADLINE_SHARE: f64 = 0.25;
 /// Longest delay after a poll that failed at once; one that takes longer than this was queued by
 /// discovery.
-const FAST_FAILURE_SHARE: f64 = 0.1;
+const FAST_FAILURE_DEADLINE_SHARE: f64 = 0.1;
 /// Longest delay after a queued poll that failed.
-const QUEUED_FAILURE_SHARE: f64 = 0.12;
+const QUEUED_FAILURE_DEADLINE_SHARE: f64 = 0.12;
 /// Longest delay after a failure in a large fleet. A poll that is queued then still ends in time.
-const LARGE_FLEET_SHARE: f64 = 0.6;
+const LARGE_FLEET_DEADLINE_SHARE: f64 = 0.6;
 
 /// Mean time between the polls of all peers after failures, in seconds.
-const FLEET_POLL_INTERVAL: f64 = 0.04;
+const FLEET_POLL_INTERVAL_SECONDS: f64 = 0.04;
 /// Polls per poll interval before the first failure.
 const POLLS_PER_INTERVAL: f64 = 4.0;
 /// Failures up to which the first delays double.
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PollResult {
     /// A list came.
-    List,
+    ListReceived,
     /// It failed at once, or a watch broke.
     FailedFast,
     /// It failed after discovery had queued it.
@@ -97,8 +97,8 @@
         let elapsed = (now - self.last_poll_at).max(0.0);
         let deadline = settings.rules.notification_deadline;
         let result = if scope != ListScope::Failed {
-            PollResult::List
-        } else if elapsed > FAST_FAILURE_SHARE * deadline {
+            PollResult::ListReceived
+        } else if elapsed > FAST_FAILURE_DEADLINE_SHARE * deadline {
             PollResult::FailedQueued
         } else {
             PollResult::FailedFast
@@ -109,46 +109,46 @@
         if !self.is_stale {
             return;
         }
-        let delays = self.delays(result, settings, elapsed);
-        let after = rng.random_range(delays.min..delays.max) + settings.event_interval;
+        let delay_range = self.delay_range(result, settings, elapsed);
+        let after = rng.random_range(delay_range.min..delay_range.max) + settings.event_interval;
         actions.push(Action::SetTimer {
             after,
             token: POLL_TIMER,
         });
-        if result != PollResult::List {
+        if result != PollResult::ListReceived {
             actions.push(Action::Log(LogEvent::PollFailed { retry_in: after }));
         }
     }
 
     fn count_failure(&mut self, result: PollResult) {
         self.failures = match result {
-            PollResult::List => 0,
+            PollResult::ListReceived => 0,
             PollResult::FailedFast => (self.failures + 1).min(FAILURES_BEFORE_BACKOFF),
             PollResult::FailedQueued => self.failures + 1,
         };
     }
 
     /// The range of the next delay. `elapsed`: what the last poll took, in seconds.
-    fn delays(&self, result: PollResult, settings: &Settings, elapsed: f64) -> DelayRange {
+    fn delay_range(&self, result: PollResult, settings: &Settings, elapsed: f64) -> DelayRange {
         let deadline = settings.rules.notification_deadline;
         let share = match result {
-            PollResult::List => FIRST_DELAY_SHARE,
-            PollResult::FailedFast => FAST_FAILURE_SHARE,
-            PollResult::FailedQueued => QUEUED_FAILURE_SHARE,
+            PollResult::ListReceived => FIRST_DELAY_DEADLINE_SHARE,
+            PollResult::FailedFast => FAST_FAILURE_DEADLINE_SHARE,
+            PollResult::FailedQueued => QUEUED_FAILURE_DEADLINE_SHARE,
         };
         let first_delay = settings.rules.poll_interval / POLLS_PER_INTERVAL;
         let factor = f64::from(1 << self.failures.min(MAX_SHORT_DOUBLINGS));
         let max = (first_delay * factor).min(share * deadline);
-        let fleet_delay = settings.peer_count as f64 * FLEET_POLL_INTERVAL;
-        if result == PollResult::List || fleet_delay <= max {
+        let fleet_delay = settings.peer_count as f64 * FLEET_POLL_INTERVAL_SECONDS;
+        if result == PollResult::ListReceived || fleet_delay <= max {
             return DelayRange { min: 0.0, max };
         }
-        let longest = match result {
-            PollResult::FailedQueued => LARGE_FLEET_SHARE * deadline,
+        let max_delay = match result {
+            PollResult::FailedQueued => LARGE_FLEET_DEADLINE_SHARE * deadline,
             // Discovery may have recovered since the poll began.
-            _ => LARGE_FLEET_SHARE * deadline - elapsed,
+            _ => LARGE_FLEET_DEADLINE_SHARE * deadline - elapsed,
         };
-        let max = fleet_delay.min(longest * self.backoff_factor());
+        let max = fleet_delay.min(max_delay * self.backoff_factor());
         // After a single failure, which may be a broken watch, polls need not be queued yet.
         let min = if self.failures > 1 { max / 2.0 } else { 0.0 };
         DelayRange { min, max }
--- a/src/decision/queue.rs
+++ b/src/decision/queue.rs
@@ -6,12 +6,12 @@
 use std::cmp::Reverse;
 
 /// Added to each timer, in seconds: after rounding it must not fire before its time.
-const TIMER_MARGIN: f64 = 1e-6;
+const TIMER_MARGIN_SECONDS: f64 = 1e-6;
 
 /// A timer of this request that fires in `after` seconds.
 pub(super) fn request_timer(id: RequestId, after: f64) -> Action {
     Action::SetTimer {
-        after: after.max(0.0) + TIMER_MARGIN,
+        after: after.max(0.0) + TIMER_MARGIN_SECONDS,
         token: id.0,
     }
 }
@@ -37,7 +37,7 @@
         if self.rotation.is_empty() {
             return self.await_upstream(id, actions);
         }
-        self.limit.note_wait();
+        self.limit.record_queued_request();
         let Some(upstream_id) = self.select_queue(&self.requests[&id]) else {
             return self.give_up(id, actions);
         };
@@ -47,7 +47,7 @@
             .queue
             .push_back(id);
         let request = self.requests.get_mut(&id).expect("the request is pending");
-        request.queued_at = Some(upstream_id);
+        request.queued_upstream = Some(upstream_id);
         actions.push(request_timer(id, request.queue_deadline - self.now));
         self.dispatch_queued(upstream_id, actions);
     }
@@ -63,7 +63,7 @@
     /// Removes the request from the queue that it waits in, if any.
     pub(super) fn dequeue(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id).expect("the request is pending");
-        let Some(upstream) = request.queued_at.take() else {
+        let Some(upstream) = request.queued_upstream.take() else {
             return;
         };
         if let Some(upstream) = self.upstreams.get_mut(&upstream) {
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -33,7 +33,7 @@
     /// Its body is still being received.
     pub(super) is_uploading: bool,
     /// The upstream in whose queue it waits.
-    pub(super) queued_at: Option<UpstreamId>,
+    pub(super) queued_upstream: Option<UpstreamId>,
     /// When it is given up if it still waits.
     pub(super) queue_deadline: f64,
     /// It has its final response, or its client has disconnected.
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -76,7 +76,7 @@
         };
         if request.attempts_in_flight() == 0 && self.now >= request.queue_deadline {
             self.give_up(id, actions);
-        } else if request.queued_at.is_some() {
+        } else if request.queued_upstream.is_some() {
             if let Some(upstream) = self.select_upstream(request) {
                 self.dispatch_queued(upstream, actions);
             }
--- a/src/decision/rotation.rs
+++ b/src/decision/rotation.rs
@@ -5,7 +5,7 @@
 //! advances its upstream's virtual start by the upstream's relative latency, and the upstream with
 //! the earliest virtual start gets the next one.
 
-use super::concurrency_limit::Demand;
+use super::concurrency_limit::LoadLevel;
 use super::event::UpstreamId;
 use super::moving_average::{add_sample, SMOOTHING};
 use super::subset::Subset;
@@ -16,7 +16,7 @@
 /// congestion.
 const SUBSET_STEP: f64 = 0.5;
 /// Upstreams by which the subset shrinks with each response while no request has to wait.
-const SATISFIED_SUBSET_STEP: f64 = 0.1;
+const NORMAL_SUBSET_STEP: f64 = 0.1;
 /// Responses after which an upstream's own latency counts as much as that of its machine kind.
 const CONFIDENCE_RESPONSES: f64 = 10.0;
 
@@ -98,12 +98,12 @@
         self.min_subset_size < self.order.len() as f64
     }
 
-    /// Adapts the size of the subset to the demand.
-    pub(super) fn resize_subset(&mut self, demand: Demand) {
-        let step = match demand {
-            Demand::Congested => -SUBSET_STEP,
-            Demand::RequestsWaited => SUBSET_STEP,
-            Demand::Satisfied => -SATISFIED_SUBSET_STEP,
+    /// Adapts the size of the subset to the load level.
+    pub(super) fn resize_subset(&mut self, load_level: LoadLevel) {
+        let step = match load_level {
+            LoadLevel::Congested => -SUBSET_STEP,
+            LoadLevel::Queueing => SUBSET_STEP,
+            LoadLevel::Normal => -NORMAL_SUBSET_STEP,
         };
         self.set_subset_size(self.subset_size + step);
     }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -12,7 +12,7 @@
 
 /// Part of a request that counts where responses do not keep up with requests, so that slow start
 /// goes on while all upstreams warm up and none has responded yet.
-const UNANSWERED_SHARE: f64 = 0.1;
+const MIN_COUNTED_SHARE: f64 = 0.1;
 /// Credit beyond the attempts in flight that responses can accumulate, in requests.
 const MAX_UNUSED_CREDIT: f64 = 3.0;
 
@@ -20,7 +20,7 @@
 struct Recipient {
     upstream: UpstreamId,
     /// Upstreams among which the request is divided evenly.
-    sharing: f64,
+    sharing_count: f64,
 }
 
 /// Bounds what requests add to the tokens by what responses show that the subset can take.
@@ -55,9 +55,9 @@
 
     /// The part of one more request that counts.
     fn take_credit(&mut self) -> f64 {
-        let counted = self.credit.clamp(UNANSWERED_SHARE, 1.0);
+        let counted_share = self.credit.clamp(MIN_COUNTED_SHARE, 1.0);
         self.credit = (self.credit - 1.0).max(0.0);
-        counted
+        counted_share
     }
 }
 
@@ -67,28 +67,28 @@
     /// tokens at once. The exception is one returned from maintenance that still awaits a
     /// request: for it, requests count over the whole list.
     pub(super) fn add_slow_start_tokens(&mut self) {
-        let counted = self.slow_start.take_credit();
+        let counted_share = self.slow_start.take_credit();
         let maintenance = &self.maintenance;
         let in_subset = self.rotation.subset().iter().map(|id| Recipient {
             upstream: *id,
-            sharing: self.rotation.subset_size(),
+            sharing_count: self.rotation.subset_size(),
         });
         let outside = self.rotation.outside_subset().iter();
         let awaiting = outside.filter(|id| maintenance.awaits_request(**id));
         let awaiting = awaiting.map(|id| Recipient {
             upstream: *id,
-            sharing: self.rotation.len() as f64,
+            sharing_count: self.rotation.len() as f64,
         });
         let rules = &self.settings.rules;
         for Recipient {
             upstream: id,
-            sharing,
+            sharing_count,
         } in in_subset.chain(awaiting)
         {
             // Balancers that have it in their subset and those that don't both send to it, so each
             // side gives half.
             let has_returned = maintenance.returned_within(id, rules.slow_start_window, self.now);
-            let sides = if has_returned && self.rotation.may_be_partial() {
+            let balancer_groups = if has_returned && self.rotation.may_be_partial() {
                 2.0
             } else {
                 1.0
@@ -100,7 +100,7 @@
             let share = upstream.slow_start_share(rules, self.now);
             upstream
                 .stats
-                .add_slow_start_tokens(counted * share / sharing / sides);
+                .add_slow_start_tokens(counted_share * share / sharing_count / balancer_groups);
         }
     }
 }
--- a/src/decision/start_time.rs
+++ b/src/decision/start_time.rs
@@ -7,9 +7,9 @@
 use super::event::ListScope;
 
 /// By then, in seconds, a new balancer has received what discovery knew before it started.
-const INITIAL_LIST_TIME: f64 = 2.0;
+const INITIAL_LIST_SECONDS: f64 = 2.0;
 
-/// Converts the starts of endpoint lists into moments of the balancer's clock. All times are
+/// Converts the starts of endpoint lists into timestamps of the balancer's clock. All times are
 /// seconds.
 pub(super) struct StartTimeEstimator {
     /// Starts that are listed before this moment may lie far back.
@@ -23,7 +23,7 @@
     /// The estimator of a balancer that starts now.
     pub(super) fn new(now: f64) -> Self {
         StartTimeEstimator {
-            initial_until: now + INITIAL_LIST_TIME,
+            initial_until: now + INITIAL_LIST_SECONDS,
             min_delay: f64::INFINITY,
         }
     }
--- a/src/decision/subset.rs
+++ b/src/decision/subset.rs
@@ -42,8 +42,8 @@
     let available: Vec<_> = available.map(|upstream| &upstream.entry).collect();
     let count = available.len();
     let balancers = settings.peer_count;
-    let slots = PRESUMED_SLOTS * (settings.tier_count - settings.tier) as f64;
-    let size = ((slots * count as f64 / balancers as f64).ceil() as usize)
+    let slots_per_upstream = PRESUMED_SLOTS * (settings.tier_count - settings.tier) as f64;
+    let size = ((slots_per_upstream * count as f64 / balancers as f64).ceil() as usize)
         .max(MIN_SUBSET_SIZE)
         .min(count);
     let pool = pool(settings, &available);
@@ -51,7 +51,7 @@
     Subset {
         order: order(settings, &available, &pool, size),
         min_size: min_size as f64,
-        even_slots: slots * count as f64 / (min_size * balancers).max(1) as f64,
+        even_slots: slots_per_upstream * count as f64 / (min_size * balancers).max(1) as f64,
     }
 }
 
--- a/src/decision/upstream.rs
+++ b/src/decision/upstream.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// An upstream that rejects this many requests in a row may be draining.
-const REJECTIONS_OF_DRAINING: u32 = 3;
+const MIN_DRAINING_REJECTIONS: u32 = 3;
 
 /// All upstreams that are listed or have attempts in flight.
 pub(super) type Upstreams = BTreeMap<UpstreamId, Upstream>;
@@ -50,7 +50,7 @@
     /// Its entry in the endpoint list.
     pub(super) entry: UpstreamEntry,
     /// Operators have taken it out of service.
-    pub(super) in_maintenance: bool,
+    pub(super) is_in_maintenance: bool,
     consecutive_rejections: u32,
     /// It is left out until the endpoint list is current again.
     pub(super) is_suspected_draining: bool,
@@ -75,7 +75,7 @@
     pub(super) fn new(entry: UpstreamEntry, started_at: f64, stats: UpstreamStats) -> Self {
         Upstream {
             entry,
-            in_maintenance: false,
+            is_in_maintenance: false,
             consecutive_rejections: 0,
             is_suspected_draining: false,
             started_at,
@@ -100,12 +100,12 @@
     /// be draining.
     pub(super) fn is_available(&self) -> bool {
         self.entry.state == UpstreamState::Active
-            && !self.in_maintenance
+            && !self.is_in_maintenance
             && !self.is_suspected_draining
     }
 
     /// Counts consecutive rejections. Returns whether they suggest that it is draining.
-    pub(super) fn count_rejections(&mut self, outcome: AttemptOutcome) -> bool {
+    pub(super) fn update_rejection_count(&mut self, outcome: AttemptOutcome) -> bool {
         match outcome {
             AttemptOutcome::Rejected => self.consecutive_rejections += 1,
             AttemptOutcome::Success | AttemptOutcome::Error | AttemptOutcome::InvalidResponse => {
@@ -113,11 +113,11 @@
             }
             _ => {}
         }
-        self.consecutive_rejections >= REJECTIONS_OF_DRAINING
+        self.consecutive_rejections >= MIN_DRAINING_REJECTIONS
     }
 
     /// Drops the suspicion of draining: the endpoint list is current.
-    pub(super) fn clear_suspicion(&mut self) {
+    pub(super) fn clear_draining_suspicion(&mut self) {
         self.consecutive_rejections = 0;
         self.is_suspected_draining = false;
     }
@@ -128,7 +128,10 @@
     }
 
     /// The attempt of this request that is in flight here.
-    pub(super) fn in_flight_of(&mut self, request: RequestId) -> Option<&mut InFlightAttempt> {
+    pub(super) fn in_flight_attempt_of(
+        &mut self,
+        request: RequestId,
+    ) -> Option<&mut InFlightAttempt> {
         let mut in_flight = self.in_flight.iter_mut();
         in_flight.find(|attempt| attempt.request == request)
     }
@@ -152,13 +155,13 @@
 
     /// Whether the oldest idle connection has been idle for longer than `timeout` seconds. If so,
     /// forgets all.
-    pub(super) fn drop_untrusted_connections(&mut self, timeout: f64, now: f64) -> bool {
+    pub(super) fn drop_possibly_closed_connections(&mut self, timeout: f64, now: f64) -> bool {
         let oldest = self.idle_connections.first();
-        let is_untrusted = oldest.is_some_and(|since| now - since > timeout);
-        if is_untrusted {
+        let may_be_closed = oldest.is_some_and(|since| now - since > timeout);
+        if may_be_closed {
             self.idle_connections.clear();
         }
-        is_untrusted
+        may_be_closed
     }
 
     /// Takes the connection that became idle last; returns for how long it was idle (0: a new one
@@ -199,9 +202,9 @@
 }
 
 impl UpstreamStats {
-    /// All moments in it.
-    pub(super) fn moments(&mut self) -> impl Iterator<Item = &mut f64> {
-        let outliers = self.outliers.moments();
+    /// All timestamps in it.
+    pub(super) fn timestamps_mut(&mut self) -> impl Iterator<Item = &mut f64> {
+        let outliers = self.outliers.timestamps_mut();
         outliers.chain([&mut self.paused_until])
     }
 
