--- a/src/decision/action.rs
+++ b/src/decision/action.rs
@@ -1,49 +1,51 @@
-//! What a balancer asks its embedder to do.
+//! The actions that a balancer asks its embedder to carry out.
 
 use super::event::{RequestId, UpstreamId};
 use super::log_event::LogEvent;
 
-/// What the embedder has to do, in the order given. Durations are seconds.
+/// An action that the embedder has to carry out, in the order given. Durations are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     StartAttempt {
-        /// Which request.
+        /// The request to send.
         id: RequestId,
-        /// Where to.
+        /// The upstream to send it to.
         upstream: UpstreamId,
-        /// Its last byte has to be written within this time, or it must not go; `None`: no limit.
+        /// Time within which the last byte of the request has to be written; after that, the
+        /// attempt must be abandoned. `None`: no limit.
         write_within: Option<f64>,
     },
-    /// Final response: rejected. The request never ran or is idempotent, so a retry does no harm.
+    /// Send the final response: rejected. The request has never run or may run more than once, so
+    /// a retry does no harm.
     Reject {
-        /// Which request.
+        /// The rejected request.
         id: RequestId,
         /// How long the client should wait before a retry (Retry-After).
         retry_after: Option<f64>,
     },
-    /// Final response: failed. The request may have run.
+    /// Send the final response: failed. The request may have run.
     Fail {
-        /// Which request.
+        /// The failed request.
         id: RequestId,
     },
     /// Stop waiting for an attempt.
     CancelAttempt {
-        /// Which request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt, from 0 in the order sent.
         attempt: u32,
     },
     /// Close all idle connections to an upstream.
     CloseIdleConnections {
-        /// Which upstream.
+        /// The upstream whose idle connections are closed.
         upstream: UpstreamId,
     },
-    /// Report `Event::TimerFired` later.
+    /// Report `Event::TimerFired` after a delay.
     SetTimer {
-        /// After this time.
+        /// The delay.
         after: f64,
-        /// Comes back with the event.
+        /// Token that the event has to carry.
         token: u64,
     },
     /// Watch or poll the endpoint list.
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: how long a request may wait, and which requests go first when capacity is short.
+//! Admission: how long a request may be queued, and which requests go first when capacity is
+//! short.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -7,10 +8,11 @@
 use super::settings::Class;
 use serde::{Deserialize, Serialize};
 
-/// Share of the time that the latency objective leaves beyond the expected latency, or of the
-/// expected latency, that a request may wait.
+/// Longest queue time of a request, as a share of its slack. The slack is the time that the
+/// latency objective leaves beyond the expected latency, or the expected latency if that is
+/// longer.
 const QUEUE_TIME_SHARE: f64 = 0.4;
-/// The same where late responses have a weight.
+/// Longest queue time, as a share of the slack, in classes whose late responses have a weight.
 const QUEUE_TIME_SHARE_LATE_WEIGHT: f64 = 2.0 * QUEUE_TIME_SHARE;
 
 /// The request rate of one tenant, as an exponentially decaying average.
@@ -24,12 +26,12 @@
 }
 
 impl RequestRate {
-    /// When the last request was counted.
+    /// Returns a mutable reference to the time of the last counted request.
     pub(super) fn timestamp_mut(&mut self) -> &mut f64 {
         &mut self.updated_at
     }
 
-    /// Counts one request. Returns the share of the rate that exceeds the quota (requests per
+    /// Counts a request, and returns the share of the rate that exceeds `quota` (requests per
     /// second; 0: no quota). The average decays over `window` seconds.
     fn add_request(&mut self, quota: f64, now: f64, window: f64) -> f64 {
         let decay = (-(now - self.updated_at) / window).exp();
@@ -44,7 +46,7 @@
 }
 
 impl Balancer {
-    /// Admits a request. One with an unknown class or with an id that is in use is ignored.
+    /// Admits a request. A request with an unknown class or with an id that is in use is ignored.
     pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         let class = self.settings.classes.get(request.class);
@@ -70,9 +72,10 @@
         self.assign(id, actions);
     }
 
-    /// How long a request may wait, in seconds. The first tier sheds it while others can still
-    /// meet the latency objective. In deeper tiers work has been spent on it already, so it waits
-    /// as long as a response can come in time.
+    /// Returns how long a request may be queued, in seconds. The first tier drops a request early
+    /// enough that others can still meet the latency objective. In deeper tiers work has already
+    /// been spent on the request, so it may wait as long as a response can still be received in
+    /// time.
     fn queue_time(&self, class: &Class, expected_latency: f64, remaining: f64) -> f64 {
         if self.settings.tier > 0 {
             return remaining - (expected_latency / 2.0).min(remaining / 2.0);
@@ -86,8 +89,8 @@
         remaining.min(share * slack)
     }
 
-    /// Counts a request of this tenant. Returns the share of its traffic that exceeds this
-    /// balancer's part of the quota.
+    /// Counts a request of this tenant, and returns the share of the tenant's traffic that exceeds
+    /// this balancer's part of the quota.
     fn over_quota_share(&mut self, tenant: usize, window: f64) -> f64 {
         let settings = self.settings.tenants.get(tenant);
         let quota = settings.map_or(0.0, |tenant| tenant.quota_per_second);
@@ -96,9 +99,9 @@
         rate.map_or(0.0, |rate| rate.add_request(quota, self.now, window))
     }
 
-    /// The priority weight that a request earns per second of its expected latency. Requests
-    /// beyond their tenant's quota count less, so that one tenant can't take the capacity of the
-    /// others.
+    /// Returns the priority weight that a request earns per second of its expected latency. The
+    /// weight of requests beyond their tenant's quota is reduced, so that one tenant can't take
+    /// the capacity of the others.
     pub(super) fn weight_per_second(&self, id: RequestId) -> f64 {
         let request = &self.requests[&id];
         let work = if self.settings.weight_by_work {
@@ -111,7 +114,7 @@
         weight * (1.0 - over_quota) / self.expected_latency(request)
     }
 
-    /// The latency to expect for this request, in seconds.
+    /// Returns the expected latency of this request, in seconds.
     pub(super) fn expected_latency(&self, request: &PendingRequest) -> f64 {
         self.latency.of_class(request.class).expected(request.work)
     }
--- a/src/decision/attempt_results.rs
+++ b/src/decision/attempt_results.rs
@@ -1,4 +1,4 @@
-//! Attempt results: what the end of an attempt changes.
+//! Attempt results: updates the state of the balancer when an attempt ends.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -9,8 +9,9 @@
 use super::upstream::upstream_of_attempt;
 
 impl Balancer {
-    /// An attempt has ended: learns from it, concludes or retries its request, and uses the free
-    /// slot. A result that has been reported before is ignored.
+    /// Handles the end of an attempt: updates the statistics, concludes or retries its request,
+    /// and gives the free slot to a queued request. A result that has been reported before is
+    /// ignored.
     pub(super) fn on_attempt_ended(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
         let (id, outcome) = (result.id, result.outcome);
         let Some(request) = self.requests.get_mut(&id) else {
@@ -35,7 +36,7 @@
         self.dispatch_queued(upstream, actions);
     }
 
-    /// Frees the attempt's slot, and updates the estimates that its result bears on.
+    /// Frees the attempt's slot, and updates the estimates that depend on its result.
     fn record_result(&mut self, id: UpstreamId, result: &AttemptResult, actions: &mut Vec<Action>) {
         let request = &self.requests[&result.id];
         let (work, has_short_deadline) = (request.work, request.has_short_deadline);
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Adapts the upstream's concurrency limit and pause to the end of an attempt, and with a
-    /// success also the latency estimates and the size of the subset.
+    /// Adapts the upstream's concurrency limit and pause to the end of an attempt. A success also
+    /// updates the latency estimates and the size of the subset.
     fn adapt_to_result(
         &mut self,
         id: UpstreamId,
@@ -94,7 +95,8 @@
                 self.rotation.resize_subset(load_level);
             }
             AttemptOutcome::Error => decrease_after_error(stats),
-            // An upstream that rejects has nothing in flight, and would draw every request.
+            // An upstream that rejects requests has nothing in flight and would attract every
+            // request.
             AttemptOutcome::Rejected => stats.paused_until = self.now + ended.expected_latency,
             AttemptOutcome::ConnectFailed | AttemptOutcome::Reset | AttemptOutcome::TimedOut
                 if stats.outliers.all_requests().is_silent_since(ended.sent_at)
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: starts them and chooses their connections.
+//! Attempts: starts them and selects their connections.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -11,7 +11,7 @@
 use super::upstream::{InFlightAttempt, Upstream};
 
 impl Balancer {
-    /// Sends the request to this upstream.
+    /// Starts an attempt of the request at this upstream.
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
@@ -63,7 +63,8 @@
         }
     }
 
-    /// The upstream has received the whole request. Until then it can't be overdue.
+    /// Handles the end of an upload: the upstream has received the whole request, whose attempt
+    /// can be overdue from now on.
     pub(super) fn on_upload_completed(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -81,9 +82,9 @@
     }
 }
 
-/// Chooses the connection of an attempt; returns for how long it has been idle, in seconds (0: it
-/// is new). If the oldest idle connection has been idle for longer than the estimated timeout,
-/// all are closed first.
+/// Selects the connection of an attempt, and returns for how long it has been idle, in seconds (0:
+/// it is new). If the oldest idle connection has been idle for longer than the estimated timeout,
+/// all idle connections are closed first.
 fn take_connection(
     upstream: &mut Upstream,
     idle_timeout: &mut IdleTimeoutEstimator,
--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -1,8 +1,9 @@
-//! The balancer: owns the state of all parts and passes each event to the part that handles it.
+//! The balancer: owns the state of all modules and dispatches each event to the module that
+//! handles it.
 //!
-//! A balancer counts its attempts in flight at each upstream. A request goes to the next upstream
-//! of the rotation that is below its concurrency limit; if there is none, it waits in a queue
-//! until a slot becomes free or its queue time is over.
+//! The balancer counts its attempts in flight at each upstream. A request goes to the next
+//! upstream of the rotation that is below its concurrency limit. If there is none, the request is
+//! queued until a slot becomes free or its queue deadline has passed.
 
 use super::action::Action;
 use super::admission::RequestRate;
@@ -23,7 +24,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a balancer keeps track of. Without open requests and attempts in flight it is idle.
+/// The load of a balancer. A balancer without open requests and attempts in flight is idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
     /// Requests without a final response or with attempts in flight.
@@ -34,11 +35,12 @@
     pub upstreams: usize,
 }
 
-/// One balancer. The modules beside this one hold the decisions, each for the state that it owns.
+/// A load balancer. It owns the state of all modules; each module implements the decisions on its
+/// part of the state.
 pub struct Balancer {
     pub(super) settings: Settings,
     pub(super) rng: Pcg64Mcg,
-    /// The moment of the latest event, in seconds; it never goes back.
+    /// Time of the latest event, in seconds; it never goes back.
     pub(super) now: f64,
     pub(super) upstreams: Upstreams,
     pub(super) rotation: Rotation,
@@ -46,10 +48,10 @@
     pub(super) slow_start: SlowStart,
     pub(super) maintenance: MaintenanceRegister,
     pub(super) requests: BTreeMap<RequestId, PendingRequest>,
-    /// Requests that arrived while no upstream was available.
+    /// Requests that wait for any upstream to become available.
     pub(super) unassigned: VecDeque<RequestId>,
     pub(super) latency: LatencyModel,
-    /// Of each tenant.
+    /// Request rate of each tenant.
     pub(super) tenant_rates: Vec<RequestRate>,
     pub(super) retry_budget: RetryBudget,
     pub(super) idle_timeout: IdleTimeoutEstimator,
@@ -58,12 +60,13 @@
 }
 
 impl Balancer {
-    /// A balancer that knows no upstream yet: give it an `Event::EndpointList` next. `now` is the
-    /// moment on the embedder's clock, in seconds; `seed` starts the random generator.
+    /// Creates a balancer that knows no upstream yet: give it an `Event::EndpointList` next. `now`
+    /// is the time on the embedder's clock, in seconds; `seed` initializes the random number
+    /// generator.
     ///
     /// # Errors
     ///
-    /// The first setting that is missing or out of range.
+    /// Returns an error for the first setting that is missing or out of range.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let tenants = settings.tenants.iter();
@@ -88,8 +91,8 @@
         })
     }
 
-    /// Handles one event that happened `now`, in seconds, and appends the actions that follow
-    /// from it.
+    /// Handles one event that happened at `now`, in seconds, and appends the resulting actions to
+    /// `actions`.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -113,13 +116,13 @@
         }
     }
 
-    /// The settings that it was created with.
+    /// Returns the settings that the balancer was created with.
     #[must_use]
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// What the balancer keeps track of now.
+    /// Returns the current load.
     #[must_use]
     pub fn load(&self) -> Load {
         let upstreams = self.upstreams.values();
@@ -131,7 +134,8 @@
         }
     }
 
-    /// How many upstreams that the endpoint list has in service get no request of any class now.
+    /// Returns the number of upstreams that are in service according to the endpoint list but
+    /// currently get no requests of any class.
     #[must_use]
     pub fn excluded_upstreams(&self) -> usize {
         let is_listed = |upstream: &&Upstream| upstream.entry.state == UpstreamState::Active;
--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -1,57 +1,61 @@
 //! The concurrency limit: how many attempts this balancer may have in flight at one upstream.
 //!
-//! The limit is an even share of the upstream's slots, times a multiplier that each upstream's
-//! results change. With nothing in flight, a request is allowed whatever the limit is.
+//! The limit is this balancer's even share of the upstream's slots, times a multiplier that is
+//! adapted to the results of the upstream. If nothing is in flight there, one request is allowed
+//! whatever the limit is.
 
 use super::congestion::Congestion;
 use super::event::AttemptOutcome;
 use super::moving_average::{add_sample, SLOW_SMOOTHING, SMOOTHING};
 use super::upstream::{Upstream, UpstreamStats};
 
-/// Queued requests per slot of an upstream.
+/// Requests that may be queued per slot of an upstream.
 const QUEUED_REQUESTS_PER_SLOT: f64 = 8.0;
-/// Slots by which a limit grows with each response until congestion has been seen.
+/// Slots by which each response raises a limit while requests are queued, before congestion has
+/// occurred.
 const INITIAL_GROWTH_SLOTS: f64 = 0.5;
-/// The same from then on.
+/// Slots by which each response raises a limit while requests are queued, once congestion has
+/// occurred.
 const GROWTH_SLOTS_AFTER_CONGESTION: f64 = 0.1;
-/// What each response adds to a multiplier below 1.
+/// What each successful response adds to a multiplier below 1.
 const RECOVERY_STEP: f64 = 0.1;
-/// Share of the time that single requests beyond the limit are allowed under congestion, where an
-/// even share is less than that.
+/// Under congestion, single requests beyond the limit are allowed for this share of the time if
+/// the even share of slots is less than that.
 const CONGESTED_ALLOWANCE: f64 = 0.5;
-/// The multiplier keeps the limit at this many slots or more.
+/// Smallest limit, in slots, that the multiplier may lead to.
 const MIN_SLOTS: f64 = 0.5;
-/// Factor of the multiplier after an error, or after one connection that broke.
+/// Factor by which the multiplier is reduced after an error or a single broken connection.
 const MILD_DECREASE_FACTOR: f64 = 0.9;
-/// Factor of the multiplier after a loss.
+/// Factor by which the multiplier is reduced after any other loss.
 const STRONG_DECREASE_FACTOR: f64 = 0.5;
 
-/// What the last response shows of the load level.
+/// Load at the time of a successful response; the limit and the subset are adapted to it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LoadLevel {
     /// Responses are delayed by congestion.
     Congested,
-    /// There is no congestion, but a request had to wait since the response before.
+    /// There is no congestion, but a request found no free slot since the previous successful
+    /// response.
     Queueing,
-    /// Neither.
+    /// There is no congestion, and no request had to wait for a slot.
     Normal,
 }
 
-/// State of the limit that all upstreams share.
+/// State of the concurrency limit that all upstreams share.
 pub(super) struct ConcurrencyLimit {
-    /// Slots at one upstream before its multiplier; at least one.
+    /// Limit at an upstream before its multiplier is applied, in slots; at least 1.
     base_slots: f64,
-    /// The same if balancers share it evenly; may be less than one.
+    /// Slots at an upstream if the balancers share it evenly; may be less than 1.
     even_slots: f64,
-    /// Share of the time in which a request may go to an upstream with nothing in flight,
+    /// Share of the time in which a request may be sent to an upstream with nothing in flight,
     /// whatever the limit is.
     single_request_allowance: f64,
-    /// A request had to wait since the last successful response.
+    /// Whether a request found no free slot since the last successful response.
     request_was_queued: bool,
 }
 
 impl ConcurrencyLimit {
-    /// The limit before the first endpoint list.
+    /// Returns the limit before the first endpoint list.
     pub(super) fn new() -> Self {
         ConcurrencyLimit {
             base_slots: 0.0,
@@ -61,31 +65,32 @@
         }
     }
 
-    /// Sets the even share after a change of the endpoint list.
+    /// Sets the even share of slots after a change of the endpoint list.
     pub(super) fn set_even_slots(&mut self, even_slots: f64) {
         self.even_slots = even_slots;
         self.base_slots = even_slots.max(1.0);
     }
 
-    /// One more attempt is within the limit, or nothing is in flight there.
+    /// Returns whether one more attempt at the upstream is within the limit or nothing is in
+    /// flight there.
     pub(super) fn has_free_slot(&self, upstream: &Upstream) -> bool {
         let in_flight = upstream.in_flight.len() as f64;
         in_flight == 0.0 || in_flight + 1.0 <= self.base_slots * upstream.stats.limit_multiplier
     }
 
-    /// One more request may wait at this upstream.
+    /// Returns whether one more request may be queued at the upstream.
     pub(super) fn has_queue_space(&self, upstream: &Upstream) -> bool {
         let slots = (self.base_slots * upstream.stats.limit_multiplier).max(1.0);
         (upstream.queue.len() as f64) < QUEUED_REQUESTS_PER_SLOT * slots
     }
 
-    /// Notes that a request has to wait.
+    /// Records that a request found no free slot.
     pub(super) fn record_queued_request(&mut self) {
         self.request_was_queued = true;
     }
 
-    /// Adapts the limit to a successful response of an upstream. `subset_covers_all`: the subset can't
-    /// grow any more, so the multiplier does.
+    /// Adapts the limit to a successful response of an upstream, and returns the load level. If
+    /// `subset_covers_all`, the subset can't grow any further, so the multiplier grows instead.
     pub(super) fn on_success(
         &mut self,
         stats: &mut UpstreamStats,
@@ -118,8 +123,9 @@
         congestion: &Congestion,
         subset_covers_all: bool,
     ) {
-        // A limit is counted in integral attempts: unless an even share is restored completely
-        // after a failure, one slot would be lost permanently.
+        // Attempts are whole numbers, so a limit that stayed just below the even share after a
+        // failure would permanently be one slot lower. The even share is therefore restored
+        // completely.
         if *multiplier < 1.0 {
             *multiplier = (*multiplier + RECOVERY_STEP).min(1.0);
             return;
@@ -128,8 +134,8 @@
             LoadLevel::Congested => add_sample(multiplier, 1.0, SMOOTHING),
             LoadLevel::Normal => add_sample(multiplier, 1.0, SLOW_SMOOTHING),
             LoadLevel::Queueing if subset_covers_all => {
-                // A restarted balancer has to regain its former limit soon, or it rejects
-                // requests meanwhile.
+                // Until congestion occurs the limit grows quickly: a restarted balancer rejects
+                // requests until it has regained its former limit.
                 let growth = if congestion.has_occurred {
                     GROWTH_SLOTS_AFTER_CONGESTION
                 } else {
@@ -141,8 +147,9 @@
         }
     }
 
-    /// Single requests of many balancers would void the limit, so under congestion they are
-    /// allowed for a part of the time only.
+    /// Adapts the single-request allowance. If each of many balancers sent a single request beyond
+    /// the limit, the limit would have no effect, so under congestion they may do so only for a
+    /// part of the time.
     fn adapt_allowance(&mut self, is_congested: bool) {
         let target = if is_congested && self.even_slots < CONGESTED_ALLOWANCE {
             CONGESTED_ALLOWANCE
@@ -152,8 +159,9 @@
         add_sample(&mut self.single_request_allowance, target, SMOOTHING);
     }
 
-    /// Bounds the multiplier from below, and pauses the upstream after an attempt of `elapsed`
-    /// seconds for as long as the single-request allowance asks for.
+    /// Applies the lower bound of the multiplier. Pauses the upstream after an attempt of
+    /// `elapsed` seconds, so that single requests are in flight only for the allowed share of the
+    /// time.
     pub(super) fn apply_min_limit_and_pause(
         &self,
         stats: &mut UpstreamStats,
@@ -165,7 +173,7 @@
         stats.paused_until = stats.paused_until.max(now + pause);
     }
 
-    /// The single-request allowance.
+    /// Returns the single-request allowance.
     pub(super) fn single_request_allowance(&self) -> f64 {
         self.single_request_allowance
     }
@@ -181,8 +189,8 @@
     stats.limit_multiplier *= MILD_DECREASE_FACTOR;
 }
 
-/// Lowers an upstream's limit after an attempt that was lost. A single connection that broke
-/// counts less: if the process is gone, the next connection fails too.
+/// Lowers an upstream's limit after a lost attempt. A single broken connection has a smaller
+/// effect: if the process is gone, the next connection fails too.
 pub(super) fn decrease_after_loss(stats: &mut UpstreamStats, outcome: AttemptOutcome) {
     let is_single = outcome != AttemptOutcome::TimedOut
         && stats.outliers.all_requests().consecutive_failures() == 0;
--- a/src/decision/congestion.rs
+++ b/src/decision/congestion.rs
@@ -3,26 +3,26 @@
 use super::latency::LatencyEstimate;
 use super::moving_average::{add_sample, SMOOTHING};
 
-/// Congested: responses take more than this share of what the latency objective leaves beyond the
-/// baseline latency, on average.
+/// Congestion level above which concurrency has to be reduced. The level is the mean share that
+/// responses use of the time between the baseline latency and the latency objective.
 const CONGESTION_THRESHOLD: f64 = 0.25;
-/// Largest share of the latency objective that counts as baseline latency. The estimate may have
-/// started under congestion.
+/// Upper bound of the baseline latency, as a share of the latency objective. Without it, an
+/// estimate that started under congestion would be too high.
 const MAX_BASELINE_SHARE: f64 = 0.5;
 
 /// The congestion that successful responses show.
 #[derive(Default)]
 pub(super) struct Congestion {
-    /// Moving average of what responses take of the latency objective beyond the baseline
-    /// latency.
+    /// Moving average of the share that responses use of the time between the baseline latency and
+    /// the latency objective.
     pub(super) level: f64,
-    /// There has been congestion since the start.
+    /// Whether congestion has occurred since the start.
     pub(super) has_occurred: bool,
 }
 
 impl Congestion {
-    /// Adds one successful response. Only what exceeds the baseline latency counts: large
-    /// requests and single slow responses are not congestion.
+    /// Adds a successful response. Only latency beyond the baseline counts, because large requests
+    /// and single slow responses are not congestion.
     pub(super) fn add(
         &mut self,
         latency: f64,
@@ -38,8 +38,9 @@
         }
     }
 
-    /// Whether a balancer of this tier has to reduce its concurrency. In deeper tiers the first
-    /// tier bounds what comes, and a waiting request holds a slot there.
+    /// Returns whether a balancer of this tier has to reduce its concurrency, and records that
+    /// congestion has occurred if so. Only the first tier has to: it bounds the requests that
+    /// reach deeper tiers, and a request that waits in a deeper tier holds a slot in the first.
     pub(super) fn update(&mut self, tier: usize) -> bool {
         let is_congested = tier == 0 && self.level > CONGESTION_THRESHOLD;
         self.has_occurred |= is_congested;
--- a/src/decision/draining.rs
+++ b/src/decision/draining.rs
@@ -1,17 +1,17 @@
-//! Draining that the endpoint list does not show: detected by rejections while the list is stale.
+//! Detection of upstreams that drain while the endpoint list is stale, by their rejections.
 
 use super::action::Action;
 use super::balancer::Balancer;
 use super::event::{AttemptOutcome, UpstreamId};
 use super::log_event::LogEvent;
 
-/// An upstream is suspected of draining only while fewer than this share of the available ones
-/// are.
+/// Another upstream is suspected of draining only while fewer than this share of the upstreams in
+/// service are suspected.
 const MAX_SUSPECTED_SHARE: f64 = 0.5;
 
 impl Balancer {
-    /// Leaves out an upstream that rejects all requests while the endpoint list is stale: it may
-    /// be draining. If many reject, they are overloaded instead.
+    /// Leaves out an upstream that rejects all requests while the endpoint list is stale, because
+    /// it may be draining. If many upstreams reject requests, they are overloaded instead.
     pub(super) fn detect_draining(
         &mut self,
         id: UpstreamId,
--- a/src/decision/ended_attempt.rs
+++ b/src/decision/ended_attempt.rs
@@ -1,29 +1,29 @@
-//! What the end of an attempt says of its upstream.
+//! Ended attempts and the classification of their outcomes.
 
 use super::event::{AttemptOutcome, AttemptResult};
 use super::latency::OVERDUE_FACTOR;
 use super::upstream::InFlightAttempt;
 
-/// An attempt that has ended, with what follows from its outcome. Times are seconds.
+/// An attempt that has ended, with the classification of its outcome. Times are in seconds.
 pub(super) struct EndedAttempt {
     pub(super) class: usize,
     pub(super) outcome: AttemptOutcome,
-    /// When it started.
+    /// When the attempt started.
     pub(super) sent_at: f64,
-    /// How long it took.
+    /// How long the attempt took.
     pub(super) elapsed: f64,
-    /// How long it was expected to take.
+    /// Expected latency of the attempt.
     pub(super) expected_latency: f64,
-    /// For how long its connection had been idle (0: it was new).
+    /// How long the connection had been idle when the attempt started; 0 for a new connection.
     pub(super) connection_idle: f64,
-    /// The upstream responded, possibly with an error or a rejection.
+    /// Whether the upstream responded, possibly with an error or a rejection.
     pub(super) is_response: bool,
-    /// The upstream is to blame for the missing response.
+    /// Whether the upstream is to blame for the missing response.
     pub(super) is_lost: bool,
 }
 
 impl EndedAttempt {
-    /// Combines what is known of the attempt with its result.
+    /// Combines the record of an attempt in flight with its result.
     pub(super) fn new(
         attempt: &InFlightAttempt,
         result: &AttemptResult,
@@ -33,8 +33,7 @@
         let is_overdue = result.elapsed > OVERDUE_FACTOR * attempt.expected_latency;
         let is_lost = match outcome {
             AttemptOutcome::Cancelled => is_overdue,
-            // The upstream is not to blame for a client that gives up before the latency
-            // objective.
+            // The upstream is not to blame if the client gives up before the latency objective.
             AttemptOutcome::TimedOut => is_overdue || !has_short_deadline,
             AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => true,
             _ => false,
@@ -45,20 +44,20 @@
             sent_at: attempt.sent_at,
             elapsed: result.elapsed,
             expected_latency: attempt.expected_latency,
-            // The embedder's figure goes first: the connection may have been closed since it was
-            // estimated.
+            // The embedder's value takes precedence: the connection may have been closed since the
+            // idle time was estimated.
             connection_idle: result.connection_idle.unwrap_or(attempt.connection_idle),
             is_response: is_reusable(outcome) || outcome == AttemptOutcome::InvalidResponse,
             is_lost,
         }
     }
 
-    /// Its connection can carry the next attempt.
+    /// Returns whether the connection can carry another attempt.
     pub(super) fn connection_is_reusable(&self) -> bool {
         is_reusable(self.outcome)
     }
 
-    /// It was lost without any notice from the upstream.
+    /// Returns whether the attempt was lost without any notice from the upstream.
     pub(super) fn is_lost_silently(&self) -> bool {
         let is_silent = matches!(
             self.outcome,
@@ -67,7 +66,7 @@
         self.is_lost && is_silent
     }
 
-    /// The upstream responded with an error or a rejection.
+    /// Returns whether the upstream responded with an error or a rejection.
     pub(super) fn is_error(&self) -> bool {
         matches!(
             self.outcome,
@@ -75,7 +74,7 @@
         )
     }
 
-    /// It ended for a connection that broke or was not established.
+    /// Returns whether the attempt ended because the connection broke or was not established.
     pub(super) fn is_connection_failure(&self) -> bool {
         matches!(
             self.outcome,
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Takes in the endpoint list from discovery.
+//! Merges endpoint lists from discovery.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -10,7 +10,7 @@
 use std::collections::btree_map::Entry;
 
 impl Balancer {
-    /// Merges a list or a change of it, or notes that discovery failed.
+    /// Merges an endpoint list or a change of it, or handles a failure of discovery.
     pub(super) fn on_endpoint_list(
         &mut self,
         scope: ListScope,
@@ -37,8 +37,8 @@
     }
 
     fn merge_entry(&mut self, entry: UpstreamEntry) {
-        // For every entry, so that the sequence of random numbers does not depend on which
-        // upstreams are known already.
+        // The statistics are created for every entry, so that the sequence of random numbers does
+        // not depend on which upstreams are already known.
         let initial_stats = self.initial_stats();
         let id = entry.id;
         let upstream = match self.upstreams.entry(id) {
@@ -59,20 +59,20 @@
         upstream.is_in_maintenance = self.maintenance.is_out_of_service(id);
     }
 
-    /// The statistics of an upstream of which nothing is known. Draws a random number.
+    /// Returns the statistics of an upstream without history. Draws a random number.
     pub(super) fn initial_stats(&mut self) -> UpstreamStats {
         UpstreamStats {
             limit_multiplier: 1.0,
-            // A random part, so that the balancers of a fleet do not all send their first request
-            // at once.
+            // The tokens are random, so that the balancers of a fleet do not all send their first
+            // request at the same time.
             slow_start_tokens: self.rng.random(),
             outliers: OutlierStatsByScope::new(self.settings.classes.len(), self.now),
             ..UpstreamStats::default()
         }
     }
 
-    /// An upstream has become available or unavailable: chooses the subset anew, and reassigns
-    /// requests that wait for an unavailable upstream or for any at all.
+    /// Selects the subset again after an upstream has become available or unavailable. Reassigns
+    /// the requests that wait for an unavailable upstream or for any upstream.
     pub(super) fn on_endpoints_changed(&mut self, actions: &mut Vec<Action>) {
         let subset = subset::choose(&self.settings, &self.upstreams);
         self.limit.set_even_slots(subset.even_slots);
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -1,13 +1,14 @@
 //! The events that a balancer handles: requests, results of attempts, endpoint lists, timers.
 //!
-//! Moments are seconds as `f64` on a clock of the embedder's choice; durations are seconds too.
+//! Times are seconds as `f64` on a clock of the embedder's choice; durations are in seconds too.
 
-/// A request, numbered by the embedder; an id is never used twice.
+/// Identifies a request. The embedder assigns the numbers and never uses one twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// An upstream server. Every balancer of a fleet has to know an upstream by the same number (a
-/// stable hash of its address will do): the balancers divide the fleet by these numbers.
+/// Identifies an upstream. Every balancer of a fleet has to use the same number for an upstream,
+/// such as a stable hash of its address, because the balancers divide the upstreams among
+/// themselves by these numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId(pub u64);
 
@@ -15,8 +16,8 @@
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
 impl UpstreamId {
-    /// The number of the upstream of this name (FNV-1a): it depends neither on the process nor on
-    /// the order in which names are seen.
+    /// Returns the id of the upstream with this name, an FNV-1a hash. It depends neither on the
+    /// process nor on the order in which names are seen.
     #[must_use]
     pub fn of(name: &str) -> Self {
         let add_byte = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
@@ -27,70 +28,70 @@
 /// The state of a listed upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// It takes requests.
+    /// The upstream takes requests.
     Active,
-    /// It is draining: nothing new goes there.
+    /// The upstream is draining; no new requests are sent to it.
     Draining,
-    /// It is gone.
+    /// The upstream is no longer listed.
     Removed,
 }
 
 /// One upstream of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamEntry {
-    /// Which upstream.
+    /// Id of the upstream.
     pub id: UpstreamId,
-    /// Its zone.
+    /// Zone of the upstream.
     pub zone: usize,
-    /// Its machine kind.
+    /// Machine kind of the upstream.
     pub machine_kind: usize,
-    /// Its cell: the upstreams of a cell can share a deduplication scope.
+    /// Cell of the upstream. The upstreams of a cell can share a deduplication scope.
     pub cell: usize,
-    /// Its state.
+    /// State of the upstream.
     pub state: UpstreamState,
-    /// When it last started, in seconds; 0: long ago.
+    /// When the upstream last started, in seconds; 0 means long ago.
     pub started_at: f64,
 }
 
 /// Which upstreams an endpoint list covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Only what changed.
+    /// Only the upstreams that have changed.
     Delta,
     /// All upstreams.
     Full,
-    /// All upstreams as this balancer last saw them; may be stale.
+    /// All upstreams as this balancer last saw them; the list may be stale.
     Cached,
-    /// None: a poll failed or a watch broke. The previous list stays in force.
+    /// No upstreams: a poll failed or a watch broke. The previous list stays in force.
     Failed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served.
+    /// The upstream served the request.
     Success,
-    /// The upstream responded with an error; it may have run.
+    /// The upstream responded with an error; the attempt may have run.
     Error,
-    /// What came can't be read as the response to this request, and its connection is of no
-    /// further use; it may have run.
+    /// The received data is not a valid response to this request, and the connection can't be
+    /// reused; the attempt may have run.
     InvalidResponse,
-    /// Rejected before it began; it never ran.
+    /// The upstream rejected the attempt before it began; it never ran.
     Rejected,
-    /// No response in time; it may have run or still run.
+    /// No response was received in time; the attempt may have run or may still be running.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection was established; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// True if the attempt is known not to have run.
+    /// Returns whether the attempt is known not to have run.
     #[must_use]
     pub fn never_started(self) -> bool {
         matches!(
@@ -100,77 +101,81 @@
     }
 }
 
-/// A request that arrived; the balancer gives it exactly one final response.
+/// A request that has arrived. The balancer gives it exactly one final response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
     /// Index into `Settings::classes`.
     pub class: usize,
     /// Index into `Settings::tenants`.
     pub tenant: usize,
-    /// How long its client still waits, in seconds.
+    /// How long the client will still wait, in seconds.
     pub remaining: f64,
-    /// Expected work, in seconds on a standard core.
+    /// Expected work, in seconds on a standard core, if known.
     pub cost_hint: Option<f64>,
-    /// Its body is still being received and forwarded; `Event::UploadCompleted` follows.
+    /// Whether the body is still being received and forwarded; if so, `Event::UploadCompleted`
+    /// follows.
     pub streamed: bool,
 }
 
-/// How one attempt ended. Each attempt ends once.
+/// The result of an attempt. Each attempt ends once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// Which request.
+    /// The request that the attempt belongs to.
     pub id: RequestId,
-    /// Which attempt, from 0 in the order sent.
+    /// Number of the attempt, from 0 in the order sent.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Seconds since it was sent.
+    /// Seconds since the attempt was sent.
     pub elapsed: f64,
-    /// For how many seconds its connection had been idle (0: it was new), if the embedder knows.
+    /// How long the connection had been idle when the attempt was sent, in seconds (0 for a new
+    /// connection), if the embedder knows.
     pub connection_idle: Option<f64>,
-    /// The request has its final response.
+    /// Whether the request has its final response.
     pub request_concluded: bool,
 }
 
-/// Whether operators have taken an upstream out of service.
+/// A change of an upstream's maintenance by operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Maintenance {
-    /// It gets no requests.
+    /// The upstream gets no requests.
     Begin,
-    /// It gets requests again.
+    /// The upstream gets requests again.
     End,
 }
 
-/// What happened.
+/// An event that the embedder reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list or a change of it came from discovery, or a poll failed.
+    /// The endpoint list or a change of it was received from discovery, or a poll failed.
     EndpointList {
         /// Which upstreams `endpoints` covers.
         scope: ListScope,
-        /// The upstreams of the list.
+        /// The listed upstreams.
         endpoints: Vec<UpstreamEntry>,
     },
-    /// Operators take an upstream out of service or put it back. This holds until they say
-    /// otherwise, whatever discovery lists; the upstream may be restarted while it is out.
+    /// Operators take an upstream out of service or put it back. Their order holds until they give
+    /// another, whatever the endpoint list contains. The upstream may be restarted while it is out
+    /// of service.
     Maintenance {
-        /// Which upstream; it need not be listed now.
+        /// The upstream; it need not be listed now.
         upstream: UpstreamId,
-        /// Whether it goes out or comes back.
+        /// Whether the upstream is taken out of service or put back.
         change: Maintenance,
     },
-    /// A request arrived.
+    /// A request has arrived.
     Request(Request),
-    /// The last byte of this streamed request has gone to its upstream, whose time begins now.
+    /// The last byte of this streamed request has been sent to its upstream. The expected latency
+    /// of its attempt counts from now on.
     UploadCompleted(RequestId),
-    /// The response to this request is being streamed to its client: it is final.
+    /// The response to this request is being streamed to its client, so it is the final response.
     ResponseStarted(RequestId),
-    /// An attempt ended.
+    /// An attempt has ended.
     AttemptEnded(AttemptResult),
-    /// The client of this request disconnected; it needs no response.
+    /// The client of this request has disconnected, so the request needs no response.
     ClientDisconnected(RequestId),
-    /// A timer that `Action::SetTimer` set has fired; this is its token.
+    /// A timer set by `Action::SetTimer` has fired; the value is its token.
     TimerFired(u64),
 }
--- a/src/decision/idle_timeout.rs
+++ b/src/decision/idle_timeout.rs
@@ -1,45 +1,46 @@
-//! Estimates after which idle time upstreams, or what lies between, drop connections without
-//! notice.
+//! Estimates the idle time after which upstreams, or devices on the path to them, drop connections
+//! without notice.
 
 use super::ended_attempt::EndedAttempt;
 use super::event::AttemptOutcome;
 
-/// Evidence that one response on an old connection removes; a reset adds 1. A reset costs a
-/// request, a new connection a small part of one, so the resets tolerated are this share of the
-/// responses.
+/// Decrease of the drop score with a response on an old connection; a reset adds 1. A reset costs
+/// a request and a new connection a small part of one, so this is also the ratio of resets to
+/// responses that is tolerated.
 const RESPONSE_SCORE_DECREASE: f64 = 0.04;
-/// Evidence at which the timeout is lowered: two resets with few responses between them.
+/// Drop score at which the timeout is lowered: two resets with few responses between them.
 const DROP_SCORE_THRESHOLD: f64 = 1.5;
-/// A reset within this share of the expected latency comes so soon that no work can have been
-/// done.
+/// A reset is immediate if it occurs within this share of the expected latency: no work can have
+/// been done by then.
 const IMMEDIATE_RESET_SHARE: f64 = 0.1;
-/// The timeout doubles in this time after it was lowered, in seconds.
+/// Time in which the timeout doubles after it was lowered.
 const TIMEOUT_DOUBLING_SECONDS: f64 = 30.0;
 
-/// How long an idle connection may be reused. All times are seconds.
+/// Estimates how long an idle connection may be reused. All times are in seconds.
 pub(super) struct IdleTimeoutEstimator {
     timeout: f64,
     /// When `timeout` was last raised.
     updated_at: f64,
     /// How strongly recent resets suggest a shorter timeout.
     drop_score: f64,
-    /// The timeout that they suggest.
+    /// The timeout that recent resets suggest.
     suggested_timeout: f64,
 }
 
-/// What one ended attempt says of idle connections.
+/// What an ended attempt indicates about idle connections.
 enum Observation {
     /// Connections idle for this long may have been dropped.
     Dropped { idle: f64 },
-    /// The connection broke though it had not been idle: connections break for other reasons.
+    /// The connection broke although it had not been idle, so connections break for other reasons.
     ResetWithoutIdle,
-    /// A response came on a connection idle for this long; 0 if there was no response.
+    /// There is no sign of a dropped connection. `idle` is how long the connection had been idle
+    /// if a response was received, else 0.
     Reused { idle: f64 },
 }
 
 impl IdleTimeoutEstimator {
-    /// An estimator that starts with `max_timeout`, the time after which idle connections are
-    /// closed in any case.
+    /// Returns an estimator that starts with `max_timeout`, the time after which idle connections
+    /// are closed in any case.
     pub(super) fn new(max_timeout: f64, now: f64) -> Self {
         IdleTimeoutEstimator {
             timeout: max_timeout,
@@ -49,7 +50,8 @@
         }
     }
 
-    /// The current estimate, raised for the time that has passed.
+    /// Raises the estimate for the time since it was last raised, up to `max_timeout`, and returns
+    /// it.
     pub(super) fn raise(&mut self, now: f64, max_timeout: f64) -> f64 {
         let doublings = (now - self.updated_at) / TIMEOUT_DOUBLING_SECONDS;
         self.timeout = (self.timeout * doublings.exp2()).min(max_timeout);
@@ -57,11 +59,12 @@
         self.timeout
     }
 
-    /// Adds an attempt that has ended. `suspect_idle_time` belongs to its upstream: how long the
-    /// connection had been idle on which the last request was lost without notice (0: none was).
+    /// Adds an attempt that has ended, and updates `suspect_idle_time` of its upstream: how long
+    /// the connection on which the last request was lost without notice had been idle, or 0 if the
+    /// last request was not lost in that way.
     ///
-    /// Returns whether the attempt's connection may have been dropped while idle, so that its
-    /// loss says nothing of the upstream.
+    /// Returns whether the attempt's connection may have been dropped while idle. If so, a loss is
+    /// no evidence against the upstream.
     pub(super) fn observe(
         &mut self,
         ended: &EndedAttempt,
@@ -103,14 +106,16 @@
     }
 }
 
-/// Connections are quiet during a request too, so only a longer pause counts as idle.
+/// Returns whether the connection had been idle for longer than the expected latency. Shorter
+/// pauses do not count, because connections are quiet during a request too.
 fn was_idle(ended: &EndedAttempt) -> bool {
     ended.connection_idle > ended.expected_latency
 }
 
-/// A reset on an idle connection, or a silent loss on one followed by a response on a newer one,
-/// points to connections dropped while idle. A response on a connection as old speaks against it,
-/// and so does a reset on one that was new.
+/// Classifies an ended attempt. It indicates that connections are dropped while idle if an idle
+/// one was reset immediately, or if a silent loss on an idle one was followed by a response on a
+/// newer one. A response on a connection as old, or an immediate reset on a new one, indicates the
+/// opposite.
 fn observation(ended: &EndedAttempt, suspect_idle_time: f64) -> Observation {
     let idle = ended.connection_idle;
     let is_immediate_reset = ended.outcome == AttemptOutcome::Reset
--- a/src/decision/latency.rs
+++ b/src/decision/latency.rs
@@ -1,4 +1,4 @@
-//! Latency: what to expect of the request classes, learned from successful responses.
+//! Latency: estimates for each request class, learned from successful responses.
 
 use super::congestion::Congestion;
 use super::ended_attempt::EndedAttempt;
@@ -8,11 +8,11 @@
 
 /// An attempt is overdue after this many times its expected latency.
 pub(super) const OVERDUE_FACTOR: f64 = 6.0;
-/// Work hints are rough: what a request takes beyond the mean counts for at most this many mean
-/// requests.
+/// Upper bound of the work of a request beyond that of a mean request, in mean requests. It is
+/// needed because work hints are rough.
 pub(super) const MAX_EXCESS_WORK: f64 = 4.0;
 
-/// Latency and work of a class's requests, as moving averages.
+/// Latency and work of the requests of one class, as moving averages.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct LatencyEstimate {
     /// Mean latency, in seconds.
@@ -22,13 +22,14 @@
     #[serde(rename = "work")]
     mean_work: f64,
     samples: f64,
-    /// Latency of a unit of work while nothing is congested, in seconds.
+    /// Latency per unit of work without congestion, in seconds.
     #[serde(rename = "calm")]
     baseline_per_work: f64,
 }
 
 impl LatencyEstimate {
-    /// The estimate before the first response, from the class's latency objective in seconds.
+    /// Returns the estimate before the first response, derived from the class's latency objective
+    /// in seconds.
     fn new(latency_objective: f64) -> Self {
         LatencyEstimate {
             mean_latency: latency_objective / OVERDUE_FACTOR,
@@ -44,7 +45,7 @@
         let weight = weight_after(self.samples);
         add_sample(&mut self.mean_latency, latency, weight);
         add_sample(&mut self.mean_work, work, weight);
-        // The baseline follows the mean down at once but up so slowly that some seconds of
+        // The baseline follows the mean down at once, but up so slowly that a few seconds of
         // congestion do not raise it.
         let per_work = self.mean_latency / self.mean_work;
         let is_initial = weight > SMOOTHING;
@@ -56,7 +57,7 @@
         add_sample(&mut self.baseline_per_work, per_work, baseline_weight);
     }
 
-    /// The latency to expect for this much work, in seconds.
+    /// Returns the expected latency for this much work, in seconds.
     pub(super) fn expected(&self, work: f64) -> f64 {
         if self.samples > 0.0 {
             self.mean_latency / self.mean_work * work
@@ -65,23 +66,23 @@
         }
     }
 
-    /// The latency to expect for this much work, but at least that of a mean request: work hints
-    /// are too rough to call an attempt overdue sooner.
+    /// Returns the expected latency for this much work, but at least that of a mean request: work
+    /// hints are too rough to call an attempt overdue sooner.
     pub(super) fn expected_at_least_mean(&self, work: f64) -> f64 {
         self.expected(work).max(self.expected(self.mean_work))
     }
 
-    /// Mean latency of a response, in seconds.
+    /// Returns the mean latency of a response, in seconds.
     pub(super) fn mean(&self) -> f64 {
         self.mean_latency
     }
 
-    /// A latency over the one to expect for this much work.
+    /// Returns the ratio of a latency to the expected latency for this much work.
     fn relative(&self, latency: f64, work: f64) -> f64 {
         (latency / self.expected(work)).clamp(1.0 / OVERDUE_FACTOR, OVERDUE_FACTOR)
     }
 
-    /// How many mean requests this work amounts to beyond one.
+    /// Returns by how many mean requests this work exceeds that of one mean request.
     pub(super) fn excess_work(&self, work: f64) -> f64 {
         if self.samples > 0.0 {
             (work / self.mean_work - 1.0).clamp(0.0, MAX_EXCESS_WORK)
@@ -90,30 +91,30 @@
         }
     }
 
-    /// The latency to expect for this much work without congestion, in seconds. `max_mean` bounds
-    /// that of a mean request.
+    /// Returns the expected latency for this much work without congestion, in seconds. `max_mean`
+    /// is the upper bound for a mean request.
     pub(super) fn baseline(&self, work: f64, max_mean: f64) -> f64 {
         self.baseline_per_work.min(max_mean / self.mean_work) * work
     }
 }
 
-/// Latency estimates of all classes, and the congestion that responses show.
+/// Latency estimates of all classes, and the congestion that is detected from responses.
 pub(super) struct LatencyModel {
-    /// Of each class.
+    /// Estimate of each class.
     estimates: Vec<LatencyEstimate>,
     congestion: Congestion,
 }
 
-/// What a successful response shows.
+/// Evaluation of the latency of a successful response.
 pub(super) struct ResponseLatency {
-    /// Its latency over the one that was to be expected.
+    /// Ratio of the latency to the expected latency.
     pub(super) relative_latency: f64,
-    /// The balancer has to reduce its concurrency.
+    /// Whether the balancer has to reduce its concurrency.
     pub(super) is_congested: bool,
 }
 
 impl LatencyModel {
-    /// The model before the first response.
+    /// Returns the model before the first response.
     pub(super) fn new(settings: &Settings) -> Self {
         let classes = settings.classes.iter();
         let estimates = classes.map(|class| LatencyEstimate::new(class.latency_objective));
@@ -123,7 +124,7 @@
         }
     }
 
-    /// The model that another balancer has learned.
+    /// Returns the model with what another balancer has learned.
     pub(super) fn restore(estimates: Vec<LatencyEstimate>, congestion: Congestion) -> Self {
         LatencyModel {
             estimates,
@@ -131,22 +132,22 @@
         }
     }
 
-    /// The estimate of each class.
+    /// Returns the estimate of each class.
     pub(super) fn estimates(&self) -> &[LatencyEstimate] {
         &self.estimates
     }
 
-    /// The estimate of one class.
+    /// Returns the estimate of one class.
     pub(super) fn of_class(&self, class: usize) -> &LatencyEstimate {
         &self.estimates[class]
     }
 
-    /// The congestion that responses show.
+    /// Returns the congestion that is detected from responses.
     pub(super) fn congestion(&self) -> &Congestion {
         &self.congestion
     }
 
-    /// Adds the success of an attempt at a request of this much work.
+    /// Adds a successful attempt of a request with this much work.
     pub(super) fn add_success(
         &mut self,
         ended: &EndedAttempt,
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -1,6 +1,6 @@
-//! The learned state: what one process of a balancer hands to the next.
+//! The learned state: what one process of a balancer hands over to the next.
 //!
-//! Its stored form is shared with other versions during an upgrade, so the stored names of fields
+//! Processes of different versions exchange it during an upgrade, so the stored names of fields
 //! never change.
 
 use super::admission::RequestRate;
@@ -12,25 +12,25 @@
 use serde::{Deserialize, Serialize, Serializer};
 use std::collections::BTreeMap;
 
-/// What a balancer has learned, for the process that replaces it. Nothing in it has to be
-/// current: [`Balancer::restore`] takes what still applies. Moments are seconds on the clock of
+/// What a balancer has learned, for the process that replaces it. The state may be outdated:
+/// [`Balancer::restore`] takes over what still applies. Timestamps are in seconds on the clock of
 /// the balancer that saved it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LearnedState {
     #[serde(rename = "at")]
     saved_at: f64,
     upstreams: BTreeMap<u64, StoredUpstream>,
-    /// Estimated starts.
+    /// Estimated start of each upstream.
     #[serde(
         rename = "started",
         default,
         skip_serializing_if = "BTreeMap::is_empty"
     )]
     started_at: BTreeMap<u64, f64>,
-    /// Of each class.
+    /// Latency estimate of each class.
     #[serde(rename = "usual")]
     latency: Vec<LatencyEstimate>,
-    /// Of each tenant.
+    /// Request rate of each tenant.
     #[serde(rename = "rates")]
     tenant_rates: Vec<RequestRate>,
     #[serde(rename = "paces")]
@@ -49,9 +49,10 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(from = "(f64, f64, UpstreamStats)")]
 struct StoredUpstream {
-    /// Its start according to the endpoint list.
+    /// Start of the upstream according to the endpoint list.
     listed_start: f64,
-    /// When it returned from maintenance.
+    /// When the upstream returned from maintenance, if it may have been restarted meanwhile; else
+    /// 0.
     returned_at: f64,
     stats: UpstreamStats,
 }
@@ -73,8 +74,8 @@
 }
 
 impl LearnedState {
-    /// The same with all timestamps shifted by this many seconds. A moment of 0 means never, and
-    /// stays.
+    /// Returns the state with all timestamps shifted by `seconds`. A timestamp of 0 means never
+    /// and is not shifted.
     fn shifted(mut self, seconds: f64) -> Self {
         let shift =
             |timestamp: &mut f64| *timestamp += if *timestamp > 0.0 { seconds } else { 0.0 };
@@ -92,7 +93,7 @@
 }
 
 impl Balancer {
-    /// What has been learned so far.
+    /// Returns what has been learned so far.
     #[must_use]
     pub fn learned_state(&self) -> LearnedState {
         let mut upstreams = BTreeMap::new();
@@ -120,9 +121,9 @@
         }
     }
 
-    /// Takes over what another balancer with these settings learned and saved `age` seconds ago.
-    /// Ignored are a state older than the slow-start window or of other settings, and what is
-    /// known of an upstream that has been restarted since.
+    /// Restores what another balancer with these settings learned and saved `age` seconds ago. A
+    /// state that is older than the slow-start window or belongs to other settings is ignored.
+    /// What was learned of an upstream that has been restarted since is ignored too.
     pub fn restore(&mut self, now: f64, age: f64, state: LearnedState) {
         self.now = self.now.max(now);
         let has_same_shape = state.latency.len() == self.settings.classes.len()
--- a/src/decision/log_event.rs
+++ b/src/decision/log_event.rs
@@ -1,33 +1,33 @@
-//! What a balancer reports to the log, and the text of each line.
+//! The events that a balancer reports to the log, and the text of their lines.
 
 use super::event::{AttemptOutcome, UpstreamId};
 use super::settings::Class;
 
-/// Stands in a line for a name that is not known.
+/// Replaces an unknown name in a line.
 const UNKNOWN_NAME: &str = "?";
 
-/// Something that operators should find in the log. Durations are seconds.
+/// An event that operators should find in the log. Durations are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LogEvent {
-    /// An upstream was ejected for the first time since it last succeeded.
+    /// An upstream was ejected for the first time since its last success.
     Ejected {
-        /// Which upstream.
+        /// The ejected upstream.
         upstream: UpstreamId,
-        /// Which requests it no longer gets.
+        /// The requests that the upstream no longer gets.
         scope: EjectionScope,
-        /// How the attempt ended that led to it.
+        /// Outcome of the attempt that led to the ejection.
         cause: AttemptOutcome,
-        /// For how long.
+        /// How long the ejection lasts.
         duration: f64,
     },
     /// An upstream rejects all requests while the endpoint list is stale, so it may be draining.
     SuspectedDraining {
-        /// Which upstream.
+        /// The suspected upstream.
         upstream: UpstreamId,
     },
     /// Discovery did not respond to a poll, or a watch broke.
     PollFailed {
-        /// When the next poll begins.
+        /// Time until the next poll.
         retry_in: f64,
     },
 }
@@ -35,15 +35,15 @@
 /// The requests that an ejected upstream no longer gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionScope {
-    /// All of them.
+    /// All requests.
     AllRequests,
-    /// Those of one class; an index into `Settings::classes`.
+    /// The requests of one class, given as an index into `Settings::classes`.
     Class(usize),
 }
 
 impl LogEvent {
-    /// The line of the log: what happened, where, and figures. `upstream_name` gives the name of
-    /// an upstream, or `None` if it is not known; `classes` are those of the settings.
+    /// Returns the log line: what happened, where, and the figures. `upstream_name` returns the
+    /// name of an upstream, or `None` if it is unknown; `classes` are those of the settings.
     #[must_use]
     pub fn text<'a>(
         &self,
--- a/src/decision/maintenance.rs
+++ b/src/decision/maintenance.rs
@@ -1,51 +1,51 @@
-//! Upstreams that operators take out of service and put back.
+//! Maintenance: upstreams that operators take out of service and put back.
 
 use super::action::Action;
 use super::balancer::Balancer;
 use super::event::{Maintenance, UpstreamId};
 use std::collections::BTreeMap;
 
-/// An upstream that operators have put back.
+/// The return of an upstream that operators have put back into service.
 struct ReturnToService {
     returned_at: f64,
     awaits_request: bool,
 }
 
-/// What operators have ordered. It holds whether or not the upstream is listed. Moments are
+/// The orders of the operators. They hold whether or not the upstream is listed. Times are in
 /// seconds.
 #[derive(Default)]
 pub(super) struct MaintenanceRegister {
-    /// Upstreams out of service, and since when.
+    /// Upstreams out of service, with the time at which each was taken out.
     out_since: BTreeMap<UpstreamId, f64>,
     returned: BTreeMap<UpstreamId, ReturnToService>,
 }
 
 impl MaintenanceRegister {
-    /// Operators have taken this upstream out of service.
+    /// Returns whether operators have taken this upstream out of service.
     pub(super) fn is_out_of_service(&self, upstream: UpstreamId) -> bool {
         self.out_since.contains_key(&upstream)
     }
 
-    /// Upstreams that were put back and have had no request since.
+    /// Returns the upstreams that were put back and have had no request since.
     pub(super) fn awaiting_request(&self) -> impl Iterator<Item = &UpstreamId> {
         let returned = self.returned.iter();
         let awaiting = returned.filter(|(_, returned)| returned.awaits_request);
         awaiting.map(|(id, _)| id)
     }
 
-    /// This upstream was put back and has had no request since.
+    /// Returns whether this upstream was put back and has had no request since.
     pub(super) fn awaits_request(&self, upstream: UpstreamId) -> bool {
         let returned = self.returned.get(&upstream);
         returned.is_some_and(|returned| returned.awaits_request)
     }
 
-    /// This upstream was put back less than `window` seconds ago.
+    /// Returns whether this upstream was put back less than `window` seconds ago.
     pub(super) fn returned_within(&self, upstream: UpstreamId, window: f64, now: f64) -> bool {
         let returned = self.returned.get(&upstream);
         returned.is_some_and(|returned| now - returned.returned_at < window)
     }
 
-    /// A request has gone to this upstream.
+    /// Records that a request was sent to this upstream.
     pub(super) fn record_request(&mut self, upstream: UpstreamId) {
         if let Some(returned) = self.returned.get_mut(&upstream) {
             returned.awaits_request = false;
@@ -57,7 +57,8 @@
         self.returned.remove(&upstream);
     }
 
-    /// Returns since when the upstream was out; `None` if it was not.
+    /// Ends the maintenance of an upstream. Returns the time at which it was taken out of service,
+    /// or `None` if it was not.
     fn end(&mut self, upstream: UpstreamId, now: f64) -> Option<f64> {
         let out_since = self.out_since.remove(&upstream)?;
         let returned = ReturnToService {
@@ -98,7 +99,7 @@
                 };
                 upstream.is_in_maintenance = false;
                 // Discovery may report a restart late or never, so the upstream counts as warming
-                // up unless it is known to have started before.
+                // up from now on unless it is known to have restarted during the maintenance.
                 upstream.returned_at = if upstream.started_at < out_since {
                     self.now
                 } else {
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -4,20 +4,20 @@
 //! | Module | What it decides or owns |
 //! | --- | --- |
 //! | `settings`, `event`, `action`, `log_event` | the types that the embedder uses |
-//! | `balancer` | the state of all parts; dispatch of events |
-//! | `endpoint_list`, `poll_schedule` | which upstreams there are |
+//! | `balancer` | the state of all modules, and the dispatch of events |
+//! | `endpoint_list`, `poll_schedule` | the list of upstreams, and when it is polled |
 //! | `maintenance`, `draining`, `start_time` | which of them are in service, and since when |
 //! | `subset`, `rotation`, `selection` | the upstream for an attempt |
 //! | `concurrency_limit`, `slow_start` | how many requests an upstream gets |
 //! | `outlier`, `outlier_stats` | which upstreams are ejected |
-//! | `admission`, `queue` | how long a request waits, and which one goes first |
-//! | `attempts`, `idle_timeout` | starting attempts, on which connections |
-//! | `attempt_results`, `ended_attempt` | what the ends of attempts change |
-//! | `latency`, `congestion` | how long responses take, and how much requests delay others |
-//! | `moving_average` | the averages of samples that the others use |
+//! | `admission`, `queue` | how long a request is queued, and which one goes first |
+//! | `attempts`, `idle_timeout` | the start of attempts, and their connections |
+//! | `attempt_results`, `ended_attempt` | what changes when an attempt ends |
+//! | `latency`, `congestion` | how long responses take, and by how much other requests delay them |
+//! | `moving_average` | the moving averages that other modules use |
 //! | `retry`, `conclusion` | retries, hedged requests, and the final response |
 //! | `request`, `upstream` | the state of one request and of one upstream |
-//! | `learned_state` | what a process hands to the next |
+//! | `learned_state` | what a process hands over to the next |
 
 mod action;
 mod admission;
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -1,8 +1,8 @@
 //! Outlier detection: ejects upstreams that fail or do not respond while their peers do.
 //!
-//! An upstream is ejected for all requests or for one class of them. An ejected upstream gets no
-//! requests until the ejection is over, then one trial request at a time until one succeeds. If
-//! most of the subset would be left out, none is (panic mode).
+//! An upstream is ejected for all requests or for the requests of one class. It gets none of them
+//! until the ejection is over, then one trial request at a time until one succeeds. If more than
+//! half of the subset would be excluded, no upstream is (panic mode).
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -16,33 +16,33 @@
 use super::settings::{Class, Idempotency};
 use super::upstream::{upstream_of_attempt, Upstream};
 
-/// Largest share of the subset that is left out.
+/// Largest share of the subset that may be excluded; above it, panic mode applies.
 const MAX_EXCLUDED_SHARE: f64 = 0.5;
-/// An upstream whose rate of silent losses is at most this many times its peers' mean is not to
-/// blame for them.
+/// Silent losses are not attributed to an upstream if its loss rate is at most this many times the
+/// mean of its peers.
 const COMMON_LOSS_FACTOR: f64 = 2.0;
 
-/// Mean error rates of an upstream's peers; 1 if there are none, as there is nothing to compare
-/// with.
+/// Mean error rates of an upstream's peers. Without peers there is nothing to compare with, so
+/// both rates are 1 and the upstream is not an outlier.
 struct PeerErrorRates {
     all_requests: f64,
     class: f64,
 }
 
 impl Balancer {
-    /// Whether outliers are left out for this class.
+    /// Returns whether outliers are excluded for this class.
     pub(super) fn outlier_policy(&self, class: usize) -> OutlierPolicy {
         let subset = self.rotation.subset();
         let is_excluded = |id: &&UpstreamId| !self.is_eligible(&self.upstreams[id], class);
         let excluded = subset.iter().filter(is_excluded).count();
         if excluded as f64 > MAX_EXCLUDED_SHARE * subset.len() as f64 {
-            OutlierPolicy::Ignore
+            OutlierPolicy::Include
         } else {
             OutlierPolicy::Exclude
         }
     }
 
-    /// Neither ejected nor silent for this class.
+    /// Returns whether the upstream is neither ejected nor silent for this class.
     pub(super) fn is_eligible(&self, upstream: &Upstream, class: usize) -> bool {
         let stats = &upstream.stats.outliers;
         let all_stats = stats.all_requests();
@@ -51,8 +51,8 @@
         for attempt in &upstream.in_flight {
             in_flight_of_class += usize::from(attempt.class == class);
             if attempt.is_overdue(self.now) {
-                // Counts though later requests got a response: the upstream may lose a part
-                // of the class.
+                // Counts even if later requests got a response: the upstream may lose only a part
+                // of the requests of this class.
                 has_overdue_of_class |= attempt.class == class;
                 unanswered += usize::from(all_stats.is_silent_since(attempt.sent_at));
             }
@@ -66,8 +66,8 @@
                 .allows_request(in_flight_of_class, self.now)
     }
 
-    /// The peers lose requests silently about as often, so the losses happen on the way to all of
-    /// them.
+    /// Returns whether the peers lose requests silently about as often. If so, the losses happen
+    /// on the path to all of them.
     fn has_common_losses(&self, upstream: &Upstream) -> bool {
         let (mut sum, mut peers) = (0.0, 0.0);
         for peer in self.rotation.peers_of(upstream.entry.id, &self.upstreams) {
@@ -77,14 +77,14 @@
         sum > 0.0 && upstream.stats.silent_loss_rate <= COMMON_LOSS_FACTOR * sum / peers
     }
 
-    /// It gets no request of any class now.
+    /// Returns whether the upstream currently gets no requests of any class.
     pub(super) fn is_excluded(&self, upstream: &Upstream) -> bool {
         let mut classes = 0..self.settings.classes.len();
         !upstream.is_available() || classes.all(|class| !self.is_eligible(upstream, class))
     }
 
-    /// Adds the end of an attempt to the upstream's outlier statistics, and ejects it if they
-    /// call for it.
+    /// Adds the end of an attempt to the outlier statistics of its upstream, and ejects the
+    /// upstream if they require it.
     pub(super) fn detect_outlier(
         &mut self,
         id: UpstreamId,
@@ -97,7 +97,8 @@
         let sample = OutlierSample {
             ended,
             is_common_loss,
-            // Work hints are rough, so a large request must not lead to an ejection of minutes.
+            // Work hints are rough, so a large request must not lead to an ejection of several
+            // minutes.
             expected_latency: ended.expected_latency.min(MAX_EXCESS_WORK * mean_latency),
             now: self.now,
         };
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Adds to the upstream's rate of silent losses. Returns whether this is such a loss and its
-    /// peers have them too.
+    /// Updates the upstream's rate of silent losses. Returns whether the attempt was lost silently
+    /// and the peers have such losses too.
     fn update_loss_rate(&mut self, id: UpstreamId, ended: &EndedAttempt) -> bool {
         let is_lost_silently = ended.is_lost_silently();
         let upstream = upstream_of_attempt(&mut self.upstreams, id);
@@ -149,8 +150,8 @@
     }
 }
 
-/// The log line for the first ejection of a series. An ejection for all requests covers that for
-/// the class.
+/// Returns the log line for the first ejection in a series of failures. An ejection for all
+/// requests includes the one for the class.
 fn ejection_log(
     upstream: UpstreamId,
     all_requests_update: &StatsUpdate,
@@ -177,8 +178,9 @@
     }))
 }
 
-/// A trial request after an ejection may be lost. Where the class of a result can be repeated, it
-/// does the trials for those that can't: they come after it, and wait longer if it fails.
+/// Reschedules the trial requests of non-idempotent classes after a result of a class that may be
+/// repeated. A trial request may be lost, so classes that may be repeated make theirs first. Those
+/// of non-idempotent classes follow, and are delayed further if the first ones fail.
 fn schedule_trials(stats: &mut [OutlierStats], classes: &[Class], change: &HealthChange, now: f64) {
     for (stats, class) in stats.iter_mut().zip(classes) {
         if class.idempotency == Idempotency::NonIdempotent {
--- a/src/decision/outlier_stats.rs
+++ b/src/decision/outlier_stats.rs
@@ -1,29 +1,29 @@
-//! Outlier statistics: what the results of an upstream's attempts say of it, and when they eject
-//! it.
+//! Outlier statistics: responses and failures of an upstream, and the rules by which they lead to
+//! an ejection.
 
 use super::ended_attempt::EndedAttempt;
 use super::event::AttemptOutcome;
 use super::moving_average::{add_sample, weight_after};
 use serde::{Deserialize, Serialize};
 
-/// Ejection time over the expected latency; it doubles with each consecutive failure.
+/// Base of the ejection duration, in expected latencies; each consecutive failure doubles it.
 const EJECTION_FACTOR: f64 = 4.0;
-/// Consecutive failures beyond which the ejection time does not grow.
+/// Consecutive failures beyond which the ejection duration no longer grows.
 const MAX_COUNTED_FAILURES: i32 = 4;
-/// An upstream is an outlier if its error rate exceeds that of its peers by more than this.
+/// An upstream is an outlier if its error rate exceeds the mean of its peers by more than this.
 const ERROR_RATE_MARGIN: f64 = 0.3;
-/// After a failed trial request of a class that can be repeated, those of classes that can't wait
-/// for this many times its ejection time.
+/// After a failed trial request of a class that may be repeated, non-idempotent classes wait for
+/// this many times its ejection duration before their own trial request.
 const TRIAL_DELAY_FACTOR: f64 = 2.0;
-/// Responses without error that an upstream is presumed to have given before the first.
+/// Successful responses that the error rate presumes before the first actual response.
 const PRESUMED_SUCCESSES: f64 = 3.0;
 
-/// Outlier statistics of an upstream: of all its requests, then of each class.
+/// Outlier statistics of an upstream: first those of all its requests, then those of each class.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(super) struct OutlierStatsByScope(Vec<OutlierStats>);
 
-/// Outlier statistics of one scope. Moments are seconds.
+/// Outlier statistics of one scope: all requests or one class. Timestamps are in seconds.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct OutlierStats {
     /// When the upstream last responded.
@@ -40,54 +40,54 @@
     ejected_until: f64,
 }
 
-/// The statistics that a result is added to.
+/// Scope of the statistics that a sample is added to.
 #[derive(Clone, Copy)]
 pub(super) enum StatsScope {
-    /// Those of all requests.
+    /// All requests to the upstream.
     AllRequests,
-    /// Those of one class.
+    /// The requests of one class.
     Class {
-        /// By all its requests the upstream is an outlier.
+        /// Whether the upstream is an outlier in the statistics of all its requests.
         is_upstream_outlier: bool,
     },
 }
 
-/// A result, and what it has to be judged by. Times are seconds.
+/// An ended attempt with the context that is needed to judge it. Times are in seconds.
 pub(super) struct OutlierSample<'a> {
     pub(super) ended: &'a EndedAttempt,
-    /// It is a silent loss, and the peers have such losses too.
+    /// Whether the attempt was lost silently and the peers have such losses too.
     pub(super) is_common_loss: bool,
-    /// Expected latency on which the ejection time is based.
+    /// Expected latency from which the ejection duration is calculated.
     pub(super) expected_latency: f64,
     pub(super) now: f64,
 }
 
-/// What a result says of a scope.
+/// Effect of a sample on the statistics of a scope.
 pub(super) struct StatsUpdate {
-    /// Its error rate exceeds that of the peers.
+    /// Whether the error rate exceeds that of the peers by more than the margin.
     pub(super) is_outlier: bool,
     pub(super) change: HealthChange,
 }
 
-/// What adding a result to the statistics of a scope has led to.
+/// Change in the health of a scope that a sample has caused.
 pub(super) enum HealthChange {
-    /// Neither of the others.
+    /// The sample caused neither a recovery nor an ejection.
     Unchanged,
-    /// A success has ended a series of failures.
+    /// A success followed one or more failures.
     Recovered,
-    /// The upstream gets no request of this scope for some time.
+    /// The upstream gets no requests of this scope for some time.
     Ejected {
-        /// In seconds.
+        /// Duration of the ejection, in seconds.
         duration: f64,
-        /// It is the first ejection of a series of failures.
+        /// Whether this is the first ejection in a series of failures.
         is_first: bool,
     },
 }
 
 impl OutlierSample<'_> {
-    /// Consecutive failures that lead to an ejection. One broken connection says little: if the
-    /// process is gone, the next one fails too. Nor does one silent loss where the peers have
-    /// them as well.
+    /// Returns the number of consecutive failures that lead to an ejection. A single broken
+    /// connection is not enough, because the next one fails too if the process is gone. Nor is a
+    /// single silent loss if the peers have such losses too.
     fn failures_to_eject(&self) -> i32 {
         if self.is_common_loss || self.ended.is_connection_failure() {
             2
@@ -98,7 +98,8 @@
 
     fn ejection_duration(&self, failures: i32) -> f64 {
         let duration = EJECTION_FACTOR * self.expected_latency * f64::from(1 << failures);
-        // After the ejection a trial request may be lost for as long again.
+        // The trial request after the ejection may be lost too and take as long as this attempt,
+        // so the ejection lasts at least as long.
         let min_duration = if self.ended.is_lost_silently() {
             self.ended.elapsed
         } else {
@@ -109,45 +110,45 @@
 }
 
 impl OutlierStatsByScope {
-    /// The statistics of an upstream of which nothing is known.
+    /// Returns the statistics of an upstream without history.
     pub(super) fn new(class_count: usize, now: f64) -> Self {
         let scopes = 0..=class_count;
         OutlierStatsByScope(scopes.map(|_| OutlierStats::new(now)).collect())
     }
 
-    /// It has statistics of this many classes.
+    /// Returns whether statistics for exactly `class_count` classes are stored.
     pub(super) fn has_class_count(&self, class_count: usize) -> bool {
         self.0.len() == 1 + class_count
     }
 
-    /// Of all requests.
+    /// Returns the statistics of all requests.
     pub(super) fn all_requests(&self) -> &OutlierStats {
         &self.0[0]
     }
 
-    /// Of all requests, to add a result.
+    /// Returns the statistics of all requests, for adding a sample.
     pub(super) fn all_requests_mut(&mut self) -> &mut OutlierStats {
         &mut self.0[0]
     }
 
-    /// Of one class.
+    /// Returns the statistics of one class.
     pub(super) fn class(&self, class: usize) -> &OutlierStats {
         &self.0[1 + class]
     }
 
-    /// Of each class.
+    /// Returns the statistics of each class, in the order of the settings.
     pub(super) fn classes_mut(&mut self) -> &mut [OutlierStats] {
         &mut self.0[1..]
     }
 
-    /// All timestamps in it.
+    /// Returns mutable references to the timestamps of all scopes.
     pub(super) fn timestamps_mut(&mut self) -> impl Iterator<Item = &mut f64> {
         self.0.iter_mut().flat_map(OutlierStats::timestamps_mut)
     }
 }
 
 impl OutlierStats {
-    /// The statistics of a scope of which nothing is known.
+    /// Returns the statistics of a scope without history.
     fn new(now: f64) -> Self {
         OutlierStats {
             last_response_at: now,
@@ -159,27 +160,29 @@
         [&mut self.last_response_at, &mut self.ejected_until].into_iter()
     }
 
-    /// Failures since the last success.
+    /// Returns the number of consecutive failures, at most `MAX_COUNTED_FAILURES`.
     pub(super) fn consecutive_failures(&self) -> i32 {
         self.consecutive_failures
     }
 
-    /// The upstream has not responded since this moment.
+    /// Returns whether the upstream has not responded since `timestamp`.
     pub(super) fn is_silent_since(&self, timestamp: f64) -> bool {
         self.last_response_at <= timestamp
     }
 
-    /// Share of errors and rejections among the responses.
+    /// Returns the share of errors and rejections among the responses.
     pub(super) fn error_rate(&self) -> f64 {
         self.error_rate
     }
 
-    /// Not ejected, and after failures no trial request is in flight.
+    /// Returns whether another request may be sent: no ejection is in force, and after failures no
+    /// trial request is in flight.
     pub(super) fn allows_request(&self, in_flight: usize, now: f64) -> bool {
         now >= self.ejected_until && (self.consecutive_failures == 0 || in_flight == 0)
     }
 
-    /// Adds the end of an attempt.
+    /// Adds an ended attempt and returns its effect. `peers_error_rate` is the mean error rate of
+    /// the peers.
     pub(super) fn add(
         &mut self,
         sample: &OutlierSample,
@@ -205,8 +208,8 @@
         StatsUpdate { is_outlier, change }
     }
 
-    /// A success ends a series of failures, but not that of a class whose error rate shows that
-    /// it fails in part.
+    /// Resets the failure count, except for a class that is an outlier: its error rate shows that
+    /// a part of its requests still fails.
     fn add_success(&mut self, scope: StatsScope, is_outlier: bool) -> HealthChange {
         let is_class = matches!(scope, StatsScope::Class { .. });
         let had_failures = self.consecutive_failures > 0;
@@ -227,10 +230,13 @@
         add_sample(&mut self.error_rate, error, weight);
     }
 
-    /// Losses count while the upstream responds to nothing. For a class, a silent loss counts
-    /// also if the upstream responds to others, and so do errors that its peers do not have: an
-    /// upstream that fails fast would draw requests as it is always free, and a rejection has
-    /// taken a slot until it came back.
+    /// Returns whether an ended attempt counts as a failure. A loss does if the upstream has
+    /// responded to nothing since the attempt was sent.
+    ///
+    /// For a class, two more kinds of results count. One is a silent loss, even if the upstream
+    /// responds to other requests. The other is an error that the peers do not have: an upstream
+    /// that fails fast always has free slots and would attract requests, and a rejected attempt
+    /// has occupied a slot until the rejection was received.
     fn is_failure(&self, sample: &OutlierSample, scope: StatsScope, is_outlier: bool) -> bool {
         let ended = sample.ended;
         let is_unanswered = ended.is_lost && self.is_silent_since(ended.sent_at);
@@ -261,8 +267,9 @@
         }
     }
 
-    /// After failures, moves the next trial request to follow one of a class that can be repeated,
-    /// which has led to this change.
+    /// Reschedules the next trial request of a class that has failures. `change` was caused by a
+    /// class that may be repeated: its recovery allows the trial request now, its ejection delays
+    /// it.
     pub(super) fn schedule_trial(&mut self, change: &HealthChange, now: f64) {
         if self.consecutive_failures == 0 {
             return;
--- a/src/decision/poll_schedule.rs
+++ b/src/decision/poll_schedule.rs
@@ -1,8 +1,8 @@
-//! When a balancer polls discovery for the endpoint list, in poll mode.
+//! When a balancer in poll mode polls discovery for the endpoint list.
 //!
-//! Polls that discovery refuses after queueing them cost it as much as others, so a large fleet
-//! could overload it for good. Each balancer therefore polls at a random moment, and the later
-//! the more peers it has.
+//! A poll that discovery queues and then refuses costs it as much as one that succeeds, so a large
+//! fleet could overload discovery permanently. Each balancer therefore polls after a random delay
+//! that grows with the number of its peers.
 
 use super::action::Action;
 use super::event::ListScope;
@@ -10,41 +10,44 @@
 use super::settings::{DiscoveryMode, Settings};
 use rand::Rng;
 
-/// Token of the poll timer; request ids, the tokens of other timers, are smaller.
+/// Token of the poll timer. All other timers have request ids as tokens, which are smaller.
 pub(super) const POLL_TIMER: u64 = u64::MAX >> 1;
 
-// Shares of the notification deadline. Two delays and the polls that they precede fit within it.
+// Upper bounds of the delays before polls, as shares of the notification deadline. Two consecutive
+// delays and the polls that follow them fit within the deadline.
 
-/// Longest delay of the first poll.
+/// Longest delay before the first poll, as a share of the notification deadline.
 const FIRST_DELAY_DEADLINE_SHARE: f64 = 0.25;
-/// Longest delay after a poll that failed at once; one that takes longer than this was queued by
-/// discovery.
+/// Longest delay after a poll that failed at once, as a share of the notification deadline. A poll
+/// that took longer than this was queued by discovery.
 const FAST_FAILURE_DEADLINE_SHARE: f64 = 0.1;
-/// Longest delay after a queued poll that failed.
+/// Longest delay after a queued poll that failed, as a share of the notification deadline.
 const QUEUED_FAILURE_DEADLINE_SHARE: f64 = 0.12;
-/// Longest delay after a failure in a large fleet. A poll that is queued then still ends in time.
+/// Longest delay after a failure in a large fleet, as a share of the notification deadline. A poll
+/// that is queued after this delay still ends before the deadline.
 const LARGE_FLEET_DEADLINE_SHARE: f64 = 0.6;
 
-/// Mean time between the polls of all peers after failures, in seconds.
+/// Mean time between successive polls of the fleet as a whole after failures.
 const FLEET_POLL_INTERVAL_SECONDS: f64 = 0.04;
-/// Polls per poll interval before the first failure.
+/// The initial delay is the poll interval divided by this number.
 const POLLS_PER_INTERVAL: f64 = 4.0;
-/// Failures up to which the first delays double.
+/// Consecutive failures up to which the initial delay doubles.
 const MAX_SHORT_DOUBLINGS: i32 = 3;
-/// Consecutive failures of queued polls after which delays exceed the longest one: discovery is
-/// overloaded. Polls that fail at once cost it nothing and count only up to here.
+/// Consecutive failures of queued polls after which discovery counts as overloaded and delays may
+/// exceed the bound for large fleets. Polls that fail at once cost discovery nothing and are
+/// counted only up to this number.
 const FAILURES_BEFORE_BACKOFF: i32 = 4;
-/// Doublings of the longest delay.
+/// Number of times that the bound for large fleets may double.
 const MAX_BACKOFF_DOUBLINGS: i32 = 8;
 
 /// Result of a poll.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PollResult {
-    /// A list came.
+    /// A list was received.
     ListReceived,
-    /// It failed at once, or a watch broke.
+    /// The poll failed at once, or a watch broke.
     FailedFast,
-    /// It failed after discovery had queued it.
+    /// The poll failed after discovery had queued it.
     FailedQueued,
 }
 
@@ -54,18 +57,18 @@
     max: f64,
 }
 
-/// State of the polls. Moments are seconds.
+/// State of the polls. Timestamps are in seconds.
 pub(super) struct PollSchedule {
     /// Consecutive failures.
     failures: i32,
     last_poll_at: f64,
-    /// The list is polled, and has not been received since the start, a failure or a broken
-    /// watch.
+    /// Whether, in poll mode, no list has been received since the last cached list, failed poll or
+    /// broken watch.
     is_stale: bool,
 }
 
 impl PollSchedule {
-    /// The schedule before the first poll.
+    /// Returns the schedule before the first poll.
     pub(super) fn new() -> Self {
         PollSchedule {
             failures: 0,
@@ -74,18 +77,18 @@
         }
     }
 
-    /// Polls now.
+    /// Records that a poll starts now, and returns the action that starts it.
     pub(super) fn poll(&mut self, now: f64) -> Action {
         self.last_poll_at = now;
         Action::WatchEndpoints
     }
 
-    /// Changes of the endpoints may have been missed.
+    /// Returns whether changes of the endpoint list may have been missed.
     pub(super) fn is_stale(&self) -> bool {
         self.is_stale
     }
 
-    /// Notes a list or a failed poll, and schedules the next poll if one is needed.
+    /// Handles a list or a failed poll, and schedules the next poll if one is needed.
     pub(super) fn on_list(
         &mut self,
         scope: ListScope,
@@ -128,7 +131,8 @@
         };
     }
 
-    /// The range of the next delay. `elapsed`: what the last poll took, in seconds.
+    /// Returns the range of the next delay. `elapsed` is the duration of the last poll, in
+    /// seconds.
     fn delay_range(&self, result: PollResult, settings: &Settings, elapsed: f64) -> DelayRange {
         let deadline = settings.rules.notification_deadline;
         let share = match result {
@@ -145,11 +149,13 @@
         }
         let max_delay = match result {
             PollResult::FailedQueued => LARGE_FLEET_DEADLINE_SHARE * deadline,
-            // Discovery may have recovered since the poll began.
+            // Discovery may have recovered at any time since the poll began, so the duration of
+            // the poll counts as delay.
             _ => LARGE_FLEET_DEADLINE_SHARE * deadline - elapsed,
         };
         let max = fleet_delay.min(max_delay * self.backoff_factor());
-        // After a single failure, which may be a broken watch, polls need not be queued yet.
+        // A single failure may be a broken watch. Discovery need not be queueing polls yet then,
+        // so a short delay is allowed.
         let min = if self.failures > 1 { max / 2.0 } else { 0.0 };
         DelayRange { min, max }
     }
--- a/src/decision/queue.rs
+++ b/src/decision/queue.rs
@@ -1,14 +1,14 @@
-//! Queues: requests that wait for a slot of an upstream, or for any upstream to be listed.
+//! Queues: requests that wait for a slot of an upstream, or for any upstream to become available.
 
 use super::action::Action;
 use super::balancer::Balancer;
 use super::event::{RequestId, UpstreamId};
 use std::cmp::Reverse;
 
-/// Added to each timer, in seconds: after rounding it must not fire before its time.
+/// Added to the delay of each request timer, so that rounding does not make it fire early.
 const TIMER_MARGIN_SECONDS: f64 = 1e-6;
 
-/// A timer of this request that fires in `after` seconds.
+/// Returns the action that sets a timer for this request, to fire in `after` seconds.
 pub(super) fn request_timer(id: RequestId, after: f64) -> Action {
     Action::SetTimer {
         after: after.max(0.0) + TIMER_MARGIN_SECONDS,
@@ -17,7 +17,8 @@
 }
 
 impl Balancer {
-    /// Sends the request if an upstream accepts it, else lets it wait.
+    /// Starts an attempt if an upstream accepts the request, else queues it. A request whose queue
+    /// deadline has passed before its first attempt is given up.
     pub(super) fn assign(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get(&id);
         let Some(request) = request.filter(|request| !request.is_concluded) else {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Puts the request into the queue of an upstream.
+    /// Queues the request at an upstream, or gives it up if no queue accepts it.
     fn enqueue(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.rotation.is_empty() {
             return self.await_upstream(id, actions);
@@ -52,7 +53,7 @@
         self.dispatch_queued(upstream_id, actions);
     }
 
-    /// Lets the request wait until an upstream is listed.
+    /// Lets the request wait until an upstream becomes available, at most until its deadline.
     fn await_upstream(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.unassigned.push_back(id);
         let request = self.requests.get_mut(&id).expect("the request is pending");
@@ -60,7 +61,7 @@
         actions.push(request_timer(id, request.deadline - self.now));
     }
 
-    /// Removes the request from the queue that it waits in, if any.
+    /// Removes the request from the queue that it is in, if any.
     pub(super) fn dequeue(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id).expect("the request is pending");
         let Some(upstream) = request.queued_upstream.take() else {
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Gives free slots of an upstream to requests of its own queue, else of the longest one in
-    /// the subset. Those with the largest weight per second go first.
+    /// Gives free slots of an upstream to requests from its own queue or, if that is empty, from
+    /// the longest queue in the subset. Requests with the largest weight per second go first.
     pub(super) fn dispatch_queued(&mut self, upstream_id: UpstreamId, actions: &mut Vec<Action>) {
         while let Some(id) = self.next_queued(upstream_id) {
             let upstream = &self.upstreams[&upstream_id];
@@ -97,8 +98,8 @@
         };
         let own = Some(upstream).filter(|id| length(*id) > 0);
         let queue = &self.upstreams[&own.or_else(longest)?].queue;
-        // Of equals the last one counts as the largest, so the order is reversed to find the
-        // oldest.
+        // `max_by` returns the last of several equal elements, so the queue is reversed to find
+        // the oldest request.
         let candidates = queue.iter().rev().copied();
         let weight = |id: RequestId| self.weight_per_second(id);
         candidates.max_by(|a, b| weight(*a).total_cmp(&weight(*b)))
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -10,62 +10,62 @@
     pub(super) upstream: UpstreamEntry,
     /// When the attempt started.
     pub(super) sent_at: f64,
-    /// How it ended; `None` while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub(super) outcome: Option<AttemptOutcome>,
 }
 
-/// A request from its arrival until it is concluded and its last attempt has ended. Moments are
+/// A request from its arrival until it is concluded and its last attempt has ended. Times are in
 /// seconds on the balancer's clock.
 #[derive(Default)]
 pub(super) struct PendingRequest {
     /// Index into `Settings::classes`.
     pub(super) class: usize,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub(super) deadline: f64,
-    /// Expected work; 1 where the request carries no hint.
+    /// Expected work; 1 if the request carries no hint.
     pub(super) work: f64,
-    /// Share of its tenant's traffic that exceeded the quota when it arrived.
+    /// Share of the tenant's traffic that exceeded the quota when the request arrived.
     pub(super) over_quota_share: f64,
-    /// Its attempts, in the order sent.
+    /// Attempts of the request, in the order sent.
     pub(super) attempts: Vec<Attempt>,
-    /// Its client waits for less than the latency objective.
+    /// Whether the client waits for less time than the latency objective.
     pub(super) has_short_deadline: bool,
-    /// Its body is still being received.
+    /// Whether the body is still being received.
     pub(super) is_uploading: bool,
-    /// The upstream in whose queue it waits.
+    /// The upstream in whose queue the request is.
     pub(super) queued_upstream: Option<UpstreamId>,
-    /// When it is given up if it still waits.
+    /// When the request is given up if it still waits.
     pub(super) queue_deadline: f64,
-    /// It has its final response, or its client has disconnected.
+    /// Whether the request has its final response or its client has disconnected.
     pub(super) is_concluded: bool,
 }
 
 impl PendingRequest {
-    /// How many of its attempts are in flight.
+    /// Returns the number of attempts in flight.
     pub(super) fn attempts_in_flight(&self) -> usize {
         let in_flight = |attempt: &&Attempt| attempt.outcome.is_none();
         self.attempts.iter().filter(in_flight).count()
     }
 
-    /// It waits for an attempt: none is in flight, and it has no final response.
+    /// Returns whether the request has neither a final response nor an attempt in flight.
     pub(super) fn needs_attempt(&self) -> bool {
         !self.is_concluded && self.attempts_in_flight() == 0
     }
 
-    /// The balancer has nothing left to do for it.
+    /// Returns whether the request is concluded and has no attempt in flight.
     pub(super) fn is_done(&self) -> bool {
         self.is_concluded && self.attempts_in_flight() == 0
     }
 
-    /// The first attempt that may have run.
+    /// Returns the first attempt that may have run.
     pub(super) fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
             .find(|attempt| !attempt.outcome.is_some_and(AttemptOutcome::never_started))
     }
 
-    /// How long upstreams still drop repeats, in seconds; `None` where no repeat can occur or the
-    /// class has no idempotency key.
+    /// Returns for how long upstreams will still drop repeats, in seconds; `None` if the request
+    /// has no attempt that may have run or its class has no idempotency key.
     pub(super) fn deduplication_time_left(&self, class: &Class, now: f64) -> Option<f64> {
         let first = self
             .first_possible_run()
@@ -73,8 +73,8 @@
         Some(first.sent_at + class.idempotency_window - now)
     }
 
-    /// Whether the endpoint list, the limits and the class's idempotency allow an attempt at this
-    /// upstream.
+    /// Returns whether the endpoint list, the limits and the class's idempotency allow an attempt
+    /// at this upstream.
     pub(super) fn may_be_sent_to(
         &self,
         upstream: &Upstream,
@@ -96,7 +96,8 @@
             && self.may_be_repeated_at(upstream, settings, now)
     }
 
-    /// Whether a run at this upstream does no harm, given the attempts that may have run already.
+    /// Returns whether a run at this upstream does no harm, given the attempts that may have run
+    /// already.
     fn may_be_repeated_at(&self, upstream: &Upstream, settings: &Settings, now: f64) -> bool {
         let class = &settings.classes[self.class];
         let Some(first) = self.first_possible_run() else {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Whether a repeat does no harm wherever it runs.
+    /// Returns whether a repeat does no harm, whichever upstream runs it.
     pub(super) fn is_safe_to_repeat(&self, class: &Class) -> bool {
         match class.idempotency {
             Idempotency::Idempotent
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -5,29 +5,28 @@
 use super::event::{AttemptOutcome, RequestId};
 use super::request::PendingRequest;
 
-/// Share of the successful responses that may be retried after an attempt that may have run.
-const RETRY_SHARE: f64 = 0.02;
+/// Retries of attempts that may have run, per successful response.
+const RETRIES_PER_RESPONSE: f64 = 0.02;
 /// Largest budget, in retries.
 const MAX_BUDGET: f64 = 10.0;
-/// What a retry after an invalid response or a broken connection takes of the budget. Retries
-/// after errors and time-outs add to an overload; these failures are rarely due to one.
+/// Cost of a retry after an invalid response or a broken connection. Retries after errors and
+/// time-outs add to an overload; these failures are rarely due to one, so their retries cost less.
 const BROKEN_CONNECTION_COST: f64 = 0.2;
-/// What a hedged request, or any other retry of an attempt that may have run, takes of the
-/// budget.
+/// Cost of a hedged request, or of any other retry of an attempt that may have run.
 const FULL_COST: f64 = 1.0;
 
-/// How many retries the balancer may still make.
+/// The number of retries that the balancer may still make.
 pub(super) struct RetryBudget(f64);
 
 impl RetryBudget {
-    /// A budget of one retry.
+    /// Returns a budget of one retry.
     pub(super) fn new() -> Self {
         RetryBudget(1.0)
     }
 
-    /// Adds the share of one successful response.
+    /// Adds the retries that one successful response allows.
     pub(super) fn add_response(&mut self) {
-        self.0 = (self.0 + RETRY_SHARE).min(MAX_BUDGET);
+        self.0 = (self.0 + RETRIES_PER_RESPONSE).min(MAX_BUDGET);
     }
 
     fn covers(&self, cost: f64) -> bool {
@@ -49,7 +48,7 @@
 
 impl Balancer {
     /// Retries a request whose last attempt ended without a final response, if the budget allows
-    /// it and a response can still come in time; else gives it up.
+    /// it and a response can still be received in time; else gives the request up.
     pub(super) fn retry(
         &mut self,
         id: RequestId,
@@ -67,8 +66,8 @@
         self.assign(id, actions);
     }
 
-    /// A timer of this request has fired: its time in the queue is over, a pause has ended, or
-    /// its only attempt is overdue.
+    /// Handles a timer of this request: its queue deadline has passed, a pause has ended, or its
+    /// only attempt is overdue.
     pub(super) fn on_request_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get(&id);
         let Some(request) = request.filter(|request| !request.is_concluded) else {
@@ -99,8 +98,8 @@
         })
     }
 
-    /// Sends a hedged request. Where two attempts at a time are not allowed, cancels the overdue
-    /// one; its end leads to a retry.
+    /// Sends a hedged request. If a request may not have two attempts in flight, cancels the
+    /// overdue one instead; its end leads to a retry.
     fn replace_overdue_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let limits = &self.settings.limits;
         let request = &self.requests[&id];
--- a/src/decision/rotation.rs
+++ b/src/decision/rotation.rs
@@ -1,9 +1,9 @@
 //! The rotation: weighted round robin with virtual time over the upstreams of this balancer's
 //! subset.
 //!
-//! Upstreams get even parts of the time that requests take, not of their number: each request
-//! advances its upstream's virtual start by the upstream's relative latency, and the upstream with
-//! the earliest virtual start gets the next one.
+//! Upstreams get equal shares of the time that requests take, not of the number of requests: each
+//! request advances its upstream's virtual start by the upstream's relative latency, and the
+//! upstream with the earliest virtual start gets the next request.
 
 use super::concurrency_limit::LoadLevel;
 use super::event::UpstreamId;
@@ -12,27 +12,29 @@
 use super::upstream::{Upstream, UpstreamStats, Upstreams};
 use std::collections::BTreeMap;
 
-/// Upstreams by which the subset grows for a request that had to wait, and shrinks under
-/// congestion.
+/// Upstreams by which the subset grows with a response while requests are queued, and shrinks with
+/// a response under congestion.
 const SUBSET_STEP: f64 = 0.5;
-/// Upstreams by which the subset shrinks with each response while no request has to wait.
+/// Upstreams by which the subset shrinks with each response at normal load.
 const NORMAL_SUBSET_STEP: f64 = 0.1;
-/// Responses after which an upstream's own latency counts as much as that of its machine kind.
+/// Responses after which an upstream's own relative latency has the same weight as that of its
+/// machine kind.
 const CONFIDENCE_RESPONSES: f64 = 10.0;
 
 /// State of the rotation.
 #[derive(Default)]
 pub(super) struct Rotation {
-    /// Available upstreams in this balancer's order of preference; the subset comes first.
+    /// Available upstreams in this balancer's order of preference; the first ones are the subset.
     order: Vec<UpstreamId>,
-    /// Size of the subset while nothing waits; at most the length of `order`.
+    /// Smallest size of the subset, reached while no requests are queued; at most the length of
+    /// `order`.
     min_subset_size: f64,
-    /// Size of the subset; it grows and shrinks by parts of an upstream.
+    /// Size of the subset; it has a fraction because it grows and shrinks by parts of an upstream.
     subset_size: f64,
-    /// Latest virtual start of a request so far. An upstream that was idle starts from here, so it
-    /// can't catch up with all that it missed.
+    /// Latest virtual start of a request so far. An upstream that was idle continues from here, so
+    /// that it does not catch up on the requests that it missed.
     virtual_time: f64,
-    /// Relative latency by machine kind.
+    /// Relative latency of each machine kind.
     relative_latency_by_kind: BTreeMap<usize, f64>,
 }
 
@@ -44,27 +46,27 @@
         self.set_subset_size(self.subset_size);
     }
 
-    /// No upstream is available.
+    /// Returns whether no upstream is available.
     pub(super) fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// How many upstreams are available.
+    /// Returns the number of available upstreams.
     pub(super) fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Upstreams that get this balancer's requests.
+    /// Returns the upstreams that get this balancer's requests.
     pub(super) fn subset(&self) -> &[UpstreamId] {
         &self.order[..self.subset_size as usize]
     }
 
-    /// Available upstreams outside the subset.
+    /// Returns the available upstreams outside the subset.
     pub(super) fn outside_subset(&self) -> &[UpstreamId] {
         &self.order[self.subset_size as usize..]
     }
 
-    /// The other upstreams of the subset.
+    /// Returns the upstreams of the subset other than `upstream`.
     pub(super) fn peers_of<'a>(
         &'a self,
         upstream: UpstreamId,
@@ -74,12 +76,12 @@
         peers.map(|id| &upstreams[id])
     }
 
-    /// Size of the subset, with its fraction.
+    /// Returns the size of the subset, with its fraction.
     pub(super) fn subset_size(&self) -> f64 {
         self.subset_size
     }
 
-    /// Restores the size of the subset as far as the endpoint list allows it.
+    /// Restores the size of the subset as far as the endpoint list allows.
     pub(super) fn restore_subset_size(&mut self, size: f64) {
         self.set_subset_size(size);
     }
@@ -88,12 +90,12 @@
         self.subset_size = size.clamp(self.min_subset_size, self.order.len() as f64);
     }
 
-    /// All available upstreams are in the subset.
+    /// Returns whether the subset contains all available upstreams.
     pub(super) fn covers_all(&self) -> bool {
         self.subset_size == self.order.len() as f64
     }
 
-    /// The subset need never cover all available upstreams.
+    /// Returns whether the subset can be smaller than the list of available upstreams.
     pub(super) fn may_be_partial(&self) -> bool {
         self.min_subset_size < self.order.len() as f64
     }
@@ -108,9 +110,9 @@
         self.set_subset_size(self.subset_size + step);
     }
 
-    /// The upstream of the subset with the earliest virtual start for a request. `requests_ahead`
-    /// gives how many requests of mean work go before it at an upstream, or `None` if the upstream
-    /// can't take it.
+    /// Returns the upstream of the subset at which a request would have the earliest virtual
+    /// start. `requests_ahead` returns how many requests of mean work precede it at an upstream,
+    /// or `None` if the upstream can't take it.
     pub(super) fn next(
         &self,
         upstreams: &Upstreams,
@@ -134,8 +136,8 @@
         upstream.virtual_start = self.virtual_time + relative_latency;
     }
 
-    /// The upstream's latency over the one to expect. Its machine kind stands in for it until
-    /// enough responses have come.
+    /// Returns the ratio of the upstream's latency to the expected latency. Until enough responses
+    /// have been received, it is mainly the ratio of the upstream's machine kind.
     fn relative_latency(&self, upstream: &Upstream) -> f64 {
         let kind = &upstream.entry.machine_kind;
         let by_kind = self
@@ -163,12 +165,12 @@
         stats.add_relative_latency(relative_latency);
     }
 
-    /// Relative latency by machine kind.
+    /// Returns the relative latency of each machine kind.
     pub(super) fn relative_latency_by_kind(&self) -> &BTreeMap<usize, f64> {
         &self.relative_latency_by_kind
     }
 
-    /// Restores the relative latency by machine kind.
+    /// Restores the relative latency of each machine kind.
     pub(super) fn restore_relative_latency(&mut self, by_kind: BTreeMap<usize, f64>) {
         self.relative_latency_by_kind = by_kind;
     }
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -1,22 +1,23 @@
-//! Endpoint selection: the upstream for an attempt.
+//! Endpoint selection: selects the upstream for an attempt.
 
 use super::balancer::Balancer;
 use super::event::UpstreamId;
 use super::request::PendingRequest;
 use super::upstream::Upstream;
 
-/// Whether outliers are left out for a class.
+/// Whether outliers are excluded for a class.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum OutlierPolicy {
-    /// They are left out.
+    /// Outliers are excluded.
     Exclude,
-    /// Too many would be left out, so none is (panic mode).
-    Ignore,
+    /// Outliers are included, because too many upstreams would be excluded (panic mode).
+    Include,
 }
 
 impl Balancer {
-    /// The next upstream of the rotation that accepts this request. One that operators have put
-    /// back goes first once, even outside of the subset, so that they see it in use.
+    /// Returns the next upstream of the rotation that accepts this request. An upstream that
+    /// operators have put back takes precedence once, even outside the subset, so that they can
+    /// see it in use.
     pub(super) fn select_upstream(&self, request: &PendingRequest) -> Option<UpstreamId> {
         let policy = self.outlier_policy(request.class);
         let accepts = |upstream: &Upstream| self.accepts(upstream, request, policy);
@@ -25,7 +26,8 @@
         if let Some(upstream) = returned.find(|upstream| accepts(upstream)) {
             return Some(upstream.entry.id);
         }
-        // The end of a large request counts, not its start, so it goes to a faster upstream.
+        // A large request is sent where it would end first rather than start first, so that it
+        // goes to a faster upstream.
         let excess_work = self
             .latency
             .of_class(request.class)
@@ -34,7 +36,7 @@
         self.rotation.next(&self.upstreams, requests_ahead)
     }
 
-    /// The upstream with queue space at which the rotation would start this request first.
+    /// Returns the upstream with queue space at which the rotation would start this request first.
     pub(super) fn select_queue(&self, request: &PendingRequest) -> Option<UpstreamId> {
         let policy = self.outlier_policy(request.class);
         let has_space = |upstream: &Upstream| {
@@ -47,7 +49,7 @@
         self.rotation.next(&self.upstreams, requests_ahead)
     }
 
-    /// This upstream can take an attempt of the request now.
+    /// Returns whether this upstream can take an attempt of the request now.
     pub(super) fn accepts(
         &self,
         upstream: &Upstream,
@@ -67,6 +69,6 @@
     }
 
     fn allows_by_policy(&self, upstream: &Upstream, class: usize, policy: OutlierPolicy) -> bool {
-        policy == OutlierPolicy::Ignore || self.is_eligible(upstream, class)
+        policy == OutlierPolicy::Include || self.is_eligible(upstream, class)
     }
 }
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,33 +1,33 @@
 //! The settings of one balancer: request classes, tenants, its place in the fleet, limits and
 //! rules.
 //!
-//! Durations are seconds as `f64`. [`Settings::validate`] checks every figure that the decisions
+//! Durations are seconds as `f64`. [`Settings::validate`] checks every number that the decisions
 //! rely on.
 
 use thiserror::Error;
 
-/// Why a set of settings was not accepted.
+/// Reason why settings were rejected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// There must be at least one request class.
+    /// The settings contain no request class.
     #[error("settings name no request class")]
     NoClasses,
-    /// A figure is not finite or below its least value.
+    /// A number is not finite or is below its minimum.
     #[error("setting {name} is out of range: {value}")]
     NumberOutOfRange {
-        /// Which setting.
+        /// Name of the setting.
         name: &'static str,
-        /// The figure given.
+        /// The number that was given.
         value: f64,
     },
-    /// An index is not below the number of what it counts.
+    /// An index is not below the number of items that it refers to.
     #[error("setting {name} is {index}, but there are only {count}")]
     IndexOutOfRange {
-        /// Which setting.
+        /// Name of the setting.
         name: &'static str,
-        /// The index given.
+        /// The index that was given.
         index: usize,
-        /// How many there are.
+        /// Number of items.
         count: usize,
     },
 }
@@ -35,42 +35,43 @@
 /// Whether an upstream may run a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running it again does no harm.
+    /// Running a request again does no harm.
     Idempotent,
-    /// It carries an idempotency key: upstreams that share a deduplication scope drop repeats of
-    /// it for [`Class::idempotency_window`].
+    /// A request carries an idempotency key: upstreams that share a deduplication scope drop
+    /// repeats of it for [`Class::idempotency_window`].
     IdempotencyKey {
-        /// Which upstreams drop each other's repeats.
+        /// The upstreams that drop each other's repeats.
         scope: DeduplicationScope,
     },
-    /// It must never run twice.
+    /// A request must never run twice.
     NonIdempotent,
 }
 
-/// Which upstreams drop repeats of a request with an idempotency key that one of them has seen.
+/// The upstreams that drop repeats of a request with an idempotency key if one of them has seen
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All upstreams.
     All,
-    /// Those in one zone.
+    /// The upstreams of one zone.
     Zone,
-    /// Those in one cell.
+    /// The upstreams of one cell.
     Cell,
 }
 
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name, for log lines only.
+    /// Name of the class, for log lines only.
     pub name: String,
     /// Latency objective, in seconds: a response within it earns the full priority weight.
     pub latency_objective: f64,
-    /// How long a client waits in all, in seconds.
+    /// How long a client waits in total, in seconds.
     pub deadline: f64,
-    /// Whether it may run more than once.
+    /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// How long upstreams drop repeats, in seconds from the first attempt that may have run; for
-    /// classes with an idempotency key.
+    /// How long upstreams drop repeats in classes with an idempotency key, in seconds from the
+    /// first attempt that may have run.
     pub idempotency_window: f64,
     /// Value of one response within the latency objective.
     pub priority_weight: f64,
@@ -81,62 +82,64 @@
 /// One tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, for log lines only.
+    /// Name of the tenant, for log lines only.
     pub name: String,
-    /// Requests per second, over all balancers, that are within its quota (0: no quota).
+    /// Quota of the tenant at all balancers together, in requests per second (0: no quota).
     pub quota_per_second: f64,
 }
 
-/// How the endpoint list comes from discovery.
+/// How the endpoint list is received from discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes are pushed.
+    /// Discovery sends changes of the list.
     Push,
-    /// The list has to be polled.
+    /// The balancer has to poll the list.
     Poll,
 }
 
-/// What the balancer may do.
+/// Limits on what the balancer may do.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// A request may have two attempts in flight at a time (a hedged request).
+    /// Whether a request may have two attempts in flight at a time (a hedged request).
     pub hedging_allowed: bool,
-    /// An idle connection closes after this time, in seconds.
+    /// Time after which an idle connection is closed, in seconds.
     pub connection_idle_timeout: f64,
-    /// Attempts that one connection carries at a time.
+    /// Number of attempts that one connection can carry at a time.
     pub streams_per_connection: u64,
-    /// A connection that is not established after this time, in seconds, is given up.
+    /// Time within which a connection has to be established, in seconds; after that, the
+    /// connection is given up.
     pub connect_timeout: f64,
-    /// Most requests that may be open at a time.
+    /// Maximum number of requests that may be open at a time.
     pub max_open_requests: usize,
-    /// Longest Retry-After that a rejection may carry, in seconds; `None`: it may carry
-    /// none.
+    /// Largest Retry-After of a rejection, in seconds; `None`: rejections have no Retry-After.
     pub max_retry_after: Option<f64>,
 }
 
-/// The rules of the service that the balancer has to follow.
+/// Rules of the service that the balancer has to follow.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Without a watch, the endpoint list has to be polled again within this time, in seconds.
+    /// Time within which the endpoint list has to be polled again if there is no watch, in
+    /// seconds.
     pub poll_interval: f64,
-    /// The balancer has to act on a change of the endpoint list within this time after discovery
-    /// had it, in seconds.
+    /// Time within which the balancer has to act on a change of the endpoint list, in seconds from
+    /// the time at which discovery had the change.
     pub notification_deadline: f64,
-    /// Share of its capacity that an upstream has when it starts.
+    /// Share of its full capacity that an upstream has when it starts.
     pub initial_capacity_share: f64,
-    /// Length of slow start in seconds: an upstream older than this has its full capacity.
+    /// Length of slow start, in seconds: an upstream that started longer ago has its full
+    /// capacity.
     pub slow_start_window: f64,
-    /// An upstream in slow start fails under more than this multiple of its present capacity.
+    /// Multiple of its present capacity above which an upstream in slow start fails.
     pub overload_multiple: f64,
 }
 
 impl Rules {
-    /// The least share of its full capacity that an upstream has `now` if it started at
-    /// `started_at`; both in seconds on one clock, 0 stands for long ago.
+    /// Returns the least share of its full capacity that an upstream has at `now` if it started at
+    /// `started_at`. Both are in seconds on the same clock; a start of 0 means long ago.
     #[must_use]
     pub fn slow_start_share(&self, started_at: f64, now: f64) -> f64 {
         let age = now - started_at;
@@ -148,51 +151,51 @@
     }
 }
 
-/// What things cost, as shares of the value of the service.
+/// Prices of what the balancer does, as shares of the value of the service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// An attempt that crosses zones, per first attempt.
+    /// Price of an attempt that crosses zones, per first attempt.
     pub cross_zone: f64,
 }
 
-/// The configuration of one balancer.
+/// The settings of one balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The request classes.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// This balancer's number among its `peer_count` peers.
+    /// Index of this balancer among its `peer_count` peers.
     pub peer_index: usize,
-    /// Balancers that send to this tier.
+    /// Number of balancers that send to this tier.
     pub peer_count: usize,
-    /// The tier that this balancer sends to; 0 is where clients come in.
+    /// Index of the tier that this balancer sends to; clients send to tier 0.
     pub tier: usize,
-    /// How many tiers there are.
+    /// Number of tiers.
     pub tier_count: usize,
-    /// The zone that this balancer is in.
+    /// Index of the zone that this balancer is in.
     pub zone: usize,
-    /// How many zones there are.
+    /// Number of zones.
     pub zone_count: usize,
-    /// How the endpoint list comes.
+    /// How the endpoint list is received.
     pub discovery_mode: DiscoveryMode,
-    /// Events come no more often than this, in seconds.
+    /// Shortest time between events, in seconds.
     pub event_interval: f64,
     /// Weight of a request beyond its tenant's quota, as a share of its class's priority weight.
     pub over_quota_weight: f64,
-    /// Priority weights count per unit of work, not per request.
+    /// Whether priority weights apply per unit of work instead of per request.
     pub weight_by_work: bool,
-    /// What the balancer may do.
+    /// Limits on what the balancer may do.
     pub limits: Limits,
-    /// The rules of the service.
+    /// Rules of the service.
     pub rules: Rules,
-    /// What things cost.
+    /// Prices of what the balancer does.
     pub prices: Prices,
 }
 
 impl Settings {
-    /// Settings with one idempotent class, pushed endpoint lists and moderate figures: a start
-    /// for tests and examples.
+    /// Returns settings with one idempotent class, pushed endpoint lists and moderate values: a
+    /// start for tests and examples.
     #[must_use]
     pub fn simple() -> Self {
         Settings {
@@ -237,17 +240,18 @@
         }
     }
 
-    /// The share of a request's work that is done from this tier on, if all tiers do the same.
+    /// Returns the share of a request's work that is done from this tier on, if all tiers do equal
+    /// shares.
     #[must_use]
     pub fn remaining_tier_share(&self) -> f64 {
         (self.tier_count - self.tier) as f64 / self.tier_count as f64
     }
 
-    /// Checks what the balancer relies on.
+    /// Checks the settings that the decisions rely on.
     ///
     /// # Errors
     ///
-    /// The first setting that is missing or out of range.
+    /// Returns an error for the first setting that is missing or out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -309,7 +313,8 @@
     }
 }
 
-// Errors name a setting by the words of the settings' format, as its author knows it by those.
+// Errors name a setting as the settings format does, because the author of the settings knows it
+// by that name.
 
 fn check_index(name: &'static str, index: usize, count: usize) -> Result<(), SettingsError> {
     if index < count {
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: how many requests an upstream gets while it warms up.
 //!
-//! Each request that arrives entitles each upstream of the subset to an even part of a request,
-//! and one in slow start only to its present share of capacity of that part. An attempt takes a
-//! whole token, so a warming upstream is not overloaded even while all others are down.
+//! Each arriving request gives each upstream of the subset tokens for an even part of a request;
+//! an upstream in slow start gets only its present share of capacity of that part. An attempt
+//! takes a whole token, so a warming upstream is not overloaded even while all others are down.
 
 use super::balancer::Balancer;
 use super::event::UpstreamId;
@@ -10,31 +10,31 @@
 use super::settings::Rules;
 use super::upstream::Upstreams;
 
-/// Part of a request that counts where responses do not keep up with requests, so that slow start
-/// goes on while all upstreams warm up and none has responded yet.
+/// Smallest share of a request that counts. It applies when responses do not keep up with
+/// requests, so that slow start continues while all upstreams warm up and none has responded yet.
 const MIN_COUNTED_SHARE: f64 = 0.1;
-/// Credit beyond the attempts in flight that responses can accumulate, in requests.
+/// Credit that responses can accumulate beyond the attempts in flight, in requests.
 const MAX_UNUSED_CREDIT: f64 = 3.0;
 
-/// An upstream that a request gives tokens to.
+/// An upstream that gets tokens for a request.
 struct Recipient {
     upstream: UpstreamId,
-    /// Upstreams among which the request is divided evenly.
+    /// Number of upstreams among which the request is divided evenly.
     sharing_count: f64,
 }
 
-/// Bounds what requests add to the tokens by what responses show that the subset can take.
-/// Without it a surge of requests, as when clients reconnect, would go to a warming upstream in
-/// its share, however large.
+/// Bounds the tokens that requests add by the load that the subset can take according to its
+/// responses. Otherwise a warming upstream would get its share of a surge of requests, such as
+/// when clients reconnect, however large the surge is.
 #[derive(Default)]
 pub(super) struct SlowStart {
-    /// Requests that count in full before further responses come.
+    /// Number of requests that count in full until further responses are received.
     credit: f64,
 }
 
 impl SlowStart {
-    /// Adds a response: so many requests count that a warming upstream gets half of what the
-    /// rules allow it.
+    /// Adds the credit of a response: as many requests count as give a warming upstream half of
+    /// the load that the rules allow it.
     pub(super) fn add_response(
         &mut self,
         rotation: &Rotation,
@@ -53,7 +53,7 @@
         self.credit = (self.credit + requests).min(MAX_UNUSED_CREDIT + in_flight);
     }
 
-    /// The part of one more request that counts.
+    /// Takes the credit of one request, and returns the share of the request that counts.
     fn take_credit(&mut self) -> f64 {
         let counted_share = self.credit.clamp(MIN_COUNTED_SHARE, 1.0);
         self.credit = (self.credit - 1.0).max(0.0);
@@ -63,9 +63,10 @@
 
 impl Balancer {
     /// Gives the slow-start tokens of one more request to the upstreams of the subset. Upstreams
-    /// outside get none, or else many balancers whose subsets grow together would spend saved
-    /// tokens at once. The exception is one returned from maintenance that still awaits a
-    /// request: for it, requests count over the whole list.
+    /// outside the subset get none: otherwise many balancers whose subsets grow at the same time
+    /// would spend saved tokens at once. The exception is an upstream that has returned from
+    /// maintenance and has had no request since: for it, requests are divided among all available
+    /// upstreams.
     pub(super) fn add_slow_start_tokens(&mut self) {
         let counted_share = self.slow_start.take_credit();
         let maintenance = &self.maintenance;
@@ -85,8 +86,8 @@
             sharing_count,
         } in in_subset.chain(awaiting)
         {
-            // Balancers that have it in their subset and those that don't both send to it, so each
-            // side gives half.
+            // Balancers with this upstream in their subset and balancers without it both send
+            // requests to it, so each of the two groups gives half of the tokens.
             let has_returned = maintenance.returned_within(id, rules.slow_start_window, self.now);
             let balancer_groups = if has_returned && self.rotation.may_be_partial() {
                 2.0
--- a/src/decision/subset.rs
+++ b/src/decision/subset.rs
@@ -1,9 +1,9 @@
 //! Subsetting: which of the available upstreams each balancer of the fleet prefers.
 //!
-//! Where balancers outnumber the slots of an upstream, a limit per balancer could not fall below
-//! one attempt each and would be void. So each balancer uses only as many upstreams as give it
-//! whole slots, in its own zone where crossing zones has a price. The subsets of all balancers
-//! cover the upstreams evenly.
+//! A balancer's concurrency limit can't be less than one attempt, so limits have no effect where
+//! balancers outnumber the slots of an upstream. Each balancer therefore uses only as many
+//! upstreams as give it whole slots, preferably in its own zone if crossing zones has a price. The
+//! subsets of all balancers cover the upstreams evenly.
 
 use super::event::{UpstreamEntry, UpstreamId};
 use super::settings::Settings;
@@ -11,24 +11,24 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Attempts of all balancers that one upstream is presumed to run at a time, before anything is
-/// known.
+/// Attempts of all balancers together that one upstream is presumed to run at a time, before
+/// anything is known about it.
 const PRESUMED_SLOTS: f64 = 2.0;
 /// Smallest subset, so that alternatives remain when some upstreams fail.
 const MIN_SUBSET_SIZE: usize = 3;
 
-/// A balancer's preference among the available upstreams.
+/// A balancer's order of preference among the available upstreams.
 pub(super) struct Subset {
-    /// All available upstreams; the subset is a prefix of it.
+    /// All available upstreams, the most preferred ones first; the subset is a prefix of it.
     pub(super) order: Vec<UpstreamId>,
-    /// Size of the subset while nothing waits.
+    /// Smallest size of the subset, used while no requests are queued.
     pub(super) min_size: f64,
-    /// Slots at one upstream if balancers share it evenly; may be less than one.
+    /// Slots at an upstream if the balancers share it evenly; may be less than 1.
     pub(super) even_slots: f64,
 }
 
-/// The upstreams from which subsets are cut, and this balancer's rank among those that cut from
-/// the same.
+/// The upstreams from which a group of balancers cut their subsets, and this balancer's rank in
+/// that group.
 struct Pool {
     size: usize,
     rank: usize,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Crossing to this upstream's zone has a price.
+/// Returns whether crossing to the zone of this upstream has a price.
 fn is_remote(settings: &Settings, entry: &UpstreamEntry) -> bool {
     settings.prices.cross_zone > 0.0 && entry.zone != settings.zone
 }
@@ -76,9 +76,9 @@
     }
 }
 
-/// Orders upstreams by locality and a shuffle, and rotates the pool so that this balancer's
-/// subset comes first. Balancers whose subsets together make up the pool once share a shuffle;
-/// the next ones use another.
+/// Sorts upstreams by locality, then by a pseudorandom shuffle, and rotates the pool so that this
+/// balancer's subset comes first. Balancers whose subsets together cover the pool once use the
+/// same shuffle; the next balancers use a different one.
 fn order(
     settings: &Settings,
     available: &[&UpstreamEntry],
--- a/src/decision/upstream.rs
+++ b/src/decision/upstream.rs
@@ -1,5 +1,5 @@
-//! An upstream as this balancer sees it: its list entry, what is in flight or queued there, and
-//! statistics.
+//! An upstream as this balancer sees it: its entry in the endpoint list, its attempts in flight
+//! and queued requests, and its statistics.
 
 use super::event::{AttemptOutcome, RequestId, UpstreamEntry, UpstreamId, UpstreamState};
 use super::latency::OVERDUE_FACTOR;
@@ -9,69 +9,72 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// An upstream that rejects this many requests in a row may be draining.
+/// Consecutive rejections after which an upstream may be draining.
 const MIN_DRAINING_REJECTIONS: u32 = 3;
 
 /// All upstreams that are listed or have attempts in flight.
 pub(super) type Upstreams = BTreeMap<UpstreamId, Upstream>;
 
-/// The upstream of an attempt that has just ended.
+/// Returns the upstream of an attempt that has just ended.
 pub(super) fn upstream_of_attempt(upstreams: &mut Upstreams, id: UpstreamId) -> &mut Upstream {
     upstreams
         .get_mut(&id)
         .expect("an upstream is removed only while no attempt is in flight there")
 }
 
-/// An attempt in flight at an upstream. Moments and durations are seconds.
+/// An attempt in flight at an upstream. Times are in seconds.
 pub(super) struct InFlightAttempt {
-    /// The request that it belongs to.
+    /// The request that the attempt belongs to.
     pub(super) request: RequestId,
-    /// Its request class.
+    /// Class of the request, as an index into `Settings::classes`.
     pub(super) class: usize,
-    /// When it started.
+    /// When the attempt started.
     pub(super) sent_at: f64,
-    /// When the upstream had received all of it; infinite while the client still sends its body.
+    /// When the upstream had received the whole request; infinite while the client is still
+    /// sending the body.
     pub(super) upload_completed_at: f64,
-    /// How long it is expected to take.
+    /// Expected latency of the attempt.
     pub(super) expected_latency: f64,
-    /// For how long its connection had been idle.
+    /// How long the connection had been idle when the attempt started; 0 for a new connection.
     pub(super) connection_idle: f64,
 }
 
 impl InFlightAttempt {
-    /// It has taken far longer than expected.
+    /// Returns whether the attempt has taken far longer than expected.
     pub(super) fn is_overdue(&self, now: f64) -> bool {
         now - self.upload_completed_at > OVERDUE_FACTOR * self.expected_latency
     }
 }
 
-/// An upstream.
+/// The state of an upstream.
 pub(super) struct Upstream {
     /// Its entry in the endpoint list.
     pub(super) entry: UpstreamEntry,
-    /// Operators have taken it out of service.
+    /// Whether operators have taken the upstream out of service.
     pub(super) is_in_maintenance: bool,
     consecutive_rejections: u32,
-    /// It is left out until the endpoint list is current again.
+    /// Whether the upstream is left out as possibly draining, until the endpoint list is current
+    /// again.
     pub(super) is_suspected_draining: bool,
-    /// Estimated start; 0: long ago.
+    /// Estimated start, in seconds; 0 means long ago.
     pub(super) started_at: f64,
-    /// When it returned from maintenance, if it may have been restarted meanwhile; else 0.
+    /// When the upstream returned from maintenance, in seconds, if it may have been restarted
+    /// meanwhile; else 0.
     pub(super) returned_at: f64,
-    /// Its attempts in flight.
+    /// Attempts in flight at the upstream.
     pub(super) in_flight: Vec<InFlightAttempt>,
-    /// Requests that wait for a slot here.
+    /// Requests queued for a slot of the upstream.
     pub(super) queue: VecDeque<RequestId>,
-    /// Virtual time at which the rotation would start its next request.
+    /// Virtual time at which the rotation would start the next request to the upstream.
     pub(super) virtual_start: f64,
-    /// Since when each of its idle connections is idle, as far as is known.
+    /// When each idle connection became idle, as far as is known; the oldest comes first.
     idle_connections: Vec<f64>,
-    /// What has been learned of it.
+    /// What has been learned of the upstream.
     pub(super) stats: UpstreamStats,
 }
 
 impl Upstream {
-    /// An upstream that has just been listed.
+    /// Returns the state of an upstream that has just been listed.
     pub(super) fn new(entry: UpstreamEntry, started_at: f64, stats: UpstreamStats) -> Self {
         Upstream {
             entry,
@@ -88,23 +91,24 @@
         }
     }
 
-    /// Forgets what was learned of its former process. Attempts in flight there still free their
-    /// slots when they end.
+    /// Discards what was learned of the upstream's former process. Attempts in flight there still
+    /// free their slots when they end.
     pub(super) fn reset_after_restart(&mut self, started_at: f64, stats: UpstreamStats) {
         self.started_at = started_at;
         self.returned_at = 0.0;
         self.stats = stats;
     }
 
-    /// It takes requests according to the endpoint list and the operators, and does not seem to
-    /// be draining.
+    /// Returns whether the upstream is in service according to the endpoint list and the
+    /// operators, and is not suspected of draining.
     pub(super) fn is_available(&self) -> bool {
         self.entry.state == UpstreamState::Active
             && !self.is_in_maintenance
             && !self.is_suspected_draining
     }
 
-    /// Counts consecutive rejections. Returns whether they suggest that it is draining.
+    /// Counts consecutive rejections, and returns whether they suggest that the upstream is
+    /// draining.
     pub(super) fn update_rejection_count(&mut self, outcome: AttemptOutcome) -> bool {
         match outcome {
             AttemptOutcome::Rejected => self.consecutive_rejections += 1,
@@ -116,18 +120,18 @@
         self.consecutive_rejections >= MIN_DRAINING_REJECTIONS
     }
 
-    /// Drops the suspicion of draining: the endpoint list is current.
+    /// Clears the suspicion of draining, because the endpoint list is current.
     pub(super) fn clear_draining_suspicion(&mut self) {
         self.consecutive_rejections = 0;
         self.is_suspected_draining = false;
     }
 
-    /// Share of its full capacity that it has at least.
+    /// Returns the least share of its full capacity that the upstream has at `now`.
     pub(super) fn slow_start_share(&self, rules: &Rules, now: f64) -> f64 {
         rules.slow_start_share(self.started_at.max(self.returned_at), now)
     }
 
-    /// The attempt of this request that is in flight here.
+    /// Returns the attempt of this request that is in flight at the upstream.
     pub(super) fn in_flight_attempt_of(
         &mut self,
         request: RequestId,
@@ -136,25 +140,25 @@
         in_flight.find(|attempt| attempt.request == request)
     }
 
-    /// Removes the attempt of this request from those in flight.
+    /// Removes the attempt of this request from those in flight, and returns it.
     pub(super) fn remove_in_flight(&mut self, request: RequestId) -> Option<InFlightAttempt> {
         let is_of_request = |attempt: &InFlightAttempt| attempt.request == request;
         let index = self.in_flight.iter().position(is_of_request)?;
         Some(self.in_flight.remove(index))
     }
 
-    /// Notes that a connection became idle.
+    /// Records that a connection became idle.
     pub(super) fn add_idle_connection(&mut self, now: f64) {
         self.idle_connections.push(now);
     }
 
-    /// Forgets the connections that their pool has closed after `max_idle` seconds.
+    /// Forgets the idle connections that the connection pool has closed after `max_idle` seconds.
     pub(super) fn drop_expired_connections(&mut self, max_idle: f64, now: f64) {
         self.idle_connections.retain(|since| now - since < max_idle);
     }
 
-    /// Whether the oldest idle connection has been idle for longer than `timeout` seconds. If so,
-    /// forgets all.
+    /// Forgets all idle connections if the oldest one has been idle for longer than `timeout`
+    /// seconds. Returns whether it has.
     pub(super) fn drop_possibly_closed_connections(&mut self, timeout: f64, now: f64) -> bool {
         let oldest = self.idle_connections.first();
         let may_be_closed = oldest.is_some_and(|since| now - since > timeout);
@@ -164,45 +168,46 @@
         may_be_closed
     }
 
-    /// Takes the connection that became idle last; returns for how long it was idle (0: a new one
-    /// is needed).
+    /// Takes the connection that became idle last, and returns how long it was idle, in seconds; 0
+    /// if a new connection is needed.
     pub(super) fn take_idle_connection(&mut self, now: f64) -> f64 {
         self.idle_connections.pop().map_or(0.0, |since| now - since)
     }
 }
 
-/// What a balancer has learned of an upstream, and forgets when the upstream restarts.
+/// What a balancer has learned of an upstream. It is discarded when the upstream restarts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct UpstreamStats {
     /// Multiplier of the concurrency limit.
     #[serde(rename = "width")]
     pub(super) limit_multiplier: f64,
-    /// Mean latency over the one to expect.
+    /// Mean ratio of the latency to the expected latency.
     #[serde(rename = "pace")]
     pub(super) relative_latency: f64,
-    /// Successful responses that `relative_latency` rests on.
+    /// Number of successful responses that `relative_latency` is based on.
     #[serde(rename = "answers")]
     pub(super) responses: f64,
-    /// Its outlier statistics.
+    /// Outlier statistics of the upstream.
     #[serde(rename = "health")]
     pub(super) outliers: OutlierStatsByScope,
-    /// Share of its requests that were lost silently, as a slow moving average.
+    /// Share of the upstream's requests that were lost silently, as a slow moving average.
     #[serde(rename = "losses")]
     pub(super) silent_loss_rate: f64,
-    /// It gets no request until then, after a rejection or between requests beyond the limit.
+    /// Until then, in seconds, the upstream gets no requests: after a rejection, or between single
+    /// requests beyond the limit.
     #[serde(rename = "full_until")]
     pub(super) paused_until: f64,
-    /// How long the connection had been idle on which the last request was lost silently; 0: none
-    /// was.
+    /// How long the connection on which the last request was lost silently had been idle, in
+    /// seconds; 0 if the last request was not lost silently.
     #[serde(rename = "suspect")]
     pub(super) suspect_idle_time: f64,
-    /// Requests that slow start allows it by now; at most 1.
+    /// Number of requests that slow start currently allows the upstream; at most 1.
     #[serde(rename = "credit", alias = "allowance")]
     pub(super) slow_start_tokens: f64,
 }
 
 impl UpstreamStats {
-    /// All timestamps in it.
+    /// Returns mutable references to all timestamps.
     pub(super) fn timestamps_mut(&mut self) -> impl Iterator<Item = &mut f64> {
         let outliers = self.outliers.timestamps_mut();
         outliers.chain([&mut self.paused_until])
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,13 @@
-//! Load balancing for services that call services: which upstream a request goes to, how long
-//! it may wait, when it is retried, rejected or given up. The library does no I/O and reads
-//! no clock.
+//! Load balancing for services that call services: which upstream a request is sent to, how long
+//! it may be queued, and when it is retried, rejected or given up. The library does no I/O and
+//! reads no clock.
 //!
-//! The embedder's event loop owns a [`Balancer`], reports what happens as an [`Event`], and
-//! carries out the [`Action`]s that come back, in their order. The embedder gives the time
-//! with each event, in seconds of any clock; the balancer's time never goes back. What the
-//! balancer holds for a request is released when the request has its final response and its
-//! last attempt has ended, so the end of each attempt has to be reported. The work for one
-//! request grows with the size of the subset that a balancer uses, not with the number of
-//! upstreams.
+//! The embedder's event loop owns a [`Balancer`], reports each [`Event`] to it, and carries out
+//! the returned [`Action`]s in order. With each event the embedder passes the time, in seconds on
+//! a clock of its choice; the balancer's time never goes back. The balancer releases the state of
+//! a request when the request has its final response and its last attempt has ended, so the
+//! embedder has to report the end of each attempt. The time to handle a request grows with the
+//! size of the subset that a balancer uses, not with the number of upstreams.
 //!
 //! ```
 //! use load_balancer::{
@@ -16,7 +15,7 @@
 //!     Settings, SettingsError, UpstreamEntry, UpstreamId, UpstreamState,
 //! };
 //!
-//! // One upstream that runs one attempt at a time of each of six balancers.
+//! // There are six balancers; each may have one attempt at a time in flight at the upstream.
 //! let settings = Settings { peer_count: 6, ..Settings::simple() };
 //! let mut balancer = Balancer::new(settings, 42, 0.0)?;
 //! let mut handle = |now, event| {
@@ -35,7 +34,7 @@
 //! let endpoints = vec![entry.clone()];
 //! handle(0.0, Event::EndpointList { scope: ListScope::Full, endpoints });
 //!
-//! // The first request is sent. The second one is queued: the only slot is taken.
+//! // The first request is sent. The second one is queued, because the only slot is taken.
 //! let request = |id| {
 //!     Event::Request(Request {
 //!         id: RequestId(id),
@@ -68,7 +67,7 @@
 //! let actions = handle(0.3, success(1));
 //! assert!(starts(&actions, 2));
 //!
-//! // A draining upstream gets no new request. One that arrives waits.
+//! // A draining upstream gets no new requests, so the third request waits until its deadline.
 //! let endpoints = vec![UpstreamEntry { state: UpstreamState::Draining, ..entry }];
 //! handle(0.4, Event::EndpointList { scope: ListScope::Delta, endpoints });
 //! handle(0.5, success(2));
