--- a/src/decision/queue.rs
+++ b/src/decision/queue.rs
@@ -44,7 +44,7 @@
         };
         let upstream = self.upstreams.get_mut(&upstream_id);
         upstream
-            .expect("the rotation orders listed upstreams only")
+            .expect("the rotation contains only listed upstreams")
             .queue
             .push_back(id);
         let request = self.requests.get_mut(&id).expect("the request is pending");
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
     /// The settings contain no request class.
-    #[error("settings name no request class")]
+    #[error("settings contain no request class")]
     NoClasses,
     /// A number is not finite or is below its minimum.
     #[error("setting {name} is out of range: {value}")]
@@ -21,7 +21,7 @@
         value: f64,
     },
     /// An index is not below the number of items that it refers to.
-    #[error("setting {name} is {index}, but there are only {count}")]
+    #[error("setting {name} is out of range: {index} is not below {count}")]
     IndexOutOfRange {
         /// Name of the setting.
         name: &'static str,
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -97,7 +97,7 @@
             let upstream = self
                 .upstreams
                 .get_mut(&id)
-                .expect("the rotation orders listed upstreams only");
+                .expect("the rotation contains only listed upstreams");
             let share = upstream.slow_start_share(rules, self.now);
             upstream
                 .stats
