--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: starts them and chooses their connections.
+//! Attempts: starts them and selects their connections.
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -11,7 +11,7 @@
 use super::upstream::{InFlightAttempt, Upstream};
 
 impl Balancer {
-    /// Sends the request to this upstream.
+    /// Starts an attempt of the request at this upstream.
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
@@ -28,9 +28,9 @@
         let limits = &self.settings.limits;
         let connection_idle =
             take_connection(upstream, &mut self.idle_timeout, limits, self.now, actions);
-        self.maintenance.note_request(upstream_id);
+        self.maintenance.record_request(upstream_id);
         upstream.stats.take_slow_start_token();
-        request.queued_at = None;
+        request.queued_upstream = None;
         let class = &self.settings.classes[request.class];
         let write_within = request.deduplication_time_left(class, self.now);
         request.attempts.push(Attempt {
@@ -63,7 +63,8 @@
         }
     }
 
-    /// The upstream has received the whole request. Until then it can't be overdue.
+    /// Handles the end of an upload: the upstream has received the whole request, whose attempt
+    /// can be overdue from now on.
     pub(super) fn on_upload_completed(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -75,15 +76,15 @@
         let Some(upstream) = self.upstreams.get_mut(&attempt.upstream.id) else {
             return;
         };
-        if let Some(attempt) = upstream.in_flight_of(id) {
+        if let Some(attempt) = upstream.in_flight_attempt_of(id) {
             attempt.upload_completed_at = self.now;
         }
     }
 }
 
-/// Chooses the connection of an attempt; returns for how long it has been idle, in seconds (0: it
-/// is new). If the oldest idle connection has been idle for longer than the estimated timeout,
-/// all are closed first.
+/// Selects the connection of an attempt, and returns for how long it has been idle, in seconds (0:
+/// it is new). If the oldest idle connection has been idle for longer than the estimated timeout,
+/// all idle connections are closed first.
 fn take_connection(
     upstream: &mut Upstream,
     idle_timeout: &mut IdleTimeoutEstimator,
@@ -93,7 +94,7 @@
 ) -> f64 {
     let timeout = idle_timeout.raise(now, limits.connection_idle_timeout);
     upstream.drop_expired_connections(limits.connection_idle_timeout, now);
-    if upstream.drop_untrusted_connections(timeout, now) {
+    if upstream.drop_possibly_closed_connections(timeout, now) {
         actions.push(Action::CloseIdleConnections {
             upstream: upstream.entry.id,
         });
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -1,6 +1,6 @@
-//! The learned state: what one process of a balancer hands to the next.
+//! The learned state: what one process of a balancer hands over to the next.
 //!
-//! Its stored form is shared with other versions during an upgrade, so the stored names of fields
+//! Processes of different versions exchange it during an upgrade, so the stored names of fields
 //! never change.
 
 use super::admission::RequestRate;
@@ -12,25 +12,25 @@
 use serde::{Deserialize, Serialize, Serializer};
 use std::collections::BTreeMap;
 
-/// What a balancer has learned, for the process that replaces it. Nothing in it has to be
-/// current: [`Balancer::restore`] takes what still applies. Moments are seconds on the clock of
+/// What a balancer has learned, for the process that replaces it. The state may be outdated:
+/// [`Balancer::restore`] takes over what still applies. Timestamps are in seconds on the clock of
 /// the balancer that saved it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LearnedState {
     #[serde(rename = "at")]
     saved_at: f64,
     upstreams: BTreeMap<u64, StoredUpstream>,
-    /// Estimated starts.
+    /// Estimated start of each upstream.
     #[serde(
         rename = "started",
         default,
         skip_serializing_if = "BTreeMap::is_empty"
     )]
     started_at: BTreeMap<u64, f64>,
-    /// Of each class.
+    /// Latency estimate of each class.
     #[serde(rename = "usual")]
     latency: Vec<LatencyEstimate>,
-    /// Of each tenant.
+    /// Request rate of each tenant.
     #[serde(rename = "rates")]
     tenant_rates: Vec<RequestRate>,
     #[serde(rename = "paces")]
@@ -40,7 +40,7 @@
     #[serde(rename = "pass")]
     single_request_allowance: f64,
     #[serde(rename = "met_crowd")]
-    congestion_was_seen: bool,
+    congestion_has_occurred: bool,
     #[serde(rename = "strain")]
     congestion_level: f64,
 }
@@ -49,9 +49,10 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(from = "(f64, f64, UpstreamStats)")]
 struct StoredUpstream {
-    /// Its start according to the endpoint list.
+    /// Start of the upstream according to the endpoint list.
     listed_start: f64,
-    /// When it returned from maintenance.
+    /// When the upstream returned from maintenance, if it may have been restarted meanwhile; else
+    /// 0.
     returned_at: f64,
     stats: UpstreamStats,
 }
@@ -73,25 +74,26 @@
 }
 
 impl LearnedState {
-    /// The same with all moments shifted by this many seconds. A moment of 0 means never, and
-    /// stays.
+    /// Returns the state with all timestamps shifted by `seconds`. A timestamp of 0 means never
+    /// and is not shifted.
     fn shifted(mut self, seconds: f64) -> Self {
-        let shift = |moment: &mut f64| *moment += if *moment > 0.0 { seconds } else { 0.0 };
+        let shift =
+            |timestamp: &mut f64| *timestamp += if *timestamp > 0.0 { seconds } else { 0.0 };
         for upstream in self.upstreams.values_mut() {
             shift(&mut upstream.returned_at);
-            upstream.stats.moments().for_each(shift);
+            upstream.stats.timestamps_mut().for_each(shift);
         }
         self.started_at.values_mut().for_each(shift);
         self.tenant_rates
             .iter_mut()
-            .map(RequestRate::moment)
+            .map(RequestRate::timestamp_mut)
             .for_each(shift);
         self
     }
 }
 
 impl Balancer {
-    /// What has been learned so far.
+    /// Returns what has been learned so far.
     #[must_use]
     pub fn learned_state(&self) -> LearnedState {
         let mut upstreams = BTreeMap::new();
@@ -114,14 +116,14 @@
             relative_latency_by_kind: self.rotation.relative_latency_by_kind().clone(),
             subset_size: self.rotation.subset_size(),
             single_request_allowance: self.limit.single_request_allowance(),
-            congestion_was_seen: self.latency.congestion().was_seen,
+            congestion_has_occurred: self.latency.congestion().has_occurred,
             congestion_level: self.latency.congestion().level,
         }
     }
 
-    /// Takes over what another balancer with these settings learned and saved `age` seconds ago.
-    /// Ignored are a state older than the slow-start window or of other settings, and what is
-    /// known of an upstream that has been restarted since.
+    /// Restores what another balancer with these settings learned and saved `age` seconds ago. A
+    /// state that is older than the slow-start window or belongs to other settings is ignored.
+    /// What was learned of an upstream that has been restarted since is ignored too.
     pub fn restore(&mut self, now: f64, age: f64, state: LearnedState) {
         self.now = self.now.max(now);
         let has_same_shape = state.latency.len() == self.settings.classes.len()
@@ -137,7 +139,7 @@
         }
         let congestion = Congestion {
             level: state.congestion_level,
-            was_seen: state.congestion_was_seen,
+            has_occurred: state.congestion_has_occurred,
         };
         self.latency = LatencyModel::restore(state.latency, congestion);
         self.tenant_rates = state.tenant_rates;
@@ -155,7 +157,7 @@
         started_at: Option<f64>,
     ) {
         let stats = &stored.stats;
-        let has_all_classes = stats.outliers.has_classes(self.settings.classes.len());
+        let has_all_classes = stats.outliers.has_class_count(self.settings.classes.len());
         if !has_all_classes || stats.limit_multiplier <= 0.0 {
             return;
         }
--- a/src/decision/maintenance.rs
+++ b/src/decision/maintenance.rs
@@ -1,52 +1,52 @@
-//! Upstreams that operators take out of service and put back.
+//! Maintenance: upstreams that operators take out of service and put back.
 
 use super::action::Action;
 use super::balancer::Balancer;
 use super::event::{Maintenance, UpstreamId};
 use std::collections::BTreeMap;
 
-/// An upstream that operators have put back.
-struct Return {
-    at: f64,
+/// The return of an upstream that operators have put back into service.
+struct ReturnToService {
+    returned_at: f64,
     awaits_request: bool,
 }
 
-/// What operators have ordered. It holds whether or not the upstream is listed. Moments are
+/// The orders of the operators. They hold whether or not the upstream is listed. Times are in
 /// seconds.
 #[derive(Default)]
 pub(super) struct MaintenanceRegister {
-    /// Upstreams out of service, and since when.
+    /// Upstreams out of service, with the time at which each was taken out.
     out_since: BTreeMap<UpstreamId, f64>,
-    returned: BTreeMap<UpstreamId, Return>,
+    returned: BTreeMap<UpstreamId, ReturnToService>,
 }
 
 impl MaintenanceRegister {
-    /// Operators have taken this upstream out of service.
-    pub(super) fn is_out(&self, upstream: UpstreamId) -> bool {
+    /// Returns whether operators have taken this upstream out of service.
+    pub(super) fn is_out_of_service(&self, upstream: UpstreamId) -> bool {
         self.out_since.contains_key(&upstream)
     }
 
-    /// Upstreams that were put back and have had no request since.
+    /// Returns the upstreams that were put back and have had no request since.
     pub(super) fn awaiting_request(&self) -> impl Iterator<Item = &UpstreamId> {
         let returned = self.returned.iter();
         let awaiting = returned.filter(|(_, returned)| returned.awaits_request);
         awaiting.map(|(id, _)| id)
     }
 
-    /// This upstream was put back and has had no request since.
+    /// Returns whether this upstream was put back and has had no request since.
     pub(super) fn awaits_request(&self, upstream: UpstreamId) -> bool {
         let returned = self.returned.get(&upstream);
         returned.is_some_and(|returned| returned.awaits_request)
     }
 
-    /// This upstream was put back less than `window` seconds ago.
+    /// Returns whether this upstream was put back less than `window` seconds ago.
     pub(super) fn returned_within(&self, upstream: UpstreamId, window: f64, now: f64) -> bool {
         let returned = self.returned.get(&upstream);
-        returned.is_some_and(|returned| now - returned.at < window)
+        returned.is_some_and(|returned| now - returned.returned_at < window)
     }
 
-    /// A request has gone to this upstream.
-    pub(super) fn note_request(&mut self, upstream: UpstreamId) {
+    /// Records that a request was sent to this upstream.
+    pub(super) fn record_request(&mut self, upstream: UpstreamId) {
         if let Some(returned) = self.returned.get_mut(&upstream) {
             returned.awaits_request = false;
         }
@@ -57,11 +57,12 @@
         self.returned.remove(&upstream);
     }
 
-    /// Returns since when the upstream was out; `None` if it was not.
+    /// Ends the maintenance of an upstream. Returns the time at which it was taken out of service,
+    /// or `None` if it was not.
     fn end(&mut self, upstream: UpstreamId, now: f64) -> Option<f64> {
         let out_since = self.out_since.remove(&upstream)?;
-        let returned = Return {
-            at: now,
+        let returned = ReturnToService {
+            returned_at: now,
             awaits_request: true,
         };
         self.returned.insert(upstream, returned);
@@ -83,22 +84,22 @@
             Maintenance::Begin => {
                 self.maintenance.begin(id, self.now);
                 let upstream = self.upstreams.get_mut(&id);
-                let Some(upstream) = upstream.filter(|upstream| !upstream.in_maintenance) else {
+                let Some(upstream) = upstream.filter(|upstream| !upstream.is_in_maintenance) else {
                     return;
                 };
-                upstream.in_maintenance = true;
+                upstream.is_in_maintenance = true;
             }
             Maintenance::End => {
                 let Some(out_since) = self.maintenance.end(id, self.now) else {
                     return;
                 };
                 let upstream = self.upstreams.get_mut(&id);
-                let Some(upstream) = upstream.filter(|upstream| upstream.in_maintenance) else {
+                let Some(upstream) = upstream.filter(|upstream| upstream.is_in_maintenance) else {
                     return;
                 };
-                upstream.in_maintenance = false;
+                upstream.is_in_maintenance = false;
                 // Discovery may report a restart late or never, so the upstream counts as warming
-                // up unless it is known to have started before.
+                // up from now on unless it is known to have restarted during the maintenance.
                 upstream.returned_at = if upstream.started_at < out_since {
                     self.now
                 } else {
--- a/src/decision/outlier_stats.rs
+++ b/src/decision/outlier_stats.rs
@@ -1,29 +1,29 @@
-//! Outlier statistics: what the results of an upstream's attempts say of it, and when they eject
-//! it.
+//! Outlier statistics: responses and failures of an upstream, and the rules by which they lead to
+//! an ejection.
 
 use super::ended_attempt::EndedAttempt;
 use super::event::AttemptOutcome;
 use super::moving_average::{add_sample, weight_after};
 use serde::{Deserialize, Serialize};
 
-/// Ejection time over the expected latency; it doubles with each consecutive failure.
+/// Base of the ejection duration, in expected latencies; each consecutive failure doubles it.
 const EJECTION_FACTOR: f64 = 4.0;
-/// Consecutive failures beyond which the ejection time does not grow.
-const MAX_FAILURES: i32 = 4;
-/// An upstream is an outlier if its error rate exceeds that of its peers by more than this.
+/// Consecutive failures beyond which the ejection duration no longer grows.
+const MAX_COUNTED_FAILURES: i32 = 4;
+/// An upstream is an outlier if its error rate exceeds the mean of its peers by more than this.
 const ERROR_RATE_MARGIN: f64 = 0.3;
-/// After a failed trial request of a class that can be repeated, those of classes that can't wait
-/// for this many times its ejection time.
+/// After a failed trial request of a class that may be repeated, non-idempotent classes wait for
+/// this many times its ejection duration before their own trial request.
 const TRIAL_DELAY_FACTOR: f64 = 2.0;
-/// Responses without error that an upstream is presumed to have given before the first.
-const PRESUMED_RESPONSES: f64 = 3.0;
+/// Successful responses that the error rate presumes before the first actual response.
+const PRESUMED_SUCCESSES: f64 = 3.0;
 
-/// Outlier statistics of an upstream: of all its requests, then of each class.
+/// Outlier statistics of an upstream: first those of all its requests, then those of each class.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(super) struct OutlierStatsByScope(Vec<OutlierStats>);
 
-/// Outlier statistics of one scope. Moments are seconds.
+/// Outlier statistics of one scope: all requests or one class. Timestamps are in seconds.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct OutlierStats {
     /// When the upstream last responded.
@@ -40,54 +40,54 @@
     ejected_until: f64,
 }
 
-/// The statistics that a result is added to.
+/// Scope of the statistics that a sample is added to.
 #[derive(Clone, Copy)]
-pub(super) enum Scope {
-    /// Those of all requests.
+pub(super) enum StatsScope {
+    /// All requests to the upstream.
     AllRequests,
-    /// Those of one class.
+    /// The requests of one class.
     Class {
-        /// By all its requests the upstream is an outlier.
+        /// Whether the upstream is an outlier in the statistics of all its requests.
         is_upstream_outlier: bool,
     },
 }
 
-/// A result, and what it has to be judged by. Times are seconds.
-pub(super) struct Evidence<'a> {
+/// An ended attempt with the context that is needed to judge it. Times are in seconds.
+pub(super) struct OutlierSample<'a> {
     pub(super) ended: &'a EndedAttempt,
-    /// It is a silent loss, and the peers have such losses too.
+    /// Whether the attempt was lost silently and the peers have such losses too.
     pub(super) is_common_loss: bool,
-    /// Expected latency on which the ejection time is based.
+    /// Expected latency from which the ejection duration is calculated.
     pub(super) expected_latency: f64,
     pub(super) now: f64,
 }
 
-/// What a result says of a scope.
-pub(super) struct Verdict {
-    /// Its error rate exceeds that of the peers.
+/// Effect of a sample on the statistics of a scope.
+pub(super) struct StatsUpdate {
+    /// Whether the error rate exceeds that of the peers by more than the margin.
     pub(super) is_outlier: bool,
-    pub(super) change: Change,
+    pub(super) change: HealthChange,
 }
 
-/// What adding a result to the statistics of a scope has led to.
-pub(super) enum Change {
-    /// Neither of the others.
-    None,
-    /// A success has ended a series of failures.
+/// Change in the health of a scope that a sample has caused.
+pub(super) enum HealthChange {
+    /// The sample caused neither a recovery nor an ejection.
+    Unchanged,
+    /// A success followed one or more failures.
     Recovered,
-    /// The upstream gets no request of this scope for some time.
+    /// The upstream gets no requests of this scope for some time.
     Ejected {
-        /// In seconds.
+        /// Duration of the ejection, in seconds.
         duration: f64,
-        /// It is the first ejection of a series of failures.
+        /// Whether this is the first ejection in a series of failures.
         is_first: bool,
     },
 }
 
-impl Evidence<'_> {
-    /// Consecutive failures that lead to an ejection. One broken connection says little: if the
-    /// process is gone, the next one fails too. Nor does one silent loss where the peers have
-    /// them as well.
+impl OutlierSample<'_> {
+    /// Returns the number of consecutive failures that lead to an ejection. A single broken
+    /// connection is not enough, because the next one fails too if the process is gone. Nor is a
+    /// single silent loss if the peers have such losses too.
     fn failures_to_eject(&self) -> i32 {
         if self.is_common_loss || self.ended.is_connection_failure() {
             2
@@ -96,58 +96,59 @@
         }
     }
 
-    fn ejection_time(&self, failures: i32) -> f64 {
-        let time = EJECTION_FACTOR * self.expected_latency * f64::from(1 << failures);
-        // After the ejection a trial request may be lost for as long again.
-        let silence = if self.ended.is_lost_silently() {
+    fn ejection_duration(&self, failures: i32) -> f64 {
+        let duration = EJECTION_FACTOR * self.expected_latency * f64::from(1 << failures);
+        // The trial request after the ejection may be lost too and take as long as this attempt,
+        // so the ejection lasts at least as long.
+        let min_duration = if self.ended.is_lost_silently() {
             self.ended.elapsed
         } else {
             0.0
         };
-        time.max(silence)
+        duration.max(min_duration)
     }
 }
 
 impl OutlierStatsByScope {
-    /// The statistics of an upstream of which nothing is known.
+    /// Returns the statistics of an upstream without history.
     pub(super) fn new(class_count: usize, now: f64) -> Self {
         let scopes = 0..=class_count;
         OutlierStatsByScope(scopes.map(|_| OutlierStats::new(now)).collect())
     }
 
-    /// It has statistics of this many classes.
-    pub(super) fn has_classes(&self, class_count: usize) -> bool {
+    /// Returns whether statistics for exactly `class_count` classes are stored.
+    pub(super) fn has_class_count(&self, class_count: usize) -> bool {
         self.0.len() == 1 + class_count
     }
 
-    /// Of all requests.
+    /// Returns the statistics of all requests.
     pub(super) fn all_requests(&self) -> &OutlierStats {
         &self.0[0]
     }
 
-    /// Of all requests, to add a result.
+    /// Returns the statistics of all requests, for adding a sample.
     pub(super) fn all_requests_mut(&mut self) -> &mut OutlierStats {
         &mut self.0[0]
     }
 
-    /// Of one class.
+    /// Returns the statistics of one class.
     pub(super) fn class(&self, class: usize) -> &OutlierStats {
         &self.0[1 + class]
     }
 
-    /// Of each class.
+    /// Returns the statistics of each class, in the order of the settings.
     pub(super) fn classes_mut(&mut self) -> &mut [OutlierStats] {
         &mut self.0[1..]
     }
 
-    /// All moments in it.
-    pub(super) fn moments(&mut self) -> impl Iterator<Item = &mut f64> {
-        self.0.iter_mut().flat_map(OutlierStats::moments)
+    /// Returns mutable references to the timestamps of all scopes.
+    pub(super) fn timestamps_mut(&mut self) -> impl Iterator<Item = &mut f64> {
+        self.0.iter_mut().flat_map(OutlierStats::timestamps_mut)
     }
 }
 
 impl OutlierStats {
-    /// The statistics of a scope of which nothing is known.
+    /// Returns the statistics of a scope without history.
     fn new(now: f64) -> Self {
         OutlierStats {
             last_response_at: now,
@@ -155,41 +156,43 @@
         }
     }
 
-    fn moments(&mut self) -> impl Iterator<Item = &mut f64> {
+    fn timestamps_mut(&mut self) -> impl Iterator<Item = &mut f64> {
         [&mut self.last_response_at, &mut self.ejected_until].into_iter()
     }
 
-    /// Failures since the last success.
+    /// Returns the number of consecutive failures, at most `MAX_COUNTED_FAILURES`.
     pub(super) fn consecutive_failures(&self) -> i32 {
         self.consecutive_failures
     }
 
-    /// The upstream has not responded since this moment.
-    pub(super) fn is_silent_since(&self, moment: f64) -> bool {
-        self.last_response_at <= moment
+    /// Returns whether the upstream has not responded since `timestamp`.
+    pub(super) fn is_silent_since(&self, timestamp: f64) -> bool {
+        self.last_response_at <= timestamp
     }
 
-    /// Share of errors and rejections among the responses.
+    /// Returns the share of errors and rejections among the responses.
     pub(super) fn error_rate(&self) -> f64 {
         self.error_rate
     }
 
-    /// Not ejected, and after failures no trial request is in flight.
+    /// Returns whether another request may be sent: no ejection is in force, and after failures no
+    /// trial request is in flight.
     pub(super) fn allows_request(&self, in_flight: usize, now: f64) -> bool {
         now >= self.ejected_until && (self.consecutive_failures == 0 || in_flight == 0)
     }
 
-    /// Adds the end of an attempt.
+    /// Adds an ended attempt and returns its effect. `peers_error_rate` is the mean error rate of
+    /// the peers.
     pub(super) fn add(
         &mut self,
-        evidence: &Evidence,
-        scope: Scope,
+        sample: &OutlierSample,
+        scope: StatsScope,
         peers_error_rate: f64,
-    ) -> Verdict {
-        let ended = evidence.ended;
+    ) -> StatsUpdate {
+        let ended = sample.ended;
         let is_success = ended.outcome == AttemptOutcome::Success;
         if !ended.is_lost {
-            self.last_response_at = evidence.now;
+            self.last_response_at = sample.now;
         }
         if ended.is_error() || is_success {
             self.add_response(ended.is_error());
@@ -197,80 +200,84 @@
         let is_outlier = self.error_rate > peers_error_rate + ERROR_RATE_MARGIN;
         let change = if is_success {
             self.add_success(scope, is_outlier)
-        } else if self.is_failure(evidence, scope, is_outlier) {
-            self.add_failure(evidence)
+        } else if self.is_failure(sample, scope, is_outlier) {
+            self.add_failure(sample)
         } else {
-            Change::None
+            HealthChange::Unchanged
         };
-        Verdict { is_outlier, change }
+        StatsUpdate { is_outlier, change }
     }
 
-    /// A success ends a series of failures, but not that of a class whose error rate shows that
-    /// it fails in part.
-    fn add_success(&mut self, scope: Scope, is_outlier: bool) -> Change {
-        let is_class = matches!(scope, Scope::Class { .. });
+    /// Resets the failure count, except for a class that is an outlier: its error rate shows that
+    /// a part of its requests still fails.
+    fn add_success(&mut self, scope: StatsScope, is_outlier: bool) -> HealthChange {
+        let is_class = matches!(scope, StatsScope::Class { .. });
         let had_failures = self.consecutive_failures > 0;
         if !(is_outlier && is_class) {
             self.consecutive_failures = 0;
         }
         if is_class && had_failures {
-            Change::Recovered
+            HealthChange::Recovered
         } else {
-            Change::None
+            HealthChange::Unchanged
         }
     }
 
     fn add_response(&mut self, is_error: bool) {
         self.responses += 1.0;
         let error = f64::from(u8::from(is_error));
-        let weight = weight_after(self.responses + PRESUMED_RESPONSES);
+        let weight = weight_after(self.responses + PRESUMED_SUCCESSES);
         add_sample(&mut self.error_rate, error, weight);
     }
 
-    /// Losses count while the upstream responds to nothing. For a class, a silent loss counts
-    /// also if the upstream responds to others, and so do errors that its peers do not have: an
-    /// upstream that fails fast would draw requests as it is always free, and a rejection has
-    /// taken a slot until it came back.
-    fn is_failure(&self, evidence: &Evidence, scope: Scope, is_outlier: bool) -> bool {
-        let ended = evidence.ended;
+    /// Returns whether an ended attempt counts as a failure. A loss does if the upstream has
+    /// responded to nothing since the attempt was sent.
+    ///
+    /// For a class, two more kinds of results count. One is a silent loss, even if the upstream
+    /// responds to other requests. The other is an error that the peers do not have: an upstream
+    /// that fails fast always has free slots and would attract requests, and a rejected attempt
+    /// has occupied a slot until the rejection was received.
+    fn is_failure(&self, sample: &OutlierSample, scope: StatsScope, is_outlier: bool) -> bool {
+        let ended = sample.ended;
         let is_unanswered = ended.is_lost && self.is_silent_since(ended.sent_at);
         match scope {
-            Scope::AllRequests => is_unanswered,
-            Scope::Class {
+            StatsScope::AllRequests => is_unanswered,
+            StatsScope::Class {
                 is_upstream_outlier,
             } => {
-                let is_own_loss = ended.is_lost_silently() && !evidence.is_common_loss;
+                let is_own_loss = ended.is_lost_silently() && !sample.is_common_loss;
                 let is_own_error = ended.is_error() && (is_outlier || is_upstream_outlier);
-                let is_ejected = evidence.now < self.ejected_until;
+                let is_ejected = sample.now < self.ejected_until;
                 is_unanswered || is_own_loss || (is_own_error && !is_ejected)
             }
         }
     }
 
-    fn add_failure(&mut self, evidence: &Evidence) -> Change {
-        self.consecutive_failures = (self.consecutive_failures + 1).min(MAX_FAILURES);
-        let failures_to_eject = evidence.failures_to_eject();
+    fn add_failure(&mut self, sample: &OutlierSample) -> HealthChange {
+        self.consecutive_failures = (self.consecutive_failures + 1).min(MAX_COUNTED_FAILURES);
+        let failures_to_eject = sample.failures_to_eject();
         if self.consecutive_failures < failures_to_eject {
-            return Change::None;
+            return HealthChange::Unchanged;
         }
-        let duration = evidence.ejection_time(self.consecutive_failures);
-        self.ejected_until = evidence.now + duration;
-        Change::Ejected {
+        let duration = sample.ejection_duration(self.consecutive_failures);
+        self.ejected_until = sample.now + duration;
+        HealthChange::Ejected {
             duration,
             is_first: self.consecutive_failures == failures_to_eject,
         }
     }
 
-    /// After failures, moves the next trial request to follow one of a class that can be repeated,
-    /// which has led to this change.
-    pub(super) fn schedule_trial(&mut self, change: &Change, now: f64) {
+    /// Reschedules the next trial request of a class that has failures. `change` was caused by a
+    /// class that may be repeated: its recovery allows the trial request now, its ejection delays
+    /// it.
+    pub(super) fn schedule_trial(&mut self, change: &HealthChange, now: f64) {
         if self.consecutive_failures == 0 {
             return;
         }
         match *change {
-            Change::None => {}
-            Change::Recovered => self.ejected_until = self.ejected_until.min(now),
-            Change::Ejected { duration, .. } => {
+            HealthChange::Unchanged => {}
+            HealthChange::Recovered => self.ejected_until = self.ejected_until.min(now),
+            HealthChange::Ejected { duration, .. } => {
                 let trial_at = now + TRIAL_DELAY_FACTOR * duration;
                 self.ejected_until = self.ejected_until.max(trial_at);
             }
