--- a/src/bin/load-balancer/discovery/message/mod.rs
+++ b/src/bin/load-balancer/discovery/message/mod.rs
@@ -37,10 +37,10 @@
 #[derive(Default)]
 pub struct MessageDecoder {
     /// The bytes of the message so far.
-    text: Vec<u8>,
+    buffer: Vec<u8>,
     /// How many brackets of the message are open.
-    depth: usize,
-    in_string: bool,
+    open_brackets: usize,
+    is_in_string: bool,
     is_escaped: bool,
 }
 
@@ -58,16 +58,16 @@
     ) -> Result<bool, MessageError> {
         let mut is_alive = false;
         for byte in chunk {
-            if self.depth == 0 && byte.is_ascii_whitespace() {
+            if self.open_brackets == 0 && byte.is_ascii_whitespace() {
                 is_alive |= *byte == b'\n';
                 continue;
             }
             if self.push(*byte)? {
-                on_list(self.finish()?);
+                on_list(self.parse_message()?);
                 is_alive = true;
             }
         }
-        if self.text.len() > MAX_MESSAGE_BYTES {
+        if self.buffer.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong);
         }
         Ok(is_alive)
@@ -75,9 +75,9 @@
 
     /// Appends a byte to the message; true if the message is complete with it.
     fn push(&mut self, byte: u8) -> Result<bool, MessageError> {
-        self.text.push(byte);
-        if self.in_string {
-            self.in_string = byte != b'"' || self.is_escaped;
+        self.buffer.push(byte);
+        if self.is_in_string {
+            self.is_in_string = byte != b'"' || self.is_escaped;
             self.is_escaped = byte == b'\\' && !self.is_escaped;
             // The rest of a truncated message never comes; without this check the next message
             // would be read as part of its string.
@@ -87,18 +87,18 @@
             return Ok(false);
         }
         match byte {
-            b'"' => self.in_string = true,
-            b'{' | b'[' => self.depth += 1,
-            b'}' | b']' => self.depth = self.depth.saturating_sub(1),
+            b'"' => self.is_in_string = true,
+            b'{' | b'[' => self.open_brackets += 1,
+            b'}' | b']' => self.open_brackets = self.open_brackets.saturating_sub(1),
             _ => {}
         }
-        Ok(self.depth == 0)
+        Ok(self.open_brackets == 0)
     }
 
     /// Parses the message, which is complete, and makes way for the next one.
-    fn finish(&mut self) -> Result<EndpointList, MessageError> {
-        let message: WatchMessage = serde_json::from_slice(&self.text)?;
-        self.text.clear();
+    fn parse_message(&mut self) -> Result<EndpointList, MessageError> {
+        let message: WatchMessage = serde_json::from_slice(&self.buffer)?;
+        self.buffer.clear();
         Ok(EndpointList {
             version: message.version,
             snapshot: message.snapshot,
--- a/src/bin/load-balancer/discovery/message/tests.rs
+++ b/src/bin/load-balancer/discovery/message/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn messages_may_come_in_chunks_and_over_several_lines_with_empty_lines_between_them() {
+fn messages_are_decoded_across_chunks_lines_and_keep_alives() {
     let text = "\n{\"index\":7,\"snapshot\":true,\"endpoints\":[]}\r\n\n\r\n\
         {\n  \"index\": 8,\n  \"endpoints\": [\n    ],\n\n  \"news\": \"}]\\\\\\\"{\"\n}\n\
         {\"index\":9,\"endpoints\":[]}{\"index\":10,\"endpoints\":[]}\n{\"ind";
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_message_that_is_no_endpoint_list_is_malformed() {
+fn message_that_is_not_an_endpoint_list_is_malformed() {
     for text in [
         "nonsense\n",
         "{}\n",
@@ -44,7 +44,7 @@
 
 /// Half a message is no sign of life: its rest may never come.
 #[test]
-fn only_a_complete_message_or_line_shows_that_a_watch_is_alive() {
+fn only_complete_messages_and_empty_lines_show_that_a_watch_is_alive() {
     let mut decoder = MessageDecoder::default();
     let mut is_alive = |text: &str| decoder.decode(text.as_bytes(), |_| ());
     let cases = [
--- a/src/bin/load-balancer/discovery/silence_timer/tests.rs
+++ b/src/bin/load-balancer/discovery/silence_timer/tests.rs
@@ -7,7 +7,7 @@
 /// A chunk that comes in the very turn in which the timer runs out must not hide the silence after
 /// it.
 #[tokio::test(start_paused = true)]
-async fn silence_is_reported_though_a_chunk_came_when_the_timer_ran_out() {
+async fn silence_after_a_chunk_at_the_timeout_is_reported() {
     let reports = Cell::new(0);
     let report = || reports.set(reports.get() + 1);
     let second = Duration::from_secs(1);
--- a/src/bin/load-balancer/discovery/watch.rs
+++ b/src/bin/load-balancer/discovery/watch.rs
@@ -143,9 +143,9 @@
         .await
         .map_err(WatchError::Connect)?;
     let (sender, connection) = http1::handshake::<_, EmptyBody>(socket).await?;
-    let chunks_read = Cell::new(0);
-    let read = read_messages(sender, observer, watch, &chunks_read);
-    read_all(connection, read, &chunks_read).await
+    let frames_read = Cell::new(0);
+    let reader = read_messages(sender, observer, watch, &frames_read);
+    drive_connection(connection, reader, &frames_read).await
 }
 
 /// Sends the request and reports what the response carries.
@@ -153,7 +153,7 @@
     mut sender: SendRequest<EmptyBody>,
     observer: &impl WatchObserver,
     watch: &WatchRequest,
-    chunks_read: &Cell<u64>,
+    frames_read: &Cell<u64>,
 ) -> Result<Infallible, WatchError> {
     let mut silence = SilenceTimer::new(watch.response_timeout());
     let report_silence = || observer.watch_silent(watch.id);
@@ -167,7 +167,7 @@
     loop {
         let frame = silence.wait(&mut body.frame(), report_silence).await;
         let frame = frame.ok_or(WatchError::Ended)??;
-        chunks_read.set(chunks_read.get() + 1);
+        frames_read.set(frames_read.get() + 1);
         // A frame without data carries trailers.
         let Ok(chunk) = frame.into_data() else {
             continue;
@@ -182,21 +182,21 @@
 /// Polls the connection and the reader of its response until neither makes progress, so that one
 /// turn of the event loop handles all that has come. Otherwise a request of the same turn could be
 /// forwarded to an upstream whose drain has come but is not handled yet.
-async fn read_all(
+async fn drive_connection(
     connection: impl Future<Output = hyper::Result<()>>,
-    read: impl Future<Output = Result<Infallible, WatchError>>,
-    chunks_read: &Cell<u64>,
+    reader: impl Future<Output = Result<Infallible, WatchError>>,
+    frames_read: &Cell<u64>,
 ) -> Result<Infallible, WatchError> {
-    let (mut connection, mut read) = (pin!(connection), pin!(read));
+    let (mut connection, mut reader) = (pin!(connection), pin!(reader));
     let mut is_closed = false;
     poll_fn(|context| loop {
-        let before = chunks_read.get();
+        let frames_before = frames_read.get();
         // What came before the connection ended is still to be read.
         is_closed = is_closed || connection.as_mut().poll(context).is_ready();
-        if let Poll::Ready(result) = read.as_mut().poll(context) {
+        if let Poll::Ready(result) = reader.as_mut().poll(context) {
             return Poll::Ready(result);
         }
-        if chunks_read.get() == before {
+        if frames_read.get() == frames_before {
             return Poll::Pending;
         }
     })
--- a/src/bin/load-balancer/discovery/watch_set/mod.rs
+++ b/src/bin/load-balancer/discovery/watch_set/mod.rs
@@ -24,7 +24,7 @@
 const FAILURES_UNTIL_SLOW_RECONNECT: u32 = 10;
 /// A watch that ends sooner counts as one more failure in a row, even if a complete list came on
 /// it.
-const MIN_HEALTHY_WATCH: Duration = Duration::from_secs(1);
+const MIN_HEALTHY_WATCH_AGE: Duration = Duration::from_secs(1);
 /// Where lists are polled, another watch is opened beside a silent one after a random delay of at
 /// most this time, so that balancers whose watches fall silent together don't poll in step.
 const MAX_POLL_JITTER: Duration = Duration::from_millis(150);
@@ -136,9 +136,9 @@
     /// broken. Its task is passed to `set_task`.
     #[must_use]
     pub fn ensure_watch(&mut self) -> Option<WatchRequest> {
-        let is_good =
+        let is_usable =
             |watch: &OpenWatch| watch.address == self.discovery.address && !watch.is_broken;
-        if self.watches.last().is_some_and(is_good) {
+        if self.watches.last().is_some_and(is_usable) {
             return None;
         }
         Some(self.add_watch())
@@ -187,21 +187,21 @@
     }
 
     /// The task that runs this watch; it is aborted when the watch is closed.
-    pub fn set_task(&mut self, watch: WatchId, task: AbortHandle) {
-        match self.position(watch) {
+    pub fn set_task(&mut self, id: WatchId, task: AbortHandle) {
+        match self.position(id) {
             Some(position) => self.watches[position].task = Some(task),
             None => task.abort(),
         }
     }
 
-    fn position(&self, watch: WatchId) -> Option<usize> {
-        self.watches.iter().position(|open| open.id == watch)
+    fn position(&self, id: WatchId) -> Option<usize> {
+        self.watches.iter().position(|watch| watch.id == id)
     }
 
     /// Notes that something complete has come on this watch: the older ones are closed, so that
     /// none of their lists is accepted after those of a newer watch.
-    pub fn mark_alive(&mut self, watch: WatchId) {
-        if let Some(position) = self.position(watch) {
+    pub fn mark_alive(&mut self, id: WatchId) {
+        if let Some(position) = self.position(id) {
             self.watches[position].is_alive = true;
             self.watches.drain(..position);
         }
@@ -209,36 +209,36 @@
 
     /// A list has come on this watch; true if it is accepted, false if it is out of date.
     #[must_use]
-    pub fn accept_list(&mut self, watch: WatchId, list: &EndpointList) -> bool {
-        let is_first = self
-            .position(watch)
+    pub fn accept_list(&mut self, id: WatchId, list: &EndpointList) -> bool {
+        let is_first_message = self
+            .position(id)
             .is_some_and(|position| !self.watches[position].is_alive);
-        self.mark_alive(watch);
-        let Some(open) = self.watches.first_mut().filter(|first| first.id == watch) else {
+        self.mark_alive(id);
+        let Some(watch) = self.watches.first_mut().filter(|first| first.id == id) else {
             return false;
         };
         // The first response to a call holds all changes since the version that was asked for,
         // however long the call was queued. The calls that were made beside it are no longer
         // needed.
-        if is_first && open.address == self.discovery.address {
-            open.is_broken = false;
+        if is_first_message && watch.address == self.discovery.address {
+            watch.is_broken = false;
             self.watches.truncate(1);
         }
-        let open = &mut self.watches[0];
-        if open.address != self.known.source {
+        let watch = &mut self.watches[0];
+        if watch.address != self.known.source {
             self.known = ListVersion {
-                source: open.address,
+                source: watch.address,
                 version: 0,
             };
-            log::line(format!("endpoint list source changed: {}", open.address));
+            log::line(format!("endpoint list source changed: {}", watch.address));
         }
         // The versions of a watch only rise, so this change is already known.
-        if !list.snapshot && list.version < open.version {
+        if !list.snapshot && list.version < watch.version {
             return false;
         }
-        open.version = list.version;
-        open.is_broken &= !list.snapshot;
-        if !open.is_broken {
+        watch.version = list.version;
+        watch.is_broken &= !list.snapshot;
+        if !watch.is_broken {
             self.known.version = list.version;
         }
         true
@@ -247,12 +247,12 @@
     /// Notes that this watch has been silent for too long. It stays open until a newer one is
     /// alive, as changes may still come on it.
     #[must_use]
-    pub fn mark_silent(&mut self, watch: WatchId) -> Reconnect {
-        let Some(position) = self.position(watch) else {
+    pub fn mark_silent(&mut self, id: WatchId) -> Reconnect {
+        let Some(position) = self.position(id) else {
             return Reconnect::Superseded;
         };
-        let open = &mut self.watches[position];
-        open.is_broken = true;
+        let watch = &mut self.watches[position];
+        watch.is_broken = true;
         let reconnect = match self.discovery.mode {
             DiscoveryMode::Poll => {
                 Reconnect::After(MAX_POLL_JITTER.mul_f64(self.jitter.random_range(0.0..1.0)))
@@ -261,7 +261,7 @@
         };
         log::line(format!(
             "discovery watch silent: {}; {}",
-            open.address,
+            watch.address,
             reconnect.describe()
         ));
         reconnect
@@ -269,12 +269,12 @@
 
     /// Removes a watch that has ended.
     #[must_use]
-    pub fn remove_failed(&mut self, watch: WatchId, error: &WatchError) -> Reconnect {
-        let Some(position) = self.position(watch) else {
+    pub fn remove_failed(&mut self, id: WatchId, error: &WatchError) -> Reconnect {
+        let Some(position) = self.position(id) else {
             return Reconnect::Superseded;
         };
         let failed = self.watches.remove(position);
-        let was_healthy = failed.is_alive && failed.opened_at.elapsed() >= MIN_HEALTHY_WATCH;
+        let was_healthy = failed.is_alive && failed.opened_at.elapsed() >= MIN_HEALTHY_WATCH_AGE;
         self.consecutive_failures = if was_healthy {
             1
         } else {
--- a/src/bin/load-balancer/discovery/watch_set/tests.rs
+++ b/src/bin/load-balancer/discovery/watch_set/tests.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_good_watch_is_not_opened_twice() {
+fn usable_watch_is_not_reopened() {
     let mut watches = watch_set(DiscoveryMode::Push);
     let request = open(&mut watches);
     assert_eq!((request.address, request.since), (address(1), Some(5)));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_newer_watch_that_is_alive_closes_the_older_ones() {
+fn alive_watch_closes_older_watches() {
     let mut watches = watch_set(DiscoveryMode::Push);
     let old = open(&mut watches).id;
     watches.mark_alive(old);
@@ -76,7 +76,7 @@
 /// The first response holds all changes since the version that was asked for, however late it
 /// comes.
 #[test]
-fn the_first_list_of_a_silent_watch_closes_those_that_were_opened_beside_it() {
+fn first_list_of_a_silent_watch_closes_newer_watches() {
     let mut watches = watch_set(DiscoveryMode::Poll);
     let first = open(&mut watches).id;
     assert!(matches!(watches.mark_silent(first), Reconnect::After(_)));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_change_that_is_older_than_the_watch_has_told_is_not_accepted() {
+fn stale_change_is_rejected() {
     let mut watches = watch_set(DiscoveryMode::Push);
     let watch = open(&mut watches).id;
     assert!(watches.accept_list(watch, &list(7, false)));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn changes_on_a_broken_watch_do_not_raise_the_known_version_until_a_full_list_comes() {
+fn changes_on_a_broken_watch_raise_the_known_version_only_after_a_full_list() {
     let mut watches = watch_set(DiscoveryMode::Push);
     let watch = open(&mut watches).id;
     assert!(watches.accept_list(watch, &list(6, false)));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn at_most_so_many_watches_are_open_and_the_first_two_and_the_newest_stay() {
+fn full_watch_set_keeps_the_two_oldest_and_two_newest_watches() {
     let mut watches = watch_set(DiscoveryMode::Push);
     for _ in 0..10 {
         let watch = open(&mut watches).id;
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_new_address_counts_its_versions_by_itself_once_its_watch_has_sent_a_list() {
+fn first_list_of_a_new_address_replaces_the_known_version() {
     let mut watches = watch_set(DiscoveryMode::Push);
     let old = open(&mut watches).id;
     assert_eq!(watches.set_address(address(1)), None, "the same");
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_pushed_watch_is_reopened_soon_and_later_after_many_failures() {
+async fn push_reconnects_slow_down_after_many_failures() {
     let mut watches = watch_set(DiscoveryMode::Push);
     for failure in 1..=12 {
         let watch = open(&mut watches).id;
@@ -152,7 +152,7 @@
     // One that was alive for long enough ends the series.
     let watch = open(&mut watches).id;
     watches.mark_alive(watch);
-    tokio::time::advance(MIN_HEALTHY_WATCH).await;
+    tokio::time::advance(MIN_HEALTHY_WATCH_AGE).await;
     assert_eq!(
         watches.remove_failed(watch, &WatchError::Ended),
         Reconnect::After(RECONNECT_DELAY)
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_polled_watch_that_fails_is_reopened_by_the_poll_schedule() {
+fn failed_poll_watch_is_reopened_by_the_poll_schedule() {
     let mut watches = watch_set(DiscoveryMode::Poll);
     let watch = open(&mut watches).id;
     let jitter = watches.mark_silent(watch);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_watch_on_the_old_address_that_fails_is_not_reopened() {
+fn failed_watch_on_the_old_address_is_not_reopened() {
     for mode in [DiscoveryMode::Push, DiscoveryMode::Poll] {
         let mut watches = watch_set(mode);
         let old = open(&mut watches).id;
--- a/src/bin/load-balancer/dispatch/clock/mod.rs
+++ b/src/bin/load-balancer/dispatch/clock/mod.rs
@@ -22,9 +22,9 @@
         }
     }
 
-    /// The time at `moment`, in seconds since the Unix epoch.
-    pub fn seconds_at(&self, moment: Instant) -> f64 {
-        self.started_at_unix.as_secs_f64() + (moment - self.started_at).as_secs_f64()
+    /// The time at `instant`, in seconds since the Unix epoch.
+    pub fn seconds_at(&self, instant: Instant) -> f64 {
+        self.started_at_unix.as_secs_f64() + (instant - self.started_at).as_secs_f64()
     }
 
     /// The time now, in seconds since the Unix epoch.
--- a/src/bin/load-balancer/dispatch/clock/tests.rs
+++ b/src/bin/load-balancer/dispatch/clock/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_clock_is_unix_time_and_never_steps_back() {
+fn clock_is_unix_time_and_monotonic() {
     let clock = MonotonicUnixClock::new();
     let unix = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -210,15 +210,15 @@
 }
 
 async fn run_timers(dispatcher: Rc<RefCell<Dispatcher>>) {
-    let earlier_timer = dispatcher.borrow().timers.earlier_timer();
+    let earliest_changed = dispatcher.borrow().timers.earliest_changed();
     loop {
         let next_at = dispatcher.borrow_mut().fire_due_timers();
         match next_at {
             Some(at) => tokio::select! {
                 () = sleep_until(at) => {}
-                () = earlier_timer.notified() => {}
+                () = earliest_changed.notified() => {}
             },
-            None => earlier_timer.notified().await,
+            None => earliest_changed.notified().await,
         }
     }
 }
--- a/src/bin/load-balancer/dispatch/recent_request_ids/tests.rs
+++ b/src/bin/load-balancer/dispatch/recent_request_ids/tests.rs
@@ -6,7 +6,7 @@
 const RETENTION: Duration = Duration::from_secs(2);
 
 #[tokio::test(start_paused = true)]
-async fn an_id_is_a_duplicate_for_the_retention_at_the_least_and_twice_that_at_the_most() {
+async fn id_is_a_duplicate_for_one_to_two_retention_periods() {
     for age_of_generation in [0, 1000, 1999] {
         let mut ids = RecentRequestIds::new(RETENTION);
         advance(Duration::from_millis(age_of_generation)).await;
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_generation_that_is_older_than_twice_the_retention_is_dropped() {
+async fn generation_older_than_twice_the_retention_is_dropped() {
     let mut ids = RecentRequestIds::new(RETENTION);
     assert!(ids.insert("a".into()));
     assert!(!ids.insert("a".into()));
--- a/src/bin/load-balancer/dispatch/request_lifecycle.rs
+++ b/src/bin/load-balancer/dispatch/request_lifecycle.rs
@@ -19,7 +19,7 @@
 const DEADLINE_MARGIN: Duration = Duration::from_millis(12);
 /// A request that has no response this much before its deadline is concluded without the decision
 /// module.
-const DEADLINE_BACKSTOP: Duration = Duration::from_millis(5);
+const BACKSTOP_MARGIN: Duration = Duration::from_millis(5);
 
 impl Dispatcher {
     /// Accepts a request.
@@ -44,7 +44,7 @@
         }
         let response = self.requests.insert(id, forward);
         self.timers
-            .set(deadline - DEADLINE_BACKSTOP, Timer::DeadlineBackstop(id));
+            .set(deadline - BACKSTOP_MARGIN, Timer::DeadlineBackstop(id));
         self.handle(Event::Request(Request {
             id,
             class: request.class,
@@ -86,14 +86,14 @@
         let number = request.add_attempt(upstream, address, started_at, connection_idle.clone());
         let address = address.filter(|_| request.can_be_sent());
         let (Some(address), Some(dispatcher)) = (address, self.weak_self.upgrade()) else {
-            self.events.push_back(not_sent(id, number));
+            self.events.push_back(not_sent_event(id, number));
             return;
         };
         let attempt = Attempt {
             pool: self.resources.pool.clone(),
             upstream,
             address,
-            request: request.forward().clone(),
+            request: request.forwarded_request().clone(),
             write_deadline: write_within
                 .and_then(|seconds| started_at.checked_add(duration_from_secs(seconds))),
             deadline_margin: DEADLINE_MARGIN,
@@ -104,8 +104,10 @@
             number,
         };
         let run = async move {
-            let end = attempt.run().await;
-            dispatcher.borrow_mut().attempt_ended(attempt_id, end);
+            let attempt_result = attempt.run().await;
+            dispatcher
+                .borrow_mut()
+                .attempt_ended(attempt_id, attempt_result);
         };
         request.set_task(number, spawn_local(run).abort_handle());
     }
@@ -114,13 +116,13 @@
     pub(super) fn attempt_ended(
         &mut self,
         attempt: AttemptId,
-        end: Result<UpstreamResponse, AttemptError>,
+        attempt_result: Result<UpstreamResponse, AttemptError>,
     ) {
         if !self.requests.is_running(attempt) {
             return;
         }
         let id = attempt.request;
-        let (outcome, response) = match end {
+        let (outcome, response) = match attempt_result {
             Ok(response) => (AttemptOutcome::Success, Some(response)),
             Err(error) => (error.into(), None),
         };
@@ -141,7 +143,7 @@
 
     fn is_client_disconnected(&self, id: RequestId) -> bool {
         let request = self.requests.get(id);
-        request.is_some_and(|request| request.forward().client.is_disconnected())
+        request.is_some_and(|request| request.forwarded_request().client.is_disconnected())
     }
 
     /// Cancels an attempt, unless it has ended.
@@ -176,7 +178,7 @@
     pub fn set_shutdown_deadline(&mut self, deadline: Instant) {
         for id in self.requests.ids() {
             self.timers
-                .set(deadline - DEADLINE_BACKSTOP, Timer::DeadlineBackstop(id));
+                .set(deadline - BACKSTOP_MARGIN, Timer::DeadlineBackstop(id));
         }
     }
 
@@ -185,7 +187,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let backstop_at = request.forward().deadline() - DEADLINE_BACKSTOP;
+        let backstop_at = request.forwarded_request().deadline() - BACKSTOP_MARGIN;
         if backstop_at > Instant::now() {
             // The client has sent more of its body, so the deadline has moved.
             self.timers.set(backstop_at, Timer::DeadlineBackstop(id));
@@ -195,7 +197,7 @@
             return;
         }
         // An upstream starts work with the last byte, which has not come.
-        let response = if request.forward().upload.is_streamed() {
+        let response = if request.forwarded_request().upload.is_streamed() {
             FinalResponse::Rejected { retry_after: None }
         } else {
             FinalResponse::Failed
@@ -207,7 +209,7 @@
 }
 
 /// The event of an attempt that was not sent.
-fn not_sent(id: RequestId, number: u32) -> Event {
+fn not_sent_event(id: RequestId, number: u32) -> Event {
     Event::AttemptEnded(AttemptResult {
         id,
         attempt: number,
--- a/src/bin/load-balancer/dispatch/request_table/mod.rs
+++ b/src/bin/load-balancer/dispatch/request_table/mod.rs
@@ -23,7 +23,7 @@
 
 /// An open request.
 pub struct OpenRequest {
-    forward: Rc<ForwardedRequest>,
+    forwarded_request: Rc<ForwardedRequest>,
     /// Where the final response goes; `None` once it has been sent or the client has disconnected.
     response: Option<oneshot::Sender<FinalResponse>>,
     attempts: Vec<AttemptRecord>,
@@ -82,8 +82,8 @@
 
 impl OpenRequest {
     /// The request as it is forwarded.
-    pub fn forward(&self) -> &Rc<ForwardedRequest> {
-        &self.forward
+    pub fn forwarded_request(&self) -> &Rc<ForwardedRequest> {
+        &self.forwarded_request
     }
 
     /// True if its final response is still to be sent.
@@ -94,7 +94,7 @@
     /// True if an attempt may be sent. A body that was streamed to one upstream can't be sent to
     /// another.
     pub fn can_be_sent(&self) -> bool {
-        self.is_pending() && self.forward.upload.is_replayable()
+        self.is_pending() && self.forwarded_request.upload.is_replayable()
     }
 
     /// Adds an attempt that does not run yet; its number.
@@ -164,11 +164,11 @@
     pub fn insert(
         &mut self,
         id: RequestId,
-        forward: Rc<ForwardedRequest>,
+        forwarded_request: Rc<ForwardedRequest>,
     ) -> oneshot::Receiver<FinalResponse> {
         let (sender, receiver) = oneshot::channel();
         let request = OpenRequest {
-            forward,
+            forwarded_request,
             response: Some(sender),
             attempts: Vec::new(),
         };
--- a/src/bin/load-balancer/dispatch/request_table/tests.rs
+++ b/src/bin/load-balancer/dispatch/request_table/tests.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_request_is_rejected_if_too_many_are_open_or_its_id_is_not_new() {
+fn request_is_rejected_at_the_open_limit_or_with_a_duplicate_id() {
     let (mut table, id, _response) = table_with_a_request();
     assert_eq!(
         table.allocate_id("b".into()),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_request_stays_until_it_is_concluded_and_its_attempts_have_ended() {
+fn request_stays_until_it_is_concluded_and_its_attempts_have_ended() {
     run(|| {
         let (mut table, id, _response) = table_with_a_request();
         let (first, _) = add_running_attempt(&mut table, id);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_concluded_request_ends_the_attempts_that_have_not_written_anything() {
+fn concluding_a_request_ends_its_unwritten_attempts() {
     run(|| {
         let (mut table, id, _response) = table_with_a_request();
         let (unwritten, _) = add_running_attempt(&mut table, id);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn an_attempt_is_misdirected_if_it_has_written_nothing_and_its_upstream_is_not_where_it_was() {
+fn unwritten_attempt_is_misdirected_if_its_upstream_moved_or_was_removed() {
     run(|| {
         let (mut table, id, _response) = table_with_a_request();
         let (unwritten, _) = add_running_attempt(&mut table, id);
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -29,11 +29,11 @@
 }
 
 fn start(endpoints: Vec<Endpoint>) -> Rc<RefCell<Dispatcher>> {
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
     let config = Config {
         name: "n".into(),
-        listen: nowhere,
-        discovery: nowhere,
+        listen: unused_address,
+        discovery: unused_address,
         admin: None,
         seed: 1,
         max_descriptors: 1024,
@@ -53,7 +53,7 @@
     Dispatcher::start(config, resources).expect("good settings")
 }
 
-fn request_with_deadline(wait: Duration) -> AcceptedRequest {
+fn request_with_deadline(request_timeout: Duration) -> AcceptedRequest {
     let (method, uri, headers) = (Method::GET, Uri::from_static("/call"), HeaderMap::new());
     let upload = Rc::new(Upload::empty());
     let forward = ForwardedRequest {
@@ -62,7 +62,7 @@
         headers,
         upload,
         client: Default::default(),
-        timeout: wait,
+        timeout: request_timeout,
         shutdown_deadline: Default::default(),
     };
     thread_local!(static LAST_ID: Cell<u64> = const { Cell::new(0) });
@@ -106,7 +106,7 @@
 /// Whatever the upstreams do and whichever clients disconnect, each request has one final
 /// response, the decision module has a result for each attempt, and no state is left in the end.
 #[test]
-fn every_request_has_one_final_response_and_is_removed_then() {
+fn every_request_gets_one_final_response_and_is_removed() {
     run(async {
         let served = spawn_upstream(Some("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")).await;
         let endpoints = vec![
@@ -131,16 +131,16 @@
             }
             sleep(Duration::from_millis(2)).await;
         }
-        let mut bodies = 0;
+        let mut served_count = 0;
         for (id, response) in pending {
             if let FinalResponse::Served(served) = response.await.expect("a final response") {
                 assert!(matches!(served.body, ResponseContent::Complete(body) if body == "hi"));
-                bodies += 1;
+                served_count += 1;
             }
             // The client has its response, so its disconnection changes nothing.
             dispatcher.borrow_mut().client_disconnected(id);
         }
-        assert!(bodies > 0);
+        assert!(served_count > 0);
         let is_empty = || {
             dispatcher.borrow().requests.len() == 0
                 && dispatcher.borrow().balancer.load().attempts_in_flight == 0
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_request_without_a_decision_is_concluded_before_its_deadline() {
+fn request_without_a_decision_is_concluded_before_its_deadline() {
     run(async {
         let dispatcher = start(vec![endpoint("silent", spawn_upstream(None).await)]);
         let deadline = Duration::from_millis(400);
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn an_upstream_is_identified_by_its_name_whatever_its_address() {
+fn upstream_is_identified_by_name_not_by_address() {
     run(async {
         let dispatcher = start(Vec::new());
         let at = |host| SocketAddr::from(([127, 0, 0, host], 9000));
--- a/src/bin/load-balancer/dispatch/tests/notification/fake_discovery.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/fake_discovery.rs
@@ -17,7 +17,7 @@
 
 /// What becomes of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum CallOutcome {
+pub(super) enum RequestOutcome {
     Unanswered,
     Refused,
     /// Refused after it was queued.
@@ -34,22 +34,22 @@
     /// Alive, and answered with the change after this time, in seconds.
     ChangesAfter(u64),
 }
-pub(super) use CallOutcome::*;
+pub(super) use RequestOutcome::*;
 
 /// A discovery service with a script: the outcomes of the calls in their order. Records when they
 /// came.
 pub(super) struct FakeDiscovery {
     pub(super) address: SocketAddr,
     socket: Socket,
-    script: RefCell<VecDeque<CallOutcome>>,
-    pub(super) called_at: RefCell<Vec<Instant>>,
+    script: RefCell<VecDeque<RequestOutcome>>,
+    pub(super) request_times: RefCell<Vec<Instant>>,
     /// Connections that are never accepted fill the listener's backlog.
     backlog: RefCell<Vec<std::net::TcpStream>>,
 }
 
 impl FakeDiscovery {
     /// One that refuses connections until `listen`. Calls beyond the script are answered at once.
-    pub(super) fn not_listening(script: &[CallOutcome]) -> Rc<Self> {
+    pub(super) fn not_listening(script: &[RequestOutcome]) -> Rc<Self> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
@@ -60,12 +60,12 @@
             address,
             socket,
             script,
-            called_at: RefCell::default(),
+            request_times: RefCell::default(),
             backlog: RefCell::default(),
         })
     }
 
-    pub(super) fn listening(script: &[CallOutcome]) -> Rc<Self> {
+    pub(super) fn listening(script: &[RequestOutcome]) -> Rc<Self> {
         let discovery = Self::not_listening(script);
         discovery.listen();
         discovery
@@ -98,19 +98,19 @@
         if !stream.read(&mut bytes).await.is_ok_and(|count| count > 0) {
             return;
         }
-        self.called_at.borrow_mut().push(Instant::now());
-        let call = self
+        self.request_times.borrow_mut().push(Instant::now());
+        let outcome = self
             .script
             .borrow_mut()
             .pop_front()
             .unwrap_or(AnsweredAfter(0));
         let chunk = |text: &str| format!("{RESPONSE_HEAD}{:x}\r\n{text}\r\n", text.len());
-        match call {
+        match outcome {
             QueuedThenRefused => sleep(QUEUE_TIMEOUT).await,
             AnsweredAfter(after) => sleep(Duration::from_secs(after)).await,
             _ => {}
         }
-        let text = match call {
+        let text = match outcome {
             Unanswered | Reset => String::new(),
             Refused | QueuedThenRefused => REFUSAL.into(),
             ResetInList => chunk(&CHANGE[..9]),
@@ -120,7 +120,7 @@
         };
         // Fails if the balancer has closed the connection meanwhile.
         let _ = stream.write_all(text.as_bytes()).await;
-        if matches!(call, Reset | ResetInList | ResetAfterList) {
+        if matches!(outcome, Reset | ResetInList | ResetAfterList) {
             yield_to_tasks().await;
             return SockRef::from(&stream)
                 .set_linger(Some(Duration::ZERO))
@@ -128,9 +128,9 @@
         }
         for seconds in (0..)
             .step_by(2)
-            .take_while(|_| matches!(call, AnsweredAfter(_) | ChangesAfter(_)))
+            .take_while(|_| matches!(outcome, AnsweredAfter(_) | ChangesAfter(_)))
         {
-            let line = if call == ChangesAfter(seconds) {
+            let line = if outcome == ChangesAfter(seconds) {
                 CHANGE
             } else {
                 "\n"
@@ -144,7 +144,7 @@
         let _ = stream.read(&mut bytes).await;
     }
 
-    pub(super) fn call_count(&self) -> usize {
-        self.called_at.borrow().len()
+    pub(super) fn request_count(&self) -> usize {
+        self.request_times.borrow().len()
     }
 }
--- a/src/bin/load-balancer/dispatch/tests/notification/harness.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/harness.rs
@@ -22,10 +22,10 @@
 }
 
 /// Advances the clock until this holds, for an hour at the most.
-pub(super) async fn advance_until(mut holds: impl FnMut() -> bool) {
+pub(super) async fn advance_until(mut condition: impl FnMut() -> bool) {
     for _ in 0..180_000 {
         yield_to_tasks().await;
-        if holds() {
+        if condition() {
             return;
         }
         advance(CLOCK_STEP).await;
--- a/src/bin/load-balancer/dispatch/tests/notification/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/mod.rs
@@ -6,14 +6,14 @@
 
 use super::super::*;
 use crate::discovery::watch_set::MAX_WATCHES;
-use fake_discovery::{CallOutcome, CallOutcome::*, FakeDiscovery};
+use fake_discovery::{FakeDiscovery, RequestOutcome, RequestOutcome::*};
 use harness::{advance_seconds, advance_until, run, start, start_in_fleet, time_until_known};
 
 /// A change has to be known by then; the rest of the 6 s is for a busy process.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_millis(5600);
 
 const ALL_MODES: [DiscoveryMode; 2] = [DiscoveryMode::Push, DiscoveryMode::Poll];
-const ALL_FAILURES: [CallOutcome; 7] = [
+const ALL_FAILURES: [RequestOutcome; 7] = [
     Unanswered,
     Refused,
     QueuedThenRefused,
@@ -24,28 +24,28 @@
 ];
 
 /// What may become of the calls after one that failed.
-fn later_calls() -> Vec<Vec<CallOutcome>> {
+fn script_tails() -> Vec<Vec<RequestOutcome>> {
     let mut all = vec![vec![], vec![QueuedThenRefused], vec![Unanswered]];
-    all.extend([Refused, Reset, ResetInList].map(|call| vec![call; 3]));
+    all.extend([Refused, Reset, ResetInList].map(|outcome| vec![outcome; 3]));
     all
 }
 
 /// A change that discovery has when a call fails has to be known in time: the next call comes soon
 /// enough, whatever becomes of it.
 #[test]
-fn changes_are_known_in_time_whatever_became_of_earlier_calls() {
+fn changes_are_known_in_time_after_failed_requests() {
     run(async {
         let mut late_changes = Vec::new();
-        for (first, later) in ALL_FAILURES
+        for (first, tail) in ALL_FAILURES
             .iter()
-            .flat_map(|first| later_calls().into_iter().map(move |later| (*first, later)))
+            .flat_map(|first| script_tails().into_iter().map(move |tail| (*first, tail)))
         {
-            let script = [vec![first], later].concat();
+            let script = [vec![first], tail].concat();
             for mode in ALL_MODES {
                 for seed in 0..4 {
                     let discovery = FakeDiscovery::listening(&script);
                     let dispatcher = start(discovery.address, mode, seed);
-                    advance_until(|| discovery.call_count() > 0).await;
+                    advance_until(|| discovery.request_count() > 0).await;
                     let time = time_until_known(&dispatcher, &discovery).await;
                     late_changes.extend(
                         (time > NOTIFICATION_DEADLINE)
@@ -62,14 +62,14 @@
 /// watch is reopened so soon that the grace period of a drain, 0.45 s on sockets, covers the gap
 /// and a stall of 0.15 s.
 #[test]
-fn a_pushed_watch_that_fails_is_reopened_at_once() {
+fn failed_push_watch_is_reopened_at_once() {
     let reconnect_limit = Duration::from_millis(300);
     run(async {
         for first in [Refused, Reset, ResetInList, ResetAfterList] {
             for count in [1, 2, 60] {
                 let discovery = FakeDiscovery::listening(&vec![first; count]);
                 let dispatcher = start(discovery.address, DiscoveryMode::Push, 1);
-                advance_until(|| discovery.call_count() == count).await;
+                advance_until(|| discovery.request_count() == count).await;
                 let time = time_until_known(&dispatcher, &discovery).await;
                 assert!(time <= reconnect_limit, "{first:?} {count} {time:?}");
             }
@@ -85,14 +85,14 @@
 
 /// The same on an address to which discovery has moved, also if the old one was silent just then.
 #[test]
-fn changes_are_known_in_time_after_discovery_has_moved() {
+fn changes_are_known_in_time_after_an_address_change() {
     run(async {
         let mut late_changes = Vec::new();
-        for (first, later) in ALL_FAILURES
+        for (first, tail) in ALL_FAILURES
             .iter()
-            .flat_map(|first| later_calls().into_iter().map(move |later| (*first, later)))
+            .flat_map(|first| script_tails().into_iter().map(move |tail| (*first, tail)))
         {
-            let script = [vec![first], later].concat();
+            let script = [vec![first], tail].concat();
             for (mode, old) in ALL_MODES
                 .iter()
                 .flat_map(|mode| [Silent, Unanswered, AnsweredAfter(0)].map(|old| (*mode, old)))
@@ -102,7 +102,7 @@
                     FakeDiscovery::listening(&script),
                 );
                 let dispatcher = start(old.address, mode, script.len() as u64);
-                advance_until(|| old.call_count() > 0).await;
+                advance_until(|| old.request_count() > 0).await;
                 dispatcher.borrow_mut().set_discovery_address(new.address);
                 let time = time_until_known(&dispatcher, &new).await;
                 late_changes.extend(
@@ -203,19 +203,19 @@
 fn changes_are_known_in_time_after_many_refusals_in_a_fleet_of_any_size() {
     run(async {
         let mut late_changes = Vec::new();
-        for (peer_count, call) in [30, 300, 8700]
+        for (peer_count, outcome) in [30, 300, 8700]
             .iter()
             .flat_map(|peer_count| [(*peer_count, Refused), (*peer_count, Reset)])
         {
             for (seed, count) in (0..8).flat_map(|seed| [(seed, 5), (seed, 9)]) {
-                let discovery = FakeDiscovery::listening(&vec![call; count]);
+                let discovery = FakeDiscovery::listening(&vec![outcome; count]);
                 let dispatcher =
                     start_in_fleet(discovery.address, DiscoveryMode::Poll, seed, peer_count);
-                advance_until(|| discovery.call_count() == count).await;
+                advance_until(|| discovery.request_count() == count).await;
                 let time = time_until_known(&dispatcher, &discovery).await;
                 late_changes.extend(
                     (time > NOTIFICATION_DEADLINE)
-                        .then(|| format!("{peer_count} {call:?} {count} {time:?}")),
+                        .then(|| format!("{peer_count} {outcome:?} {count} {time:?}")),
                 );
             }
         }
@@ -226,7 +226,7 @@
 /// A call that discovery queues for long must not be given up for newer calls for ever, and the
 /// calls that were made beside it must not be made again once it is answered.
 #[test]
-fn a_call_that_is_queued_for_long_is_answered() {
+fn long_queued_request_is_answered() {
     run(async {
         for (mode, moved) in ALL_MODES
             .iter()
@@ -247,13 +247,13 @@
                 1,
             );
             if moved {
-                advance_until(|| old.call_count() > 0).await;
+                advance_until(|| old.request_count() > 0).await;
                 dispatcher.borrow_mut().set_discovery_address(other.address);
                 dispatcher
                     .borrow_mut()
                     .set_discovery_address(discovery.address);
             }
-            advance_until(|| discovery.call_count() > 0).await;
+            advance_until(|| discovery.request_count() > 0).await;
             let time = time_until_known(&dispatcher, &discovery).await;
             assert!(time < Duration::from_secs(31), "{mode:?} {moved} {time:?}");
             assert_eq!(
@@ -263,31 +263,31 @@
                 ),
                 (1, false)
             );
-            let call_count = discovery.call_count();
+            let request_count = discovery.request_count();
             advance_seconds(60).await;
-            assert_eq!(discovery.call_count(), call_count, "{mode:?}");
+            assert_eq!(discovery.request_count(), request_count, "{mode:?}");
         }
     });
 }
 
 /// A queued call is neither given up nor made a second time.
 #[test]
-fn a_queued_call_is_not_made_twice() {
+fn queued_request_is_not_repeated() {
     run(async {
         for seed in 0..6 {
             let discovery = FakeDiscovery::listening(&[Unanswered]);
             let dispatcher = start(discovery.address, DiscoveryMode::Poll, seed);
-            advance_until(|| discovery.call_count() > 0).await;
+            advance_until(|| discovery.request_count() > 0).await;
             // Longer than where lists are pushed, and longer than such a call may take.
-            let waited = discovery.called_at.borrow()[0] + Duration::from_millis(2500);
+            let waited = discovery.request_times.borrow()[0] + Duration::from_millis(2500);
             advance_until(|| Instant::now() >= waited).await;
             assert_eq!(
-                (discovery.call_count(), dispatcher.borrow().watches.len()),
+                (discovery.request_count(), dispatcher.borrow().watches.len()),
                 (1, 1)
             );
             let discovery = FakeDiscovery::listening(&[QueuedThenRefused]);
             let dispatcher = start(discovery.address, DiscoveryMode::Poll, seed);
-            advance_until(|| discovery.call_count() > 1).await;
+            advance_until(|| discovery.request_count() > 1).await;
             assert_eq!(dispatcher.borrow().watches.len(), 1);
         }
     });
@@ -296,21 +296,21 @@
 /// A slow discovery must not be flooded: no call is made before the last one has had time, and
 /// never many at once.
 #[test]
-fn queued_calls_are_made_no_more_often_than_needed() {
+fn slow_discovery_is_not_flooded() {
     run(async {
         for seed in 0..6 {
             let discovery = FakeDiscovery::listening(&[Unanswered; 60]);
             let dispatcher = start(discovery.address, DiscoveryMode::Poll, seed);
-            while discovery.call_count() < 20 {
+            while discovery.request_count() < 20 {
                 advance_seconds(1).await;
                 assert!(dispatcher.borrow().watches.len() <= MAX_WATCHES);
             }
-            let called_at = discovery.called_at.borrow();
+            let request_times = discovery.request_times.borrow();
             assert!(
-                called_at
+                request_times
                     .windows(2)
                     .all(|pair| pair[1] - pair[0] > Duration::from_millis(2500)),
-                "{called_at:?}"
+                "{request_times:?}"
             );
         }
     });
@@ -318,7 +318,7 @@
 
 /// While the new address is silent, the watch on the old one is the only source of changes.
 #[test]
-fn the_old_watch_stays_in_force_while_the_new_address_is_silent() {
+fn old_watch_stays_authoritative_while_the_new_address_is_silent() {
     run(async {
         for mode in ALL_MODES {
             let (old, new) = (
@@ -326,20 +326,20 @@
                 FakeDiscovery::listening(&[Unanswered; 60]),
             );
             let dispatcher = start(old.address, mode, 1);
-            advance_until(|| old.call_count() > 0).await;
+            advance_until(|| old.request_count() > 0).await;
             dispatcher.borrow_mut().set_discovery_address(new.address);
             assert!(
                 time_until_known(&dispatcher, &old).await < Duration::from_secs(13),
                 "{mode:?}"
             );
-            assert!(new.call_count() > 3);
+            assert!(new.request_count() > 3);
         }
     });
 }
 
 /// Discovery has descriptors of its own, whatever clients and upstreams hold.
 #[test]
-fn a_watch_is_opened_though_no_descriptor_is_free_for_others() {
+fn watch_is_opened_when_all_other_descriptors_are_in_use() {
     run(async {
         for mode in ALL_MODES {
             let discovery = FakeDiscovery::listening(&[Reset, Unanswered, Unanswered]);
@@ -350,7 +350,7 @@
             // Another process takes a half of them.
             budget.set_limit(512);
             assert!(permits.len() > 512);
-            advance_until(|| discovery.call_count() > 0).await;
+            advance_until(|| discovery.request_count() > 0).await;
             let time = time_until_known(&dispatcher, &discovery).await;
             assert!(time <= Duration::from_secs(6), "{mode:?} {time:?}");
         }
--- a/src/bin/load-balancer/dispatch/timers/mod.rs
+++ b/src/bin/load-balancer/dispatch/timers/mod.rs
@@ -22,14 +22,14 @@
 #[derive(Default)]
 pub struct TimerQueue {
     heap: BinaryHeap<Reverse<(Instant, Timer)>>,
-    earlier_timer: Rc<Notify>,
+    earliest_changed: Rc<Notify>,
 }
 
 impl TimerQueue {
     /// Sets a timer.
     pub fn set(&mut self, at: Instant, timer: Timer) {
         if self.next_at().is_none_or(|next_at| at < next_at) {
-            self.earlier_timer.notify_one();
+            self.earliest_changed.notify_one();
         }
         self.heap.push(Reverse((at, timer)));
     }
@@ -48,8 +48,8 @@
     }
 
     /// Notified whenever a timer is set that fires before all others.
-    pub fn earlier_timer(&self) -> Rc<Notify> {
-        self.earlier_timer.clone()
+    pub fn earliest_changed(&self) -> Rc<Notify> {
+        self.earliest_changed.clone()
     }
 }
 
--- a/src/bin/load-balancer/dispatch/timers/tests.rs
+++ b/src/bin/load-balancer/dispatch/timers/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn timers_fire_in_the_order_of_their_moments_and_then_of_their_kinds() {
+async fn timers_fire_by_time_then_by_variant() {
     let mut timers = TimerQueue::default();
     let (now, second) = (Instant::now(), Duration::from_secs(1));
     let backstop = Timer::DeadlineBackstop(RequestId(1));
--- a/src/bin/load-balancer/dispatch/upstream_directory/tests.rs
+++ b/src/bin/load-balancer/dispatch/upstream_directory/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_entry_has_the_numbers_of_the_names_and_seconds() {
+fn entry_has_name_indexes_and_start_time_in_seconds() {
     let names = NameTables {
         zones: vec!["a".into(), "b".into()],
         kinds: vec!["std".into()],
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn only_an_upstream_in_service_is_available() {
+fn only_upstreams_in_service_are_available() {
     let (mut directory, names) = (directory(), NameTables::default());
     assert!(!directory.has_had_endpoints());
     let all = [
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn maintenance_holds_whatever_is_listed() {
+fn maintenance_is_independent_of_the_endpoint_list() {
     let (mut directory, names) = (directory(), NameTables::default());
     let (id, in_service) = (UpstreamId::of("s"), [("s", EndpointStatus::InService)]);
     assert!(!directory.is_known(id));
