--- a/src/bin/load-balancer/discovery/endpoint.rs
+++ b/src/bin/load-balancer/discovery/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery and the configuration file write it.
+//! The endpoint list in the format of discovery and of the configuration file.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -7,21 +7,21 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct EndpointList {
-    /// The version of the list; it only rises for as long as discovery keeps its address.
+    /// The version of the list. It only increases as long as discovery keeps its address.
     #[serde(rename = "index")]
     pub version: u64,
-    /// True if `endpoints` is the complete list, false if it holds only what changed.
+    /// True if `endpoints` is the complete list, false if it contains only the changed endpoints.
     pub snapshot: bool,
-    /// The endpoints.
+    /// The listed or changed endpoints.
     pub endpoints: Vec<Endpoint>,
 }
 
 /// One upstream of an endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Endpoint {
-    /// The name, which identifies the upstream wherever it listens.
+    /// The name, which identifies the upstream whatever its address is.
     pub name: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// The name of its zone.
     #[serde(default)]
@@ -32,22 +32,22 @@
     /// Its cell.
     #[serde(default, rename = "group")]
     pub cell: usize,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub status: EndpointStatus,
-    /// When it last started, in milliseconds since the Unix epoch; 0: long ago.
+    /// When it last started, in milliseconds since the Unix epoch; 0 if it started long ago.
     #[serde(default, rename = "since_ms")]
     pub started_at_ms: f64,
 }
 
-/// Whether an endpoint takes requests.
+/// Whether an endpoint accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum EndpointStatus {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     InService,
-    /// It takes no new requests. A status that this version doesn't know counts as this one.
+    /// The endpoint accepts no new requests. An unknown status is read as this one.
     Draining,
-    /// It is gone.
+    /// The endpoint no longer exists.
     Terminated,
 }
 
--- a/src/bin/load-balancer/discovery/message/mod.rs
+++ b/src/bin/load-balancer/discovery/message/mod.rs
@@ -1,28 +1,28 @@
-//! Decodes the body of a watch: JSON objects one after the other, with empty lines as keep-alives.
+//! Decodes the body of a watch: a sequence of JSON objects, with empty lines as keep-alives.
 
 use crate::discovery::endpoint::{Endpoint, EndpointList};
 use serde::Deserialize;
 use thiserror::Error;
 
-/// A longer message is no endpoint list.
+/// Messages longer than this are rejected as malformed.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// Why the body of a watch can't be decoded.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// A message is not JSON, or not an endpoint list.
+    /// A message is not valid JSON or not an endpoint list.
     #[error("malformed endpoint list: {0}")]
     Json(#[from] serde_json::Error),
-    /// A string is not closed on its line, so the end of its message can't be found.
+    /// A string is not closed on its line, so the end of the message can't be determined.
     #[error("malformed endpoint list: a string continues past the end of its line")]
     UnterminatedString,
-    /// A message has not ended within `MAX_MESSAGE_BYTES`.
+    /// A message is longer than `MAX_MESSAGE_BYTES`.
     #[error("malformed endpoint list: it is longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
 }
 
-/// An endpoint list on a watch. Unlike in the configuration file, the version and the endpoints
-/// have to be there: an object of another kind would otherwise pass for an empty list.
+/// An endpoint list as a watch receives it. Unlike in the configuration file, the version and the
+/// endpoints are required; otherwise an unrelated JSON object would be read as an empty list.
 #[derive(Deserialize)]
 struct WatchMessage {
     #[serde(rename = "index")]
@@ -32,25 +32,27 @@
     endpoints: Vec<Endpoint>,
 }
 
-/// Splits the body of a watch into messages. A message may be on one line or indented over
-/// several, and may arrive in any number of chunks.
+/// Splits the body of a watch into messages. A message may span several lines and may arrive in any
+/// number of chunks.
 #[derive(Default)]
 pub struct MessageDecoder {
-    /// The bytes of the message so far.
+    /// The bytes of the current message that have been received so far.
     buffer: Vec<u8>,
-    /// How many brackets of the message are open.
+    /// The number of braces and brackets of the current message that are open.
     open_brackets: usize,
     is_in_string: bool,
+    /// Whether the next byte of the string is escaped by a backslash.
     is_escaped: bool,
 }
 
 impl MessageDecoder {
-    /// Decodes the next bytes and calls `on_list` for each message that they complete. True if
-    /// they complete a message or an empty line: only that shows that the watch is alive.
+    /// Decodes the next bytes of the body and calls `on_list` for each message that they complete.
+    /// Returns whether the bytes complete a message or an empty line, which is what shows that the
+    /// watch is alive.
     ///
     /// # Errors
     ///
-    /// If the body can't be decoded; nothing can be decoded after that.
+    /// Returns an error if the body is malformed. The decoder must not be used after that.
     pub fn decode(
         &mut self,
         chunk: &[u8],
@@ -73,14 +75,14 @@
         Ok(is_alive)
     }
 
-    /// Appends a byte to the message; true if the message is complete with it.
+    /// Appends a byte to the current message. Returns whether the byte completes the message.
     fn push(&mut self, byte: u8) -> Result<bool, MessageError> {
         self.buffer.push(byte);
         if self.is_in_string {
             self.is_in_string = byte != b'"' || self.is_escaped;
             self.is_escaped = byte == b'\\' && !self.is_escaped;
-            // The rest of a truncated message never comes; without this check the next message
-            // would be read as part of its string.
+            // The rest of a truncated message is never sent. Without this check the next message
+            // would be read as part of the open string.
             if byte == b'\n' {
                 return Err(MessageError::UnterminatedString);
             }
@@ -95,7 +97,7 @@
         Ok(self.open_brackets == 0)
     }
 
-    /// Parses the message, which is complete, and makes way for the next one.
+    /// Parses the buffered message, which is complete, and clears the buffer for the next one.
     fn parse_message(&mut self) -> Result<EndpointList, MessageError> {
         let message: WatchMessage = serde_json::from_slice(&self.buffer)?;
         self.buffer.clear();
--- a/src/bin/load-balancer/discovery/message/tests.rs
+++ b/src/bin/load-balancer/discovery/message/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The versions of the lists in this text, cut into chunks of this size.
+/// Decodes `text` in chunks of `chunk_size` bytes and returns the versions of its lists.
 fn versions(text: &str, chunk_size: usize) -> Result<Vec<u64>, MessageError> {
     let (mut decoder, mut versions) = (MessageDecoder::default(), Vec::new());
     for chunk in text.as_bytes().chunks(chunk_size) {
@@ -20,7 +20,7 @@
         assert_eq!(
             versions(text, chunk_size).ok().as_deref(),
             Some(&[7, 8, 9, 10][..]),
-            "{chunk_size}"
+            "chunks of {chunk_size} bytes"
         );
     }
 }
@@ -42,7 +42,8 @@
     }
 }
 
-/// Half a message is no sign of life: its rest may never come.
+/// An incomplete message does not show that a watch is alive, because its rest may never be
+/// received.
 #[test]
 fn only_complete_messages_and_empty_lines_show_that_a_watch_is_alive() {
     let mut decoder = MessageDecoder::default();
--- a/src/bin/load-balancer/discovery/mod.rs
+++ b/src/bin/load-balancer/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint list, and the watches that keep it up to date.
+//! Client of the discovery service: the endpoint list, and the watches that keep it up to date.
 
 mod endpoint;
 mod message;
--- a/src/bin/load-balancer/discovery/silence_timer/mod.rs
+++ b/src/bin/load-balancer/discovery/silence_timer/mod.rs
@@ -1,18 +1,18 @@
-//! Reports that nothing has come on a watch for too long.
+//! Detects that a watch has been silent for too long.
 
 use std::future::Future;
 use std::pin::Pin;
 use std::time::Duration;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// How long a watch may be silent, and whether its silence has been reported.
+/// Measures how long a watch has been silent, and reports each silence once.
 pub struct SilenceTimer {
     deadline: Pin<Box<Sleep>>,
     is_reported: bool,
 }
 
 impl SilenceTimer {
-    /// A timer that runs out after `timeout`.
+    /// Creates a timer that expires after `timeout`.
     pub fn new(timeout: Duration) -> Self {
         SilenceTimer {
             deadline: Box::pin(sleep(timeout)),
@@ -20,21 +20,22 @@
         }
     }
 
-    /// Starts the timer again: it runs out `timeout` from now.
+    /// Restarts the timer, so that it expires `timeout` from now.
     pub fn restart(&mut self, timeout: Duration) {
         self.deadline.as_mut().reset(Instant::now() + timeout);
         self.is_reported = false;
     }
 
-    /// Waits for `future`, and calls `on_silence` once if the timer runs out before that.
+    /// Waits for `future`. Calls `on_silence` if the timer expires before `future` completes and
+    /// the silence has not been reported since the last restart.
     pub async fn wait<T>(
         &mut self,
         future: &mut (impl Future<Output = T> + Unpin),
         on_silence: impl FnOnce(),
     ) -> T {
-        // What has come goes before a timer that ran out in the same turn. The branch of the timer
-        // depends on what was reported, not on `Sleep::is_elapsed`: silence that goes on is still
-        // to be reported then.
+        // Received data takes precedence over a timer that expires in the same turn. The timer
+        // branch checks `is_reported` rather than `Sleep::is_elapsed`, so that a silence that
+        // continues after that data is still reported.
         tokio::select! {
             biased;
             output = &mut *future => return output,
--- a/src/bin/load-balancer/discovery/watch.rs
+++ b/src/bin/load-balancer/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! A watch on the endpoint list: one long HTTP response that carries the list and then its
+//! A watch on the endpoint list: one long-lived HTTP response that carries the list and then its
 //! changes.
 
 use crate::discovery::endpoint::EndpointList;
@@ -22,17 +22,18 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Where lists are polled, discovery may queue calls: beside one with no response after this time
-/// another one is made. A change has to be known 6 s after discovery has it, whatever became of
-/// the call before: this, a call that is queued for 2 s and refused then, and the backoff after
-/// that have to fit in there, and so have two calls that get no response.
+/// In poll mode discovery may queue requests. If a request has no response after this time, another
+/// one is sent while it stays open. A change must be known within 6 s after discovery has it,
+/// whatever happened to the previous request. Those 6 s have to cover this timeout, a request that
+/// is queued for 2 s and then refused, and the backoff after it. They also have to cover two
+/// requests without a response.
 const POLL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2600);
-/// Where lists are pushed, a local agent responds at once. The same holds for a discovery address
-/// of which nothing is known yet, in either mode: its list is needed soon.
+/// In push mode a local agent responds at once. In both modes this timeout also applies to a
+/// discovery address from which no list is known yet, because its list is needed soon.
 const PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Discovery sends a line every 2 s, an empty one if nothing changed. What a broken watch misses
-/// has to be known 6 s after its last line, which has to leave time for the next watch, and for
-/// one more.
+/// Discovery sends a line every 2 s, an empty one if nothing has changed. A change that a broken
+/// watch misses must be known within 6 s after its last line, so this timeout has to leave enough
+/// time for the next watch and for one more.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -42,17 +43,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchId(pub u64);
 
-/// A watch that is to be opened.
+/// A request to open a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchRequest {
-    /// Its id.
+    /// The id of the watch.
     pub id: WatchId,
-    /// Where discovery is.
+    /// The address of discovery.
     pub address: SocketAddr,
-    /// The known version of the list; `None` if no version of the discovery at this address is
-    /// known.
+    /// The known version of the endpoint list, or `None` if no version from this address is known.
+    /// Discovery sends the changes since this version.
     pub since: Option<u64>,
-    /// How lists come from this discovery.
+    /// How this discovery service delivers lists.
     pub mode: DiscoveryMode,
 }
 
@@ -62,28 +63,28 @@
     /// All descriptors that are reserved for discovery are in use.
     #[error("no file descriptor is free")]
     NoDescriptor,
-    /// No connection was made.
+    /// The connection could not be established.
     #[error("connect: {0}")]
     Connect(#[source] io::Error),
-    /// The connection failed, or what came on it is not HTTP.
+    /// The connection failed, or the data received on it is not HTTP.
     #[error("{}", root_cause(.0))]
     Http(#[from] hyper::Error),
     /// The request can't be built.
     #[error("invalid request: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
-    /// Discovery refused the request.
+    /// Discovery responded with another status than 200.
     #[error("response status {0}")]
     Status(StatusCode),
     /// Discovery ended the response.
     #[error("the response ended")]
     Ended,
-    /// The response carries something else than endpoint lists.
+    /// The response body is not a sequence of endpoint lists.
     #[error(transparent)]
     Message(#[from] MessageError),
 }
 
-/// The text of the error that caused this one: that of `hyper` itself names only the step that
-/// failed.
+/// Returns the text of the error that caused `error`, because the text of the `hyper` error itself
+/// names only the step that failed.
 fn root_cause(error: &hyper::Error) -> String {
     match error.source() {
         Some(cause) => cause.to_string(),
@@ -91,16 +92,16 @@
     }
 }
 
-/// Receives the reports of watches. They come one at a time, in the order in which things
-/// happened.
+/// Receives the reports of watches, one at a time and in the order of the reported events.
 pub trait WatchObserver {
-    /// An endpoint list, or a change of it, has come.
+    /// Called when an endpoint list or a change of it has been received.
     fn list_received(&self, watch: WatchId, list: EndpointList);
-    /// Something complete has come, if only an empty line.
+    /// Called when a complete message or an empty line has been received.
     fn watch_alive(&self, watch: WatchId);
-    /// Nothing complete has come for too long; the watch goes on.
+    /// Called when the watch has received no complete message and no empty line within its timeout.
+    /// The watch continues.
     fn watch_silent(&self, watch: WatchId);
-    /// The watch has ended.
+    /// Called when the watch has ended.
     fn watch_failed(&self, watch: WatchId, error: &WatchError);
 }
 
@@ -121,7 +122,7 @@
     }
 }
 
-/// Follows the endpoint list until the watch fails, also after it has fallen silent.
+/// Runs a watch until it fails. A watch that falls silent continues to run.
 pub async fn run_watch(
     observer: Rc<impl WatchObserver>,
     descriptors: Rc<DescriptorBudget>,
@@ -148,7 +149,7 @@
     drive_connection(connection, reader, &frames_read).await
 }
 
-/// Sends the request and reports what the response carries.
+/// Sends the request of the watch and reports the messages of its response to `observer`.
 async fn read_messages(
     mut sender: SendRequest<EmptyBody>,
     observer: &impl WatchObserver,
@@ -179,9 +180,9 @@
     }
 }
 
-/// Polls the connection and the reader of its response until neither makes progress, so that one
-/// turn of the event loop handles all that has come. Otherwise a request of the same turn could be
-/// forwarded to an upstream whose drain has come but is not handled yet.
+/// Polls the connection and the reader of its response until neither makes progress, so that all
+/// received data is handled in one turn of the event loop. Otherwise a request that is handled in
+/// the same turn could be forwarded to an upstream whose drain has been received but not processed.
 async fn drive_connection(
     connection: impl Future<Output = hyper::Result<()>>,
     reader: impl Future<Output = Result<Infallible, WatchError>>,
@@ -191,7 +192,7 @@
     let mut is_closed = false;
     poll_fn(|context| loop {
         let frames_before = frames_read.get();
-        // What came before the connection ended is still to be read.
+        // Data received before the connection was closed still has to be read.
         is_closed = is_closed || connection.as_mut().poll(context).is_ready();
         if let Poll::Ready(result) = reader.as_mut().poll(context) {
             return Poll::Ready(result);
--- a/src/bin/load-balancer/discovery/watch_set/mod.rs
+++ b/src/bin/load-balancer/discovery/watch_set/mod.rs
@@ -1,8 +1,8 @@
-//! The watches that are open at a time, and which of them counts.
+//! The set of open watches, and which of them is authoritative.
 //!
-//! A silent watch stays open until a newer one has come alive, so several can be open at once. The
-//! oldest is authoritative: endpoint lists are accepted from it alone. As soon as a newer watch
-//! shows that it is alive, all older ones are closed.
+//! A silent watch stays open until a newer watch is alive, so several watches can be open at once.
+//! The oldest one is authoritative: endpoint lists are accepted only from it. As soon as a newer
+//! watch is alive, all older watches are closed.
 
 use crate::discovery::endpoint::EndpointList;
 use crate::discovery::watch::{WatchError, WatchId, WatchRequest};
@@ -15,62 +15,65 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Where lists are pushed, a failed watch is reopened after this time. What the agent has counts
-/// as known even while no watch is open, so the grace period of a drain has to cover the gap.
+/// In push mode a failed watch is reopened after this time. A change counts as known as soon as the
+/// local agent has it, even if no watch is open, so the grace period of a drain has to cover the
+/// gap.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
-/// The same after `FAILURES_UNTIL_SLOW_RECONNECT` in a row.
+/// In push mode a watch is reopened after this time, instead of `RECONNECT_DELAY`, once
+/// `FAILURES_UNTIL_SLOW_RECONNECT` watches in a row have failed.
 const SLOW_RECONNECT_DELAY: Duration = Duration::from_millis(250);
-/// From then on only every so many failures are logged, too.
+/// From this many failures in a row, reconnects are slow and only one failure in this many is
+/// logged.
 const FAILURES_UNTIL_SLOW_RECONNECT: u32 = 10;
-/// A watch that ends sooner counts as one more failure in a row, even if a complete list came on
-/// it.
+/// A watch that ends before this age counts as one more failure in a row, even if it has received a
+/// complete list.
 const MIN_HEALTHY_WATCH_AGE: Duration = Duration::from_secs(1);
-/// Where lists are polled, another watch is opened beside a silent one after a random delay of at
-/// most this time, so that balancers whose watches fall silent together don't poll in step.
+/// In poll mode another watch is opened beside a silent one after a random delay of at most this
+/// time, so that balancers whose watches fall silent together do not poll in step.
 const MAX_POLL_JITTER: Duration = Duration::from_millis(150);
-/// A watch on a new discovery address that failed is reopened after a random delay of at most this
-/// time. All balancers are moved at once, and would otherwise reconnect in step.
+/// A failed watch on a new discovery address is reopened after a random delay of at most this time.
+/// All balancers switch to a new address at once and would otherwise reconnect in step.
 const MAX_MOVE_DELAY: Duration = Duration::from_millis(400);
-/// As a share of `MAX_MOVE_DELAY`.
+/// The minimum of this random delay, as a share of `MAX_MOVE_DELAY`.
 const MIN_MOVE_DELAY_SHARE: f64 = 0.25;
-/// Watches that are open at a time. The descriptors that are reserved for discovery cover one
-/// more.
+/// The maximum number of watches that are open at a time. One more descriptor than this is reserved
+/// for discovery.
 pub const MAX_WATCHES: usize = 4;
 
-/// Where discovery is, and how lists come from it.
+/// The discovery service: its address and how it delivers lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryService {
-    /// Its address.
+    /// The address of the service.
     pub address: SocketAddr,
-    /// How lists come from it.
+    /// How the service delivers lists.
     pub mode: DiscoveryMode,
 }
 
 /// The version of the endpoint list up to which no change was missed. Each discovery address
-/// counts its versions by itself.
+/// numbers its versions independently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListVersion {
-    /// The address of the discovery that counts.
+    /// The discovery address that the version is from.
     pub source: SocketAddr,
-    /// The version.
+    /// The version number.
     pub version: u64,
 }
 
-/// When a watch is opened in the place of one that failed or is silent.
+/// When a watch is opened that replaces one that failed or is silent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reconnect {
-    /// Not at all: a newer watch is open or is about to be opened.
+    /// No watch is opened, because a newer watch is open or is about to be opened.
     Superseded,
-    /// At once.
+    /// The watch is opened at once.
     Now,
-    /// After this time, by `WatchSet::ensure_watch`.
+    /// The watch is opened after this time, by a call of `WatchSet::ensure_watch`.
     After(Duration),
-    /// When the poll schedule says so; it has to learn of the failure.
+    /// The poll schedule determines when the watch is opened; the failure has to be reported to it.
     ByPollSchedule,
 }
 
 impl Reconnect {
-    /// The end of a log line.
+    /// Returns the text that ends the log line about the replaced watch.
     fn describe(self) -> String {
         match self {
             Reconnect::Superseded => "a newer watch replaces it".into(),
@@ -85,23 +88,24 @@
 pub struct WatchSet {
     discovery: DiscoveryService,
     known: ListVersion,
-    /// The oldest first.
+    /// Ordered by age, the oldest first.
     watches: Vec<OpenWatch>,
     last_id: u64,
-    /// How many watches in a row have failed early.
+    /// The number of failed watches in a row. The failure of a watch that was alive and has reached
+    /// `MIN_HEALTHY_WATCH_AGE` restarts the count at 1.
     consecutive_failures: u32,
     jitter: Pcg64Mcg,
 }
 
-/// An open watch; closed when it is dropped.
+/// An open watch. Dropping it closes the watch.
 struct OpenWatch {
     id: WatchId,
     address: SocketAddr,
-    /// The version that came last.
+    /// The last version that was received on the watch; before the first list, the requested one.
     version: u64,
-    /// It has been silent for so long that changes may be missing on it.
+    /// Whether the watch has been silent for so long that it may have missed changes.
     is_broken: bool,
-    /// Something complete has come on it.
+    /// Whether a complete message or an empty line has been received on the watch.
     is_alive: bool,
     opened_at: Instant,
     task: Option<AbortHandle>,
@@ -116,8 +120,8 @@
 }
 
 impl WatchSet {
-    /// A set with no open watch. `known_version` is the version of the list that is known from
-    /// this discovery, 0 if none is; `seed` is that of the random delays.
+    /// Creates a set without open watches. `known_version` is the version of the list that is known
+    /// from this discovery service, or 0 if none is known; `seed` seeds the random delays.
     pub fn new(discovery: DiscoveryService, known_version: u64, seed: u64) -> Self {
         WatchSet {
             discovery,
@@ -132,8 +136,8 @@
         }
     }
 
-    /// The watch that is to be opened, unless the newest one is on the right address and not
-    /// broken. Its task is passed to `set_task`.
+    /// Adds a watch, unless the newest one uses the current address and is not broken. Returns the
+    /// request to open the added watch, whose task has to be passed to `set_task`.
     #[must_use]
     pub fn ensure_watch(&mut self) -> Option<WatchRequest> {
         let is_usable =
@@ -144,15 +148,16 @@
         Some(self.add_watch())
     }
 
-    /// Moves to another discovery address; the watch that is to be opened there, if it is another.
-    /// The list and the watch on the old address stay in force until the new watch is alive.
+    /// Switches to another discovery address. Returns the request to open a watch on it, or `None`
+    /// if the address is unchanged. The endpoint list and the watch of the old address stay in use
+    /// until the new watch is alive.
     #[must_use]
     pub fn set_address(&mut self, address: SocketAddr) -> Option<WatchRequest> {
         if address == self.discovery.address {
             return None;
         }
         self.discovery.address = address;
-        // Watches on addresses in between, on which nothing came, are of no more use.
+        // Watches on intermediate addresses, from which nothing was received, are not needed.
         let source = self.known.source;
         self.watches
             .retain(|watch| [source, address].contains(&watch.address));
@@ -174,8 +179,9 @@
             task: None,
         });
         if self.watches.len() > MAX_WATCHES {
-            // The first is authoritative, possibly on the old address, and the second has
-            // waited longest where discovery queues calls; closing either would lose its place.
+            // The first watch stays open because it is authoritative, possibly on the old address.
+            // The second one has waited longest where discovery queues requests, and would lose
+            // its place in the queue if it were closed.
             self.watches.remove(2);
         }
         WatchRequest {
@@ -186,7 +192,7 @@
         }
     }
 
-    /// The task that runs this watch; it is aborted when the watch is closed.
+    /// Sets the task that runs a watch. The task is aborted when the watch is closed.
     pub fn set_task(&mut self, id: WatchId, task: AbortHandle) {
         match self.position(id) {
             Some(position) => self.watches[position].task = Some(task),
@@ -198,8 +204,8 @@
         self.watches.iter().position(|watch| watch.id == id)
     }
 
-    /// Notes that something complete has come on this watch: the older ones are closed, so that
-    /// none of their lists is accepted after those of a newer watch.
+    /// Records that a complete message or an empty line was received on a watch. All older watches
+    /// are closed, so that none of their lists is accepted after a list of this watch.
     pub fn mark_alive(&mut self, id: WatchId) {
         if let Some(position) = self.position(id) {
             self.watches[position].is_alive = true;
@@ -207,7 +213,8 @@
         }
     }
 
-    /// A list has come on this watch; true if it is accepted, false if it is out of date.
+    /// Records that a list was received on a watch. Returns true if the list is accepted, or false
+    /// if it is out of date.
     #[must_use]
     pub fn accept_list(&mut self, id: WatchId, list: &EndpointList) -> bool {
         let is_first_message = self
@@ -217,9 +224,8 @@
         let Some(watch) = self.watches.first_mut().filter(|first| first.id == id) else {
             return false;
         };
-        // The first response to a call holds all changes since the version that was asked for,
-        // however long the call was queued. The calls that were made beside it are no longer
-        // needed.
+        // The first message of a watch contains all changes since the requested version, however
+        // long the request was queued. The newer watches are no longer needed.
         if is_first_message && watch.address == self.discovery.address {
             watch.is_broken = false;
             self.watches.truncate(1);
@@ -232,7 +238,7 @@
             };
             log::line(format!("endpoint list source changed: {}", watch.address));
         }
-        // The versions of a watch only rise, so this change is already known.
+        // The versions on a watch only increase, so this change is already known.
         if !list.snapshot && list.version < watch.version {
             return false;
         }
@@ -244,8 +250,8 @@
         true
     }
 
-    /// Notes that this watch has been silent for too long. It stays open until a newer one is
-    /// alive, as changes may still come on it.
+    /// Records that a watch has been silent for too long. The watch stays open until a newer one is
+    /// alive, because changes may still be received on it.
     #[must_use]
     pub fn mark_silent(&mut self, id: WatchId) -> Reconnect {
         let Some(position) = self.position(id) else {
@@ -267,7 +273,7 @@
         reconnect
     }
 
-    /// Removes a watch that has ended.
+    /// Removes a watch that has failed.
     #[must_use]
     pub fn remove_failed(&mut self, id: WatchId, error: &WatchError) -> Reconnect {
         let Some(position) = self.position(id) else {
@@ -294,10 +300,10 @@
         reconnect
     }
 
-    /// When the watch on `address` that failed is reopened.
+    /// Returns when the failed watch on `address` is reopened.
     fn reconnect_after_failure(&mut self, address: SocketAddr, is_newest: bool) -> Reconnect {
-        // Where discovery has moved, the watches on the old address are expected to end, and the
-        // one on the new address is open or about to be opened.
+        // After a switch of the discovery address, watches on the old address are expected to fail,
+        // and the watch on the new address is open or about to be opened.
         if !is_newest || address != self.discovery.address {
             return Reconnect::Superseded;
         }
--- a/src/bin/load-balancer/discovery/watch_set/tests.rs
+++ b/src/bin/load-balancer/discovery/watch_set/tests.rs
@@ -1,19 +1,19 @@
-//! Unit tests of the watch set, and what other unit tests may see of it.
+//! Unit tests of the watch set, and accessors for other unit tests.
 
 use super::*;
 
 impl WatchSet {
-    /// The version of the endpoint list that is known.
+    /// Returns the known version of the endpoint list.
     pub fn known(&self) -> ListVersion {
         self.known
     }
 
-    /// How many watches are open.
+    /// Returns the number of open watches.
     pub fn len(&self) -> usize {
         self.watches.len()
     }
 
-    /// True if changes may be missing on the watch that is authoritative.
+    /// Returns whether the authoritative watch may have missed changes.
     pub fn is_broken(&self) -> bool {
         self.watches[0].is_broken
     }
@@ -43,9 +43,11 @@
     }
 }
 
-/// Opens a watch that has to be opened.
+/// Opens a watch, which must be needed.
 fn open(watches: &mut WatchSet) -> WatchRequest {
-    watches.ensure_watch().expect("no watch is good")
+    watches
+        .ensure_watch()
+        .expect("a usable watch is already open")
 }
 
 #[test]
@@ -66,15 +68,17 @@
     watches.mark_alive(old);
     assert_eq!(watches.mark_silent(old), Reconnect::Now);
     let new = open(&mut watches).id;
-    assert!(watches.accept_list(old, &list(6, true)), "still followed");
+    assert!(
+        watches.accept_list(old, &list(6, true)),
+        "old watch stays open"
+    );
     watches.mark_alive(new);
     assert_eq!(watches.ids(), [new.0]);
     assert!(!watches.accept_list(old, &list(7, true)));
     assert_eq!(watches.mark_silent(old), Reconnect::Superseded);
 }
 
-/// The first response holds all changes since the version that was asked for, however late it
-/// comes.
+/// The first list contains all changes since the requested version, however late it is received.
 #[test]
 fn first_list_of_a_silent_watch_closes_newer_watches() {
     let mut watches = watch_set(DiscoveryMode::Poll);
@@ -94,7 +98,10 @@
     assert!(watches.accept_list(watch, &list(7, false)));
     assert!(!watches.accept_list(watch, &list(6, false)));
     assert_eq!(watches.known().version, 7);
-    assert!(watches.accept_list(watch, &list(6, true)), "a full list");
+    assert!(
+        watches.accept_list(watch, &list(6, true)),
+        "full list is accepted"
+    );
     assert_eq!(watches.known().version, 6);
 }
 
@@ -125,12 +132,15 @@
 fn first_list_of_a_new_address_replaces_the_known_version() {
     let mut watches = watch_set(DiscoveryMode::Push);
     let old = open(&mut watches).id;
-    assert_eq!(watches.set_address(address(1)), None, "the same");
-    let between = watches.set_address(address(2)).expect("another");
-    let new = watches.set_address(address(3)).expect("another");
+    assert_eq!(watches.set_address(address(1)), None, "unchanged address");
+    let between = watches.set_address(address(2)).expect("new address");
+    let new = watches.set_address(address(3)).expect("new address");
     assert_eq!((between.since, new.since), (None, None));
     assert_eq!(watches.ids(), [old.0, new.id.0]);
-    assert!(watches.accept_list(old, &list(6, false)), "still followed");
+    assert!(
+        watches.accept_list(old, &list(6, false)),
+        "old watch stays open"
+    );
     assert!(watches.accept_list(new.id, &list(1, false)));
     assert_eq!(watches.ids(), [new.id.0]);
     let (source, version) = (address(3), 1);
@@ -146,10 +156,10 @@
         assert_eq!(
             watches.remove_failed(watch, &WatchError::Ended),
             Reconnect::After(Duration::from_millis(delay)),
-            "{failure}"
+            "failure {failure}"
         );
     }
-    // One that was alive for long enough ends the series.
+    // A watch that was alive for long enough resets the count of failures.
     let watch = open(&mut watches).id;
     watches.mark_alive(watch);
     tokio::time::advance(MIN_HEALTHY_WATCH_AGE).await;
@@ -176,7 +186,7 @@
     for mode in [DiscoveryMode::Push, DiscoveryMode::Poll] {
         let mut watches = watch_set(mode);
         let old = open(&mut watches).id;
-        let new = watches.set_address(address(2)).expect("another").id;
+        let new = watches.set_address(address(2)).expect("new address").id;
         assert_eq!(
             watches.remove_failed(old, &WatchError::Ended),
             Reconnect::Superseded
--- a/src/bin/load-balancer/dispatch/clock/mod.rs
+++ b/src/bin/load-balancer/dispatch/clock/mod.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, SystemTime};
 use tokio::time::Instant;
 
-/// Seconds since the Unix epoch that never step: the system's wall clock is read once, and the
-/// monotonic clock from then on.
+/// A Unix clock that never steps: the wall clock of the system is read once at the start, and the
+/// monotonic clock is used from then on.
 #[derive(Clone, Copy)]
 pub struct MonotonicUnixClock {
     started_at: Instant,
@@ -12,8 +12,8 @@
 }
 
 impl MonotonicUnixClock {
-    /// A clock that agrees with the wall clock now. A wall clock before 1970 is taken to be at
-    /// 1970.
+    /// Creates a clock that is set to the current wall-clock time. A wall clock that shows a time
+    /// before 1970 counts as 1970.
     pub fn new() -> Self {
         let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         MonotonicUnixClock {
@@ -22,12 +22,12 @@
         }
     }
 
-    /// The time at `instant`, in seconds since the Unix epoch.
+    /// Returns the time at `instant` in seconds since the Unix epoch.
     pub fn seconds_at(&self, instant: Instant) -> f64 {
         self.started_at_unix.as_secs_f64() + (instant - self.started_at).as_secs_f64()
     }
 
-    /// The time now, in seconds since the Unix epoch.
+    /// Returns the current time in seconds since the Unix epoch.
     pub fn seconds_now(&self) -> f64 {
         self.seconds_at(Instant::now())
     }
--- a/src/bin/load-balancer/dispatch/clock/tests.rs
+++ b/src/bin/load-balancer/dispatch/clock/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the clock.
+//! Unit tests of the monotonic Unix clock.
 
 use super::*;
 
--- a/src/bin/load-balancer/dispatch/endpoint_updates.rs
+++ b/src/bin/load-balancer/dispatch/endpoint_updates.rs
@@ -1,4 +1,5 @@
-//! How changes of the endpoint list, and of maintenance by operators, pass through the dispatcher.
+//! Applies changes of the endpoint list, and maintenance by operators, to the upstream directory
+//! and the decision module.
 
 use crate::discovery::{
     run_watch, EndpointList, Reconnect, WatchError, WatchId, WatchObserver, WatchRequest,
@@ -44,14 +45,14 @@
 }
 
 impl Dispatcher {
-    /// Moves to another address of discovery. The list and the watch on the old address stay in
-    /// force until the watch on the new one is alive.
+    /// Switches to another discovery address. The endpoint list and the watch of the old address
+    /// stay in use until the watch on the new address is alive.
     pub fn set_discovery_address(&mut self, address: SocketAddr) {
         let request = self.watches.set_address(address);
         self.open_watch(request);
     }
 
-    /// Opens a watch, unless the newest one serves.
+    /// Opens a watch, unless the newest open watch is usable.
     pub(super) fn ensure_watch(&mut self) {
         let request = self.watches.ensure_watch();
         self.open_watch(request);
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Applies an endpoint list to the directory first, then to the decision module.
+    /// Applies an endpoint list to the upstream directory first, then to the decision module.
     pub(super) fn apply_list(&mut self, scope: ListScope, list: EndpointList) {
         let endpoints = self.upstreams.apply(list, &self.names);
         self.handle(Event::EndpointList { scope, endpoints });
@@ -85,8 +86,8 @@
         self.upstreams.purge_removed();
     }
 
-    /// Takes an upstream out of service or puts it back, for operators; false if no upstream of
-    /// this name is known.
+    /// Begins or ends the maintenance of an upstream at an operator's request. Returns false if no
+    /// upstream of this name is known.
     pub fn set_maintenance(&mut self, name: &str, change: Maintenance) -> bool {
         let is_known = self.upstreams.is_known(UpstreamId::of(name));
         if is_known {
@@ -95,13 +96,13 @@
         is_known
     }
 
-    /// The names of the upstreams that operators have taken out of service.
+    /// Returns the names of the upstreams in maintenance.
     pub fn upstreams_in_maintenance(&self) -> impl Iterator<Item = &str> {
         self.upstreams.names_in_maintenance()
     }
 
-    /// Restores the state of maintenance: these upstreams are out of service, and no others,
-    /// whether they are known or not.
+    /// Restores the state of maintenance: exactly the upstreams in `names` are in maintenance
+    /// afterwards, even if the endpoint list does not contain them.
     pub fn restore_maintenance(&mut self, names: &BTreeSet<String>) {
         let in_maintenance = self.upstreams.names_in_maintenance();
         let ended: Vec<_> = in_maintenance
--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -1,8 +1,8 @@
-//! Runs the decision module: passes events to it, carries out its actions, and runs its clock and
-//! its timers.
+//! Runs the decision module: passes events to it, performs its actions, and provides its clock and
+//! timers.
 //!
-//! Each accepted request gets one final response, and the module gets one result for each attempt
-//! that it starts. No decision is made here.
+//! Each accepted request gets one final response, and the decision module gets one result for each
+//! attempt that it starts. No load-balancing decision is made here.
 
 mod clock;
 mod endpoint_updates;
@@ -34,10 +34,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, Instant};
 
-/// Owns the decision module and the state of all that the module speaks of: requests and their
+/// Owns the decision module and the state that its events and actions refer to: requests and their
 /// attempts, upstreams, timers and the watches on discovery.
 pub struct Dispatcher {
-    /// For the tasks that report back.
+    /// Upgraded for the spawned tasks that report to the dispatcher.
     weak_self: Weak<RefCell<Dispatcher>>,
     balancer: Balancer,
     clock: MonotonicUnixClock,
@@ -46,7 +46,8 @@
     resources: Resources,
     /// Events that the decision module has not handled yet.
     events: VecDeque<Event>,
-    /// Empty between events; a field only to reuse its allocation.
+    /// Buffer for the actions of one event, empty between events. It is a field so that its
+    /// allocation is reused.
     actions: Vec<Action>,
     timers: TimerQueue,
     requests: RequestTable,
@@ -55,13 +56,13 @@
 }
 
 impl Dispatcher {
-    /// Starts a dispatcher whose decision module knows the endpoint list of the configuration. Its
-    /// attempts and watches use `resources`.
-    /// Where lists are pushed, a watch on discovery is opened at once.
+    /// Starts a dispatcher whose decision module knows the endpoint list of the configuration. The
+    /// attempts and watches of the dispatcher use `resources`. In push mode a watch on discovery is
+    /// opened at once.
     ///
     /// # Errors
     ///
-    /// If the settings are invalid.
+    /// Returns an error if the settings of `config` are invalid.
     pub fn start(
         mut config: Config,
         resources: Resources,
@@ -91,7 +92,8 @@
         let max_open = config.settings.limits.max_open_requests;
         let max_open = max_open.min(config.max_descriptors);
         let classes = config.settings.classes.clone();
-        // As good as endless without one; twice the retention has to fit into a `Duration`, too.
+        // A deadline that no `Duration` can hold counts as infinite. The fallback leaves room for
+        // doubling, because `RecentRequestIds` computes twice the retention.
         let id_retention = longest_deadline(&classes).unwrap_or(Duration::MAX / 4);
         let requests = RequestTable::new(max_open, id_retention);
         let discovery = DiscoveryService {
@@ -118,41 +120,41 @@
         }))
     }
 
-    /// True once an endpoint list with endpoints is known.
+    /// Returns whether an endpoint list with at least one endpoint has been applied.
     pub fn is_ready(&self) -> bool {
         self.upstreams.has_had_endpoints()
     }
 
-    /// The names that stand for numbers in the decision module.
+    /// Returns the names that the decision module refers to by index.
     pub fn names(&self) -> &NameTables {
         &self.names
     }
 
-    /// The request classes.
+    /// Returns the request classes.
     pub fn classes(&self) -> &[Class] {
         &self.classes
     }
 
-    /// The metrics, as the admin endpoint shows them.
+    /// Renders the metrics as the admin endpoint returns them.
     pub fn render_metrics(&self) -> String {
         self.resources
             .metrics
             .render(self.upstreams.count(), self.balancer.excluded_upstreams())
     }
 
-    /// What the decision module has learned.
+    /// Returns the learned state of the decision module.
     pub fn learned_state(&self) -> LearnedState {
         self.balancer.learned_state()
     }
 
-    /// Restores what the decision module of an earlier process had learned, written down `age`
-    /// ago.
+    /// Restores the learned state of an earlier process, which was saved `age` ago.
     pub fn restore(&mut self, age: Duration, learned: LearnedState) {
         self.balancer
             .restore(self.clock.seconds_now(), age.as_secs_f64(), learned);
     }
 
-    /// Has the decision module handle an event, and then those that its actions lead to.
+    /// Passes an event to the decision module and performs the resulting actions, then does the
+    /// same for each event that these actions cause.
     fn handle(&mut self, event: Event) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
@@ -196,7 +198,7 @@
         log::line(event.text(upstream_name, &self.classes));
     }
 
-    /// Fires the timers that are due; when the next one fires.
+    /// Fires the timers that are due. Returns when the next timer is due.
     fn fire_due_timers(&mut self) -> Option<Instant> {
         while let Some(timer) = self.timers.pop_due() {
             match timer {
@@ -223,7 +225,7 @@
     }
 }
 
-/// The longest deadline of these classes; `None` if no `Duration` can hold it.
+/// Returns the longest deadline of `classes`, or `None` if no `Duration` can hold it.
 pub fn longest_deadline(classes: &[Class]) -> Option<Duration> {
     let longest = classes
         .iter()
@@ -231,8 +233,8 @@
     Duration::try_from_secs_f64(longest).ok()
 }
 
-/// The seconds of an action as a `Duration`; zero for a value that none can hold, such as a
-/// negative one.
+/// Converts the seconds of an action into a `Duration`. Values that a `Duration` can't hold, such
+/// as negative ones, become zero.
 fn duration_from_secs(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::ZERO)
 }
--- a/src/bin/load-balancer/dispatch/recent_request_ids/mod.rs
+++ b/src/bin/load-balancer/dispatch/recent_request_ids/mod.rs
@@ -1,12 +1,12 @@
-//! Detects duplicate requests by the ids that clients give them.
+//! Detects duplicate requests by the ids that their clients gave them.
 
 use std::collections::HashSet;
 use std::mem;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The ids of recent requests. An id is retained for `retention` at the least and twice that at
-/// the most: ids are dropped a generation at a time.
+/// The ids of recent requests. Ids are dropped a generation at a time, so an id is retained for at
+/// least `retention` and at most twice as long.
 pub struct RecentRequestIds {
     retention: Duration,
     generation_began_at: Instant,
@@ -15,8 +15,8 @@
 }
 
 impl RecentRequestIds {
-    /// No ids yet. With a `retention` of the longest deadline, a request is known for as long as
-    /// an attempt of it may run.
+    /// Creates an empty set. If `retention` is the longest deadline, an id is retained for as long
+    /// as an attempt of its request can run.
     pub fn new(retention: Duration) -> Self {
         RecentRequestIds {
             retention,
@@ -26,14 +26,14 @@
         }
     }
 
-    /// Adds an id; false if it is a duplicate.
+    /// Adds an id. Returns false if it is a duplicate.
     #[must_use]
     pub fn insert(&mut self, request_id: String) -> bool {
         self.rotate();
         !self.previous.contains(&request_id) && self.current.insert(request_id)
     }
 
-    /// Begins a new generation if the current one is old enough.
+    /// Begins a new generation if the current one is at least `retention` old.
     fn rotate(&mut self) {
         let age = self.generation_began_at.elapsed();
         if age < self.retention {
--- a/src/bin/load-balancer/dispatch/recent_request_ids/tests.rs
+++ b/src/bin/load-balancer/dispatch/recent_request_ids/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the detection of duplicates.
+//! Unit tests of the detection of duplicate request ids.
 
 use super::*;
 use tokio::time::advance;
@@ -12,9 +12,15 @@
         advance(Duration::from_millis(age_of_generation)).await;
         assert!(ids.insert("a".into()));
         advance(RETENTION).await;
-        assert!(!ids.insert("a".into()), "{age_of_generation}");
+        assert!(
+            !ids.insert("a".into()),
+            "generation age: {age_of_generation} ms"
+        );
         advance(RETENTION).await;
-        assert!(ids.insert("a".into()), "{age_of_generation}");
+        assert!(
+            ids.insert("a".into()),
+            "generation age: {age_of_generation} ms"
+        );
     }
 }
 
--- a/src/bin/load-balancer/dispatch/request.rs
+++ b/src/bin/load-balancer/dispatch/request.rs
@@ -1,21 +1,22 @@
-//! The requests that the dispatcher accepts, and their final responses.
+//! Requests that the dispatcher accepts, and their final responses.
 
 use crate::upstream::{ForwardedRequest, UpstreamResponse};
 use load_balancer::RequestId;
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// A valid request of a client.
+/// A valid client request that the dispatcher has not accepted yet.
 pub struct AcceptedRequest {
-    /// The id that its client gave it, which no other request has.
+    /// The id that the client gave the request. It must differ from those of recent requests.
     pub client_request_id: String,
-    /// Index into the request classes.
+    /// The index of its class in the settings.
     pub class: usize,
-    /// Index into the tenants; their number for one that the settings don't name.
+    /// The index of its tenant in the settings. For a tenant that the settings don't name it is the
+    /// number of named tenants.
     pub tenant: usize,
-    /// Expected work, in seconds on a standard core.
+    /// The expected work, in seconds on a standard core.
     pub cost_hint: Option<f64>,
-    /// The request as it is forwarded.
+    /// The request in the form that is sent to upstreams.
     pub forward: ForwardedRequest,
 }
 
@@ -23,30 +24,30 @@
 pub struct DispatchedRequest {
     /// The dispatcher's id of the request.
     pub id: RequestId,
-    /// Where its final response comes; fails if the request is cancelled before.
+    /// Receives the final response, or an error if the request is cancelled before.
     pub response: oneshot::Receiver<FinalResponse>,
 }
 
-/// Why a request is not accepted.
+/// Why the dispatcher does not accept a request.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum RejectionReason {
-    /// As many requests are open as the settings allow.
+    /// The number of open requests has reached its limit.
     #[error("too many requests are open")]
     TooManyOpen,
-    /// A recent request has the same id and may still run, so the two would run beside each other.
+    /// A recent request has the same id and may still be running; the two could run concurrently.
     #[error("a recent request has the same id")]
     DuplicateId,
 }
 
 /// The final response to a request.
 pub enum FinalResponse {
-    /// The response of an upstream.
+    /// An upstream served the request with this response.
     Served(UpstreamResponse),
-    /// The request never ran or is idempotent, so the client may retry it.
+    /// The request was not served. It never ran or is idempotent, so the client may retry it.
     Rejected {
         /// How long the client should wait before a retry, in seconds.
         retry_after: Option<f64>,
     },
-    /// The request may have run.
+    /// The request failed and may have run on an upstream.
     Failed,
 }
--- a/src/bin/load-balancer/dispatch/request_lifecycle.rs
+++ b/src/bin/load-balancer/dispatch/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! How a request passes through the dispatcher, from its acceptance to its final response.
+//! The lifecycle of a request in the dispatcher, from its acceptance to its final response.
 
 use crate::dispatch::request_table::AttemptId;
 use crate::dispatch::timers::Timer;
@@ -14,19 +14,20 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Subtracted from a deadline for the decision module and for attempts, so that the response
-/// reaches the client in time.
+/// The decision module and the attempts get a deadline that is earlier than the request's by this
+/// time, so that the response reaches the client in time.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(12);
-/// A request that has no response this much before its deadline is concluded without the decision
-/// module.
+/// A request that still has no final response this long before its deadline is concluded without
+/// the decision module.
 const BACKSTOP_MARGIN: Duration = Duration::from_millis(5);
 
 impl Dispatcher {
-    /// Accepts a request.
+    /// Accepts a request and passes it to the decision module.
     ///
     /// # Errors
     ///
-    /// If too many requests are open, or if the request is a duplicate.
+    /// Returns a `RejectionReason` if too many requests are open or if a recent request has the
+    /// same id.
     pub fn accept(
         &mut self,
         request: AcceptedRequest,
@@ -62,7 +63,8 @@
         }
     }
 
-    /// The client has closed its connection, or has its response already.
+    /// Concludes a request whose client has closed its connection. Has no effect on a request that
+    /// already has its final response.
     pub fn client_disconnected(&mut self, id: RequestId) {
         if self.requests.conclude(id, &mut self.events).is_some() {
             self.handle(Event::ClientDisconnected(id));
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Starts an attempt. Its result follows at once if it can't be sent.
+    /// Starts an attempt. If it can't be sent, its result is queued as an event at once.
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
@@ -112,7 +114,8 @@
         request.set_task(number, spawn_local(run).abort_handle());
     }
 
-    /// An attempt has ended by itself, or in place of one that must not start any more.
+    /// Handles the result of an attempt that has completed, or that is ended because it must no
+    /// longer be sent to its upstream.
     pub(super) fn attempt_ended(
         &mut self,
         attempt: AttemptId,
@@ -146,7 +149,7 @@
         request.is_some_and(|request| request.forwarded_request().client.is_disconnected())
     }
 
-    /// Cancels an attempt, unless it has ended.
+    /// Cancels an attempt that is still running.
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptId) {
         let result = self
             .requests
@@ -156,7 +159,7 @@
 
     /// Ends the attempts that have not written anything and whose upstream is no longer available
     /// at the address that they were sent to, as if the upstream had rejected them. They were
-    /// decided before it was known that the upstream drains, and would start after that.
+    /// decided before the drain of the upstream was known, and would otherwise start after it.
     pub(super) fn reject_misdirected_attempts(&mut self) {
         let address_of = |upstream| self.upstreams.available_address(upstream);
         for attempt in self.requests.misdirected_attempts(address_of) {
@@ -164,17 +167,18 @@
         }
     }
 
-    /// Sends the final response, unless the request has one or its client has disconnected.
+    /// Sends the final response, unless the request already has one or its client has
+    /// disconnected.
     pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) {
         let Some(sender) = self.requests.conclude(id, &mut self.events) else {
             return;
         };
-        // Fails if the client has just disconnected, and needs no response then.
+        // This fails only if the client has just disconnected and needs no response.
         let _ = sender.send(response);
         self.requests.remove_if_finished(id);
     }
 
-    /// The process is going to exit: each open request has its response by `deadline`.
+    /// Concludes all open requests by `deadline`, before the process exits.
     pub fn set_shutdown_deadline(&mut self, deadline: Instant) {
         for id in self.requests.ids() {
             self.timers
@@ -182,21 +186,22 @@
         }
     }
 
-    /// Concludes a request for which the decision module has no response in time.
+    /// Concludes a request that the decision module has not concluded in time.
     pub(super) fn conclude_overdue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         let backstop_at = request.forwarded_request().deadline() - BACKSTOP_MARGIN;
         if backstop_at > Instant::now() {
-            // The client has sent more of its body, so the deadline has moved.
+            // The client has sent more of its body, which has extended the deadline.
             self.timers.set(backstop_at, Timer::DeadlineBackstop(id));
             return;
         }
         if !request.is_pending() {
             return;
         }
-        // An upstream starts work with the last byte, which has not come.
+        // A request with an incomplete body has not run: an upstream starts work only after it
+        // has received the last byte.
         let response = if request.forwarded_request().upload.is_streamed() {
             FinalResponse::Rejected { retry_after: None }
         } else {
@@ -208,7 +213,7 @@
     }
 }
 
-/// The event of an attempt that was not sent.
+/// Returns the event for an attempt that was not sent.
 fn not_sent_event(id: RequestId, number: u32) -> Event {
     Event::AttemptEnded(AttemptResult {
         id,
--- a/src/bin/load-balancer/dispatch/request_table/mod.rs
+++ b/src/bin/load-balancer/dispatch/request_table/mod.rs
@@ -12,8 +12,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// The requests that are open. A request stays until it has its final response and its attempts
-/// have ended.
+/// The open requests. A request stays in the table until it is concluded and all its attempts have
+/// ended.
 pub struct RequestTable {
     max_open: usize,
     requests: HashMap<RequestId, OpenRequest>,
@@ -24,7 +24,8 @@
 /// An open request.
 pub struct OpenRequest {
     forwarded_request: Rc<ForwardedRequest>,
-    /// Where the final response goes; `None` once it has been sent or the client has disconnected.
+    /// Sends the final response; `None` once the request is concluded, which means that the
+    /// response has been sent or the client has disconnected.
     response: Option<oneshot::Sender<FinalResponse>>,
     attempts: Vec<AttemptRecord>,
 }
@@ -32,22 +33,22 @@
 /// An attempt of a request.
 struct AttemptRecord {
     upstream: UpstreamId,
-    /// Where it was sent; `None` if the upstream was not available.
+    /// The address that it was sent to; `None` if the upstream was not available.
     address: Option<SocketAddr>,
-    /// Its duration counts from here: from the decision to start it, or from the last byte of a
-    /// streamed body.
+    /// The start of its measured duration: the time of the decision to start it or, for a streamed
+    /// body, the time of the last byte.
     measured_from: Instant,
     connection_idle: ConnectionIdle,
-    /// `None` if it never ran or has ended.
+    /// The task that runs it; `None` if it never ran or has ended.
     task: Option<AbortHandle>,
 }
 
 /// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// Its request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its number, from 0 in the order sent.
+    /// The number of the attempt within its request, counted from 0 in the order of starting.
     pub number: u32,
 }
 
@@ -56,12 +57,12 @@
         self.task.is_some()
     }
 
-    /// True if the attempt may have written something.
+    /// Returns whether the attempt may have written any bytes to its upstream.
     fn has_written(&self) -> bool {
         self.connection_idle.get().is_some()
     }
 
-    /// Ends the attempt; its result, unless it has ended before.
+    /// Ends the attempt. Returns its result, or `None` if it is not running.
     fn end(
         &mut self,
         id: AttemptId,
@@ -81,23 +82,23 @@
 }
 
 impl OpenRequest {
-    /// The request as it is forwarded.
+    /// Returns the request in the form that is sent to upstreams.
     pub fn forwarded_request(&self) -> &Rc<ForwardedRequest> {
         &self.forwarded_request
     }
 
-    /// True if its final response is still to be sent.
+    /// Returns whether the request is not concluded yet.
     pub fn is_pending(&self) -> bool {
         self.response.is_some()
     }
 
-    /// True if an attempt may be sent. A body that was streamed to one upstream can't be sent to
-    /// another.
+    /// Returns whether a new attempt may be sent. A body that was streamed to one upstream can't be
+    /// sent to another.
     pub fn can_be_sent(&self) -> bool {
         self.is_pending() && self.forwarded_request.upload.is_replayable()
     }
 
-    /// Adds an attempt that does not run yet; its number.
+    /// Adds an attempt that does not run yet. Returns its number.
     pub fn add_attempt(
         &mut self,
         upstream: UpstreamId,
@@ -115,7 +116,7 @@
         (self.attempts.len() - 1) as u32
     }
 
-    /// The task that runs an attempt; it is aborted when the attempt ends.
+    /// Sets the task that runs an attempt. The task is aborted when the attempt ends.
     pub fn set_task(&mut self, number: u32, task: AbortHandle) {
         if let Some(attempt) = self.attempts.get_mut(number as usize) {
             attempt.task = Some(task);
@@ -133,8 +134,8 @@
 }
 
 impl RequestTable {
-    /// An empty table. At most `max_open` requests may be open; their ids are known for
-    /// `id_retention` at the least.
+    /// Creates an empty table for at most `max_open` open requests. The ids that clients give their
+    /// requests are retained for at least `id_retention`.
     pub fn new(max_open: usize, id_retention: Duration) -> Self {
         RequestTable {
             max_open,
@@ -144,11 +145,12 @@
         }
     }
 
-    /// The id of a new request, which its client calls `client_request_id`.
+    /// Allocates the id of a new request, to which its client gave the id `client_request_id`.
     ///
     /// # Errors
     ///
-    /// If the request can't be accepted.
+    /// Returns a `RejectionReason` if too many requests are open or if a recent request has the
+    /// same `client_request_id`.
     pub fn allocate_id(&mut self, client_request_id: String) -> Result<RequestId, RejectionReason> {
         if self.requests.len() >= self.max_open {
             return Err(RejectionReason::TooManyOpen);
@@ -160,7 +162,7 @@
         Ok(RequestId(self.last_id))
     }
 
-    /// Adds a request; its final response comes on the channel.
+    /// Adds a request. Returns the channel on which its final response is sent.
     pub fn insert(
         &mut self,
         id: RequestId,
@@ -176,29 +178,30 @@
         receiver
     }
 
-    /// An open request.
+    /// Returns an open request.
     pub fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.requests.get(&id)
     }
 
-    /// An open request.
+    /// Returns an open request for modification.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// The open requests.
+    /// Returns the ids of the open requests.
     pub fn ids(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.requests.keys().copied()
     }
 
-    /// True if this attempt has not ended.
+    /// Returns whether the attempt is running.
     pub fn is_running(&self, attempt: AttemptId) -> bool {
         let request = self.requests.get(&attempt.request);
         request.is_some_and(|request| request.is_running(attempt.number))
     }
 
-    /// The body of a request is complete: the time of its attempt begins now, as an upstream
-    /// starts work with the last byte. False if no attempt is running.
+    /// Records that the body of a request is complete. The duration of its attempt is measured from
+    /// now, because an upstream starts work only when it has received the last byte. Returns false
+    /// if the last attempt of the request is not running.
     #[must_use]
     pub fn upload_completed(&mut self, id: RequestId) -> bool {
         let request = self.requests.get_mut(&id);
@@ -210,7 +213,7 @@
         true
     }
 
-    /// Ends an attempt; its result, unless it has ended before.
+    /// Ends an attempt. Returns its result, or `None` if it is not running.
     pub fn end_attempt(
         &mut self,
         attempt: AttemptId,
@@ -224,10 +227,10 @@
         Some(result)
     }
 
-    /// Concludes a request: returns where its final response goes, or `None` if it was concluded
-    /// before. Its attempts that have not written anything end, even where running attempts may
-    /// not be cancelled, as nobody waits for them any more; their results are appended to
-    /// `events`.
+    /// Concludes a request. Returns the channel for its final response, or `None` if it is already
+    /// concluded. Its attempts that have not written anything are ended even where running attempts
+    /// must not be cancelled, because no client waits for them any longer. Their results are
+    /// appended to `events`.
     pub fn conclude(
         &mut self,
         id: RequestId,
@@ -252,15 +255,15 @@
         Some(response)
     }
 
-    /// Removes a request that has its final response and no running attempt.
+    /// Removes a request if it is concluded and has no running attempt.
     pub fn remove_if_finished(&mut self, id: RequestId) {
         if self.get(id).is_some_and(OpenRequest::is_finished) {
             self.requests.remove(&id);
         }
     }
 
-    /// The attempts, in order, that run and have not written anything, and whose upstream is no
-    /// longer available at the address that they were sent to.
+    /// Returns, ordered by id, the running attempts that have not written anything and whose
+    /// upstream is no longer available at the address that they were sent to.
     pub fn misdirected_attempts(
         &self,
         address_of: impl Fn(UpstreamId) -> Option<SocketAddr>,
--- a/src/bin/load-balancer/dispatch/request_table/tests.rs
+++ b/src/bin/load-balancer/dispatch/request_table/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the request table, and what other unit tests may do to it.
+//! Unit tests of the request table, and accessors for other unit tests.
 
 use super::*;
 use crate::body::Upload;
@@ -7,17 +7,17 @@
 use tokio::task::{spawn_local, LocalSet};
 
 impl RequestTable {
-    /// How many requests are open.
+    /// Returns the number of open requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Sets how many requests may be open.
+    /// Sets the maximum number of open requests.
     pub fn set_max_open(&mut self, max_open: usize) {
         self.max_open = max_open;
     }
 
-    /// Aborts the tasks of all attempts, which never report their end then.
+    /// Aborts the tasks of all attempts, so that no attempt reports a result.
     pub fn abort_tasks(&mut self) {
         for request in self.requests.values() {
             for attempt in &request.attempts {
@@ -45,7 +45,7 @@
     })
 }
 
-/// A table with one request, and where its final response comes.
+/// Returns a table with one open request, its id, and the receiver of its final response.
 fn table_with_a_request() -> (RequestTable, RequestId, oneshot::Receiver<FinalResponse>) {
     let mut table = RequestTable::new(1, Duration::from_secs(1));
     let id = table.allocate_id("a".into()).expect("accepted");
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the dispatcher: each request has one final response, and its state is freed.
+//! Unit tests of the dispatcher: each request gets one final response, and its state is freed.
 
 mod notification;
 
@@ -50,7 +50,7 @@
         names: NameTables::default(),
     };
     let resources = Resources::new(&config);
-    Dispatcher::start(config, resources).expect("good settings")
+    Dispatcher::start(config, resources).expect("valid settings")
 }
 
 fn request_with_deadline(request_timeout: Duration) -> AcceptedRequest {
@@ -76,7 +76,7 @@
     }
 }
 
-/// An upstream that responds to each request with this text, or never.
+/// Starts an upstream that responds to each request with `response`, or never if it is `None`.
 async fn spawn_upstream(response: Option<&'static str>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
@@ -103,8 +103,9 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Whatever the upstreams do and whichever clients disconnect, each request has one final
-/// response, the decision module has a result for each attempt, and no state is left in the end.
+/// Upstreams that serve, fail, stay silent or send garbage, and clients that disconnect: each
+/// remaining request gets a final response, the decision module gets a result for each attempt, and
+/// no state is left at the end.
 #[test]
 fn every_request_gets_one_final_response_and_is_removed() {
     run(async {
@@ -137,7 +138,7 @@
                 assert!(matches!(served.body, ResponseContent::Complete(body) if body == "hi"));
                 served_count += 1;
             }
-            // The client has its response, so its disconnection changes nothing.
+            // After the final response a disconnect of the client has no effect.
             dispatcher.borrow_mut().client_disconnected(id);
         }
         assert!(served_count > 0);
@@ -152,7 +153,7 @@
         };
         timeout(Duration::from_secs(20), all_removed)
             .await
-            .expect("no state is left in the end");
+            .expect("requests or attempts are left after 20 s");
         assert_eq!(dispatcher.borrow().balancer.load().open_requests, 0);
         assert!(dispatcher.borrow().events.is_empty());
     });
@@ -167,7 +168,7 @@
             .borrow_mut()
             .accept(request_with_deadline(deadline))
             .expect("accepted");
-        // The decision module's timers never fire.
+        // Without the timers of the decision module and the attempts, only the backstop is left.
         dispatcher
             .borrow_mut()
             .timers
@@ -175,8 +176,8 @@
         dispatcher.borrow_mut().requests.abort_tasks();
         let response = timeout(Duration::from_secs(20), response)
             .await
-            .expect("in time")
-            .expect("one");
+            .expect("no final response within 20 s")
+            .expect("the response channel was closed");
         assert!(matches!(response, FinalResponse::Failed));
         assert_eq!(
             dispatcher.borrow().balancer.load().open_requests,
--- a/src/bin/load-balancer/dispatch/tests/notification/fake_discovery.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/fake_discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service that follows a script.
+//! A discovery service that responds according to a script.
 
 use super::harness::yield_to_tasks;
 use crate::dispatch::*;
@@ -8,47 +8,51 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// A queued call is refused after this time.
+/// Discovery refuses a queued request after this time.
 const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
 
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const REFUSAL: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 const CHANGE: &str = "{\"index\":6,\"endpoints\":[]}\n";
 
-/// What becomes of a call.
+/// How discovery responds to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum RequestOutcome {
+    /// The request gets no response.
     Unanswered,
+    /// The request is refused at once.
     Refused,
-    /// Refused after it was queued.
+    /// The request is refused after `QUEUE_TIMEOUT`.
     QueuedThenRefused,
-    /// Reset before the first byte.
+    /// The connection is reset before the first byte of a response.
     Reset,
+    /// The connection is reset within the first list.
     ResetInList,
-    /// Answered with a version that is known already, and then reset.
+    /// The connection is reset after a list whose version is already known.
     ResetAfterList,
-    /// Alive for a moment, and silent from then on.
+    /// The watch receives an empty line and nothing more.
     Silent,
-    /// Answered with the change after this time, in seconds.
+    /// The response starts after this many seconds, with the change.
     AnsweredAfter(u64),
-    /// Alive, and answered with the change after this time, in seconds.
+    /// The response starts at once, and the change follows after this many seconds.
     ChangesAfter(u64),
 }
 pub(super) use RequestOutcome::*;
 
-/// A discovery service with a script: the outcomes of the calls in their order. Records when they
-/// came.
+/// A discovery service whose script contains the outcomes of its requests in order. It records when
+/// requests are received.
 pub(super) struct FakeDiscovery {
     pub(super) address: SocketAddr,
     socket: Socket,
     script: RefCell<VecDeque<RequestOutcome>>,
     pub(super) request_times: RefCell<Vec<Instant>>,
-    /// Connections that are never accepted fill the listener's backlog.
+    /// Connections that fill the backlog of the listener, because they are never accepted.
     backlog: RefCell<Vec<std::net::TcpStream>>,
 }
 
 impl FakeDiscovery {
-    /// One that refuses connections until `listen`. Calls beyond the script are answered at once.
+    /// Creates a service that refuses connections until `listen` is called. Requests beyond the
+    /// script get a response with the change at once.
     pub(super) fn not_listening(script: &[RequestOutcome]) -> Rc<Self> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
@@ -71,7 +75,7 @@
         discovery
     }
 
-    /// From now on no connection is established.
+    /// Fills the backlog, so that no more connections are established until `listen` is called.
     pub(super) fn fill_backlog(&self) {
         self.socket.listen(0).unwrap();
         let wait = Duration::from_millis(100);
@@ -118,7 +122,7 @@
             Silent | ChangesAfter(_) => chunk("\n"),
             AnsweredAfter(_) => chunk(CHANGE),
         };
-        // Fails if the balancer has closed the connection meanwhile.
+        // This fails if the balancer has closed the connection in the meantime.
         let _ = stream.write_all(text.as_bytes()).await;
         if matches!(outcome, Reset | ResetInList | ResetAfterList) {
             yield_to_tasks().await;
--- a/src/bin/load-balancer/dispatch/tests/notification/harness.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/harness.rs
@@ -1,5 +1,5 @@
-//! Starts dispatchers on real sockets and a clock that the tests advance: the times are those of
-//! the program, not of the machine.
+//! Starts dispatchers on real sockets and a paused clock that the tests advance, so that measured
+//! times do not depend on the speed of the machine.
 
 use super::fake_discovery::FakeDiscovery;
 use crate::discovery::watch_set::ListVersion;
@@ -10,9 +10,9 @@
 use tokio::task::{yield_now, LocalSet};
 use tokio::time::advance;
 
-/// The clock is advanced by this much at a time.
+/// The step by which the clock is advanced.
 const CLOCK_STEP: Duration = Duration::from_millis(20);
-/// How often all tasks and sockets are polled in between.
+/// The number of times that all tasks and sockets are polled between two steps.
 const YIELDS_PER_STEP: usize = 10;
 
 pub(super) async fn yield_to_tasks() {
@@ -21,7 +21,7 @@
     }
 }
 
-/// Advances the clock until this holds, for an hour at the most.
+/// Advances the clock until `condition` holds. Panics if it does not hold within an hour.
 pub(super) async fn advance_until(mut condition: impl FnMut() -> bool) {
     for _ in 0..180_000 {
         yield_to_tasks().await;
@@ -38,7 +38,7 @@
     advance_until(|| Instant::now() >= end).await;
 }
 
-/// A balancer that knows an old list of this discovery.
+/// Starts a balancer that knows version 5 of the list at this discovery address.
 pub(super) fn start(
     discovery: SocketAddr,
     mode: DiscoveryMode,
@@ -47,7 +47,7 @@
     start_in_fleet(discovery, mode, seed, 1)
 }
 
-/// The same in a fleet of this size.
+/// Starts a balancer like `start`, in a fleet of `peer_count` balancers.
 pub(super) fn start_in_fleet(
     discovery: SocketAddr,
     mode: DiscoveryMode,
@@ -77,10 +77,11 @@
         names: NameTables::default(),
     };
     let resources = Resources::new(&config);
-    Dispatcher::start(config, resources).expect("good settings")
+    Dispatcher::start(config, resources).expect("valid settings")
 }
 
-/// The time from now until the change of this discovery is known.
+/// Advances the clock until the dispatcher knows the change of `discovery`, version 6. Returns the
+/// time that this took.
 pub(super) async fn time_until_known(
     dispatcher: &RefCell<Dispatcher>,
     discovery: &FakeDiscovery,
--- a/src/bin/load-balancer/dispatch/tests/notification/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/mod.rs
@@ -1,5 +1,5 @@
-//! How long it takes until a change of the endpoint list is known, whatever became of the calls
-//! before.
+//! Tests how long it takes until a change of the endpoint list is known, whatever the outcomes of
+//! earlier requests to discovery are.
 
 mod fake_discovery;
 mod harness;
@@ -9,7 +9,7 @@
 use fake_discovery::{FakeDiscovery, RequestOutcome, RequestOutcome::*};
 use harness::{advance_seconds, advance_until, run, start, start_in_fleet, time_until_known};
 
-/// A change has to be known by then; the rest of the 6 s is for a busy process.
+/// The time within which a change must be known. The rest of the 6 s is left for a busy process.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_millis(5600);
 
 const ALL_MODES: [DiscoveryMode; 2] = [DiscoveryMode::Push, DiscoveryMode::Poll];
@@ -23,15 +23,15 @@
     Silent,
 ];
 
-/// What may become of the calls after one that failed.
+/// Returns the outcomes of the requests after one that failed.
 fn script_tails() -> Vec<Vec<RequestOutcome>> {
     let mut all = vec![vec![], vec![QueuedThenRefused], vec![Unanswered]];
     all.extend([Refused, Reset, ResetInList].map(|outcome| vec![outcome; 3]));
     all
 }
 
-/// A change that discovery has when a call fails has to be known in time: the next call comes soon
-/// enough, whatever becomes of it.
+/// If discovery has a change when a request fails, the change must be known in time: the next
+/// request has to be sent soon enough, whatever its outcome is.
 #[test]
 fn changes_are_known_in_time_after_failed_requests() {
     run(async {
@@ -49,7 +49,7 @@
                     let time = time_until_known(&dispatcher, &discovery).await;
                     late_changes.extend(
                         (time > NOTIFICATION_DEADLINE)
-                            .then(|| format!("{mode:?} {script:?} {time:?}")),
+                            .then(|| format!("{mode:?}, {script:?}: known after {time:?}")),
                     );
                 }
             }
@@ -58,9 +58,9 @@
     });
 }
 
-/// Where lists are pushed, what the agent has counts as known while no watch is open. A failed
-/// watch is reopened so soon that the grace period of a drain, 0.45 s on sockets, covers the gap
-/// and a stall of 0.15 s.
+/// In push mode a change counts as known as soon as the local agent has it, even if no watch is
+/// open. A failed watch must be reopened soon enough that the grace period of a drain, 0.45 s on
+/// sockets, covers the gap and a stall of 0.15 s.
 #[test]
 fn failed_push_watch_is_reopened_at_once() {
     let reconnect_limit = Duration::from_millis(300);
@@ -71,7 +71,10 @@
                 let dispatcher = start(discovery.address, DiscoveryMode::Push, 1);
                 advance_until(|| discovery.request_count() == count).await;
                 let time = time_until_known(&dispatcher, &discovery).await;
-                assert!(time <= reconnect_limit, "{first:?} {count} {time:?}");
+                assert!(
+                    time <= reconnect_limit,
+                    "{count} x {first:?}: known after {time:?}, limit {reconnect_limit:?}"
+                );
             }
         }
         let discovery = FakeDiscovery::not_listening(&[]);
@@ -79,11 +82,12 @@
         advance_seconds(8).await;
         discovery.listen();
         let time = time_until_known(&dispatcher, &discovery).await;
-        assert!(time <= reconnect_limit, "{time:?}");
+        assert!(time <= reconnect_limit, "outage: known after {time:?}");
     });
 }
 
-/// The same on an address to which discovery has moved, also if the old one was silent just then.
+/// After a switch to a new discovery address, changes must be known in time for all outcomes of the
+/// first requests there, also if the old address was silent at the switch.
 #[test]
 fn changes_are_known_in_time_after_an_address_change() {
     run(async {
@@ -106,7 +110,8 @@
                 dispatcher.borrow_mut().set_discovery_address(new.address);
                 let time = time_until_known(&dispatcher, &new).await;
                 late_changes.extend(
-                    (time > NOTIFICATION_DEADLINE).then(|| format!("{mode:?} {script:?} {time:?}")),
+                    (time > NOTIFICATION_DEADLINE)
+                        .then(|| format!("{mode:?}, {script:?}: known after {time:?}")),
                 );
             }
         }
@@ -114,8 +119,8 @@
     });
 }
 
-/// The backoff that has grown while discovery was down has to be short enough, wherever it comes
-/// up.
+/// The backoff that has grown while discovery was down must be short enough, whichever address
+/// discovery comes up on.
 #[test]
 fn changes_are_known_in_time_after_discovery_was_down() {
     run(async {
@@ -142,8 +147,8 @@
                     let initial_address =
                         |moves| if moves == 0 { new.address } else { old.address };
                     let dispatcher = start(initial_address(moves), mode, seed);
-                    // Moved to where it is not up yet, directly or over another address, or away
-                    // and back.
+                    // The balancer switches to an address where discovery is not up yet: directly,
+                    // by way of another address, or away from it and back.
                     let routes = [
                         vec![],
                         vec![&new],
@@ -159,7 +164,7 @@
                     let time = time_until_known(&dispatcher, &new).await;
                     assert!(
                         time <= NOTIFICATION_DEADLINE,
-                        "{mode:?} {moves} {backlog_full} {time:?}"
+                        "{mode:?}, {moves} moves, full backlog {backlog_full}: known after {time:?}"
                     );
                 }
             }
@@ -167,9 +172,9 @@
     });
 }
 
-/// The backoff after calls that were queued grows with the fleet, beyond the time by which a
-/// change has to be known. It must not grow where no call has reached discovery: none of them has
-/// cost it anything.
+/// The backoff after queued requests grows with the fleet and may exceed the time within which a
+/// change must be known. It must not grow if no request has reached discovery, because then none
+/// has put load on it.
 #[test]
 fn changes_are_known_in_time_after_a_long_outage_in_a_fleet_of_any_size() {
     run(async {
@@ -194,11 +199,15 @@
                 );
             }
         }
-        assert!(late_changes.is_empty(), "{late_changes:#?}");
+        assert!(
+            late_changes.is_empty(),
+            "peers, is backlog full, outage in s, time until known: {late_changes:#?}"
+        );
     });
 }
 
-/// The same where discovery, or a proxy before it, refused many calls in a row at once.
+/// Changes must be known in time after discovery, or a proxy in front of it, has refused many
+/// requests in a row without queueing them.
 #[test]
 fn changes_are_known_in_time_after_many_refusals_in_a_fleet_of_any_size() {
     run(async {
@@ -215,7 +224,7 @@
                 let time = time_until_known(&dispatcher, &discovery).await;
                 late_changes.extend(
                     (time > NOTIFICATION_DEADLINE)
-                        .then(|| format!("{peer_count} {outcome:?} {count} {time:?}")),
+                        .then(|| format!("{peer_count} peers, {count} x {outcome:?}: {time:?}")),
                 );
             }
         }
@@ -223,8 +232,8 @@
     });
 }
 
-/// A call that discovery queues for long must not be given up for newer calls for ever, and the
-/// calls that were made beside it must not be made again once it is answered.
+/// A request that discovery queues for a long time must not be closed again and again for newer
+/// ones. Once it gets a response, the requests that were sent beside it must not be repeated.
 #[test]
 fn long_queued_request_is_answered() {
     run(async {
@@ -255,7 +264,10 @@
             }
             advance_until(|| discovery.request_count() > 0).await;
             let time = time_until_known(&dispatcher, &discovery).await;
-            assert!(time < Duration::from_secs(31), "{mode:?} {moved} {time:?}");
+            assert!(
+                time < Duration::from_secs(31),
+                "{mode:?}, moved: {moved}: known after {time:?}"
+            );
             assert_eq!(
                 (
                     dispatcher.borrow().watches.len(),
@@ -270,7 +282,7 @@
     });
 }
 
-/// A queued call is neither given up nor made a second time.
+/// A queued request must be neither closed nor sent a second time before its timeout.
 #[test]
 fn queued_request_is_not_repeated() {
     run(async {
@@ -278,7 +290,7 @@
             let discovery = FakeDiscovery::listening(&[Unanswered]);
             let dispatcher = start(discovery.address, DiscoveryMode::Poll, seed);
             advance_until(|| discovery.request_count() > 0).await;
-            // Longer than where lists are pushed, and longer than such a call may take.
+            // Longer than the response timeout in push mode, and longer than a request is queued.
             let waited = discovery.request_times.borrow()[0] + Duration::from_millis(2500);
             advance_until(|| Instant::now() >= waited).await;
             assert_eq!(
@@ -293,8 +305,8 @@
     });
 }
 
-/// A slow discovery must not be flooded: no call is made before the last one has had time, and
-/// never many at once.
+/// A slow discovery service must not be flooded: no request is sent before the previous one has had
+/// its time, and at most `MAX_WATCHES` requests are open at once.
 #[test]
 fn slow_discovery_is_not_flooded() {
     run(async {
@@ -337,7 +349,7 @@
     });
 }
 
-/// Discovery has descriptors of its own, whatever clients and upstreams hold.
+/// Descriptors are reserved for discovery, whatever clients and upstreams use.
 #[test]
 fn watch_is_opened_when_all_other_descriptors_are_in_use() {
     run(async {
@@ -347,12 +359,15 @@
             let budget = dispatcher.borrow().resources.descriptors.clone();
             let permits: Vec<_> =
                 std::iter::from_fn(|| budget.acquire(crate::socket::Purpose::Rejection)).collect();
-            // Another process takes a half of them.
+            // Another process takes half of the descriptors.
             budget.set_limit(512);
             assert!(permits.len() > 512);
             advance_until(|| discovery.request_count() > 0).await;
             let time = time_until_known(&dispatcher, &discovery).await;
-            assert!(time <= Duration::from_secs(6), "{mode:?} {time:?}");
+            assert!(
+                time <= Duration::from_secs(6),
+                "{mode:?}: known after {time:?}"
+            );
         }
     });
 }
--- a/src/bin/load-balancer/dispatch/timers/mod.rs
+++ b/src/bin/load-balancer/dispatch/timers/mod.rs
@@ -7,14 +7,14 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What a timer is for. Timers of the same moment fire in the order of the variants.
+/// The purpose of a timer. Timers that are due at the same time fire in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// One of the decision module, which gets this token back.
+    /// A timer of the decision module, which receives this token when it fires.
     Decision(u64),
-    /// A request is concluded if it has no response by then.
+    /// Concludes the request if it has no final response yet.
     DeadlineBackstop(RequestId),
-    /// A watch on discovery is reopened.
+    /// Reopens the watch on discovery.
     ReopenWatch,
 }
 
@@ -22,11 +22,12 @@
 #[derive(Default)]
 pub struct TimerQueue {
     heap: BinaryHeap<Reverse<(Instant, Timer)>>,
+    /// Notified whenever a new timer becomes the earliest one.
     earliest_changed: Rc<Notify>,
 }
 
 impl TimerQueue {
-    /// Sets a timer.
+    /// Sets a timer that is due at `at`.
     pub fn set(&mut self, at: Instant, timer: Timer) {
         if self.next_at().is_none_or(|next_at| at < next_at) {
             self.earliest_changed.notify_one();
@@ -34,12 +35,12 @@
         self.heap.push(Reverse((at, timer)));
     }
 
-    /// When the next timer fires.
+    /// Returns when the earliest timer is due, or `None` if no timer is set.
     pub fn next_at(&self) -> Option<Instant> {
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes the next timer if it is due.
+    /// Removes and returns the earliest timer if it is due.
     pub fn pop_due(&mut self) -> Option<Timer> {
         if self.next_at()? > Instant::now() {
             return None;
@@ -47,7 +48,7 @@
         self.heap.pop().map(|Reverse((_, timer))| timer)
     }
 
-    /// Notified whenever a timer is set that fires before all others.
+    /// Returns the notification for a new timer that is due before all others.
     pub fn earliest_changed(&self) -> Rc<Notify> {
         self.earliest_changed.clone()
     }
--- a/src/bin/load-balancer/dispatch/timers/tests.rs
+++ b/src/bin/load-balancer/dispatch/timers/tests.rs
@@ -1,11 +1,11 @@
-//! Unit tests of the timer queue, and what other unit tests may do to it.
+//! Unit tests of the timer queue, and an accessor for other unit tests.
 
 use super::*;
 use std::time::Duration;
 use tokio::time::advance;
 
 impl TimerQueue {
-    /// Drops the timers for which this is not so.
+    /// Drops the timers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(Timer) -> bool) {
         self.heap.retain(|Reverse((_, timer))| keep(*timer));
     }
--- a/src/bin/load-balancer/dispatch/upstream_directory/mod.rs
+++ b/src/bin/load-balancer/dispatch/upstream_directory/mod.rs
@@ -1,4 +1,4 @@
-//! The upstreams that are known by name: where they are, and which of them may get requests.
+//! The known upstreams: their names and addresses, and which of them may receive requests.
 
 use crate::config::NameTables;
 use crate::discovery::{Endpoint, EndpointList, EndpointStatus};
@@ -8,11 +8,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The listed upstreams, and those that operators have taken out of service. Updates the
-/// connection pool: connections are pooled for available upstreams only.
+/// The upstreams of the endpoint list, and the upstreams in maintenance. The directory keeps the
+/// connection pool up to date, so that connections are pooled for available upstreams only.
 pub struct UpstreamDirectory {
     upstreams: HashMap<UpstreamId, ListedUpstream>,
-    /// The names of the upstreams in maintenance; they need not be listed.
+    /// The names of the upstreams in maintenance, whether or not the endpoint list has them.
     in_maintenance: BTreeMap<UpstreamId, String>,
     has_had_endpoints: bool,
     pool: Rc<ConnectionPool>,
@@ -21,13 +21,13 @@
 struct ListedUpstream {
     name: String,
     address: SocketAddr,
-    /// In seconds since the Unix epoch; 0: long ago.
+    /// In seconds since the Unix epoch; 0 if it started long ago.
     started_at: f64,
     state: UpstreamState,
 }
 
 impl UpstreamDirectory {
-    /// An empty directory.
+    /// Creates an empty directory.
     pub fn new(pool: Rc<ConnectionPool>) -> Self {
         UpstreamDirectory {
             upstreams: HashMap::new(),
@@ -37,24 +37,24 @@
         }
     }
 
-    /// True once a list with endpoints has been applied.
+    /// Returns whether a list with at least one endpoint has been applied.
     pub fn has_had_endpoints(&self) -> bool {
         self.has_had_endpoints
     }
 
-    /// How many upstreams are listed.
+    /// Returns the number of listed upstreams.
     pub fn count(&self) -> usize {
         self.upstreams.len()
     }
 
-    /// The name of a listed upstream.
+    /// Returns the name of a listed upstream.
     pub fn name(&self, upstream: UpstreamId) -> Option<&str> {
         self.upstreams
             .get(&upstream)
             .map(|listed| listed.name.as_str())
     }
 
-    /// Where the upstream is, if it may get requests.
+    /// Returns the address of the upstream if it may receive requests.
     pub fn available_address(&self, upstream: UpstreamId) -> Option<SocketAddr> {
         let listed = self.upstreams.get(&upstream)?;
         let is_available =
@@ -62,8 +62,8 @@
         is_available.then_some(listed.address)
     }
 
-    /// Applies an endpoint list. Removed upstreams stay in the directory until
-    /// `purge_removed`.
+    /// Applies an endpoint list and returns its entries for the decision module. Removed upstreams
+    /// stay in the directory until `purge_removed`.
     pub fn apply(&mut self, list: EndpointList, names: &NameTables) -> Vec<UpstreamEntry> {
         self.has_had_endpoints |= !list.endpoints.is_empty();
         if list.snapshot {
@@ -83,7 +83,8 @@
         entries
     }
 
-    /// Adds an endpoint or replaces what is known of it.
+    /// Adds an endpoint, or updates the upstream of the same name. Returns the entry for the
+    /// decision module.
     pub fn update(&mut self, endpoint: Endpoint, names: &NameTables) -> UpstreamEntry {
         let id = UpstreamId::of(&endpoint.name);
         let state = match endpoint.status {
@@ -116,28 +117,28 @@
         }
     }
 
-    /// Drops the removed upstreams.
+    /// Deletes the removed upstreams from the directory.
     pub fn purge_removed(&mut self) {
         self.upstreams
             .retain(|_, listed| listed.state != UpstreamState::Removed);
     }
 
-    /// True if the upstream is listed or in maintenance.
+    /// Returns whether the upstream is listed or in maintenance.
     pub fn is_known(&self, upstream: UpstreamId) -> bool {
         self.upstreams.contains_key(&upstream) || self.is_in_maintenance(upstream)
     }
 
-    /// True if operators have taken the upstream out of service.
+    /// Returns whether the upstream is in maintenance.
     pub fn is_in_maintenance(&self, upstream: UpstreamId) -> bool {
         self.in_maintenance.contains_key(&upstream)
     }
 
-    /// The names of the upstreams in maintenance.
+    /// Returns the names of the upstreams in maintenance.
     pub fn names_in_maintenance(&self) -> impl Iterator<Item = &str> {
         self.in_maintenance.values().map(String::as_str)
     }
 
-    /// Takes an upstream out of service or puts it back, whether it is listed or not.
+    /// Begins or ends the maintenance of an upstream, whether or not it is listed.
     pub fn set_maintenance(&mut self, name: &str, change: Maintenance) {
         let id = UpstreamId::of(name);
         match change {
@@ -155,7 +156,7 @@
     }
 }
 
-/// The index of `name`; 0 for an unknown name.
+/// Returns the index of `name` in `names`, or 0 for an unknown name.
 fn index_of(names: &[String], name: &str) -> usize {
     names.iter().position(|known| known == name).unwrap_or(0)
 }
--- a/src/bin/load-balancer/dispatch/upstream_directory/tests.rs
+++ b/src/bin/load-balancer/dispatch/upstream_directory/tests.rs
@@ -71,7 +71,7 @@
     assert_eq!(available(&directory), [Some(address(1)), None, None]);
     directory.purge_removed();
     assert_eq!(directory.count(), 2);
-    // A change leaves the others as they are, a full list removes them.
+    // A delta keeps the upstreams that it does not contain; a full list removes them.
     directory.apply(list(false, &[("t", EndpointStatus::InService)]), &names);
     assert_eq!(
         available(&directory),
