--- a/src/bin/load-balancer/dispatch/request_table/tests.rs
+++ b/src/bin/load-balancer/dispatch/request_table/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the request table, and what other unit tests may do to it.
+//! Unit tests of the request table, and accessors for other unit tests.
 
 use super::*;
 use crate::body::Upload;
@@ -7,17 +7,17 @@
 use tokio::task::{spawn_local, LocalSet};
 
 impl RequestTable {
-    /// How many requests are open.
+    /// Returns the number of open requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Sets how many requests may be open.
+    /// Sets the maximum number of open requests.
     pub fn set_max_open(&mut self, max_open: usize) {
         self.max_open = max_open;
     }
 
-    /// Aborts the tasks of all attempts, which never report their end then.
+    /// Aborts the tasks of all attempts, so that no attempt reports a result.
     pub fn abort_tasks(&mut self) {
         for request in self.requests.values() {
             for attempt in &request.attempts {
@@ -45,7 +45,7 @@
     })
 }
 
-/// A table with one request, and where its final response comes.
+/// Returns a table with one open request, its id, and the receiver of its final response.
 fn table_with_a_request() -> (RequestTable, RequestId, oneshot::Receiver<FinalResponse>) {
     let mut table = RequestTable::new(1, Duration::from_secs(1));
     let id = table.allocate_id("a".into()).expect("accepted");
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_request_is_rejected_if_too_many_are_open_or_its_id_is_not_new() {
+fn request_is_rejected_at_the_open_limit_or_with_a_duplicate_id() {
     let (mut table, id, _response) = table_with_a_request();
     assert_eq!(
         table.allocate_id("b".into()),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_request_stays_until_it_is_concluded_and_its_attempts_have_ended() {
+fn request_stays_until_it_is_concluded_and_its_attempts_have_ended() {
     run(|| {
         let (mut table, id, _response) = table_with_a_request();
         let (first, _) = add_running_attempt(&mut table, id);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_concluded_request_ends_the_attempts_that_have_not_written_anything() {
+fn concluding_a_request_ends_its_unwritten_attempts() {
     run(|| {
         let (mut table, id, _response) = table_with_a_request();
         let (unwritten, _) = add_running_attempt(&mut table, id);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn an_attempt_is_misdirected_if_it_has_written_nothing_and_its_upstream_is_not_where_it_was() {
+fn unwritten_attempt_is_misdirected_if_its_upstream_moved_or_was_removed() {
     run(|| {
         let (mut table, id, _response) = table_with_a_request();
         let (unwritten, _) = add_running_attempt(&mut table, id);
--- a/src/bin/load-balancer/dispatch/tests/notification/fake_discovery.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/fake_discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service that follows a script.
+//! A discovery service that responds according to a script.
 
 use super::harness::yield_to_tasks;
 use crate::dispatch::*;
@@ -8,48 +8,52 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// A queued call is refused after this time.
+/// Discovery refuses a queued request after this time.
 const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
 
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const REFUSAL: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 const CHANGE: &str = "{\"index\":6,\"endpoints\":[]}\n";
 
-/// What becomes of a call.
+/// How discovery responds to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum CallOutcome {
+pub(super) enum RequestOutcome {
+    /// The request gets no response.
     Unanswered,
+    /// The request is refused at once.
     Refused,
-    /// Refused after it was queued.
+    /// The request is refused after `QUEUE_TIMEOUT`.
     QueuedThenRefused,
-    /// Reset before the first byte.
+    /// The connection is reset before the first byte of a response.
     Reset,
+    /// The connection is reset within the first list.
     ResetInList,
-    /// Answered with a version that is known already, and then reset.
+    /// The connection is reset after a list whose version is already known.
     ResetAfterList,
-    /// Alive for a moment, and silent from then on.
+    /// The watch receives an empty line and nothing more.
     Silent,
-    /// Answered with the change after this time, in seconds.
+    /// The response starts after this many seconds, with the change.
     AnsweredAfter(u64),
-    /// Alive, and answered with the change after this time, in seconds.
+    /// The response starts at once, and the change follows after this many seconds.
     ChangesAfter(u64),
 }
-pub(super) use CallOutcome::*;
+pub(super) use RequestOutcome::*;
 
-/// A discovery service with a script: the outcomes of the calls in their order. Records when they
-/// came.
+/// A discovery service whose script contains the outcomes of its requests in order. It records when
+/// requests are received.
 pub(super) struct FakeDiscovery {
     pub(super) address: SocketAddr,
     socket: Socket,
-    script: RefCell<VecDeque<CallOutcome>>,
-    pub(super) called_at: RefCell<Vec<Instant>>,
-    /// Connections that are never accepted fill the listener's backlog.
+    script: RefCell<VecDeque<RequestOutcome>>,
+    pub(super) request_times: RefCell<Vec<Instant>>,
+    /// Connections that fill the backlog of the listener, because they are never accepted.
     backlog: RefCell<Vec<std::net::TcpStream>>,
 }
 
 impl FakeDiscovery {
-    /// One that refuses connections until `listen`. Calls beyond the script are answered at once.
-    pub(super) fn not_listening(script: &[CallOutcome]) -> Rc<Self> {
+    /// Creates a service that refuses connections until `listen` is called. Requests beyond the
+    /// script get a response with the change at once.
+    pub(super) fn not_listening(script: &[RequestOutcome]) -> Rc<Self> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
@@ -60,18 +64,18 @@
             address,
             socket,
             script,
-            called_at: RefCell::default(),
+            request_times: RefCell::default(),
             backlog: RefCell::default(),
         })
     }
 
-    pub(super) fn listening(script: &[CallOutcome]) -> Rc<Self> {
+    pub(super) fn listening(script: &[RequestOutcome]) -> Rc<Self> {
         let discovery = Self::not_listening(script);
         discovery.listen();
         discovery
     }
 
-    /// From now on no connection is established.
+    /// Fills the backlog, so that no more connections are established until `listen` is called.
     pub(super) fn fill_backlog(&self) {
         self.socket.listen(0).unwrap();
         let wait = Duration::from_millis(100);
@@ -98,19 +102,19 @@
         if !stream.read(&mut bytes).await.is_ok_and(|count| count > 0) {
             return;
         }
-        self.called_at.borrow_mut().push(Instant::now());
-        let call = self
+        self.request_times.borrow_mut().push(Instant::now());
+        let outcome = self
             .script
             .borrow_mut()
             .pop_front()
             .unwrap_or(AnsweredAfter(0));
         let chunk = |text: &str| format!("{RESPONSE_HEAD}{:x}\r\n{text}\r\n", text.len());
-        match call {
+        match outcome {
             QueuedThenRefused => sleep(QUEUE_TIMEOUT).await,
             AnsweredAfter(after) => sleep(Duration::from_secs(after)).await,
             _ => {}
         }
-        let text = match call {
+        let text = match outcome {
             Unanswered | Reset => String::new(),
             Refused | QueuedThenRefused => REFUSAL.into(),
             ResetInList => chunk(&CHANGE[..9]),
@@ -118,9 +122,9 @@
             Silent | ChangesAfter(_) => chunk("\n"),
             AnsweredAfter(_) => chunk(CHANGE),
         };
-        // Fails if the balancer has closed the connection meanwhile.
+        // This fails if the balancer has closed the connection in the meantime.
         let _ = stream.write_all(text.as_bytes()).await;
-        if matches!(call, Reset | ResetInList | ResetAfterList) {
+        if matches!(outcome, Reset | ResetInList | ResetAfterList) {
             yield_to_tasks().await;
             return SockRef::from(&stream)
                 .set_linger(Some(Duration::ZERO))
@@ -128,9 +132,9 @@
         }
         for seconds in (0..)
             .step_by(2)
-            .take_while(|_| matches!(call, AnsweredAfter(_) | ChangesAfter(_)))
+            .take_while(|_| matches!(outcome, AnsweredAfter(_) | ChangesAfter(_)))
         {
-            let line = if call == ChangesAfter(seconds) {
+            let line = if outcome == ChangesAfter(seconds) {
                 CHANGE
             } else {
                 "\n"
@@ -144,7 +148,7 @@
         let _ = stream.read(&mut bytes).await;
     }
 
-    pub(super) fn call_count(&self) -> usize {
-        self.called_at.borrow().len()
+    pub(super) fn request_count(&self) -> usize {
+        self.request_times.borrow().len()
     }
 }
--- a/src/bin/load-balancer/dispatch/timers/tests.rs
+++ b/src/bin/load-balancer/dispatch/timers/tests.rs
@@ -1,18 +1,18 @@
-//! Unit tests of the timer queue, and what other unit tests may do to it.
+//! Unit tests of the timer queue, and an accessor for other unit tests.
 
 use super::*;
 use std::time::Duration;
 use tokio::time::advance;
 
 impl TimerQueue {
-    /// Drops the timers for which this is not so.
+    /// Drops the timers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(Timer) -> bool) {
         self.heap.retain(|Reverse((_, timer))| keep(*timer));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn timers_fire_in_the_order_of_their_moments_and_then_of_their_kinds() {
+async fn timers_fire_by_time_then_by_variant() {
     let mut timers = TimerQueue::default();
     let (now, second) = (Instant::now(), Duration::from_secs(1));
     let backstop = Timer::DeadlineBackstop(RequestId(1));
