--- a/src/bin/load-balancer/config/error.rs
+++ b/src/bin/load-balancer/config/error.rs
@@ -44,12 +44,12 @@
     #[error("seed: '{0}' is not a hexadecimal number")]
     Seed(String),
     /// Too few descriptors to serve with.
-    #[error("limits.sockets: {given} are too few, {least} is the least")]
+    #[error("limits.sockets: {configured} are too few, {minimum} is the least")]
     TooFewDescriptors {
         /// The limit given.
-        given: usize,
+        configured: usize,
         /// The least that is accepted.
-        least: usize,
+        minimum: usize,
     },
     /// The memory limit, in MiB, is not positive.
     #[error("limits.memory_mb: {0} is out of range")]
--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -69,7 +69,7 @@
 
 /// Why the configuration is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Occasion {
+enum LoadMode {
     Start,
     Reload,
 }
@@ -82,7 +82,7 @@
     ///
     /// See [`ConfigError`].
     pub fn load() -> Result<Self, ConfigError> {
-        Self::read(Occasion::Start)
+        Self::read(LoadMode::Start)
     }
 
     /// Reads the whole configuration again. The variables are those of the start, so the file's
@@ -92,17 +92,17 @@
     ///
     /// See [`ConfigError`]. The caller retries an unreadable file.
     pub fn reload() -> Result<Self, ConfigError> {
-        Self::read(Occasion::Reload)
+        Self::read(LoadMode::Reload)
     }
 
-    fn read(occasion: Occasion) -> Result<Self, ConfigError> {
+    fn read(mode: LoadMode) -> Result<Self, ConfigError> {
         let name = FILE_VARIABLE;
         let path = env::var(name).map_err(|source| ConfigError::Variable { name, source })?;
         let read = || std::fs::read(&path);
-        let text = match occasion {
-            Occasion::Start => retry_transient_errors(read),
+        let text = match mode {
+            LoadMode::Start => retry_transient_errors(read),
             // Clients are being served: no sleeping retries.
-            Occasion::Reload => read(),
+            LoadMode::Reload => read(),
         };
         let text = text.map_err(|source| ConfigError::Unreadable {
             path: path.clone(),
@@ -110,20 +110,20 @@
         })?;
         let file = serde_json::from_slice(&text)
             .map_err(|source| ConfigError::Malformed { path, source })?;
-        Self::from_file(file, occasion, |name| env::var(name).ok())
+        Self::from_file(file, mode, |name| env::var(name).ok())
     }
 
     fn from_file(
         file: ConfigFile,
-        occasion: Occasion,
+        mode: LoadMode,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
         let seed = parse_seed(&file.seed)?;
         let max_descriptors = file.limits.max_descriptors;
         if max_descriptors < MIN_DESCRIPTORS {
             return Err(ConfigError::TooFewDescriptors {
-                given: max_descriptors,
-                least: MIN_DESCRIPTORS,
+                configured: max_descriptors,
+                minimum: MIN_DESCRIPTORS,
             });
         }
         if file.limits.memory_mib <= 0.0 {
@@ -133,9 +133,9 @@
         let names = name_tables(&file, &settings);
         let max_descriptors = cap_descriptors(max_descriptors);
         // Only the address of discovery can change while the process runs.
-        let discovery = match occasion {
-            Occasion::Start => variable(DISCOVERY_VARIABLE).or(file.discovery),
-            Occasion::Reload => file.discovery.or_else(|| variable(DISCOVERY_VARIABLE)),
+        let discovery = match mode {
+            LoadMode::Start => variable(DISCOVERY_VARIABLE).or(file.discovery),
+            LoadMode::Reload => file.discovery.or_else(|| variable(DISCOVERY_VARIABLE)),
         };
         let listen = variable(LISTEN_VARIABLE).or(file.listen);
         let admin = variable(ADMIN_VARIABLE).or(file.admin);
--- a/src/bin/load-balancer/config/tests.rs
+++ b/src/bin/load-balancer/config/tests.rs
@@ -17,7 +17,7 @@
     change(&mut file);
     Config::from_file(
         serde_json::from_value(file).expect("well-formed"),
-        Occasion::Start,
+        LoadMode::Start,
         |_| None,
     )
 }
@@ -32,28 +32,28 @@
 }
 
 #[test]
-fn variable_overrides_the_file_until_the_file_is_reloaded() {
-    let discovery = |occasion, in_file| {
+fn variable_takes_precedence_at_start_and_file_on_reload() {
+    let discovery = |mode, in_file| {
         let file = json!({"listen": "127.0.0.1:9", "discovery": in_file,
             "settings": {"classes": [{"name": "call", "hardLimit": 2.0, "effect": "read_like"}]}});
         let file = serde_json::from_value(file).expect("well-formed");
         let variable = |name: &str| (name == "PROXY_DISCOVERY").then(|| "127.0.0.1:7".to_string());
         let config =
-            Config::from_file(file, occasion, variable).unwrap_or_else(|error| panic!("{error}"));
+            Config::from_file(file, mode, variable).unwrap_or_else(|error| panic!("{error}"));
         config.discovery.port()
     };
     assert_eq!(
         (
-            discovery(Occasion::Start, json!("127.0.0.1:8")),
-            discovery(Occasion::Reload, json!("127.0.0.1:8"))
+            discovery(LoadMode::Start, json!("127.0.0.1:8")),
+            discovery(LoadMode::Reload, json!("127.0.0.1:8"))
         ),
         (7, 8)
     );
-    assert_eq!(discovery(Occasion::Reload, Value::Null), 7);
+    assert_eq!(discovery(LoadMode::Reload, Value::Null), 7);
 }
 
 #[test]
-fn a_bad_field_is_named() {
+fn error_names_the_invalid_field() {
     type Change = fn(&mut Value);
     let cases: [(Change, &str); 9] = [
         (|file| file["console"] = json!("there"), "PROXY_CONSOLE"),
--- a/src/settings_format/conversion.rs
+++ b/src/settings_format/conversion.rs
@@ -34,7 +34,7 @@
             limits: self
                 .limits
                 .into_limits(&defaults.limits)
-                .map_err(|error| error.below("limits"))?,
+                .map_err(|error| error.with_path_prefix("limits"))?,
             rules: self.rules.into_rules(&defaults.rules),
             prices: Prices {
                 cross_zone: self.prices.cross_zone.unwrap_or(0.0),
@@ -82,7 +82,7 @@
         let max_retry_after = if self.retry_after_allowed.unwrap_or(false) {
             let text = self.max_retry_after.unwrap_or("0".to_string());
             let seconds = f64::from_setting(&text)
-                .map_err(|error| InvalidSetting::custom(error).below("maxRetryAfter"))?;
+                .map_err(|error| InvalidSetting::custom(error).with_path_prefix("maxRetryAfter"))?;
             Some(seconds)
         } else {
             None
--- a/src/settings_format/deserializer.rs
+++ b/src/settings_format/deserializer.rs
@@ -21,7 +21,7 @@
 
 impl InvalidSetting {
     /// The same error, seen from one level up: its path begins with `name`.
-    pub(super) fn below(mut self, name: &str) -> Self {
+    pub(super) fn with_path_prefix(mut self, name: &str) -> Self {
         self.path = if self.path.is_empty() {
             name.to_string()
         } else {
@@ -59,7 +59,7 @@
         let count = match self.child(COUNT).and_then(SettingsTree::text) {
             None => 0,
             Some(text) => usize::from_setting(text)
-                .map_err(|error| InvalidSetting::custom(error).below(COUNT))?,
+                .map_err(|error| InvalidSetting::custom(error).with_path_prefix(COUNT))?,
         };
         visitor.visit_seq(Elements {
             tree: self,
@@ -107,7 +107,8 @@
             .current
             .take()
             .ok_or_else(|| InvalidSetting::custom("a value was read before its name"))?;
-        seed.deserialize(value).map_err(|error| error.below(name))
+        seed.deserialize(value)
+            .map_err(|error| error.with_path_prefix(name))
     }
 }
 
@@ -133,6 +134,6 @@
         let element = self.tree.child(&name).unwrap_or(&EMPTY);
         seed.deserialize(element)
             .map(Some)
-            .map_err(|error| error.below(&name))
+            .map_err(|error| error.with_path_prefix(&name))
     }
 }
--- a/src/settings_format/document.rs
+++ b/src/settings_format/document.rs
@@ -179,13 +179,13 @@
 pub(super) enum ValueError {
     /// It is no number, or none of this kind.
     #[error("bad number '{0}'")]
-    BadNumber(String),
+    InvalidNumber(String),
     /// It is neither true nor false.
     #[error("bad bool '{0}'")]
-    BadBool(String),
+    InvalidBool(String),
     /// It is no known kind of idempotency.
     #[error("unknown effect '{0}'")]
-    UnknownEffect(String),
+    UnknownIdempotency(String),
 }
 
 /// A type that a setting's text stands for.
@@ -200,7 +200,7 @@
 
 fn parse_number<T: FromStr>(text: &str) -> Result<T, ValueError> {
     text.parse()
-        .map_err(|_| ValueError::BadNumber(text.to_string()))
+        .map_err(|_| ValueError::InvalidNumber(text.to_string()))
 }
 
 impl FromSetting for f64 {
@@ -220,7 +220,7 @@
         match text {
             "true" | "1" => Ok(true),
             "false" | "0" => Ok(false),
-            _ => Err(ValueError::BadBool(text.to_string())),
+            _ => Err(ValueError::InvalidBool(text.to_string())),
         }
     }
 }
@@ -261,7 +261,7 @@
             "read_like" => Ok(IdempotencyKind::Idempotent),
             "idempotency_key" => Ok(IdempotencyKind::IdempotencyKey),
             "non_idempotent" | "" => Ok(IdempotencyKind::NonIdempotent),
-            _ => Err(ValueError::UnknownEffect(text.to_string())),
+            _ => Err(ValueError::UnknownIdempotency(text.to_string())),
         }
     }
 }
--- a/src/settings_format/tree.rs
+++ b/src/settings_format/tree.rs
@@ -27,7 +27,7 @@
     pub(super) fn from_pairs<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         let mut tree = SettingsTree::default();
         for (path, value) in pairs {
-            tree.descend(path).text = Some(value.to_string());
+            tree.get_or_create(path).text = Some(value.to_string());
         }
         tree
     }
@@ -44,13 +44,13 @@
             Value::Null => {}
             Value::Object(fields) => {
                 for (name, value) in fields {
-                    self.descend(name).insert_json(value);
+                    self.get_or_create(name).insert_json(value);
                 }
             }
             Value::Array(elements) if elements.iter().any(Value::is_object) => {
-                self.descend(COUNT).text = Some(elements.len().to_string());
+                self.get_or_create(COUNT).text = Some(elements.len().to_string());
                 for (index, element) in elements.iter().enumerate() {
-                    self.descend(&index.to_string()).insert_json(element);
+                    self.get_or_create(&index.to_string()).insert_json(element);
                 }
             }
             Value::Array(elements) => {
@@ -62,7 +62,7 @@
     }
 
     /// The setting at this path of names with dots between them, created if there is none.
-    fn descend(&mut self, path: &str) -> &mut Self {
+    fn get_or_create(&mut self, path: &str) -> &mut Self {
         path.split('.').fold(self, |tree, name| {
             tree.children.entry(name.to_string()).or_default()
         })
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -4,7 +4,7 @@
 use crate::settings_format::settings_from_pairs;
 use crate::simulator::line::{Line, LineReader, WireError};
 use crate::simulator::message::{
-    on_one_line, parse_event, parse_list_scope, parse_upstream, write_action, UpstreamNames,
+    on_one_line, parse_event, parse_list_scope, parse_upstream, write_action, UpstreamAddresses,
 };
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -43,7 +43,7 @@
 /// The balancers of this process, and what they share.
 #[derive(Default)]
 struct Adapter {
-    names: UpstreamNames,
+    addresses: UpstreamAddresses,
     /// Endpoint lists by the numbers under which messages refer to them.
     endpoint_lists: BTreeMap<u64, Vec<UpstreamEntry>>,
     balancers: BTreeMap<u64, Balancer>,
@@ -52,7 +52,7 @@
     /// The reply to the present batch.
     reply: Vec<u8>,
     /// The balancer that the lines at the end of the reply come from.
-    replying: Option<u64>,
+    replying_balancer: Option<u64>,
 }
 
 impl Adapter {
@@ -63,19 +63,19 @@
         now: f64,
     ) -> Result<(), WireError> {
         self.reply.clear();
-        self.replying = None;
-        let mut selected = None;
+        self.replying_balancer = None;
+        let mut selected_balancer = None;
         loop {
             let line = reader.next_line_in_batch()?;
             match line.name() {
                 "END" => return Ok(()),
-                "SWITCH_TO" => selected = Some(line.required_number("i")?),
+                "SWITCH_TO" => selected_balancer = Some(line.required_number("i")?),
                 "SHEET" => {
-                    let number = line.required_number("setId")?;
+                    let list_number = line.required_number("setId")?;
                     let count = line.required_number("rowsIn")?;
-                    self.read_endpoint_list(reader, number, count)?;
+                    self.read_endpoint_list(reader, list_number, count)?;
                 }
-                _ => self.handle_message(&line, now, selected)?,
+                _ => self.handle_message(&line, now, selected_balancer)?,
             }
         }
     }
@@ -83,15 +83,15 @@
     fn read_endpoint_list<R: BufRead>(
         &mut self,
         reader: &mut LineReader<R>,
-        number: u64,
+        list_number: u64,
         count: usize,
     ) -> Result<(), WireError> {
         let mut endpoints = Vec::new();
         for _ in 0..count {
             let line = reader.next_line_in_batch()?;
-            endpoints.push(parse_upstream(&line, &mut self.names)?);
+            endpoints.push(parse_upstream(&line, &mut self.addresses)?);
         }
-        self.endpoint_lists.insert(number, endpoints);
+        self.endpoint_lists.insert(list_number, endpoints);
         Ok(())
     }
 
@@ -100,25 +100,25 @@
         &mut self,
         line: &Line,
         now: f64,
-        selected: Option<u64>,
+        selected_balancer: Option<u64>,
     ) -> Result<(), WireError> {
-        let number =
-            selected.ok_or_else(|| line.error("i", "no SWITCH_TO came before this event"))?;
+        let balancer_number = selected_balancer
+            .ok_or_else(|| line.error("i", "no SWITCH_TO came before this event"))?;
         match line.name() {
             "BORN" => {
                 let balancer = create_balancer(line, now)?;
-                self.balancers.insert(number, balancer);
+                self.balancers.insert(balancer_number, balancer);
             }
             "STOP" => {
-                self.balancers.remove(&number);
+                self.balancers.remove(&balancer_number);
             }
             // Results of health checks and messages of peers, which the decisions don't use.
             "CHECKED" | "FROM_PEER" => {}
             "FLEET" => {
                 let event = self.endpoint_list_event(line)?;
-                self.handle_event(number, now, event);
+                self.handle_event(balancer_number, now, event);
             }
-            _ => self.handle_event(number, now, parse_event(line)?),
+            _ => self.handle_event(balancer_number, now, parse_event(line)?),
         }
         Ok(())
     }
@@ -128,9 +128,10 @@
         let endpoints = if scope == ListScope::Failed {
             Vec::new()
         } else {
-            let number = line.required_number("setId")?;
-            let endpoints = self.endpoint_lists.get(&number);
-            let unknown = || line.error("setId", format_args!("no SHEET {number} came before"));
+            let list_number = line.required_number("setId")?;
+            let endpoints = self.endpoint_lists.get(&list_number);
+            let unknown =
+                || line.error("setId", format_args!("no SHEET {list_number} came before"));
             endpoints.ok_or_else(unknown)?.clone()
         };
         Ok(Event::EndpointList { scope, endpoints })
@@ -138,8 +139,8 @@
 
     /// Has a balancer handle an event and writes its actions. One that panics is removed and
     /// reported with `CRASH`.
-    fn handle_event(&mut self, number: u64, now: f64, event: Event) {
-        let Some(balancer) = self.balancers.get_mut(&number) else {
+    fn handle_event(&mut self, balancer_number: u64, now: f64, event: Event) {
+        let Some(balancer) = self.balancers.get_mut(&balancer_number) else {
             return;
         };
         self.actions.clear();
@@ -148,16 +149,16 @@
         if result.is_ok() && self.actions.is_empty() {
             return;
         }
-        if self.replying != Some(number) {
-            writeln!(self.reply, "FROM\ti={number}").expect(WRITE_TO_MEMORY);
-            self.replying = Some(number);
+        if self.replying_balancer != Some(balancer_number) {
+            writeln!(self.reply, "FROM\ti={balancer_number}").expect(WRITE_TO_MEMORY);
+            self.replying_balancer = Some(balancer_number);
         }
         let classes = &balancer.settings().classes;
         for action in &self.actions {
-            write_action(action, &self.names, classes, &mut self.reply).expect(WRITE_TO_MEMORY);
+            write_action(action, &self.addresses, classes, &mut self.reply).expect(WRITE_TO_MEMORY);
         }
         if let Err(payload) = result {
-            self.balancers.remove(&number);
+            self.balancers.remove(&balancer_number);
             let message = on_one_line(panic_message(payload.as_ref()));
             writeln!(
                 self.reply,
--- a/src/simulator/line.rs
+++ b/src/simulator/line.rs
@@ -168,7 +168,7 @@
 pub(super) struct LineReader<R> {
     input: R,
     /// The number of the last line read, from 1.
-    number: u64,
+    line_number: u64,
     text: String,
 }
 
@@ -177,14 +177,14 @@
     pub(super) fn new(input: R) -> Self {
         LineReader {
             input,
-            number: 0,
+            line_number: 0,
             text: String::new(),
         }
     }
 
     /// The number of the last line read.
     pub(super) fn line_number(&self) -> u64 {
-        self.number
+        self.line_number
     }
 
     /// The next line, or `None` at the end of the input.
@@ -194,12 +194,12 @@
     /// If reading fails, or a field has no `=`.
     pub(super) fn next_line(&mut self) -> Result<Option<Line<'_>>, WireError> {
         self.text.clear();
-        self.number += 1;
+        self.line_number += 1;
         let length = self
             .input
             .read_line(&mut self.text)
             .map_err(|source| WireError::Io {
-                line: self.number,
+                line: self.line_number,
                 source,
             })?;
         if length == 0 {
@@ -207,7 +207,7 @@
         }
         let text = self.text.strip_suffix('\n').unwrap_or(&self.text);
         let text = text.strip_suffix('\r').unwrap_or(text);
-        Line::parse(text, self.number).map(Some)
+        Line::parse(text, self.line_number).map(Some)
     }
 
     /// The next line of a batch that has begun.
@@ -216,7 +216,7 @@
     ///
     /// As for [`Self::next_line`], and at the end of the input.
     pub(super) fn next_line_in_batch(&mut self) -> Result<Line<'_>, WireError> {
-        let line = self.number + 1;
+        let line = self.line_number + 1;
         self.next_line()?.ok_or_else(|| WireError::Malformed {
             line,
             field: "END".into(),
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -10,9 +10,9 @@
 
 /// The addresses of the upstreams, by their ids.
 #[derive(Default)]
-pub(super) struct UpstreamNames(HashMap<UpstreamId, String>);
+pub(super) struct UpstreamAddresses(HashMap<UpstreamId, String>);
 
-impl UpstreamNames {
+impl UpstreamAddresses {
     /// The id of an address, which is remembered.
     fn intern(&mut self, line: &Line, address: &str) -> Result<UpstreamId, WireError> {
         let id = UpstreamId::of(address);
@@ -24,7 +24,7 @@
         Ok(id)
     }
 
-    fn address(&self, id: UpstreamId) -> &str {
+    fn resolve(&self, id: UpstreamId) -> &str {
         self.0.get(&id).map_or("?", String::as_str)
     }
 }
@@ -36,13 +36,13 @@
 /// If the line is of another kind, or a field is missing or malformed.
 pub(super) fn parse_upstream(
     line: &Line,
-    names: &mut UpstreamNames,
+    addresses: &mut UpstreamAddresses,
 ) -> Result<UpstreamEntry, WireError> {
     if line.name() != "ROW" {
         return Err(line.error(line.name(), "is not the expected ROW"));
     }
     Ok(UpstreamEntry {
-        id: names.intern(line, line.required_text("upstream")?)?,
+        id: addresses.intern(line, line.required_text("upstream")?)?,
         zone: line.number("locality")?.unwrap_or(0),
         machine_kind: line.number("familyType")?.unwrap_or(0),
         cell: line.number("group")?.unwrap_or(0),
@@ -124,13 +124,13 @@
 /// Those of `out`.
 pub(super) fn write_action(
     action: &Action,
-    names: &UpstreamNames,
+    addresses: &UpstreamAddresses,
     classes: &[Class],
     out: &mut impl Write,
 ) -> io::Result<()> {
     match action {
         Action::StartAttempt { id, upstream, .. } => {
-            let address = names.address(*upstream);
+            let address = addresses.resolve(*upstream);
             writeln!(out, "SUBMIT_TO\trid={}\tupstream={address}", id.0)
         }
         Action::Reject {
@@ -146,14 +146,14 @@
             writeln!(out, "CALL_OFF\trid={}\ttry={attempt}", id.0)
         }
         Action::CloseIdleConnections { upstream } => {
-            writeln!(out, "LET_GO\tupstream={}", names.address(*upstream))
+            writeln!(out, "LET_GO\tupstream={}", addresses.resolve(*upstream))
         }
         Action::SetTimer { after, token } => {
             writeln!(out, "WAKE_ME\tafter={after:.6}\tname={token}")
         }
         Action::WatchEndpoints => writeln!(out, "TRACK\tactive=1"),
         Action::Log(event) => {
-            let text = event.text(|upstream| Some(names.address(upstream)), classes);
+            let text = event.text(|upstream| Some(addresses.resolve(upstream)), classes);
             writeln!(out, "TRACE\ttext={}", on_one_line(&text))
         }
     }
