--- a/src/bin/load-balancer/config/error.rs
+++ b/src/bin/load-balancer/config/error.rs
@@ -1,60 +1,61 @@
-//! Why a configuration is not accepted.
+//! Errors of the configuration.
 
 use load_balancer::settings_format::InvalidSetting;
 use load_balancer::SettingsError;
 use std::env::VarError;
 use thiserror::Error;
 
-/// Why the configuration can't be used, in one line that names the field.
+/// An invalid or unreadable configuration. The text is one line and names the variable or field.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A variable is missing or not Unicode, and the file does not stand in for it.
+    /// `PROXY_CONFIG` is not set or not Unicode, or a required address is set neither by its
+    /// variable nor in the file.
     #[error("{name}: {source}")]
     Variable {
-        /// Its name.
+        /// Name of the variable.
         name: &'static str,
-        /// What is wrong.
+        /// Whether the variable is missing or not Unicode.
         source: VarError,
     },
     /// The file can't be read.
     #[error("PROXY_CONFIG: {path}: {source}")]
     Unreadable {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// The error of the file system.
+        /// The error of the read.
         source: std::io::Error,
     },
     /// The file is not JSON, or a field has the wrong type.
     #[error("PROXY_CONFIG: {path}: {source}")]
     Malformed {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// The error of the parser.
+        /// The error of the parser, with line and column.
         source: serde_json::Error,
     },
     /// An address is not of the form IP:PORT.
     #[error("{name}: '{text}' is not an address")]
     Address {
-        /// The variable that it stands in or could stand in.
+        /// The variable that sets this address, or that overrides it if the file sets it.
         name: &'static str,
-        /// What stands there.
+        /// The text that was found.
         text: String,
     },
     /// The seed is not a hexadecimal number of up to 64 bits.
     #[error("seed: '{0}' is not a hexadecimal number")]
     Seed(String),
-    /// Too few descriptors to serve with.
+    /// The descriptor limit is too low to serve requests.
     #[error("limits.sockets: {configured} are too few, {minimum} is the least")]
     TooFewDescriptors {
-        /// The limit given.
+        /// The limit in the file.
         configured: usize,
-        /// The least that is accepted.
+        /// The lowest limit that is accepted.
         minimum: usize,
     },
     /// The memory limit, in MiB, is not positive.
     #[error("limits.memory_mb: {0} is out of range")]
     MemoryLimit(f64),
-    /// The settings are not an object.
+    /// The settings are not a JSON object.
     #[error("settings: must be an object")]
     SettingsNotAnObject,
     /// A setting can't be read.
--- a/src/bin/load-balancer/config/file.rs
+++ b/src/bin/load-balancer/config/file.rs
@@ -1,43 +1,43 @@
-//! The configuration file, as it is written.
+//! The configuration file as serde types.
 
 use crate::discovery::EndpointList;
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The whole file; unknown fields are ignored.
+/// Contents of the configuration file. Unknown fields are ignored.
 #[derive(Deserialize)]
 pub struct ConfigFile {
     /// The balancer's name.
     #[serde(default)]
     pub name: String,
-    /// The address for clients.
+    /// The address on which clients are accepted.
     pub listen: Option<String>,
     /// The address of discovery.
     pub discovery: Option<String>,
-    /// The address of the admin endpoint.
+    /// The address of the admin endpoint; without one, there is no admin endpoint.
     #[serde(rename = "console")]
     pub admin: Option<String>,
-    /// The seed of random choices, hexadecimal; may be empty.
+    /// The seed of the random choices, in hexadecimal; an empty text stands for 0.
     #[serde(default)]
     pub seed: String,
-    /// Limits of the process.
+    /// Resource limits of the process.
     #[serde(default)]
     pub limits: ProcessLimits,
-    /// The endpoint list to start with.
+    /// The endpoint list to use until discovery sends one.
     #[serde(default, rename = "known")]
     pub known_endpoints: EndpointList,
-    /// The settings of the decision module, see `load_balancer::settings_format`.
+    /// The settings of the decision module, in the format of `load_balancer::settings_format`.
     pub settings: Value,
 }
 
-/// Limits of the process.
+/// Resource limits of the process.
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct ProcessLimits {
-    /// File descriptors.
+    /// File descriptors that the process may have open.
     #[serde(rename = "sockets")]
     pub max_descriptors: usize,
-    /// Memory, in MiB.
+    /// Memory that the process may use, in MiB.
     #[serde(rename = "memory_mb")]
     pub memory_mib: f64,
 }
@@ -52,7 +52,8 @@
 }
 
 impl ConfigFile {
-    /// The strings of a list in the settings; empty if there is no such list.
+    /// Returns the strings of the list named `list` in the settings, or none if there is no such
+    /// list.
     pub fn settings_names(&self, list: &str) -> Vec<String> {
         let elements = self.settings[list].as_array().into_iter().flatten();
         elements
--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration: the file that `$PROXY_CONFIG` names, and the variables that override parts
-//! of it.
+//! The configuration: a file, whose path is in the variable `PROXY_CONFIG`, and environment
+//! variables that override some of its fields.
 
 mod error;
 mod file;
@@ -15,30 +15,30 @@
 use std::env::{self, VarError};
 use std::net::SocketAddr;
 
-/// The balancer has to act on a change of the endpoint list within this time after discovery had
-/// it.
+/// The balancer has to act on a change of the endpoint list within this time after discovery
+/// received the change.
 const NOTIFICATION_DEADLINE_SECONDS: f64 = 6.0;
-// Variables that override fields of the file, and name them in errors.
+// Variables that override fields of the file. Errors in these fields name the variable.
 const NAME_VARIABLE: &str = "PROXY_NAME";
 const LISTEN_VARIABLE: &str = "PROXY_LISTEN";
 const DISCOVERY_VARIABLE: &str = "PROXY_DISCOVERY";
 const ADMIN_VARIABLE: &str = "PROXY_CONSOLE";
-/// The variable that holds the path of the file.
+/// The variable with the path of the configuration file.
 const FILE_VARIABLE: &str = "PROXY_CONFIG";
 
-/// The fewest descriptors with which a process can serve.
+/// The lowest descriptor limit with which a process can serve requests.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// Names by the numbers that the decision module uses in their place, which are the indices.
+/// Names that the decision module refers to by number: the number is the index into the list.
 #[derive(Debug, Default)]
 pub struct NameTables {
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Machine kinds.
+    /// Names of the machine kinds.
     pub kinds: Vec<String>,
-    /// Request classes.
+    /// Names of the request classes.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
 }
 
@@ -46,28 +46,28 @@
 pub struct Config {
     /// The name of the balancer.
     pub name: String,
-    /// The address for clients.
+    /// The address on which clients are accepted.
     pub listen: SocketAddr,
     /// The address of discovery.
     pub discovery: SocketAddr,
     /// The address of the admin endpoint, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The seed of random choices.
+    /// The seed of the random choices.
     pub seed: u64,
-    /// File descriptors that the process may have open: as configured, or fewer if the system
-    /// allows fewer.
+    /// File descriptors that the process may have open: the configured limit, or the limit of the
+    /// system if that is lower.
     pub max_descriptors: usize,
-    /// Bytes of memory that the process may use.
+    /// Memory that the process may use, in bytes.
     pub memory_bytes: usize,
-    /// The endpoint list to start with.
+    /// The endpoint list to use until discovery sends one.
     pub known_endpoints: EndpointList,
     /// The settings of the decision module.
     pub settings: Settings,
-    /// The names of what they number.
+    /// The names for the numbers that the settings and the decision module use.
     pub names: NameTables,
 }
 
-/// Why the configuration is read.
+/// Whether the configuration is read at the start of the process or again while it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LoadMode {
     Start,
@@ -75,8 +75,8 @@
 }
 
 impl Config {
-    /// Reads the configuration at the start of the process. Sleeps while the file can't be read
-    /// for a moment.
+    /// Reads the configuration at the start of the process. If reading the file fails with a
+    /// transient error, blocks the thread and retries for a limited time.
     ///
     /// # Errors
     ///
@@ -85,12 +85,13 @@
         Self::read(LoadMode::Start)
     }
 
-    /// Reads the whole configuration again. The variables are those of the start, so the file's
-    /// address of discovery is newer and goes before its variable.
+    /// Reads the whole configuration again. The environment variables date from the start of the
+    /// process, while the file may have changed since: a discovery address in the file therefore
+    /// takes precedence over `PROXY_DISCOVERY`.
     ///
     /// # Errors
     ///
-    /// See [`ConfigError`]. The caller retries an unreadable file.
+    /// See [`ConfigError`]. An unreadable file is not retried here; that is left to the caller.
     pub fn reload() -> Result<Self, ConfigError> {
         Self::read(LoadMode::Reload)
     }
@@ -101,7 +102,7 @@
         let read = || std::fs::read(&path);
         let text = match mode {
             LoadMode::Start => retry_transient_errors(read),
-            // Clients are being served: no sleeping retries.
+            // No retries here: they would block the thread that serves clients.
             LoadMode::Reload => read(),
         };
         let text = text.map_err(|source| ConfigError::Unreadable {
@@ -132,7 +133,7 @@
         let settings = parse_settings(&file)?;
         let names = name_tables(&file, &settings);
         let max_descriptors = cap_descriptors(max_descriptors);
-        // Only the address of discovery can change while the process runs.
+        // The discovery address is the only field that a reload changes.
         let discovery = match mode {
             LoadMode::Start => variable(DISCOVERY_VARIABLE).or(file.discovery),
             LoadMode::Reload => file.discovery.or_else(|| variable(DISCOVERY_VARIABLE)),
@@ -182,8 +183,7 @@
     }
 }
 
-/// Parses the address that the variable of this name, or the file in its place, gives; `None` if
-/// neither does.
+/// Parses an address from the variable `name` or the file; returns `None` if neither sets one.
 fn optional_address(
     name: &'static str,
     text: Option<String>,
@@ -202,8 +202,9 @@
     })
 }
 
-/// As many descriptors as are configured, or fewer if the system allows fewer: more than that
-/// would let clients take descriptors that are reserved for other uses.
+/// Returns the configured descriptor limit, or the limit of the system if that is lower (at least
+/// [`MIN_DESCRIPTORS`]). With a limit above the system's, clients could take descriptors that are
+/// reserved for other uses.
 fn cap_descriptors(configured: usize) -> usize {
     let allowed = descriptor_limit().map_or(configured, |limit| limit.max(MIN_DESCRIPTORS));
     if allowed < configured {
@@ -215,7 +216,7 @@
     configured.min(allowed)
 }
 
-/// The soft limit of the system on this process's descriptors, if it can be read.
+/// Returns the system's soft limit on the descriptors of this process, if it can be read.
 fn descriptor_limit() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = limits
--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,8 +1,9 @@
-//! Runs balancers on the simulator's wire, from standard input to standard output.
+//! Runs balancers behind the simulator's line protocol, on standard input and standard output.
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
+/// Size of the input buffer and of the output buffer.
 const BUFFER_BYTES: usize = 1 << 20;
 
 fn main() -> ExitCode {
--- a/src/settings_format/conversion.rs
+++ b/src/settings_format/conversion.rs
@@ -1,4 +1,4 @@
-//! From settings as they are written to those of the decision module: defaults and shapes.
+//! Conversion of the format's serde types into [`Settings`], with defaults for absent settings.
 
 use crate::decision::{
     Class, DeduplicationScope, DiscoveryMode, Idempotency, Limits, Prices, Rules, Settings, Tenant,
@@ -11,11 +11,12 @@
 use serde::de::Error;
 
 impl SettingsDocument {
-    /// The settings; absent ones have their defaults.
+    /// Converts the document into settings; absent settings get their defaults.
     ///
     /// # Errors
     ///
-    /// A value that is read only now, as another setting decides whether it is used.
+    /// Returns an error if `limits.maxRetryAfter` is not a number while `limits.retryAfter` is
+    /// true. Without `limits.retryAfter` it is unused and not parsed.
     pub(super) fn into_settings(self) -> Result<Settings, InvalidSetting> {
         let defaults = Settings::simple();
         Ok(Settings {
@@ -106,7 +107,7 @@
     fn into_rules(self, defaults: &Rules) -> Rules {
         Rules {
             poll_interval: self.poll_interval.unwrap_or(defaults.poll_interval),
-            // Not part of the format: the configuration of a process sets its own.
+            // Not part of the format: the process sets it after reading its configuration.
             notification_deadline: defaults.notification_deadline,
             initial_capacity_share: self
                 .initial_capacity_share
--- a/src/settings_format/deserializer.rs
+++ b/src/settings_format/deserializer.rs
@@ -1,4 +1,4 @@
-//! Builds serde types from a settings tree.
+//! A serde deserializer that reads from a settings tree.
 
 use crate::settings_format::document::FromSetting;
 use crate::settings_format::tree::{SettingsTree, COUNT};
@@ -7,7 +7,7 @@
 use serde::forward_to_deserialize_any;
 use std::fmt::Display;
 
-/// What stands for an element that has no settings.
+/// Stands for a list element without any settings, all of which then have their defaults.
 static EMPTY: SettingsTree = SettingsTree::empty();
 
 impl de::Error for InvalidSetting {
@@ -20,7 +20,7 @@
 }
 
 impl InvalidSetting {
-    /// The same error, seen from one level up: its path begins with `name`.
+    /// Prepends a field name or list index to the path, once for each level on the way up.
     pub(super) fn with_path_prefix(mut self, name: &str) -> Self {
         self.path = if self.path.is_empty() {
             name.to_string()
@@ -34,7 +34,7 @@
 impl<'de> de::Deserializer<'de> for &'de SettingsTree {
     type Error = InvalidSetting;
 
-    /// A single value: its text, or none.
+    /// Deserializes a single value: the setting's text, or `None` if it has no text.
     fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, InvalidSetting> {
         match self.text() {
             Some(text) => visitor.visit_borrowed_str(text),
@@ -74,8 +74,8 @@
     }
 }
 
-/// The fields of a struct that have settings, in the order of their declaration: that order
-/// decides which of several errors is reported.
+/// Iterates over the fields of a struct that are present in the tree, in the order of declaration.
+/// The first error ends the deserialization, so this order decides which of several is reported.
 struct Fields<'de> {
     tree: &'de SettingsTree,
     names: std::slice::Iter<'static, &'static str>,
@@ -112,7 +112,7 @@
     }
 }
 
-/// The elements of a list of objects.
+/// Iterates over the elements of a list of objects.
 struct Elements<'de> {
     tree: &'de SettingsTree,
     next: usize,
--- a/src/settings_format/document.rs
+++ b/src/settings_format/document.rs
@@ -1,6 +1,8 @@
-//! The settings as they are written: the names of the format, mapped to ours.
+//! The settings format as serde types: `rename` attributes map the names of the format to the
+//! names in this crate.
 //!
-//! Units are those of [`crate::Settings`]. Fields stand in the order in which errors are reported.
+//! Units are those of [`crate::Settings`]. Fields are declared in the order in which their errors
+//! are reported.
 
 use crate::decision::{DeduplicationScope, DiscoveryMode};
 use serde::de::{self, Deserializer, Visitor};
@@ -70,7 +72,7 @@
     pub(super) quota_per_second: Setting<f64>,
 }
 
-/// What the balancer may do.
+/// Limits on attempts, connections and open requests.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct LimitsDocument {
@@ -90,12 +92,12 @@
     pub(super) max_open_requests: Setting<usize>,
     #[serde(rename = "retryAfter")]
     pub(super) retry_after_allowed: Setting<bool>,
-    /// Any text unless Retry-After is allowed.
+    /// Kept as text: it is parsed, and has to be a number, only if Retry-After is allowed.
     #[serde(rename = "maxRetryAfter")]
     pub(super) max_retry_after: Setting<String>,
 }
 
-/// The rules of the service.
+/// Rules of the service on polling, slow start and overload.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct RulesDocument {
@@ -109,7 +111,7 @@
     pub(super) overload_multiple: Setting<f64>,
 }
 
-/// What things cost.
+/// Prices of attempts.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct PricesDocument {
@@ -117,26 +119,26 @@
     pub(super) cross_zone: Setting<f64>,
 }
 
-/// A single value, if it is there.
+/// The value of one setting, or `None` if the setting is absent.
 #[derive(Debug)]
 pub(super) struct Setting<T>(Option<T>);
 
 impl<T> Setting<T> {
-    /// The value, or this one if it is absent.
+    /// Returns the value, or `default` if the setting is absent.
     pub(super) fn unwrap_or(self, default: T) -> T {
         self.0.unwrap_or(default)
     }
 }
 
 impl Setting<String> {
-    /// The text, or an empty one if it is absent.
+    /// Returns the text, or an empty one if the setting is absent.
     pub(super) fn unwrap_or_default(self) -> String {
         self.0.unwrap_or_default()
     }
 }
 
 impl Setting<ListLength> {
-    /// The length of the list, but 1 if it is empty or absent.
+    /// Returns the length of the list, or 1 if the list is empty or absent.
     pub(super) fn at_least_one(self) -> usize {
         self.0.map_or(1, |length| length.0.max(1))
     }
@@ -174,27 +176,27 @@
     }
 }
 
-/// What is wrong with a value.
+/// Why a text is not a valid value of a setting.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(super) enum ValueError {
-    /// It is no number, or none of this kind.
+    /// The text is not a number, or not one of the setting's type (a negative count).
     #[error("bad number '{0}'")]
     InvalidNumber(String),
-    /// It is neither true nor false.
+    /// The text is not a boolean.
     #[error("bad bool '{0}'")]
     InvalidBool(String),
-    /// It is no known kind of idempotency.
+    /// The text names no kind of idempotency; the format calls this setting `effect`.
     #[error("unknown effect '{0}'")]
     UnknownIdempotency(String),
 }
 
-/// A type that a setting's text stands for.
+/// A type that can be parsed from the text of a setting.
 pub(super) trait FromSetting: Sized {
-    /// Reads the text.
+    /// Parses the text.
     ///
     /// # Errors
     ///
-    /// If the text is no value of this type.
+    /// Returns an error if the text is not a valid value of this type.
     fn from_setting(text: &str) -> Result<Self, ValueError>;
 }
 
@@ -231,7 +233,7 @@
     }
 }
 
-/// How many elements a plain list has.
+/// Number of elements of a comma-separated list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ListLength(usize);
 
@@ -244,14 +246,14 @@
     }
 }
 
-/// [`crate::Idempotency`] without the deduplication scope, which is a setting of its own.
+/// [`crate::Idempotency`] without the deduplication scope, which is a separate setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum IdempotencyKind {
-    /// Running it again does no harm.
+    /// Requests may run more than once without harm.
     Idempotent,
-    /// It carries an idempotency key.
+    /// Requests carry an idempotency key.
     IdempotencyKey,
-    /// It must never run twice.
+    /// Requests must never run twice.
     NonIdempotent,
 }
 
@@ -285,12 +287,12 @@
     }
 }
 
-/// What priority weights are counted per.
+/// The unit for which a class's priority weight counts once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WeightUnit {
-    /// Each request.
+    /// One request.
     Request,
-    /// Each unit of its work.
+    /// One unit of a request's work.
     Work,
 }
 
--- a/src/settings_format/tree.rs
+++ b/src/settings_format/tree.rs
@@ -1,13 +1,13 @@
-//! The common form of a settings file and of the simulator's pairs.
+//! The tree of settings that is read both from a settings file and from the simulator's pairs.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The name under which a list of objects holds the number of its elements.
+/// Name of the child of a list of objects that holds the number of its elements.
 pub(super) const COUNT: &str = "count";
 
-/// A setting's text, and the settings below it. Lists of objects have numbered children and
-/// `COUNT`; other lists are a text, joined by commas.
+/// The text of a setting and its child settings by name. A list of objects has the children `0`,
+/// `1` and so on and [`COUNT`]; any other list is one text of its elements joined by commas.
 #[derive(Debug, Default)]
 pub(super) struct SettingsTree {
     text: Option<String>,
@@ -15,7 +15,7 @@
 }
 
 impl SettingsTree {
-    /// A tree without any setting.
+    /// Returns a tree without any settings.
     pub(super) const fn empty() -> Self {
         SettingsTree {
             text: None,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The tree of pairs of a path and a value.
+    /// Builds a tree from pairs of a path and a value.
     pub(super) fn from_pairs<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         let mut tree = SettingsTree::default();
         for (path, value) in pairs {
@@ -32,7 +32,7 @@
         tree
     }
 
-    /// The tree of a JSON value.
+    /// Builds a tree from a JSON value.
     pub(super) fn from_json(value: &Value) -> Self {
         let mut tree = SettingsTree::default();
         tree.insert_json(value);
@@ -61,19 +61,19 @@
         }
     }
 
-    /// The setting at this path of names with dots between them, created if there is none.
+    /// Returns the setting at a path of names separated by dots, and creates it if it is absent.
     fn get_or_create(&mut self, path: &str) -> &mut Self {
         path.split('.').fold(self, |tree, name| {
             tree.children.entry(name.to_string()).or_default()
         })
     }
 
-    /// The value of this setting itself.
+    /// Returns the text of this setting, if it has one.
     pub(super) fn text(&self) -> Option<&str> {
         self.text.as_deref()
     }
 
-    /// The setting of this name below this one.
+    /// Returns the child setting of this name.
     pub(super) fn child(&self, name: &str) -> Option<&Self> {
         self.children.get(name)
     }
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -1,4 +1,4 @@
-//! Runs balancers on the simulator's wire.
+//! The adapter: passes the simulator's messages to balancers and returns their actions.
 
 use crate::decision::{Action, Balancer, Event, ListScope, UpstreamEntry};
 use crate::settings_format::settings_from_pairs;
@@ -13,11 +13,13 @@
 
 const WRITE_TO_MEMORY: &str = "writing to memory does not fail";
 
-/// Serves batches until the input ends between two of them.
+/// Reads batches of messages from `input` and writes one reply per batch to `output`, until the
+/// input ends between two batches.
 ///
 /// # Errors
 ///
-/// The first line that is malformed, or a failure of the input or the output.
+/// Returns an error for the first malformed line, or if reading or writing fails. A batch with a
+/// malformed line gets no reply.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
     let mut reader = LineReader::new(input);
     let mut adapter = Adapter::default();
@@ -40,23 +42,24 @@
     Ok(())
 }
 
-/// The balancers of this process, and what they share.
+/// The balancers of this process, and the state that they share.
 #[derive(Default)]
 struct Adapter {
     addresses: UpstreamAddresses,
-    /// Endpoint lists by the numbers under which messages refer to them.
+    /// Endpoint lists by the `setId` that messages refer to.
     endpoint_lists: BTreeMap<u64, Vec<UpstreamEntry>>,
+    /// Balancers by the number that `SWITCH_TO` selects.
     balancers: BTreeMap<u64, Balancer>,
-    /// Reused for the actions of each event.
+    /// Buffer for the actions of one event.
     actions: Vec<Action>,
-    /// The reply to the present batch.
+    /// The reply to the current batch.
     reply: Vec<u8>,
-    /// The balancer that the lines at the end of the reply come from.
+    /// The balancer that the last `FROM` line of the reply names.
     replying_balancer: Option<u64>,
 }
 
 impl Adapter {
-    /// Handles the lines up to the end of a batch.
+    /// Handles the lines of a batch up to its `END`.
     fn run_batch<R: BufRead>(
         &mut self,
         reader: &mut LineReader<R>,
@@ -112,7 +115,7 @@
             "STOP" => {
                 self.balancers.remove(&balancer_number);
             }
-            // Results of health checks and messages of peers, which the decisions don't use.
+            // Results of health checks and messages from peers: the decision module uses neither.
             "CHECKED" | "FROM_PEER" => {}
             "FLEET" => {
                 let event = self.endpoint_list_event(line)?;
@@ -137,8 +140,8 @@
         Ok(Event::EndpointList { scope, endpoints })
     }
 
-    /// Has a balancer handle an event and writes its actions. One that panics is removed and
-    /// reported with `CRASH`.
+    /// Passes an event to a balancer and appends its actions to the reply. A balancer that panics
+    /// is removed and reported with `CRASH`.
     fn handle_event(&mut self, balancer_number: u64, now: f64, event: Event) {
         let Some(balancer) = self.balancers.get_mut(&balancer_number) else {
             return;
--- a/src/simulator/line.rs
+++ b/src/simulator/line.rs
@@ -1,34 +1,34 @@
-//! The line format: a name and `field=value` pairs, separated by tabs.
+//! The line format: the name of a message and `field=value` pairs, separated by tabs.
 
 use crate::decision::RequestId;
 use std::io::{self, BufRead};
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Why the adapter stopped.
+/// An error that ends the adapter.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// A line could not be understood.
+    /// A line is malformed or unexpected.
     #[error("line {line}: field {field}: {problem}")]
     Malformed {
-        /// Counted from 1.
+        /// Number of the line, from 1.
         line: u64,
-        /// Which field, or the message's name.
+        /// Name of the field, or of the message if the error is not about one field.
         field: String,
-        /// What is wrong.
+        /// Why it is not accepted.
         problem: String,
     },
     /// Reading or writing failed.
     #[error("line {line}: input or output failed: {source}")]
     Io {
-        /// Counted from 1.
+        /// Number of the line being read, or of the last one read if writing failed; from 1.
         line: u64,
-        /// Why.
+        /// The error of the read or write.
         source: io::Error,
     },
 }
 
-/// One line, split into its name and its fields.
+/// One line, split into the name of its message and its fields.
 pub(super) struct Line<'a> {
     line_number: u64,
     name: &'a str,
@@ -36,11 +36,11 @@
 }
 
 impl<'a> Line<'a> {
-    /// Splits the text of the line of this number.
+    /// Splits the text of a line; errors refer to it by `line_number`.
     ///
     /// # Errors
     ///
-    /// If a field has no `=`.
+    /// Returns an error if a field has no `=`.
     fn parse(text: &'a str, line_number: u64) -> Result<Self, WireError> {
         let mut parts = text.split('\t');
         let name = parts.next().unwrap_or("");
@@ -58,17 +58,17 @@
         Ok(line)
     }
 
-    /// The name of the message.
+    /// Returns the name of the message.
     pub(super) fn name(&self) -> &'a str {
         self.name
     }
 
-    /// All fields, in their order.
+    /// Returns the names and values of all fields, in the order of the line.
     pub(super) fn fields(&self) -> impl Iterator<Item = (&'a str, &'a str)> + '_ {
         self.fields.iter().copied()
     }
 
-    /// An error in this field of the line.
+    /// Returns an error about a field of this line.
     pub(super) fn error(&self, field: &str, problem: impl ToString) -> WireError {
         WireError::Malformed {
             line: self.line_number,
@@ -81,27 +81,27 @@
         self.error(field, "is missing")
     }
 
-    /// The text of a field, if it is there.
+    /// Returns the text of a field, if the line has it.
     fn text(&self, field: &str) -> Option<&'a str> {
         self.fields()
             .find(|(name, _)| *name == field)
             .map(|(_, value)| value)
     }
 
-    /// The text of a field.
+    /// Returns the text of a field.
     ///
     /// # Errors
     ///
-    /// If it is missing.
+    /// Returns an error if the field is missing.
     pub(super) fn required_text(&self, field: &str) -> Result<&'a str, WireError> {
         self.text(field).ok_or_else(|| self.missing(field))
     }
 
-    /// The number in a field, if it is there.
+    /// Returns the number in a field, if the line has it.
     ///
     /// # Errors
     ///
-    /// If it is no number of this type.
+    /// Returns an error if the text is not a number of this type.
     pub(super) fn number<T: FromStr>(&self, field: &str) -> Result<Option<T>, WireError> {
         let Some(text) = self.text(field) else {
             return Ok(None);
@@ -111,20 +111,20 @@
             .map_err(|_| self.error(field, format_args!("bad number '{text}'")))
     }
 
-    /// The number in a field.
+    /// Returns the number in a field.
     ///
     /// # Errors
     ///
-    /// If it is missing, or no number of this type.
+    /// Returns an error if the field is missing or its text is not a number of this type.
     pub(super) fn required_number<T: FromStr>(&self, field: &str) -> Result<T, WireError> {
         self.number(field)?.ok_or_else(|| self.missing(field))
     }
 
-    /// The seconds in a field, if it is there.
+    /// Returns the seconds in a field, if the line has it.
     ///
     /// # Errors
     ///
-    /// If they are no finite number.
+    /// Returns an error if the text is not a finite number.
     pub(super) fn seconds(&self, field: &str) -> Result<Option<f64>, WireError> {
         match self.number::<f64>(field)? {
             Some(seconds) if !seconds.is_finite() => Err(self.error(field, "is not finite")),
@@ -132,20 +132,20 @@
         }
     }
 
-    /// The seconds in a field.
+    /// Returns the seconds in a field.
     ///
     /// # Errors
     ///
-    /// If it is missing, or they are no finite number.
+    /// Returns an error if the field is missing or its text is not a finite number.
     pub(super) fn required_seconds(&self, field: &str) -> Result<f64, WireError> {
         self.seconds(field)?.ok_or_else(|| self.missing(field))
     }
 
-    /// The flag in a field, `0` or `1`; false if it is missing.
+    /// Returns the flag in a field, `0` or `1`; false if the field is missing.
     ///
     /// # Errors
     ///
-    /// If it is neither.
+    /// Returns an error if the text is neither `0` nor `1`.
     pub(super) fn flag(&self, field: &str) -> Result<bool, WireError> {
         match self.text(field) {
             None | Some("0") => Ok(false),
@@ -154,26 +154,27 @@
         }
     }
 
-    /// The request that the line is about.
+    /// Returns the id of the request that the line is about, from the field `rid`.
     ///
     /// # Errors
     ///
-    /// If its id is missing, or no number.
+    /// Returns an error if `rid` is missing or not a number.
     pub(super) fn request_id(&self) -> Result<RequestId, WireError> {
         Ok(RequestId(self.required_number("rid")?))
     }
 }
 
-/// Reads lines and counts them.
+/// Reads and counts the lines of an input.
 pub(super) struct LineReader<R> {
     input: R,
     /// The number of the last line read, from 1.
     line_number: u64,
+    /// The text of the last line read.
     text: String,
 }
 
 impl<R: BufRead> LineReader<R> {
-    /// A reader at the beginning of this input.
+    /// Returns a reader that counts lines from the present position of `input`.
     pub(super) fn new(input: R) -> Self {
         LineReader {
             input,
@@ -182,16 +183,16 @@
         }
     }
 
-    /// The number of the last line read.
+    /// Returns the number of the last line read, from 1.
     pub(super) fn line_number(&self) -> u64 {
         self.line_number
     }
 
-    /// The next line, or `None` at the end of the input.
+    /// Reads the next line; returns `None` at the end of the input.
     ///
     /// # Errors
     ///
-    /// If reading fails, or a field has no `=`.
+    /// Returns an error if reading fails or a field has no `=`.
     pub(super) fn next_line(&mut self) -> Result<Option<Line<'_>>, WireError> {
         self.text.clear();
         self.line_number += 1;
@@ -210,11 +211,11 @@
         Line::parse(text, self.line_number).map(Some)
     }
 
-    /// The next line of a batch that has begun.
+    /// Reads the next line inside a batch.
     ///
     /// # Errors
     ///
-    /// As for [`Self::next_line`], and at the end of the input.
+    /// Returns an error as [`Self::next_line`] does, and also if the input ends.
     pub(super) fn next_line_in_batch(&mut self) -> Result<Line<'_>, WireError> {
         let line = self.line_number + 1;
         self.next_line()?.ok_or_else(|| WireError::Malformed {
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -1,4 +1,4 @@
-//! The messages: events that the simulator sends, and actions that go back.
+//! The messages of the protocol: events from the simulator, and actions of the balancers.
 
 use crate::decision::{
     Action, AttemptOutcome, AttemptResult, Class, Event, ListScope, Request, UpstreamEntry,
@@ -8,12 +8,16 @@
 use std::collections::HashMap;
 use std::io::{self, Write};
 
-/// The addresses of the upstreams, by their ids.
+/// The addresses of upstreams by id.
 #[derive(Default)]
 pub(super) struct UpstreamAddresses(HashMap<UpstreamId, String>);
 
 impl UpstreamAddresses {
-    /// The id of an address, which is remembered.
+    /// Returns the id of an address and stores the address under it.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if another address has the same id.
     fn intern(&mut self, line: &Line, address: &str) -> Result<UpstreamId, WireError> {
         let id = UpstreamId::of(address);
         let known = self.0.entry(id).or_insert_with(|| address.to_string());
@@ -24,16 +28,18 @@
         Ok(id)
     }
 
+    /// Returns the address of an upstream, or `?` if the id is unknown.
     fn resolve(&self, id: UpstreamId) -> &str {
         self.0.get(&id).map_or("?", String::as_str)
     }
 }
 
-/// The upstream that a line of an endpoint list describes.
+/// Parses a `ROW` line, which describes one upstream of an endpoint list.
 ///
 /// # Errors
 ///
-/// If the line is of another kind, or a field is missing or malformed.
+/// Returns an error if the line is not a `ROW`, if a field is missing or malformed, or if another
+/// address has the same id.
 pub(super) fn parse_upstream(
     line: &Line,
     addresses: &mut UpstreamAddresses,
@@ -58,11 +64,11 @@
     })
 }
 
-/// What an endpoint list holds, as the line that delivers it says.
+/// Parses the scope of the endpoint list that a `FLEET` line delivers.
 ///
 /// # Errors
 ///
-/// If the scope is missing or unknown.
+/// Returns an error if the scope is missing or unknown.
 pub(super) fn parse_list_scope(line: &Line) -> Result<ListScope, WireError> {
     Ok(match line.required_text("scope")? {
         "delta" => ListScope::Delta,
@@ -73,11 +79,12 @@
     })
 }
 
-/// The event in a line that is complete in itself.
+/// Parses a message whose event needs no data beyond its own line: all but `FLEET`, which refers to
+/// an endpoint list of an earlier `SHEET`.
 ///
 /// # Errors
 ///
-/// If the message is unknown, or a field is missing or malformed.
+/// Returns an error if the message is unknown, or a field is missing or malformed.
 pub(super) fn parse_event(line: &Line) -> Result<Event, WireError> {
     Ok(match line.name() {
         "ARRIVAL" => Event::Request(Request {
@@ -117,11 +124,11 @@
     })
 }
 
-/// Writes the line of an action. `classes` are those of the balancer that it comes from.
+/// Writes an action as one line. `classes` are the request classes of the balancer that took it.
 ///
 /// # Errors
 ///
-/// Those of `out`.
+/// Returns an error if writing to `out` fails.
 pub(super) fn write_action(
     action: &Action,
     addresses: &UpstreamAddresses,
@@ -159,7 +166,7 @@
     }
 }
 
-/// The text without the characters that separate lines and fields.
+/// Replaces newlines and tabs, which separate lines and fields, with spaces.
 pub(super) fn on_one_line(text: &str) -> String {
     text.replace(['\n', '\t'], " ")
 }
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire: its line format, its messages, and the adapter that runs balancers on it.
-//! No decision is made here.
+//! The simulator's line protocol: its format, its messages, and the adapter that runs balancers
+//! behind it. All decisions are left to the decision module.
 
 mod adapter;
 mod line;
