--- a/src/bin/load-balancer/config/error.rs
+++ b/src/bin/load-balancer/config/error.rs
@@ -34,7 +34,7 @@
         source: serde_json::Error,
     },
     /// An address is not of the form IP:PORT.
-    #[error("{name}: '{text}' is not an address")]
+    #[error("{name}: '{text}' is not an address of the form IP:PORT")]
     Address {
         /// The variable that sets this address, or that overrides it if the file sets it.
         name: &'static str,
@@ -42,10 +42,10 @@
         text: String,
     },
     /// The seed is not a hexadecimal number of up to 64 bits.
-    #[error("seed: '{0}' is not a hexadecimal number")]
+    #[error("seed: '{0}' is not a hexadecimal number of up to 64 bits")]
     Seed(String),
     /// The descriptor limit is too low to serve requests.
-    #[error("limits.sockets: {configured} are too few, {minimum} is the least")]
+    #[error("limits.sockets: {configured} is below the minimum of {minimum}")]
     TooFewDescriptors {
         /// The limit in the file.
         configured: usize,
@@ -53,10 +53,10 @@
         minimum: usize,
     },
     /// The memory limit, in MiB, is not positive.
-    #[error("limits.memory_mb: {0} is out of range")]
+    #[error("limits.memory_mb: expected a positive number of MiB, got {0}")]
     MemoryLimit(f64),
     /// The settings are not a JSON object.
-    #[error("settings: must be an object")]
+    #[error("settings: expected a JSON object")]
     SettingsNotAnObject,
     /// A setting can't be read.
     #[error("{0}")]
--- a/src/settings_format/deserializer.rs
+++ b/src/settings_format/deserializer.rs
@@ -103,10 +103,9 @@
         &mut self,
         seed: V,
     ) -> Result<V::Value, InvalidSetting> {
-        let (name, value) = self
-            .current
-            .take()
-            .ok_or_else(|| InvalidSetting::custom("a value was read before its name"))?;
+        let (name, value) = self.current.take().ok_or_else(|| {
+            InvalidSetting::custom("next_value_seed was called before next_key_seed")
+        })?;
         seed.deserialize(value)
             .map_err(|error| error.with_path_prefix(name))
     }
--- a/src/settings_format/document.rs
+++ b/src/settings_format/document.rs
@@ -180,13 +180,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(super) enum ValueError {
     /// The text is not a number, or not one of the setting's type (a negative count).
-    #[error("bad number '{0}'")]
+    #[error("invalid number '{0}'")]
     InvalidNumber(String),
     /// The text is not a boolean.
-    #[error("bad bool '{0}'")]
+    #[error("expected true, false, 1 or 0, got '{0}'")]
     InvalidBool(String),
     /// The text names no kind of idempotency; the format calls this setting `effect`.
-    #[error("unknown effect '{0}'")]
+    #[error("expected read_like, idempotency_key or non_idempotent, got '{0}'")]
     UnknownIdempotency(String),
 }
 
--- a/src/settings_format/tests.rs
+++ b/src/settings_format/tests.rs
@@ -99,20 +99,27 @@
 #[test]
 fn error_names_the_path_of_the_first_invalid_setting() {
     for (text, error) in [
-        ("limits.cancel=x", "setting limits.cancel: bad bool 'x'"),
-        ("me=-1", "setting me: bad number '-1'"),
-        ("tenants.count=x", "setting tenants.count: bad number 'x'"),
+        (
+            "limits.cancel=x",
+            "setting limits.cancel: expected true, false, 1 or 0, got 'x'",
+        ),
+        ("me=-1", "setting me: invalid number '-1'"),
+        (
+            "tenants.count=x",
+            "setting tenants.count: invalid number 'x'",
+        ),
         (
             "classes.count=2 classes.1.aim=soon classes.1.effect=odd me=x",
-            "setting classes.1.aim: bad number 'soon'",
+            "setting classes.1.aim: invalid number 'soon'",
         ),
         (
             "classes.count=1 classes.0.effect=odd classes.0.worth=x",
-            "setting classes.0.effect: unknown effect 'odd'",
+            "setting classes.0.effect: expected read_like, idempotency_key or non_idempotent, \
+                got 'odd'",
         ),
         (
             "limits.retryAfter=1 limits.maxRetryAfter=x",
-            "setting limits.maxRetryAfter: bad number 'x'",
+            "setting limits.maxRetryAfter: invalid number 'x'",
         ),
     ] {
         assert_eq!(pairs(text).unwrap_err().to_string(), error);
