--- a/src/bin/load-balancer/config/error.rs
+++ b/src/bin/load-balancer/config/error.rs
@@ -35,7 +35,7 @@
     },
     /// An address is not of the form IP:PORT.
     #[error("{name}: '{text}' is not an address of the form IP:PORT")]
-    Address {
+    InvalidAddress {
         /// The variable that sets this address, or that overrides it if the file sets it.
         name: &'static str,
         /// The text that was found.
@@ -43,7 +43,7 @@
     },
     /// The seed is not a hexadecimal number of up to 64 bits.
     #[error("seed: '{0}' is not a hexadecimal number of up to 64 bits")]
-    Seed(String),
+    InvalidSeed(String),
     /// The descriptor limit is too low to serve requests.
     #[error("limits.sockets: {configured} is below the minimum of {minimum}")]
     TooFewDescriptors {
@@ -54,7 +54,7 @@
     },
     /// The memory limit, in MiB, is not positive.
     #[error("limits.memory_mb: expected a positive number of MiB, got {0}")]
-    MemoryLimit(f64),
+    InvalidMemoryLimit(f64),
     /// The settings are not a JSON object.
     #[error("settings: expected a JSON object")]
     SettingsNotAnObject,
--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -128,7 +128,7 @@
             });
         }
         if file.limits.memory_mib <= 0.0 {
-            return Err(ConfigError::MemoryLimit(file.limits.memory_mib));
+            return Err(ConfigError::InvalidMemoryLimit(file.limits.memory_mib));
         }
         let settings = parse_settings(&file)?;
         let names = name_tables(&file, &settings);
@@ -159,7 +159,7 @@
     if text.is_empty() {
         return Ok(0);
     }
-    u64::from_str_radix(text, 16).map_err(|_| ConfigError::Seed(text.to_string()))
+    u64::from_str_radix(text, 16).map_err(|_| ConfigError::InvalidSeed(text.to_string()))
 }
 
 fn parse_settings(file: &ConfigFile) -> Result<Settings, ConfigError> {
@@ -190,7 +190,7 @@
 ) -> Result<Option<SocketAddr>, ConfigError> {
     let parse = |text: String| {
         text.parse()
-            .map_err(|_| ConfigError::Address { name, text })
+            .map_err(|_| ConfigError::InvalidAddress { name, text })
     };
     text.map(parse).transpose()
 }
