--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration: the file that `$PROXY_CONFIG` names, and the variables that override parts
-//! of it.
+//! The configuration: a file, whose path is in the variable `PROXY_CONFIG`, and environment
+//! variables that override some of its fields.
 
 mod error;
 mod file;
@@ -15,30 +15,30 @@
 use std::env::{self, VarError};
 use std::net::SocketAddr;
 
-/// The balancer has to act on a change of the endpoint list within this time after discovery had
-/// it.
+/// The balancer has to act on a change of the endpoint list within this time after discovery
+/// received the change.
 const NOTIFICATION_DEADLINE_SECONDS: f64 = 6.0;
-// Variables that override fields of the file, and name them in errors.
+// Variables that override fields of the file. Errors in these fields name the variable.
 const NAME_VARIABLE: &str = "PROXY_NAME";
 const LISTEN_VARIABLE: &str = "PROXY_LISTEN";
 const DISCOVERY_VARIABLE: &str = "PROXY_DISCOVERY";
 const ADMIN_VARIABLE: &str = "PROXY_CONSOLE";
-/// The variable that holds the path of the file.
+/// The variable with the path of the configuration file.
 const FILE_VARIABLE: &str = "PROXY_CONFIG";
 
-/// The fewest descriptors with which a process can serve.
+/// The lowest descriptor limit with which a process can serve requests.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// Names by the numbers that the decision module uses in their place, which are the indices.
+/// Names that the decision module refers to by number: the number is the index into the list.
 #[derive(Debug, Default)]
 pub struct NameTables {
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Machine kinds.
+    /// Names of the machine kinds.
     pub kinds: Vec<String>,
-    /// Request classes.
+    /// Names of the request classes.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
 }
 
@@ -46,63 +46,64 @@
 pub struct Config {
     /// The name of the balancer.
     pub name: String,
-    /// The address for clients.
+    /// The address on which clients are accepted.
     pub listen: SocketAddr,
     /// The address of discovery.
     pub discovery: SocketAddr,
     /// The address of the admin endpoint, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The seed of random choices.
+    /// The seed of the random choices.
     pub seed: u64,
-    /// File descriptors that the process may have open: as configured, or fewer if the system
-    /// allows fewer.
+    /// File descriptors that the process may have open: the configured limit, or the limit of the
+    /// system if that is lower.
     pub max_descriptors: usize,
-    /// Bytes of memory that the process may use.
+    /// Memory that the process may use, in bytes.
     pub memory_bytes: usize,
-    /// The endpoint list to start with.
+    /// The endpoint list to use until discovery sends one.
     pub known_endpoints: EndpointList,
     /// The settings of the decision module.
     pub settings: Settings,
-    /// The names of what they number.
+    /// The names for the numbers that the settings and the decision module use.
     pub names: NameTables,
 }
 
-/// Why the configuration is read.
+/// Whether the configuration is read at the start of the process or again while it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Occasion {
+enum LoadMode {
     Start,
     Reload,
 }
 
 impl Config {
-    /// Reads the configuration at the start of the process. Sleeps while the file can't be read
-    /// for a moment.
+    /// Reads the configuration at the start of the process. If reading the file fails with a
+    /// transient error, blocks the thread and retries for a limited time.
     ///
     /// # Errors
     ///
     /// See [`ConfigError`].
     pub fn load() -> Result<Self, ConfigError> {
-        Self::read(Occasion::Start)
+        Self::read(LoadMode::Start)
     }
 
-    /// Reads the whole configuration again. The variables are those of the start, so the file's
-    /// address of discovery is newer and goes before its variable.
+    /// Reads the whole configuration again. The environment variables date from the start of the
+    /// process, while the file may have changed since: a discovery address in the file therefore
+    /// takes precedence over `PROXY_DISCOVERY`.
     ///
     /// # Errors
     ///
-    /// See [`ConfigError`]. The caller retries an unreadable file.
+    /// See [`ConfigError`]. An unreadable file is not retried here; that is left to the caller.
     pub fn reload() -> Result<Self, ConfigError> {
-        Self::read(Occasion::Reload)
+        Self::read(LoadMode::Reload)
     }
 
-    fn read(occasion: Occasion) -> Result<Self, ConfigError> {
+    fn read(mode: LoadMode) -> Result<Self, ConfigError> {
         let name = FILE_VARIABLE;
         let path = env::var(name).map_err(|source| ConfigError::Variable { name, source })?;
         let read = || std::fs::read(&path);
-        let text = match occasion {
-            Occasion::Start => retry_transient_errors(read),
-            // Clients are being served: no sleeping retries.
-            Occasion::Reload => read(),
+        let text = match mode {
+            LoadMode::Start => retry_transient_errors(read),
+            // No retries here: they would block the thread that serves clients.
+            LoadMode::Reload => read(),
         };
         let text = text.map_err(|source| ConfigError::Unreadable {
             path: path.clone(),
@@ -110,32 +111,32 @@
         })?;
         let file = serde_json::from_slice(&text)
             .map_err(|source| ConfigError::Malformed { path, source })?;
-        Self::from_file(file, occasion, |name| env::var(name).ok())
+        Self::from_file(file, mode, |name| env::var(name).ok())
     }
 
     fn from_file(
         file: ConfigFile,
-        occasion: Occasion,
+        mode: LoadMode,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
         let seed = parse_seed(&file.seed)?;
         let max_descriptors = file.limits.max_descriptors;
         if max_descriptors < MIN_DESCRIPTORS {
             return Err(ConfigError::TooFewDescriptors {
-                given: max_descriptors,
-                least: MIN_DESCRIPTORS,
+                configured: max_descriptors,
+                minimum: MIN_DESCRIPTORS,
             });
         }
         if file.limits.memory_mib <= 0.0 {
-            return Err(ConfigError::MemoryLimit(file.limits.memory_mib));
+            return Err(ConfigError::InvalidMemoryLimit(file.limits.memory_mib));
         }
         let settings = parse_settings(&file)?;
         let names = name_tables(&file, &settings);
         let max_descriptors = cap_descriptors(max_descriptors);
-        // Only the address of discovery can change while the process runs.
-        let discovery = match occasion {
-            Occasion::Start => variable(DISCOVERY_VARIABLE).or(file.discovery),
-            Occasion::Reload => file.discovery.or_else(|| variable(DISCOVERY_VARIABLE)),
+        // The discovery address is the only field that a reload changes.
+        let discovery = match mode {
+            LoadMode::Start => variable(DISCOVERY_VARIABLE).or(file.discovery),
+            LoadMode::Reload => file.discovery.or_else(|| variable(DISCOVERY_VARIABLE)),
         };
         let listen = variable(LISTEN_VARIABLE).or(file.listen);
         let admin = variable(ADMIN_VARIABLE).or(file.admin);
@@ -158,7 +159,7 @@
     if text.is_empty() {
         return Ok(0);
     }
-    u64::from_str_radix(text, 16).map_err(|_| ConfigError::Seed(text.to_string()))
+    u64::from_str_radix(text, 16).map_err(|_| ConfigError::InvalidSeed(text.to_string()))
 }
 
 fn parse_settings(file: &ConfigFile) -> Result<Settings, ConfigError> {
@@ -182,15 +183,14 @@
     }
 }
 
-/// Parses the address that the variable of this name, or the file in its place, gives; `None` if
-/// neither does.
+/// Parses an address from the variable `name` or the file; returns `None` if neither sets one.
 fn optional_address(
     name: &'static str,
     text: Option<String>,
 ) -> Result<Option<SocketAddr>, ConfigError> {
     let parse = |text: String| {
         text.parse()
-            .map_err(|_| ConfigError::Address { name, text })
+            .map_err(|_| ConfigError::InvalidAddress { name, text })
     };
     text.map(parse).transpose()
 }
@@ -202,8 +202,9 @@
     })
 }
 
-/// As many descriptors as are configured, or fewer if the system allows fewer: more than that
-/// would let clients take descriptors that are reserved for other uses.
+/// Returns the configured descriptor limit, or the limit of the system if that is lower (at least
+/// [`MIN_DESCRIPTORS`]). With a limit above the system's, clients could take descriptors that are
+/// reserved for other uses.
 fn cap_descriptors(configured: usize) -> usize {
     let allowed = descriptor_limit().map_or(configured, |limit| limit.max(MIN_DESCRIPTORS));
     if allowed < configured {
@@ -215,7 +216,7 @@
     configured.min(allowed)
 }
 
-/// The soft limit of the system on this process's descriptors, if it can be read.
+/// Returns the system's soft limit on the descriptors of this process, if it can be read.
 fn descriptor_limit() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = limits
--- a/src/settings_format/deserializer.rs
+++ b/src/settings_format/deserializer.rs
@@ -1,4 +1,4 @@
-//! Builds serde types from a settings tree.
+//! A serde deserializer that reads from a settings tree.
 
 use crate::settings_format::document::FromSetting;
 use crate::settings_format::tree::{SettingsTree, COUNT};
@@ -7,7 +7,7 @@
 use serde::forward_to_deserialize_any;
 use std::fmt::Display;
 
-/// What stands for an element that has no settings.
+/// Stands for a list element without any settings, all of which then have their defaults.
 static EMPTY: SettingsTree = SettingsTree::empty();
 
 impl de::Error for InvalidSetting {
@@ -20,8 +20,8 @@
 }
 
 impl InvalidSetting {
-    /// The same error, seen from one level up: its path begins with `name`.
-    pub(super) fn below(mut self, name: &str) -> Self {
+    /// Prepends a field name or list index to the path, once for each level on the way up.
+    pub(super) fn with_path_prefix(mut self, name: &str) -> Self {
         self.path = if self.path.is_empty() {
             name.to_string()
         } else {
@@ -34,7 +34,7 @@
 impl<'de> de::Deserializer<'de> for &'de SettingsTree {
     type Error = InvalidSetting;
 
-    /// A single value: its text, or none.
+    /// Deserializes a single value: the setting's text, or `None` if it has no text.
     fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, InvalidSetting> {
         match self.text() {
             Some(text) => visitor.visit_borrowed_str(text),
@@ -59,7 +59,7 @@
         let count = match self.child(COUNT).and_then(SettingsTree::text) {
             None => 0,
             Some(text) => usize::from_setting(text)
-                .map_err(|error| InvalidSetting::custom(error).below(COUNT))?,
+                .map_err(|error| InvalidSetting::custom(error).with_path_prefix(COUNT))?,
         };
         visitor.visit_seq(Elements {
             tree: self,
@@ -74,8 +74,8 @@
     }
 }
 
-/// The fields of a struct that have settings, in the order of their declaration: that order
-/// decides which of several errors is reported.
+/// Iterates over the fields of a struct that are present in the tree, in the order of declaration.
+/// The first error ends the deserialization, so this order decides which of several is reported.
 struct Fields<'de> {
     tree: &'de SettingsTree,
     names: std::slice::Iter<'static, &'static str>,
@@ -103,15 +103,15 @@
         &mut self,
         seed: V,
     ) -> Result<V::Value, InvalidSetting> {
-        let (name, value) = self
-            .current
-            .take()
-            .ok_or_else(|| InvalidSetting::custom("a value was read before its name"))?;
-        seed.deserialize(value).map_err(|error| error.below(name))
+        let (name, value) = self.current.take().ok_or_else(|| {
+            InvalidSetting::custom("next_value_seed was called before next_key_seed")
+        })?;
+        seed.deserialize(value)
+            .map_err(|error| error.with_path_prefix(name))
     }
 }
 
-/// The elements of a list of objects.
+/// Iterates over the elements of a list of objects.
 struct Elements<'de> {
     tree: &'de SettingsTree,
     next: usize,
@@ -133,6 +133,6 @@
         let element = self.tree.child(&name).unwrap_or(&EMPTY);
         seed.deserialize(element)
             .map(Some)
-            .map_err(|error| error.below(&name))
+            .map_err(|error| error.with_path_prefix(&name))
     }
 }
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -1,4 +1,4 @@
-//! The messages: events that the simulator sends, and actions that go back.
+//! The messages of the protocol: events from the simulator, and actions of the balancers.
 
 use crate::decision::{
     Action, AttemptOutcome, AttemptResult, Class, Event, ListScope, Request, UpstreamEntry,
@@ -8,41 +8,47 @@
 use std::collections::HashMap;
 use std::io::{self, Write};
 
-/// The addresses of the upstreams, by their ids.
+/// The addresses of upstreams by id.
 #[derive(Default)]
-pub(super) struct UpstreamNames(HashMap<UpstreamId, String>);
+pub(super) struct UpstreamAddresses(HashMap<UpstreamId, String>);
 
-impl UpstreamNames {
-    /// The id of an address, which is remembered.
+impl UpstreamAddresses {
+    /// Returns the id of an address and stores the address under it.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if another address has the same id.
     fn intern(&mut self, line: &Line, address: &str) -> Result<UpstreamId, WireError> {
         let id = UpstreamId::of(address);
         let known = self.0.entry(id).or_insert_with(|| address.to_string());
         if known != address {
-            let problem = format!("'{address}' has the same id as '{known}'");
+            let problem = format!("'{address}' has the same id {} as '{known}'", id.0);
             return Err(line.error("upstream", problem));
         }
         Ok(id)
     }
 
-    fn address(&self, id: UpstreamId) -> &str {
+    /// Returns the address of an upstream, or `?` if the id is unknown.
+    fn resolve(&self, id: UpstreamId) -> &str {
         self.0.get(&id).map_or("?", String::as_str)
     }
 }
 
-/// The upstream that a line of an endpoint list describes.
+/// Parses a `ROW` line, which describes one upstream of an endpoint list.
 ///
 /// # Errors
 ///
-/// If the line is of another kind, or a field is missing or malformed.
+/// Returns an error if the line is not a `ROW`, if a field is missing or malformed, or if another
+/// address has the same id.
 pub(super) fn parse_upstream(
     line: &Line,
-    names: &mut UpstreamNames,
+    addresses: &mut UpstreamAddresses,
 ) -> Result<UpstreamEntry, WireError> {
     if line.name() != "ROW" {
-        return Err(line.error(line.name(), "is not the expected ROW"));
+        return Err(line.error(line.name(), "expected message ROW"));
     }
     Ok(UpstreamEntry {
-        id: names.intern(line, line.required_text("upstream")?)?,
+        id: addresses.intern(line, line.required_text("upstream")?)?,
         zone: line.number("locality")?.unwrap_or(0),
         machine_kind: line.number("familyType")?.unwrap_or(0),
         cell: line.number("group")?.unwrap_or(0),
@@ -51,33 +57,42 @@
             "fading" => UpstreamState::Draining,
             "off" => UpstreamState::Removed,
             other => {
-                return Err(line.error("stageState", format_args!("unknown state '{other}'")));
+                return Err(line.error(
+                    "stageState",
+                    format_args!("expected on, fading or off, got '{other}'"),
+                ));
             }
         },
         started_at: line.seconds("since")?.unwrap_or(0.0),
     })
 }
 
-/// What an endpoint list holds, as the line that delivers it says.
+/// Parses the scope of the endpoint list that a `FLEET` line delivers.
 ///
 /// # Errors
 ///
-/// If the scope is missing or unknown.
+/// Returns an error if the scope is missing or unknown.
 pub(super) fn parse_list_scope(line: &Line) -> Result<ListScope, WireError> {
     Ok(match line.required_text("scope")? {
         "delta" => ListScope::Delta,
         "full" => ListScope::Full,
         "cached" => ListScope::Cached,
         "failed" => ListScope::Failed,
-        other => return Err(line.error("scope", format_args!("unknown scope '{other}'"))),
+        other => {
+            return Err(line.error(
+                "scope",
+                format_args!("expected delta, full, cached or failed, got '{other}'"),
+            ))
+        }
     })
 }
 
-/// The event in a line that is complete in itself.
+/// Parses a message whose event needs no data beyond its own line: all but `FLEET`, which refers to
+/// an endpoint list of an earlier `SHEET`.
 ///
 /// # Errors
 ///
-/// If the message is unknown, or a field is missing or malformed.
+/// Returns an error if the message is unknown, or a field is missing or malformed.
 pub(super) fn parse_event(line: &Line) -> Result<Event, WireError> {
     Ok(match line.name() {
         "ARRIVAL" => Event::Request(Request {
@@ -113,24 +128,29 @@
         "R" => AttemptOutcome::Reset,
         "X" => AttemptOutcome::Cancelled,
         "N" => AttemptOutcome::NotSent,
-        other => return Err(line.error("outcome", format_args!("unknown outcome '{other}'"))),
+        other => {
+            return Err(line.error(
+                "outcome",
+                format_args!("expected S, E, F, T, C, R, X or N, got '{other}'"),
+            ))
+        }
     })
 }
 
-/// Writes the line of an action. `classes` are those of the balancer that it comes from.
+/// Writes an action as one line. `classes` are the request classes of the balancer that took it.
 ///
 /// # Errors
 ///
-/// Those of `out`.
+/// Returns an error if writing to `out` fails.
 pub(super) fn write_action(
     action: &Action,
-    names: &UpstreamNames,
+    addresses: &UpstreamAddresses,
     classes: &[Class],
     out: &mut impl Write,
 ) -> io::Result<()> {
     match action {
         Action::StartAttempt { id, upstream, .. } => {
-            let address = names.address(*upstream);
+            let address = addresses.resolve(*upstream);
             writeln!(out, "SUBMIT_TO\trid={}\tupstream={address}", id.0)
         }
         Action::Reject {
@@ -146,20 +166,20 @@
             writeln!(out, "CALL_OFF\trid={}\ttry={attempt}", id.0)
         }
         Action::CloseIdleConnections { upstream } => {
-            writeln!(out, "LET_GO\tupstream={}", names.address(*upstream))
+            writeln!(out, "LET_GO\tupstream={}", addresses.resolve(*upstream))
         }
         Action::SetTimer { after, token } => {
             writeln!(out, "WAKE_ME\tafter={after:.6}\tname={token}")
         }
         Action::WatchEndpoints => writeln!(out, "TRACK\tactive=1"),
         Action::Log(event) => {
-            let text = event.text(|upstream| Some(names.address(upstream)), classes);
+            let text = event.text(|upstream| Some(addresses.resolve(upstream)), classes);
             writeln!(out, "TRACE\ttext={}", on_one_line(&text))
         }
     }
 }
 
-/// The text without the characters that separate lines and fields.
+/// Replaces newlines and tabs, which separate lines and fields, with spaces.
 pub(super) fn on_one_line(text: &str) -> String {
     text.replace(['\n', '\t'], " ")
 }
