--- a/src/bin/load-balancer/body/download.rs
+++ b/src/bin/load-balancer/body/download.rs
@@ -11,25 +11,27 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// An upstream that has begun a response may pause for this long: pauses of over twenty seconds
-/// are possible.
+/// Longest pause allowed to an upstream during a response. Upstreams can pause for over twenty
+/// seconds.
 const UPSTREAM_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A response's body whose beginning has been read, on its way from the upstream.
+/// A response body that is being received from an upstream, and whose beginning has been read
+/// ahead.
 pub struct Download {
     read_ahead: VecDeque<Bytes>,
     remaining: Incoming,
     length: Option<u64>,
     bytes_read: u64,
-    /// Notified once the complete body has been read; `None` from then on.
+    /// Notified once the complete body has been read; `None` afterwards.
     completion: Option<oneshot::Sender<()>>,
     stall: StallTimer,
     _memory: Option<MemoryPermit>,
 }
 
 impl Download {
-    /// A body of which `read_ahead` has been read. `completion` is notified once all of it has
-    /// been read, so that its connection can be reused; `memory` is held as long as the body.
+    /// Creates a body of which `read_ahead` has been read. `completion` is notified once the
+    /// complete body has been read, so that the upstream connection can be reused; `memory` is held
+    /// as long as the body.
     #[must_use]
     pub fn new(
         read_ahead: VecDeque<Bytes>,
@@ -54,12 +56,12 @@
         download
     }
 
-    /// True once the complete body has been passed on.
+    /// Returns whether [`Self::poll_data`] has returned the complete body.
     pub(super) fn is_passed_on(&self) -> bool {
         self.read_ahead.is_empty() && self.completion.is_none()
     }
 
-    /// The next part of the body; trailers are dropped.
+    /// Returns the next part of the body. Trailers are dropped.
     pub(super) fn poll_data(
         &mut self,
         cx: &mut Context<'_>,
@@ -85,7 +87,7 @@
             if self.bytes_read > MAX_BODY_BYTES {
                 return Poll::Ready(Some(Err(BodyError::TooLarge)));
             }
-            // With a known length hyper doesn't poll for the end.
+            // Hyper doesn't poll for the end of a body whose length is known.
             if self.length == Some(self.bytes_read) {
                 self.complete_reading();
             }
@@ -100,7 +102,7 @@
 
     fn complete_reading(&mut self) {
         if let Some(completion) = self.completion.take() {
-            // The connection may have ended already.
+            // The receiver is dropped if the upstream connection has already ended.
             let _ = completion.send(());
         }
     }
--- a/src/bin/load-balancer/body/memory_budget.rs
+++ b/src/bin/load-balancer/body/memory_budget.rs
@@ -1,23 +1,23 @@
-//! The memory for what is read ahead of bodies.
+//! The memory for reading bodies ahead.
 
 use super::READ_AHEAD_BYTES;
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// One part in this many of the process's memory is used for reading ahead. A second process,
-/// which runs beside this one during an upgrade, uses as much.
+/// Divisor of the process's memory that gives the memory for reading ahead. During an upgrade a
+/// second process runs next to this one and uses the same amount.
 const MEMORY_DIVISOR: usize = 8;
 
-/// The bytes that all bodies together may read ahead.
+/// The memory that all bodies together may use for reading ahead.
 #[derive(Debug)]
 pub struct MemoryBudget(Arc<Semaphore>);
 
-/// Reserved memory; released when dropped.
+/// Reserved memory, released when dropped.
 pub type MemoryPermit = OwnedSemaphorePermit;
 
 impl MemoryBudget {
-    /// A budget for a process that may use this many bytes in all.
+    /// Creates the budget for a process that may use `process_limit` bytes in total.
     #[must_use]
     pub fn new(process_limit: usize) -> Rc<Self> {
         let bytes =
@@ -25,13 +25,13 @@
         Rc::new(MemoryBudget(Arc::new(Semaphore::new(bytes))))
     }
 
-    /// Waits until this many bytes are available. `None` would mean that the semaphore is closed,
-    /// which never happens.
+    /// Reserves `bytes` bytes, waiting until they are available. Returns `None` only if the
+    /// semaphore is closed, which never happens.
     pub(super) async fn acquire(&self, bytes: usize) -> Option<MemoryPermit> {
         self.0.clone().acquire_many_owned(bytes as u32).await.ok()
     }
 
-    /// Reserves what one body may read ahead, if it is available now.
+    /// Reserves the [`READ_AHEAD_BYTES`] of one body if they are available now.
     #[must_use]
     pub fn try_acquire(&self) -> Option<MemoryPermit> {
         self.0
--- a/src/bin/load-balancer/body/mod.rs
+++ b/src/bin/load-balancer/body/mod.rs
@@ -1,9 +1,9 @@
-//! Bodies of requests and responses: small ones are read completely before they are passed on,
+//! Bodies of requests and responses. Small bodies are read completely before they are forwarded,
 //! large ones are streamed.
 //!
-//! What is read ahead comes out of one [`MemoryBudget`], and a body is only read as fast as its
-//! receiver takes it. [`Upload`] and [`UploadBody`] are a request's body, [`Download`] and
-//! [`ResponseBody`] a response's.
+//! The memory for reading ahead is limited by one [`MemoryBudget`], and a streamed body is only
+//! read as fast as its receiver accepts it. [`Upload`] and [`UploadBody`] represent a request's
+//! body, [`Download`] and [`ResponseBody`] a response's body.
 
 mod download;
 mod memory_budget;
@@ -19,23 +19,24 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Largest body in either direction, in bytes.
+/// Maximum size of a request or response body in bytes.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-/// Bytes of a body that are read ahead: a body that is no larger can be retried, or found broken,
-/// before any of it is passed on.
+/// Number of bytes of a body that are read ahead. A body up to this size can be retried, or found
+/// to be truncated, before any of it is forwarded.
 pub const READ_AHEAD_BYTES: usize = 64 << 10;
-/// How long a response of unknown length is held back, as its client may wait for the beginning.
+/// Maximum time for which a response of unknown length is held back, as its client may be waiting
+/// for the beginning.
 pub const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
-/// How long a client that sends a streamed body may pause.
+/// Longest pause allowed to a client that sends a streamed body.
 pub const CLIENT_STALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Why a body ends early.
+/// Why a body ended before it was complete.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BodyError {
-    /// The sender closed its connection, or what it sent is malformed.
+    /// The sender closed its connection, or the received data is malformed.
     #[error("the body is broken")]
     Truncated,
-    /// The sender paused for too long, or is too slow.
+    /// The sender paused for too long or was too slow.
     #[error("the body did not come in time")]
     Stalled,
     /// The body exceeds [`MAX_BODY_BYTES`].
--- a/src/bin/load-balancer/body/response_body.rs
+++ b/src/bin/load-balancer/body/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of a response on its way to a client.
+//! Response bodies as they are sent to clients.
 
 use super::{BodyError, Download};
 use crate::metrics::{InFlightRequest, RequestOutcome};
@@ -8,26 +8,26 @@
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
 
-/// A response's body on its way to a client.
+/// The body of a response to a client, either complete in memory or streamed.
 pub struct ResponseBody(Content);
 
 enum Content {
-    /// A body that is complete in memory; `None` once it has been passed on, or if it is empty.
+    /// The complete body in memory; `None` if it is empty or has been returned.
     Complete(Option<Bytes>),
     Streamed(StreamedContent),
 }
 
-/// A body that is passed on as it comes.
+/// A body that is forwarded while it is being received.
 struct StreamedContent {
     download: Box<Download>,
-    /// Ends with the body.
+    /// Counts the request in the metrics when the body ends.
     in_flight: InFlightRequest,
-    /// Dropped at the body's end, or when the client leaves before.
+    /// Dropped when the body ends or the client disconnects.
     _resources: Box<dyn Any>,
 }
 
 impl ResponseBody {
-    /// A body that is complete in memory.
+    /// Creates a body that is complete in memory.
     #[must_use]
     pub fn complete(body: Bytes) -> Self {
         ResponseBody(Content::Complete(
@@ -35,8 +35,8 @@
         ))
     }
 
-    /// A body that is passed on as it comes. At its end the request is counted in the metrics, and
-    /// `resources` are dropped.
+    /// Creates a body that is forwarded while it is being received. When it ends, the request is
+    /// counted in the metrics and `resources` are dropped.
     #[must_use]
     pub fn streamed(
         download: Box<Download>,
--- a/src/bin/load-balancer/body/stall_timer.rs
+++ b/src/bin/load-balancer/body/stall_timer.rs
@@ -10,18 +10,19 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout_at, Instant, Sleep};
 
-/// How often other tasks may run after a deadline before the body counts as late.
+/// Number of checks for a frame at and after its deadline before the body counts as stalled. Other
+/// tasks run after each check.
 const MAX_TURNS_AFTER_DEADLINE: usize = 16;
 
 /// Waits for the next frame of a body until the deadline.
 ///
-/// After a long pause of the process the deadline is over though the frame may have arrived: it is
-/// available only once the task that reads the connection has run. So the frame is checked again
-/// after letting other tasks run.
+/// If the process is paused for long, the deadline may have expired although the frame has arrived,
+/// because the frame becomes available only once the task that reads the connection has run. The
+/// frame is therefore checked again after other tasks have run.
 ///
 /// # Errors
 ///
-/// [`BodyError::Stalled`] if no frame is available then.
+/// Returns [`BodyError::Stalled`] if no frame is available after the last check.
 pub(super) async fn frame_before(
     deadline: Instant,
     body: &mut Incoming,
@@ -35,14 +36,14 @@
     Err(BodyError::Stalled)
 }
 
-/// Limits how long a peer may take for the next part of a body, and for all parts together. Only
-/// time in which a part is polled for counts.
+/// Limits how long a peer may take to send the next part of a body, and to send all parts together.
+/// Only time during which a part is being polled for is counted.
 pub(super) struct StallTimer {
     pause_limit: Duration,
     sleep: Pin<Box<Sleep>>,
-    /// Since when the next part is polled for.
+    /// When polling for the next part began.
     waiting_since: Option<Instant>,
-    /// Time spent on earlier parts.
+    /// Time spent waiting for earlier parts.
     waited: Duration,
 }
 
@@ -56,12 +57,12 @@
         }
     }
 
-    /// Passes on what the peer has sent, or fails once the peer has taken longer than the limit
-    /// for this part, or than `total_limit` for all parts so far.
+    /// Returns what the peer has sent, or fails once the peer has taken longer than the pause limit
+    /// for this part, or longer than `total_limit` for all parts so far.
     ///
     /// # Errors
     ///
-    /// [`BodyError::Stalled`].
+    /// Returns [`BodyError::Stalled`] if a limit is exceeded.
     pub(super) fn poll<T>(
         &mut self,
         cx: &mut Context<'_>,
--- a/src/bin/load-balancer/body/upload.rs
+++ b/src/bin/load-balancer/body/upload.rs
@@ -1,4 +1,4 @@
-//! The body of a request: its beginning is read ahead, the rest is streamed to one upstream.
+//! The body of a request. Its beginning is read ahead, and the rest is streamed to one upstream.
 
 use super::memory_budget::{MemoryBudget, MemoryPermit};
 use super::stall_timer::{frame_before, StallTimer};
@@ -15,21 +15,22 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Mean rate that a client has to keep up, in bytes per second.
+/// Minimum mean rate at which a client has to send, in bytes per second.
 const MIN_BYTES_PER_SECOND: f64 = 32_000.0;
-/// How far a client may fall behind the mean rate while its body is read ahead.
+/// Time by which a client may fall behind the minimum rate while its body is read ahead.
 const MAX_SEND_PAUSE: Duration = Duration::from_millis(800);
 
-/// A request's body: the bytes that have been read ahead, and what its client has yet to send.
+/// A request body: the bytes that have been read ahead, and the rest that is still being received.
 #[derive(Debug)]
 pub struct Upload {
     read_ahead: Bytes,
-    /// The connection's body while a part of it is unread.
+    /// The rest of the body; `None` once it has been read or is being discarded.
     remaining: RefCell<Option<Incoming>>,
     length: Option<u64>,
     bytes_read: Cell<u64>,
     last_progress: Cell<Instant>,
-    /// Bytes beyond those read ahead have gone to an upstream.
+    /// Whether bytes after those read ahead have been read, so that they can't be sent to another
+    /// upstream.
     is_consumed: Cell<bool>,
     error: Cell<Option<BodyError>>,
     /// Notified once the complete body has been read.
@@ -38,7 +39,7 @@
 }
 
 impl Upload {
-    /// A body without bytes.
+    /// Creates an empty body.
     #[must_use]
     pub fn empty() -> Self {
         Self::new(Bytes::new(), None, Some(0), None)
@@ -63,13 +64,14 @@
         }
     }
 
-    /// Reads up to [`READ_AHEAD_BYTES`]. The client has to keep up the mean rate, but has at least
-    /// until `earliest_deadline`, and in any case at most until `shutdown_deadline`.
+    /// Reads up to [`READ_AHEAD_BYTES`]. The client has to keep up the minimum mean rate, but is
+    /// given at least until `earliest_deadline`, and never longer than until `shutdown_deadline`.
     ///
     /// # Errors
     ///
-    /// [`BodyError::TooLarge`] if the declared length exceeds [`MAX_BODY_BYTES`], `Truncated` if
-    /// the body ends early or is malformed, `Stalled` if it doesn't come in time.
+    /// Returns [`BodyError::TooLarge`] if the declared length exceeds [`MAX_BODY_BYTES`],
+    /// [`BodyError::Truncated`] if the body ends early or is malformed, and [`BodyError::Stalled`]
+    /// if it is not received in time.
     pub async fn read(
         mut body: Incoming,
         memory: &MemoryBudget,
@@ -109,48 +111,49 @@
         Ok(Self::new(read_ahead.freeze(), Some(body), length, memory))
     }
 
-    /// A body that has been read to its end.
+    /// Creates a body that has been read to its end.
     fn complete(read_ahead: BytesMut, memory: Option<MemoryPermit>) -> Self {
         let length = read_ahead.len() as u64;
         Self::new(read_ahead.freeze(), None, Some(length), memory)
     }
 
-    /// Length of the complete body in bytes, if known.
+    /// Returns the length of the complete body in bytes, if known.
     #[must_use]
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// When the client last sent a part of the body.
+    /// Returns the time at which a part of the body was last received.
     #[must_use]
     pub fn last_progress(&self) -> Instant {
         self.last_progress.get()
     }
 
-    /// Corrects the time of the last progress to when the client's bytes were read.
+    /// Sets the time of the last progress to when the client's bytes were received.
     pub fn set_last_progress(&self, time: Instant) {
         self.last_progress.set(time);
     }
 
-    /// True while a part of the body is unread.
+    /// Returns whether the rest of the body still has to be read.
     #[must_use]
     pub fn is_streamed(&self) -> bool {
         self.remaining.borrow().is_some()
     }
 
-    /// True while the body can be sent to an upstream from its beginning.
+    /// Returns whether the body can still be sent to an upstream from its beginning.
     #[must_use]
     pub fn is_replayable(&self) -> bool {
         !self.is_consumed.get()
     }
 
-    /// Why the client will not send the rest of the body.
+    /// Returns the error because of which the rest of the body will not be received, if any.
     #[must_use]
     pub fn error(&self) -> Option<BodyError> {
         self.error.get()
     }
 
-    /// Notified once the complete body has been read; fails if that never happens.
+    /// Returns a receiver that is notified once the complete body has been read, and fails if that
+    /// never happens.
     #[must_use]
     pub fn completed(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
@@ -158,8 +161,8 @@
         receiver
     }
 
-    /// Reads and drops the rest of the body, up to the largest size: a client that is still
-    /// sending may read its response only afterwards.
+    /// Reads and drops the rest of the body, up to [`MAX_BODY_BYTES`] in total, because a client
+    /// that is still sending may read its response only afterwards.
     pub async fn discard(&self) {
         let Some(mut remaining) = self.remaining.borrow_mut().take() else {
             return;
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Reads the next part beyond what was read ahead; trailers are dropped.
+    /// Reads the next part after the bytes that were read ahead. Trailers are dropped.
     fn poll_remaining(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         let mut remaining = self.remaining.borrow_mut();
         let Some(body) = remaining.as_mut() else {
@@ -210,18 +213,18 @@
     fn complete_reading(&self, remaining: &mut Option<Incoming>) {
         *remaining = None;
         if let Some(completion) = self.completion.borrow_mut().take() {
-            // The receiver may be gone.
+            // The receiver may have been dropped.
             let _ = completion.send(());
         }
     }
 }
 
-/// How long this many bytes take at the lowest rate.
+/// Returns how long `bytes` bytes take at the minimum rate.
 fn time_at_min_rate(bytes: u64) -> Duration {
     Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_SECOND)
 }
 
-/// A request's body on its way to one upstream.
+/// The body of a request as it is sent to one upstream.
 pub struct UploadBody {
     upload: Rc<Upload>,
     read_ahead_sent: bool,
@@ -231,8 +234,8 @@
 }
 
 impl UploadBody {
-    /// Sends the body from its beginning. `on_complete` is called with its length in bytes once
-    /// the client has sent all of it, which may be at once.
+    /// Creates a body that sends `upload` from its beginning. `on_complete` is called with the
+    /// length in bytes once the client has sent the complete body, which may be immediately.
     pub fn new(upload: Rc<Upload>, on_complete: impl FnOnce(u64) + 'static) -> Self {
         let mut body = UploadBody {
             upload,
--- a/src/bin/load-balancer/server/accept.rs
+++ b/src/bin/load-balancer/server/accept.rs
@@ -1,4 +1,4 @@
-//! The accept loop, with its backoff when the system is short of resources.
+//! The accept loop, with backoff while the system is short of resources.
 
 use crate::log;
 use crate::server::connection::ClientConnection;
@@ -14,18 +14,18 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, Instant};
 
-/// The delay before the next accept after the second failure in a row and each further one.
+/// Delay before the next accept from the second consecutive failure on.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// With this many more failures than successes a shortage counts as persistent.
+/// A resource shortage is persistent once this many more accepts have failed than succeeded.
 const PERSISTENT_SHORTAGE_EXCESS: u32 = 10;
-/// Failed accepts are logged no more often than this.
+/// Minimum interval between two log lines about failed accepts.
 const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Counts accepts that failed because this process or machine is short of a resource.
+/// Counts accepts that failed because this process or the machine is short of a resource.
 #[derive(Default)]
 struct ResourceShortage {
     consecutive_failures: u32,
-    /// Failures less successes, never below zero.
+    /// Number of failures minus number of successes, never below zero.
     excess: u32,
 }
 
@@ -40,7 +40,8 @@
         self.excess = self.excess.saturating_sub(1);
     }
 
-    /// True if waiting has not helped, so that a descriptor has to be freed.
+    /// Returns whether the shortage has outlasted the retries, so that a descriptor has to be
+    /// freed.
     fn is_persistent(&self) -> bool {
         self.excess >= PERSISTENT_SHORTAGE_EXCESS
     }
@@ -48,7 +49,7 @@
 
 impl Server {
     /// Accepts connections until `stop` is ready. `stop` doesn't interrupt the admission of a
-    /// connection, so that none which has been accepted is dropped.
+    /// connection, so no accepted connection is dropped.
     pub async fn accept(self: &Rc<Self>, listener: &Listener, stop: impl Future<Output = ()>) {
         let mut stop = pin!(stop);
         let mut shortage = ResourceShortage::default();
@@ -62,12 +63,12 @@
         }
     }
 
-    /// Accepts all connections in the listener's queue, and closes the listener. Without that the
-    /// kernel would reset them.
+    /// Accepts all connections in the kernel's queue and closes the listener. Connections left in
+    /// the queue would be reset by the kernel.
     ///
     /// # Errors
     ///
-    /// Those of accept(2) that last until `deadline`.
+    /// Returns the error of accept(2) if it still fails at `deadline`.
     pub async fn close_listener(
         self: &Rc<Self>,
         listener: Listener,
@@ -97,12 +98,12 @@
         }
     }
 
-    /// Waits before the next accept if the error requires that. In a short shortage clients keep
-    /// their connections; if this process is at its descriptor limit for long, an idle one is
+    /// Waits before the next accept if the error requires it. Clients keep their connections during
+    /// a short shortage; if this process stays at its descriptor limit, an idle connection is
     /// evicted.
     async fn back_off(&self, shortage: &mut ResourceShortage, error: &io::Error) {
         if is_connection_error(error) {
-            // Only this connection has failed; the next one may succeed.
+            // The error concerns only this call, and the next accept may succeed.
             return yield_now().await;
         }
         self.log_accept_error(error);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Starts serving a connection, or closes it if there is no descriptor for it.
+    /// Starts serving a connection, or closes it if no descriptor is available.
     async fn admit_connection(self: &Rc<Self>, accepted: PendingConnection) {
         let stream = match accepted.register().await {
             Ok(stream) => stream,
--- a/src/bin/load-balancer/server/capacity.rs
+++ b/src/bin/load-balancer/server/capacity.rs
@@ -1,43 +1,43 @@
-//! Admission of client connections: keeps them within the descriptor budget by evicting idle
-//! ones.
+//! Admission of client connections: evicts idle connections to stay within the descriptor budget.
 
 use crate::server::connection::{ClientConnection, Phase};
 use crate::server::Server;
 use crate::socket::{DescriptorPermit, Purpose};
 use tokio::task::yield_now;
 
-/// Without any free descriptor, a new connection yields to the other tasks this many times. What
-/// was sent on other connections may be unread only because their tasks haven't run yet.
+/// Number of times that a new connection tries to obtain a descriptor, yielding to other tasks in
+/// between. Connections with unread input are not evicted, and their input may be unread only
+/// because their tasks have not run yet.
 const MAX_PERMIT_ATTEMPTS: usize = 16;
 
-/// How a connection was accepted.
+/// Whether a connection was accepted within or over capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// Its descriptor is one of those meant for clients.
+    /// The connection uses a descriptor from the budget for clients.
     WithinCapacity,
-    /// Its descriptor is one of those reserved for rejections. Its request is served only if
-    /// there is capacity by then, and the connection closes after it.
+    /// The connection uses a descriptor reserved for rejections. Its request is served only if
+    /// there is capacity when it arrives, and the connection closes after the response.
     OverCapacity,
 }
 
-/// The descriptor of a new connection.
+/// Permission to serve a new connection.
 pub(super) struct ConnectionPermit {
     pub(super) descriptor: DescriptorPermit,
     pub(super) admission: Admission,
 }
 
 impl Server {
-    /// Closes idle connections, those to upstreams first, until the process holds no more than
-    /// this many descriptors or there is nothing left to close.
+    /// Closes idle connections, those to upstreams first, until the process holds at most
+    /// `descriptors` descriptors or no connection can be closed.
     pub async fn evict_down_to(&self, descriptors: usize) {
         while self.resources.descriptors.in_use() > descriptors
             && (self.resources.pool.evict_oldest() || self.connections.evict_one().await)
         {}
     }
 
-    /// Takes a descriptor from the budget for a new connection, evicting an idle one if
-    /// necessary; `None` if not even a rejection can be sent. Never waits for a client, as silent
-    /// clients would then block all connections behind them.
+    /// Acquires a descriptor for a new connection, evicting an idle connection if necessary.
+    /// Returns `None` if there is no descriptor even for a rejection. Never waits for a client to
+    /// act: a silent client would block all connections queued after it.
     pub(super) async fn acquire_permit(&self) -> Option<ConnectionPermit> {
         if let Some(permit) = self.try_acquire_permit(Admission::WithinCapacity) {
             return Some(permit);
@@ -68,11 +68,11 @@
         })
     }
 
-    /// Evicts idle connections for one that was accepted over capacity and has sent a request;
-    /// true if there is capacity for it now. A client with a request has
-    /// priority over those without.
+    /// Evicts idle connections to make room for a connection that was accepted over capacity and
+    /// has sent a request, because a client with a request has priority over clients without.
+    /// Returns whether there is capacity now.
     pub(super) async fn wait_for_capacity(&self, client: &ClientConnection) -> bool {
-        // Keeps the connection itself from being evicted.
+        // Excludes this connection from eviction.
         client.enter(Phase::AwaitingCapacity);
         while self.resources.descriptors.is_exceeded() {
             if !self.connections.evict_one().await {
--- a/src/bin/load-balancer/server/connection/mod.rs
+++ b/src/bin/load-balancer/server/connection/mod.rs
@@ -1,5 +1,5 @@
-//! The state of one client connection: its phase, what it has carried, and the signals by which
-//! other tasks ask it to close.
+//! The state of one client connection: its phase, its request history, and the signals by which
+//! other tasks request that it close.
 
 mod signals;
 mod stall;
@@ -11,20 +11,21 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// What a connection is doing now.
+/// The current activity of a connection.
 ///
-/// A connection starts in `AwaitingRequest`, and returns there after each response; a connection
-/// over capacity passes through `AwaitingCapacity` on its way. `Lingering` is the last phase.
+/// A connection starts in `AwaitingRequest` and returns there after each response. A connection
+/// over capacity passes through `AwaitingCapacity` after its request's head. `Lingering` is the
+/// last phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// No request is in progress, or only its head has arrived. `Socket::request_started_at`
-    /// distinguishes the two.
+    /// No request is in progress, or only a part of its head has been received.
+    /// `Socket::request_started_at` distinguishes the two.
     AwaitingRequest {
-        /// When the last response ended or the last head arrived; before the first request has
-        /// ended, when the connection was opened.
+        /// When the last response ended or the last head was received, whichever is later; until
+        /// the first response, the time at which the connection was opened.
         since: Instant,
     },
-    /// The connection was accepted over capacity and its request waits while idle connections are
+    /// The connection was accepted over capacity, and its request waits while idle connections are
     /// evicted.
     AwaitingCapacity,
     /// The body of a valid request is being read ahead.
@@ -33,16 +34,17 @@
     AwaitingResponse,
     /// The response is being streamed.
     StreamingResponse,
-    /// Serving has ended; the connection stays open until the client has taken the last response.
+    /// Serving has ended; the connection stays open until the client has received the last
+    /// response.
     Lingering {
-        /// The time at which the connection became idle; `None` if serving ended in the middle of
-        /// a request, in which case the connection is not evicted.
+        /// When the connection became idle; `None` if serving ended during a request, in which case
+        /// the connection is not evicted.
         idle_since: Option<Instant>,
     },
 }
 
 impl Phase {
-    /// Since when the connection is idle; `None` while it carries a request.
+    /// Returns the time at which the connection became idle, or `None` while it carries a request.
     pub(super) fn idle_since(self) -> Option<Instant> {
         match self {
             Phase::AwaitingRequest { since } => Some(since),
@@ -55,25 +57,26 @@
     }
 }
 
-/// What a connection has carried so far.
+/// The requests that a connection has carried so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestHistory {
-    /// No complete request.
+    /// No request has been answered or has passed validation.
     Empty,
-    /// Only health checks and requests that were invalid or rejected for lack of capacity.
+    /// Only health checks, and requests that were invalid or rejected for lack of capacity.
     NoneValid,
     /// At least one request that passed validation.
     SomeValid,
 }
 
-/// The framing of the request that is being served, or was served last.
+/// How far the current request, or the last one, has been received and read.
 #[derive(Default)]
 struct CurrentRequest {
-    /// Where it ends, in bytes from the connection's beginning; `None` if that is unknown.
+    /// Offset of the request's end in the bytes received on the connection; `None` if unknown.
     end_offset: Cell<Option<usize>>,
-    /// The rest of its body is being read and discarded, as its response came before its end.
+    /// The rest of the body is being read and discarded, because the response was known before the
+    /// body was complete.
     discarding_body: Cell<bool>,
-    /// It was rejected before all of it had arrived.
+    /// The request was rejected before it was completely received.
     rejected_incomplete: Cell<bool>,
 }
 
@@ -103,22 +106,22 @@
         })
     }
 
-    /// What the connection is doing now.
+    /// Returns the current phase.
     pub(super) fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Moves the connection to another phase.
+    /// Changes the phase.
     pub(super) fn enter(&self, phase: Phase) {
         self.phase.set(phase);
     }
 
-    /// What the connection has carried so far.
+    /// Returns which requests the connection has carried so far.
     pub(super) fn history(&self) -> RequestHistory {
         self.history.get()
     }
 
-    /// The head of a request has arrived.
+    /// Records that the head of a request has been received.
     pub(super) fn begin_request(&self) {
         self.request.discarding_body.set(false);
         self.request.end_offset.set(None);
@@ -129,46 +132,48 @@
         self.enter(Phase::AwaitingRequest { since });
     }
 
-    /// Stores where the current request ends, in bytes from the connection's beginning.
+    /// Records the current request's end as an offset in the bytes received on the connection.
     pub(super) fn set_request_end(&self, end_offset: Option<usize>) {
         self.request.end_offset.set(end_offset);
     }
 
-    /// The current request has arrived and passed validation.
+    /// Records that the current request has passed validation.
     pub(super) fn record_valid_request(&self) {
         self.history.set(RequestHistory::SomeValid);
     }
 
-    /// The response to the current request is known.
+    /// Records that the response to the current request is known.
     pub(super) fn record_response(&self) {
         if self.history.get() == RequestHistory::Empty {
             self.history.set(RequestHistory::NoneValid);
         }
     }
 
-    /// Stores whether the current request was rejected before all of it had arrived.
+    /// Records whether the current request was rejected before it was completely received.
     pub(super) fn set_rejected_incomplete(&self, rejected_incomplete: bool) {
         self.request.rejected_incomplete.set(rejected_incomplete);
     }
 
-    /// True if the last request was rejected before all of it had arrived.
+    /// Returns whether the last request was rejected before it was completely received.
     pub(super) fn is_rejected_incomplete(&self) -> bool {
         self.request.rejected_incomplete.get()
     }
 
-    /// The response came before the request's end; the rest of the body is being discarded.
+    /// Records that the rest of the request body is being discarded, because the response was known
+    /// before the body was complete.
     pub(super) fn begin_discarding_body(&self) {
         self.request.discarding_body.set(true);
     }
 
-    /// The rest of the body has been discarded. Does nothing if the next request has begun.
+    /// Records that the rest of the body has been discarded. Does nothing if the next request has
+    /// begun.
     pub(super) fn end_discarding_body(&self) {
         if self.request.discarding_body.replace(false) && self.phase() != Phase::StreamingResponse {
             self.mark_idle();
         }
     }
 
-    /// The connection carries no request any more.
+    /// Records that the connection no longer carries a request.
     pub(super) fn mark_idle(&self) {
         let now = Instant::now();
         self.enter(match self.phase() {
@@ -178,19 +183,21 @@
             _ => Phase::AwaitingRequest { since: now },
         });
         self.socket.mark_idle();
-        // The bytes of the next head are searched for in these, so the fewer remain the better.
+        // The next head is searched for in the recent bytes, so bytes of requests that have ended
+        // are removed to keep the search short.
         if self.request.end_offset.get() == Some(self.socket.bytes_read()) {
             self.socket.clear_recent_bytes();
         }
     }
 
-    /// Serving has ended, and only the lingering close remains.
+    /// Records that serving has ended and only the lingering close remains.
     pub(super) fn begin_lingering(&self) {
         let idle_since = self.phase().idle_since();
         self.enter(Phase::Lingering { idle_since });
     }
 
-    /// True if bytes have arrived behind the current request. Queries the kernel if necessary.
+    /// Returns whether bytes after the current request have been received. Queries the kernel if
+    /// necessary.
     pub(super) fn has_pipelined_bytes(&self) -> bool {
         self.request
             .end_offset
@@ -198,22 +205,24 @@
             .is_some_and(|end| self.socket.bytes_read() > end || self.socket.has_unread())
     }
 
-    /// True if a requested close can begin now. It waits for a request of which any byte has
-    /// arrived, read or not, as its response is going to end the connection; unless the current
-    /// response has already begun without saying so, and nothing has arrived behind its request.
+    /// Returns whether a requested close can begin now. If any byte of a request has been received,
+    /// read or unread, the close is left to the response to that request. A response that is
+    /// already being streamed may not announce the close; in that case the close can begin unless
+    /// bytes after its request have been received.
     pub(super) fn can_close_now(&self) -> bool {
         let idle = self.socket.request_started_at().is_none() && self.socket.is_open_and_idle();
         self.phase() == Phase::StreamingResponse && !self.has_pipelined_bytes() || idle
     }
 
-    /// Decides on an eviction: true if the connection can be closed, as no request has arrived
-    /// meanwhile.
+    /// Decides on a requested eviction. Returns true if the connection can be closed because no
+    /// request has been received in the meantime.
     pub(super) fn accepts_eviction(&self) -> bool {
         self.eviction.acknowledge();
         self.phase().idle_since().is_some() && !self.socket.has_unread()
     }
 
-    /// When the first request has to be complete; `None` once there has been one.
+    /// Returns the deadline for receiving the first request, or `None` if a request has been
+    /// answered or has passed validation.
     pub(super) fn first_request_deadline(&self) -> Option<Instant> {
         (self.history.get() == RequestHistory::Empty).then(|| self.opened + REQUEST_ARRIVAL_TIMEOUT)
     }
--- a/src/bin/load-balancer/server/connection/signals.rs
+++ b/src/bin/load-balancer/server/connection/signals.rs
@@ -1,10 +1,10 @@
-//! The signals by which other tasks ask a connection's task to close the connection.
+//! Signals by which other tasks request that a connection's task close the connection.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Asks a connection's task to close the connection once it carries no request.
+/// Requests that a connection's task close the connection once it carries no request.
 #[derive(Default)]
 pub(in crate::server) struct CloseSignal {
     requested: Cell<bool>,
@@ -12,30 +12,31 @@
 }
 
 impl CloseSignal {
-    /// Asks for the close, and wakes the connection's task.
+    /// Requests the close and wakes the connection's task.
     pub(in crate::server) fn request(&self) {
         self.requested.set(true);
         self.notify.notify_one();
     }
 
-    /// Asks for the close before the connection's task waits for it, so that nothing has to be
-    /// woken: the connection closes after its first request.
+    /// Requests the close before serving begins. The task is not woken, so the connection closes
+    /// only after its first request.
     pub(in crate::server) fn request_initially(&self) {
         self.requested.set(true);
     }
 
-    /// True once the close has been asked for.
+    /// Returns whether the close has been requested.
     pub(super) fn is_requested(&self) -> bool {
         self.requested.get()
     }
 
-    /// Waits until the close is asked for.
+    /// Waits until the close is requested.
     pub(in crate::server) async fn requested(&self) {
         self.notify.notified().await;
     }
 }
 
-/// Asks a connection's task to close the connection at once if no request has arrived on it.
+/// Requests that a connection's task close the connection immediately unless a request has been
+/// received.
 #[derive(Default)]
 pub(in crate::server) struct EvictionSignal {
     pending: Cell<bool>,
@@ -44,30 +45,31 @@
 }
 
 impl EvictionSignal {
-    /// Asks for the eviction. The returned notice follows the decision of the connection's task;
-    /// a connection that has been closed is no longer in the connection table then.
+    /// Requests the eviction. The returned `Notify` is notified once the connection's task has
+    /// decided; if the connection was closed, it has been removed from the connection table by
+    /// then.
     pub(in crate::server) fn request(&self) -> Rc<Notify> {
         self.pending.set(true);
         self.notify.notify_one();
         self.decided.clone()
     }
 
-    /// True until the connection's task has taken note of the request.
+    /// Returns whether the connection's task has not yet acknowledged a requested eviction.
     pub(in crate::server) fn is_pending(&self) -> bool {
         self.pending.get()
     }
 
-    /// Waits until the eviction is asked for.
+    /// Waits until the eviction is requested.
     pub(in crate::server) async fn requested(&self) {
         self.notify.notified().await;
     }
 
-    /// The connection's task takes note of the request.
+    /// Acknowledges the requested eviction; called by the connection's task.
     pub(super) fn acknowledge(&self) {
         self.pending.set(false);
     }
 
-    /// Wakes the task that has asked for the eviction.
+    /// Wakes the task that requested the eviction.
     pub(in crate::server) fn notify_decided(&self) {
         self.decided.notify_one();
     }
--- a/src/bin/load-balancer/server/connection/stall.rs
+++ b/src/bin/load-balancer/server/connection/stall.rs
@@ -1,4 +1,4 @@
-//! When a client counts as stalled or disconnected, so that its connection is closed.
+//! Detects clients that have stalled or disconnected, so that their connections are closed.
 
 use super::{ClientConnection, Phase};
 use crate::body::CLIENT_STALL_TIMEOUT;
@@ -8,26 +8,26 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// A connection is closed if its client takes no byte of a response for this time. The kernel
-/// buffers megabytes for the client and asks for more only when a good part of them is gone: at
-/// 64 kB/s that takes half a minute.
+/// A connection is closed if its client accepts no byte of a response for this time. The kernel
+/// buffers megabytes for the client, and reports the socket as writable only once a large part of
+/// them has been sent, which takes half a minute at 64 kB/s.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(60);
 /// Replaces [`IDLE_TIMEOUT`] on a connection that is to close after its current request.
 const CLOSING_IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The stall deadline depends on state that changes meanwhile, so it is computed again this
-/// often.
+/// Interval at which the stall deadline is recomputed, as it depends on state that changes during
+/// the wait.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(1500);
 
 impl ClientConnection {
-    /// Returns when the client has made no progress for too long: it is idle, its request doesn't
-    /// arrive, or it takes no bytes of its response.
+    /// Waits until the client has made no progress for too long: it is idle, its request is not
+    /// received in time, or it accepts no bytes of its response.
     pub(in crate::server) async fn stalled(&self) {
         loop {
             let now = Instant::now();
             let deadline = self.stall_deadline(now);
             if deadline <= now && self.request.discarding_body.get() && self.socket.has_unread() {
-                // The rest of the body has arrived, and is unread only because this process had
-                // no time for it.
+                // The rest of the body has arrived; it is unread only because this process has had
+                // no time to read it.
                 sleep(DISCONNECT_CHECK_INTERVAL).await;
             } else if deadline <= now {
                 return;
@@ -36,12 +36,12 @@
         }
     }
 
-    /// When the client counts as stalled if nothing changes until then.
+    /// Returns the time at which the client counts as stalled if nothing changes until then.
     fn stall_deadline(&self, now: Instant) -> Instant {
         match self.phase() {
             Phase::AwaitingRequest { since } => self.idle_deadline(since),
             Phase::StreamingResponse => self.socket.last_written() + WRITE_STALL_TIMEOUT,
-            // These have time limits of their own.
+            // Other time limits apply in these phases.
             Phase::AwaitingCapacity
             | Phase::ReceivingBody
             | Phase::AwaitingResponse
@@ -49,24 +49,26 @@
         }
     }
 
-    /// When the client counts as stalled on a connection that awaits a request since then.
+    /// Returns the time at which the client counts as stalled on a connection that has awaited a
+    /// request since `since`.
     fn idle_deadline(&self, since: Instant) -> Instant {
-        // The end of the last response is still to be sent.
+        // The end of the last response has not been written yet.
         if self.socket.is_write_blocked() {
             return self.socket.last_written() + WRITE_STALL_TIMEOUT;
         }
-        // The rest of a body may take long and is no head, to which a stricter limit applies.
+        // The rest of a body may take longer than a head, to which the stricter limit below
+        // applies.
         if self.request.discarding_body.get() {
             return since.max(self.socket.last_read()) + CLIENT_STALL_TIMEOUT;
         }
-        // A head that has begun to arrive has its full time, also during a shutdown.
+        // A head that has begun to arrive gets its full time limit, even during a shutdown.
         if let Some(request_started_at) = self.socket.request_started_at() {
             return self
                 .first_request_deadline()
                 .unwrap_or(request_started_at + REQUEST_ARRIVAL_TIMEOUT)
                 + TIMEOUT_RESPONSE_GRACE;
         }
-        // A client that takes the bytes of its response is not idle.
+        // A client that is receiving bytes of its response is not idle.
         let since = since.max(self.socket.last_written());
         let idle_timeout = if self.close.is_requested() {
             CLOSING_IDLE_TIMEOUT
@@ -80,8 +82,8 @@
         }
     }
 
-    /// Returns when the client has disconnected while its request awaits a response. The HTTP
-    /// implementation doesn't notice that if there are unread bytes before the end of the stream.
+    /// Waits until the client has disconnected while its request awaits a response. Hyper doesn't
+    /// detect that if there are unread bytes before the end of the stream.
     pub(in crate::server) async fn disconnected(&self) {
         loop {
             self.socket.readable().await;
--- a/src/bin/load-balancer/server/connection_table.rs
+++ b/src/bin/load-balancer/server/connection_table.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The number of a connection, in the order in which connections were accepted.
+/// Identifies a connection; ids are assigned in the order in which connections are accepted.
 pub(super) type ConnectionId = u64;
 
 /// All open client connections.
@@ -16,7 +16,7 @@
 }
 
 impl ConnectionTable {
-    /// Adds a connection.
+    /// Adds a connection and returns its id.
     pub(super) fn insert(&self, connection: Rc<ClientConnection>) -> ConnectionId {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
@@ -29,12 +29,12 @@
         self.connections.borrow_mut().remove(&id);
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub(super) fn len(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Asks all connections for which `condition` holds to close once they carry no request.
+    /// Requests that all connections for which `condition` holds close once they carry no request.
     pub(super) fn request_close_where(&self, condition: impl Fn(&ClientConnection) -> bool) {
         for connection in self.connections.borrow().values() {
             if condition(connection) {
@@ -43,11 +43,12 @@
         }
     }
 
-    /// Closes the connection that comes first in the order of eviction; false if there is none.
+    /// Closes the first connection in eviction order. Returns false if none can be evicted.
     pub(super) async fn evict_one(&self) -> bool {
         while let Some(id) = self.eviction_candidate() {
             let decided = self.connections.borrow()[&id].eviction.request();
-            // The connection's task closes it, unless a request has arrived meanwhile.
+            // The connection's task closes the connection unless a request has arrived in the
+            // meantime.
             decided.notified().await;
             if !self.connections.borrow().contains_key(&id) {
                 return true;
@@ -56,9 +57,8 @@
         false
     }
 
-    /// The first connection in the order of eviction whose client has sent no request that is
-    /// still unread. This takes a system call for each, so it is checked only for as many as
-    /// necessary.
+    /// Returns the first connection in eviction order on which no request is waiting to be read.
+    /// The check takes a system call per connection, so it stops at the first match.
     fn eviction_candidate(&self) -> Option<ConnectionId> {
         let connections = self.connections.borrow();
         let mut candidates: Vec<_> = connections
@@ -73,7 +73,8 @@
     }
 }
 
-/// True unless a request has arrived that is still unread.
+/// Returns whether no request is waiting to be read. Input on a lingering connection doesn't count,
+/// as it is no longer served.
 fn is_evictable(connection: &ClientConnection) -> bool {
     matches!(connection.phase(), Phase::Lingering { .. }) || !connection.socket.has_unread()
 }
--- a/src/bin/load-balancer/server/drain.rs
+++ b/src/bin/load-balancer/server/drain.rs
@@ -1,6 +1,6 @@
-//! Graceful shutdown, and draining of clients on an operator's request.
+//! Graceful shutdown, and draining of clients at an operator's request.
 //!
-//! In either case each response says that its connection closes, and idle connections are closed.
+//! In both cases responses announce that the connection closes, and idle connections are closed.
 
 use crate::body::Upload;
 use crate::server::connection::{ClientConnection, RequestHistory};
@@ -12,58 +12,58 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// Load balancers in front of this one notice within this time that it is no longer ready. Idle
-/// connections are closed only then.
+/// Time within which load balancers in front of this one detect that it is no longer ready. Idle
+/// connections are closed only after that.
 const DRAIN_NOTICE_PERIOD: Duration = Duration::from_millis(700);
 /// Requests that arrive later than this after the start of a shutdown may be unfinished when the
 /// process is killed.
 const LATE_REQUEST_DELAY: Duration = Duration::from_millis(500);
 
-/// What an operator wants to be done with the clients.
+/// An operator's request to begin or end a client drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientDrain {
-    /// Close their connections, so that they go to other balancers.
+    /// Close client connections, so that clients connect to other balancers.
     Begin,
-    /// Serve them again.
+    /// Keep client connections open again.
     End,
 }
 
-/// Whether the process shuts down, and whether clients are drained.
+/// Whether the process is shutting down, and whether clients are being drained.
 #[derive(Default)]
 pub(super) struct DrainState {
     /// Shared with the requests in flight, whose deadlines it limits.
     shutdown_deadline: ShutdownDeadline,
-    /// Set during a shutdown. Requests that arrive after this may be unfinished when the process
-    /// is killed.
+    /// Set during a shutdown. Requests that arrive later than this may be unfinished when the
+    /// process is killed.
     late_request_cutoff: Cell<Option<Instant>>,
-    /// The number of the client drain that is going on, if there is one.
+    /// The sequence number of the current client drain, if any.
     client_drain: Cell<Option<u64>>,
     last_client_drain: Cell<u64>,
-    /// Until then pipelined requests are served on connections that are to close.
+    /// Pipelined requests are served until this time on connections that are to close.
     pipelined_served_until: Cell<Option<Instant>>,
 }
 
 impl DrainState {
-    /// When all requests have to have their responses.
+    /// Returns the deadline by which all requests must have their responses.
     pub(super) fn shutdown_deadline(&self) -> &ShutdownDeadline {
         &self.shutdown_deadline
     }
 
-    /// True if connections close after the response that they carry.
+    /// Returns whether connections are to close after their current response.
     pub(super) fn is_active(&self) -> bool {
         self.shutdown_deadline.is_set() || self.client_drain.get().is_some()
     }
 
-    /// True if this request arrived so late during a shutdown that a streamed response might not
-    /// be complete when the process is killed.
+    /// Returns whether this request arrived so late in a shutdown that a streamed response might be
+    /// incomplete when the process is killed.
     pub(super) fn arrived_late(&self, upload: &Upload) -> bool {
         self.late_request_cutoff
             .get()
             .is_some_and(|cutoff| upload.last_progress() > cutoff)
     }
 
-    /// True if the response that is due closes its connection. A client loses a request that has
-    /// been read when the connection closes, so pipelined requests are served for a while.
+    /// Returns whether the next response closes its connection. Closing loses pipelined requests
+    /// that have already been read, so these are served for a limited time.
     pub(super) fn closes_after_response(&self, client: &ClientConnection) -> bool {
         let serves_pipelined = self
             .pipelined_served_until
@@ -80,7 +80,8 @@
             .set(Some(Instant::now() + LATE_REQUEST_DELAY));
     }
 
-    /// Begins a client drain and returns its number; `None` if one is going on already.
+    /// Begins a client drain and returns its sequence number, or `None` if clients are already
+    /// being drained.
     fn begin_client_drain(&self) -> Option<u64> {
         if self.client_drain.get().is_some() {
             return None;
@@ -95,10 +96,10 @@
 }
 
 impl Server {
-    /// Begins a graceful shutdown: responses close their connections from now on, and idle
-    /// connections are closed, those to upstreams too. Connections that have carried no request
-    /// yet stay open, as their first one is on its way. All requests get their responses by
-    /// `deadline`.
+    /// Begins a graceful shutdown: from now on responses close their connections, and idle
+    /// connections, including those to upstreams, are closed. Client connections that have not
+    /// carried a request yet stay open, as their first request is expected. All requests get their
+    /// responses by `deadline`.
     pub fn begin_shutdown(&self, deadline: Instant) {
         self.drain_state.begin_shutdown(deadline);
         self.dispatcher.borrow_mut().set_shutdown_deadline(deadline);
@@ -107,15 +108,15 @@
         self.resources.pool.close_all();
     }
 
-    /// Closes also the connections that [`Server::begin_shutdown`] leaves open: those that have
-    /// carried no request yet.
+    /// Closes the connections that [`Server::begin_shutdown`] leaves open because they have not
+    /// carried a request yet.
     pub fn close_unused_connections(&self) {
         self.connections.request_close_where(|_| true);
     }
 
-    /// Starts or stops draining clients. Responses close their connections at once; idle
-    /// connections are closed only after [`DRAIN_NOTICE_PERIOD`], so that no request crosses the
-    /// close.
+    /// Starts or stops draining clients. While draining, responses close their connections
+    /// immediately; idle connections are closed only after [`DRAIN_NOTICE_PERIOD`], because a
+    /// request sent just before the close would be lost.
     pub fn drain_clients(self: &Rc<Self>, client_drain: ClientDrain) {
         match client_drain {
             ClientDrain::Begin => self.start_client_drain(),
--- a/src/bin/load-balancer/server/eviction.rs
+++ b/src/bin/load-balancer/server/eviction.rs
@@ -4,33 +4,34 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A connection that awaits a further request for this long is evicted first.
+/// Connections that have waited this long for another request are evicted first.
 const LONG_IDLE_AGE: Duration = Duration::from_secs(2);
-/// A client sends its first request together with the connection, so that one which has sent
-/// nothing for this long may never do so.
+/// Clients send their first request right after connecting, so a connection on which nothing was
+/// sent for this long may stay unused.
 const UNUSED_AGE: Duration = Duration::from_millis(30);
-/// Clients rarely take longer than this to send a request, or to follow up a response with the
-/// next one.
+/// Clients rarely take longer than this to send a request, or to send the next request after a
+/// response.
 const SLOW_REQUEST_AGE: Duration = Duration::from_millis(500);
 
-/// Why a connection may be evicted, the reasons that cost a client least first.
+/// Why a connection may be evicted. The reasons that cost a client least come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionReason {
-    /// It only lingers, or has awaited a further request for [`LONG_IDLE_AGE`].
+    /// The connection is lingering, or has waited for another request for [`LONG_IDLE_AGE`].
     LongIdle,
-    /// It has sent nothing but health checks, and nothing for [`UNUSED_AGE`].
+    /// The connection has carried no valid request, and has been idle for [`UNUSED_AGE`].
     Unused,
-    /// Its request takes longer than [`SLOW_REQUEST_AGE`] to arrive.
+    /// A request has been arriving for [`SLOW_REQUEST_AGE`] and is still incomplete.
     SlowRequest,
-    /// It has awaited a further request for [`SLOW_REQUEST_AGE`].
+    /// The connection has waited for another request for [`SLOW_REQUEST_AGE`].
     Idle,
-    /// It has carried no valid request, and none is arriving.
+    /// The connection has carried no valid request, and none is arriving.
     NoValidRequest,
-    /// Its first request is arriving. Connections on which a further one is arriving are spared.
+    /// The first request is arriving. Connections on which a later request is arriving are not
+    /// evicted.
     FirstRequestArriving,
 }
 
-/// Orders connections for eviction: the smallest goes first.
+/// Sort key of the eviction order: the connection with the smallest key is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionPriority {
     reason: EvictionReason,
@@ -38,7 +39,7 @@
 }
 
 impl ClientConnection {
-    /// The connection's place in the order of eviction; `None` if it is not to be evicted.
+    /// Returns the connection's position in the eviction order, or `None` if it can't be evicted.
     pub(super) fn eviction_priority(&self) -> Option<EvictionPriority> {
         if self.eviction.is_pending() || self.socket.is_write_blocked() {
             return None;
@@ -48,7 +49,7 @@
         Some(EvictionPriority { reason, idle_since })
     }
 
-    /// Why the connection may be evicted after having been idle for this long.
+    /// Returns why the connection may be evicted after having been idle for `idle`, if it may be.
     fn eviction_reason(&self, idle: Duration) -> Option<EvictionReason> {
         if matches!(self.phase(), Phase::Lingering { .. }) {
             return Some(EvictionReason::LongIdle);
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -1,4 +1,4 @@
-//! Handles one request: has it dispatched, and makes its final response into one for the client.
+//! Handles one request: dispatches it and builds the client's response from its final response.
 
 use crate::body::{ResponseBody, Upload};
 use crate::dispatch::{DispatchedRequest, Dispatcher, FinalResponse, RejectionReason};
@@ -19,8 +19,8 @@
 use tokio::task::spawn_local;
 
 impl Server {
-    /// Rejects a request for lack of descriptors. It is counted if it names a known class and has
-    /// a request id, without further validation.
+    /// Rejects a request because no descriptor is free. The request is counted if it names a known
+    /// class and has a request id; it is not validated further.
     pub(super) fn reject_over_capacity(&self, request: &Request<Incoming>) -> ClientResponse {
         if let Some(class) = self
             .class_index(request.uri().path())
@@ -66,7 +66,8 @@
             id,
         };
         client.enter(Phase::AwaitingResponse);
-        // While a complete request awaits its response, nothing else reads the bytes behind it.
+        // While a complete request awaits its response, nothing else reads the bytes that follow
+        // it.
         client.socket.set_read_ahead(!upload.is_streamed());
         let final_response = response.await;
         client.socket.set_read_ahead(false);
@@ -76,8 +77,8 @@
         self.client_response(final_response.ok(), in_flight, &upload, client)
     }
 
-    /// Makes a final response into one for the client, and counts it. Without one the client has
-    /// disconnected.
+    /// Builds the client's response from the final response and counts the outcome. Without a final
+    /// response the client has disconnected.
     fn client_response(
         &self,
         final_response: Option<FinalResponse>,
@@ -97,7 +98,7 @@
                 in_flight.end(RequestOutcome::Failed);
                 text_response(StatusCode::BAD_GATEWAY, "failed")
             }
-            // Nobody reads this response, and no outcome is counted.
+            // The client has disconnected and reads no response, and no outcome is counted.
             None => {
                 let mut response = text_response(StatusCode::BAD_GATEWAY, "its client has left");
                 close_connection_after(&mut response);
@@ -114,7 +115,7 @@
         }
     }
 
-    /// The response to a request that an upstream has served.
+    /// Builds the response to a request that an upstream has served.
     fn served_response(
         &self,
         upstream_headers: &HeaderMap,
@@ -128,7 +129,7 @@
                 in_flight.end(RequestOutcome::Served);
                 ResponseBody::complete(body)
             }
-            // The process may be killed before a slow client has taken all of it.
+            // The process may be killed before a slow client has received the complete response.
             ResponseContent::Streamed(_) if self.drain_state.arrived_late(upload) => {
                 in_flight.end(RequestOutcome::Failed);
                 return text_response(
@@ -146,8 +147,9 @@
     }
 }
 
-/// Reads the rest of a body whose request already has its response. The client may read no
-/// response before it has sent all of its request. The task doesn't keep the connection open.
+/// Reads and discards the rest of a request body after its response is known, because a client may
+/// read no response before it has sent its complete request. The task doesn't keep the connection
+/// open.
 fn discard_rest_of_body(client: &Rc<ClientConnection>, upload: Rc<Upload>) {
     client.begin_discarding_body();
     let client = Rc::downgrade(client);
@@ -159,8 +161,8 @@
     });
 }
 
-/// Notifies the dispatcher when a request's handler is dropped, as its client has disconnected.
-/// After the final response this has no effect.
+/// When dropped, notifies the dispatcher that the client has disconnected: the handler of a request
+/// is dropped when its client disconnects. After the final response the notification has no effect.
 struct CancelOnDrop<'a> {
     dispatcher: &'a RefCell<Dispatcher>,
     id: RequestId,
--- a/src/bin/load-balancer/server/listener.rs
+++ b/src/bin/load-balancer/server/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket that loses no connection when the calls that prepare it fail transiently.
+//! A listening socket that loses no connections when system calls fail transiently.
 
 use crate::socket::system_errors::{is_transient, retry_transient_errors};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
@@ -10,37 +10,40 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// The number of connections that the kernel queues while the process is busy.
+/// Maximum number of connections that the kernel queues while the process is busy.
 const LISTEN_BACKLOG: i32 = 4096;
-/// The delay before registering a connection with the event loop is retried. The first retry
-/// follows at once.
+/// Delay before registering a connection with the event loop is retried. The first retry is
+/// immediate.
 const REGISTER_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// Registering is retried this often, so that the connections behind it wait for 0.4 s at most.
+/// Maximum number of retries to register a connection, so that the connections queued after it wait
+/// at most 0.4 s.
 const MAX_REGISTER_RETRIES: usize = 40;
 
 /// Whether other processes may listen on the same port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PortSharing {
-    /// None may.
+    /// No other process may listen on the port.
     Exclusive,
-    /// Those that share it as well may, so that a new process can replace an old one.
+    /// Other processes that also enable sharing may listen on the port, so that a new process can
+    /// replace an old one.
     Shared,
 }
 
 /// A listening socket.
 ///
-/// Tokio's listener registers each connection with the event loop within accept, and closes those
-/// for which that fails. This one watches only the listening socket, for which tokio's stream
-/// type has to serve, and hands out connections that are not registered.
+/// Tokio's `TcpListener` registers each connection with the event loop during accept, and closes
+/// the connection if that fails. This type registers only the listening socket, wrapped in tokio's
+/// `TcpStream`, and returns connections that are not registered yet.
 pub struct Listener(TcpStream);
 
 impl Listener {
-    /// Listens on an address, also on one that a process held which was killed before. A
-    /// transient failure of one call is retried by itself, without repeating the calls before it.
+    /// Listens on an address, even one that was in use by a process that has been killed. A call
+    /// that fails transiently is retried individually, without repeating the calls before it.
     ///
     /// # Errors
     ///
-    /// Those of the system: the address is in use or not one of this machine, or a failure lasts.
+    /// Returns an error of the system if the address is in use or doesn't belong to this machine,
+    /// or if a failure persists.
     pub fn bind(address: SocketAddr, sharing: PortSharing) -> io::Result<Self> {
         let domain = Domain::for_address(address);
         let share = sharing == PortSharing::Shared;
@@ -56,20 +59,20 @@
         Ok(Listener(registered))
     }
 
-    /// The address that it listens on.
+    /// Returns the address on which the socket listens.
     ///
     /// # Errors
     ///
-    /// Those of getsockname(2).
+    /// Returns any error of getsockname(2).
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
 
-    /// Waits for the next connection. Cancel safe: no connection is lost if it is dropped.
+    /// Waits for the next connection. Cancel safe: dropping the future loses no connection.
     ///
     /// # Errors
     ///
-    /// Those of accept(2).
+    /// Returns any error of accept(2).
     pub async fn accept(&self) -> io::Result<PendingConnection> {
         loop {
             self.0.readable().await?;
@@ -80,28 +83,29 @@
         }
     }
 
-    /// The next connection in the kernel's queue. Asks the kernel, as the event loop may not know
-    /// of it yet.
+    /// Accepts the next connection in the kernel's queue without waiting. Queries the kernel, as
+    /// the event loop may not have seen the connection yet.
     ///
     /// # Errors
     ///
-    /// Those of accept(2); `WouldBlock` if the queue is empty.
+    /// Returns any error of accept(2), including `WouldBlock` if the queue is empty.
     pub fn accept_now(&self) -> io::Result<PendingConnection> {
         let (stream, _) = SockRef::from(&self.0).accept()?;
         Ok(PendingConnection(stream.into()))
     }
 }
 
-/// A connection that has been accepted, and is not registered with the event loop yet.
+/// An accepted connection that is not registered with the event loop yet.
 pub struct PendingConnection(net::TcpStream);
 
 impl PendingConnection {
-    /// Registers the connection with the event loop. Tokio closes the socket if that fails, so a
-    /// second descriptor, if one is free, keeps the connection open for a retry.
+    /// Registers the connection with the event loop. Tokio closes the socket if registration fails,
+    /// so a duplicate descriptor, if one is free, keeps the connection open for a retry.
     ///
     /// # Errors
     ///
-    /// Those of epoll_ctl(2) that last.
+    /// Returns an error if the socket can't be made non-blocking, or if its registration by
+    /// epoll_ctl(2) fails and can't be retried any more.
     pub async fn register(self) -> io::Result<TcpStream> {
         let mut stream = self.0;
         stream.set_nonblocking(true)?;
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -1,9 +1,10 @@
-//! The client side of the proxy: accepts connections, reads and validates requests, has them
-//! dispatched and sends the responses.
+//! The client side of the balancer: accepts connections, reads and validates requests, dispatches
+//! them and sends the responses.
 //!
-//! [`accept`] admits connections within the descriptor budget ([`capacity`], [`eviction`]); each
-//! is served by a task of its own ([`serve`]) that handles one request after another
-//! ([`request`], [`handler`], [`response`]). [`drain`] ends all of that.
+//! [`accept`] admits connections within the descriptor budget ([`capacity`], [`eviction`]). Each
+//! connection is served by its own task ([`serve`]), which handles one request after another
+//! ([`request`], [`handler`], [`response`]). [`drain`] closes the connections in a graceful
+//! shutdown or a client drain.
 
 mod accept;
 mod capacity;
@@ -30,19 +31,19 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Serves clients. Owns their connections and the state of the drain.
+/// Serves clients. Owns their connections and the drain state.
 pub struct Server {
     dispatcher: Rc<RefCell<Dispatcher>>,
     resources: Resources,
     connections: ConnectionTable,
     drain_state: DrainState,
     is_listening: Cell<bool>,
-    /// When a failed accept was last logged.
+    /// When a failed accept was last logged; `None` before the first one.
     accept_error_logged_at: Cell<Option<Instant>>,
 }
 
 impl Server {
-    /// A server that doesn't listen yet.
+    /// Creates a server that doesn't listen yet.
     pub fn new(dispatcher: Rc<RefCell<Dispatcher>>, resources: Resources) -> Rc<Self> {
         Rc::new(Server {
             dispatcher,
@@ -54,20 +55,20 @@
         })
     }
 
-    /// True while new clients can be served: the server listens, has an endpoint list and is not
-    /// draining.
+    /// Returns whether new clients can be served: the server is listening, has an endpoint list and
+    /// is not draining.
     pub fn is_ready(&self) -> bool {
         self.is_listening.get()
             && !self.drain_state.is_active()
             && self.dispatcher.borrow().is_ready()
     }
 
-    /// Notes that the listener is open, so that the server can become ready.
+    /// Records that the listener is open, so that the server can become ready.
     pub fn set_listening(&self) {
         self.is_listening.set(true);
     }
 
-    /// The number of open client connections.
+    /// Returns the number of open client connections.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
--- a/src/bin/load-balancer/server/raw_head/mod.rs
+++ b/src/bin/load-balancer/server/raw_head/mod.rs
@@ -1,18 +1,18 @@
 //! Request heads as they were received.
 //!
-//! The HTTP implementation drops a Content-Length beside a transfer coding, and doesn't say where
-//! a head ends. Both are therefore looked up in the bytes of the connection.
+//! Hyper drops a Content-Length header next to Transfer-Encoding, and doesn't report where a head
+//! ends. Both are therefore determined from the bytes received on the connection.
 
-/// What only the bytes of a request head show.
+/// Properties of a request head that hyper doesn't report.
 pub(super) struct RawHead {
-    /// It has a Content-Length, beside a transfer coding or not.
+    /// Whether the head has a Content-Length header, with or without Transfer-Encoding.
     pub(super) has_content_length: bool,
-    /// The number of bytes that have been received behind the head.
+    /// Number of bytes received after the head.
     pub(super) trailing_bytes: usize,
 }
 
 impl RawHead {
-    /// Finds the head of the request with this id among the bytes that were received last.
+    /// Finds the head of the request with this id in the most recently received bytes.
     pub(super) fn find(recent: &[u8], request_id: &str) -> Option<Self> {
         let mut id_matches = false;
         let mut has_content_length = false;
@@ -27,7 +27,7 @@
                         trailing_bytes: recent.len() - consumed,
                     });
                 }
-                // Another head has ended.
+                // This is the end of another request's head.
                 has_content_length = false;
             } else if name.eq_ignore_ascii_case(b"content-length") {
                 has_content_length = true;
@@ -39,7 +39,7 @@
     }
 }
 
-/// The name and the value of a header line; the value is empty if there is no colon.
+/// Splits a header line into name and value; the value is empty if there is no colon.
 fn split_header(line: &[u8]) -> (&[u8], &[u8]) {
     match line.iter().position(|byte| *byte == b':') {
         Some(colon) => (&line[..colon], &line[colon + 1..]),
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -1,4 +1,4 @@
-//! Reads and validates requests: the head first, then as much of the body as is read ahead.
+//! Reads and validates requests: first the head, then the part of the body that is read ahead.
 
 use crate::body::{BodyError, Upload};
 use crate::dispatch::AcceptedRequest;
@@ -21,30 +21,30 @@
 
 const MAX_REQUEST_ID_BYTES: usize = 128;
 
-/// What the head of a valid request says.
+/// The contents of a valid request head.
 struct ValidatedHead {
     request_id: String,
-    /// Indices into the settings' lists. A tenant that they don't name has the index behind the
-    /// last.
+    /// Index in the settings' list of classes.
     class: usize,
+    /// Index in the settings' list of tenants; one past the last for a tenant not in the list.
     tenant: usize,
-    /// How long the client waits for its response.
+    /// How long the client waits for the response.
     timeout: Duration,
-    /// The work that the client expects the request to cost, in seconds.
+    /// The work that the client expects the request to cause, in seconds.
     cost_hint: Option<f64>,
     framing: BodyFraming,
 }
 
-/// Where a request's body lies among the bytes of its connection.
+/// Position and encoding of a request's body in the bytes of its connection.
 struct BodyFraming {
-    /// In bytes from the connection's beginning; `None` if the head is no longer among the recent
-    /// bytes.
+    /// Offset of the body in the bytes received on the connection; `None` if the head is no longer
+    /// among the stored bytes.
     start_offset: Option<usize>,
     chunked: bool,
 }
 
 impl Server {
-    /// The index of the class that a request's path names.
+    /// Returns the index of the class that a request's path names.
     pub(super) fn class_index(&self, path: &str) -> Option<usize> {
         let name = path.split('/').nth(1).unwrap_or_default();
         self.dispatcher
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// Why the request is invalid, or its body did not arrive.
+    /// Returns an error if the request is invalid or its body is not received.
     pub(super) async fn read_request(
         &self,
         request: Request<Incoming>,
@@ -121,8 +121,8 @@
             self.drain_state.shutdown_deadline(),
         )
         .await?;
-        // A client that pipelines requests waits for each from the time at which it sent it, not
-        // from the time at which it was read.
+        // The timeout of a pipelined request starts when its bytes are received, not when the
+        // server gets to it.
         upload.set_last_progress(client.socket.last_read());
         Ok(upload)
     }
@@ -152,13 +152,13 @@
 }
 
 impl BodyFraming {
-    /// Finds where the body begins, and whether it is chunked.
+    /// Finds where the body begins and whether it is chunked.
     ///
     /// # Errors
     ///
-    /// The request has both a transfer coding and a length, or the bytes that would show it are
-    /// no longer stored. Recipients disagree on which of the two holds, so that one request could
-    /// hide another.
+    /// Returns an error if the request has both Transfer-Encoding and Content-Length, or if it has
+    /// a Transfer-Encoding and its head is no longer among the stored bytes. Recipients disagree on
+    /// which of the two headers takes precedence, so one request could be smuggled inside another.
     fn find(headers: &HeaderMap, socket: &Socket, request_id: &str) -> Result<Self, RequestError> {
         let raw_head = RawHead::find(&socket.recent_bytes(), request_id);
         let chunked = headers.contains_key(TRANSFER_ENCODING);
@@ -171,8 +171,8 @@
         })
     }
 
-    /// Where the body ends, in bytes from the connection's beginning, if that is known. That of a
-    /// chunked body is not, as its chunks have heads of their own.
+    /// Returns the offset of the body's end in the bytes received on the connection, if known. That
+    /// of a chunked body is unknown, as its length doesn't include the chunk headers.
     fn end_offset(&self, upload: &Upload) -> Option<usize> {
         let length = upload.length().filter(|_| !self.chunked);
         self.start_offset
@@ -181,7 +181,7 @@
     }
 }
 
-/// The value of a header that may occur once.
+/// Returns the value of a header that may occur at most once.
 fn single<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).into_iter();
     match (values.next().map(HeaderValue::to_str), values.next()) {
@@ -192,7 +192,7 @@
     }
 }
 
-/// The value of a header that holds a finite number, not below zero.
+/// Returns the value of a header that holds a finite, non-negative number.
 fn number(headers: &HeaderMap, name: &'static str) -> Result<Option<f64>, RequestError> {
     match single(headers, name)?.map(f64::from_str) {
         None => Ok(None),
@@ -201,8 +201,8 @@
     }
 }
 
-/// The index of the request's tenant. One that the settings don't name has no quota, and the
-/// index behind the last.
+/// Returns the index of the request's tenant. A tenant that is not in the settings has no quota,
+/// and an index one past the last.
 fn tenant_index(headers: &HeaderMap, tenants: &[String]) -> Result<usize, RequestError> {
     let name = single(headers, "tenant")?;
     Ok(tenants
@@ -224,7 +224,8 @@
     }
 }
 
-/// Without its key an upstream could not recognize a retry.
+/// Checks that a request has an idempotency key if its class requires one, and none otherwise.
+/// Without the key an upstream could not recognize a retry.
 fn check_idempotency_key(
     headers: &HeaderMap,
     idempotency: &Idempotency,
@@ -251,8 +252,8 @@
     }
 }
 
-/// How long the client waits: as long as it says, and no longer than its class's deadline, in
-/// seconds.
+/// Returns how long the client waits: the value of Request-Timeout, but at most the deadline of its
+/// class (in seconds), which is also the default.
 fn timeout(headers: &HeaderMap, class_deadline: f64) -> Result<Duration, RequestError> {
     let seconds = number(headers, "request-timeout")?
         .unwrap_or(class_deadline)
@@ -261,8 +262,8 @@
     Ok(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::ZERO))
 }
 
-/// The headers that go to the upstream, with the length of the body if that is known. A request
-/// without a body gets none unless it came with one.
+/// Returns the headers to forward to the upstream, with the body's length if it is known. An empty
+/// body gets a Content-Length only if the received request had one.
 fn forwarded_headers(received: &HeaderMap, body_length: Option<u64>) -> HeaderMap {
     let mut headers = end_to_end_headers(received);
     if let Some(length) = body_length {
--- a/src/bin/load-balancer/server/request_error/mod.rs
+++ b/src/bin/load-balancer/server/request_error/mod.rs
@@ -1,4 +1,4 @@
-//! Why a client's request gets an error response, and with which status.
+//! The errors for which a client's request is not served, and their response statuses.
 
 use crate::body::BodyError;
 use crate::dispatch::RejectionReason;
@@ -41,7 +41,7 @@
 }
 
 impl RequestError {
-    /// The status of the response to the client.
+    /// Returns the status of the response to the client.
     pub(super) fn status(&self) -> StatusCode {
         match self {
             Self::UnknownClass
--- a/src/bin/load-balancer/server/response.rs
+++ b/src/bin/load-balancer/server/response.rs
@@ -1,4 +1,4 @@
-//! Responses to clients, and the guard of one that is being streamed.
+//! Responses to clients, and the guard of a streamed response.
 
 use crate::body::ResponseBody;
 use crate::server::connection::{ClientConnection, Phase};
@@ -27,7 +27,7 @@
     }
 }
 
-/// A response with a text as its body.
+/// Builds a response whose body is a text.
 pub(super) fn text_response(status: StatusCode, text: &str) -> ClientResponse {
     let mut response = Response::new(ResponseBody::complete(Bytes::copy_from_slice(
         text.as_bytes(),
@@ -36,12 +36,12 @@
     response
 }
 
-/// The response to a request that is not served.
+/// Builds the response to a request that is not served because of `error`.
 pub(super) fn error_response(error: &RequestError) -> ClientResponse {
     text_response(error.status(), &error.to_string())
 }
 
-/// The response to a request that the balancer has rejected; `retry_after` in seconds.
+/// Builds the response to a request that the balancer has rejected; `retry_after` is in seconds.
 pub(super) fn rejected_response(retry_after: Option<f64>) -> ClientResponse {
     let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
     if let Some(seconds) = retry_after {
@@ -52,7 +52,7 @@
     response
 }
 
-/// Has the connection closed after this response.
+/// Makes the connection close after this response.
 pub(super) fn close_connection_after(response: &mut ClientResponse) {
     response
         .headers_mut()
--- a/src/bin/load-balancer/server/serve.rs
+++ b/src/bin/load-balancer/server/serve.rs
@@ -20,12 +20,12 @@
 const MAX_HEAD_BYTES: usize = 32 << 10;
 const MAX_HEADERS: usize = 100;
 
-/// How the serving of a connection has ended.
+/// How serving a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ServingEnd {
-    /// The HTTP connection has ended by itself, after its last response or on an error.
+    /// The HTTP connection ended by itself, after its last response or on an error.
     Completed,
-    /// The client has stalled or disconnected, or the connection has been evicted.
+    /// The client stalled or disconnected, or the connection was evicted.
     Aborted,
 }
 
@@ -65,7 +65,7 @@
             self.handle_request(request, client).await
         };
         client.record_response();
-        // After an invalid request the remaining bytes may be no request, so the connection is
+        // The bytes after an invalid request may not begin another request, so the connection is
         // closed.
         let is_rejected = is_over_capacity || response.status().is_client_error();
         client.set_rejected_incomplete(is_rejected && is_incomplete);
@@ -88,7 +88,7 @@
     builder
 }
 
-/// Runs the HTTP connection until it ends or is to be aborted, and drops it.
+/// Runs the HTTP connection until it ends or has to be aborted, and drops it.
 async fn drive<S>(connection: http1::Connection<Socket, S>, client: &ClientConnection) -> ServingEnd
 where
     S: HttpService<Incoming, ResBody = ResponseBody>,
@@ -98,7 +98,7 @@
     tokio::pin!(connection, stalled, disconnected);
     loop {
         tokio::select! {
-            // On an error, hyper has sent the client a response if it could.
+            // On an error hyper has sent the client a response if it could.
             _ = connection.as_mut() => return ServingEnd::Completed,
             () = client.close.requested() => {
                 if client.can_close_now() {
@@ -117,8 +117,8 @@
     }
 }
 
-/// Keeps the connection open until the client has taken the last response, is evicted, or takes
-/// too long.
+/// Keeps the connection open until the client has received the last response, the connection is
+/// evicted, or [`IDLE_TIMEOUT`] expires.
 async fn linger(client: &ClientConnection) {
     client.begin_lingering();
     let unread = if client.is_rejected_incomplete() {
