--- a/src/bin/load-balancer/body/download.rs
+++ b/src/bin/load-balancer/body/download.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns whether [`Self::poll_data`] has returned the complete body.
-    pub(super) fn is_passed_on(&self) -> bool {
+    pub(super) fn is_finished(&self) -> bool {
         self.read_ahead.is_empty() && self.completion.is_none()
     }
 
--- a/src/bin/load-balancer/body/memory_budget.rs
+++ b/src/bin/load-balancer/body/memory_budget.rs
@@ -17,11 +17,11 @@
 pub type MemoryPermit = OwnedSemaphorePermit;
 
 impl MemoryBudget {
-    /// Creates the budget for a process that may use `process_limit` bytes in total.
+    /// Creates the budget for a process that may use `process_bytes` bytes in total.
     #[must_use]
-    pub fn new(process_limit: usize) -> Rc<Self> {
+    pub fn new(process_bytes: usize) -> Rc<Self> {
         let bytes =
-            (process_limit / MEMORY_DIVISOR).clamp(READ_AHEAD_BYTES, Semaphore::MAX_PERMITS);
+            (process_bytes / MEMORY_DIVISOR).clamp(READ_AHEAD_BYTES, Semaphore::MAX_PERMITS);
         Rc::new(MemoryBudget(Arc::new(Semaphore::new(bytes))))
     }
 
--- a/src/bin/load-balancer/body/response_body.rs
+++ b/src/bin/load-balancer/body/response_body.rs
@@ -55,7 +55,7 @@
     fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         let next = ready!(self.download.poll_data(cx));
         match next {
-            Some(Ok(_)) if !self.download.is_passed_on() => {}
+            Some(Ok(_)) if !self.download.is_finished() => {}
             Some(Ok(_)) | None => self.in_flight.end(RequestOutcome::Served),
             Some(Err(_)) => self.in_flight.end(RequestOutcome::Failed),
         }
@@ -87,7 +87,7 @@
     fn is_end_stream(&self) -> bool {
         match &self.0 {
             Content::Complete(body) => body.is_none(),
-            Content::Streamed(streamed) => streamed.download.is_passed_on(),
+            Content::Streamed(streamed) => streamed.download.is_finished(),
         }
     }
 
--- a/src/bin/load-balancer/body/stall_timer.rs
+++ b/src/bin/load-balancer/body/stall_timer.rs
@@ -12,7 +12,7 @@
 
 /// Number of checks for a frame at and after its deadline before the body counts as stalled. Other
 /// tasks run after each check.
-const MAX_TURNS_AFTER_DEADLINE: usize = 16;
+const MAX_CHECKS_PER_FRAME: usize = 16;
 
 /// Waits for the next frame of a body until the deadline.
 ///
@@ -27,7 +27,7 @@
     deadline: Instant,
     body: &mut Incoming,
 ) -> Result<Option<hyper::Result<Frame<bytes::Bytes>>>, BodyError> {
-    for _ in 0..MAX_TURNS_AFTER_DEADLINE {
+    for _ in 0..MAX_CHECKS_PER_FRAME {
         if let Ok(frame) = timeout_at(deadline, body.frame()).await {
             return Ok(frame);
         }
--- a/src/bin/load-balancer/body/upload.rs
+++ b/src/bin/load-balancer/body/upload.rs
@@ -18,7 +18,7 @@
 /// Minimum mean rate at which a client has to send, in bytes per second.
 const MIN_BYTES_PER_SECOND: f64 = 32_000.0;
 /// Time by which a client may fall behind the minimum rate while its body is read ahead.
-const MAX_SEND_PAUSE: Duration = Duration::from_millis(800);
+const MAX_SEND_LAG: Duration = Duration::from_millis(800);
 
 /// A request body: the bytes that have been read ahead, and the rest that is still being received.
 #[derive(Debug)]
@@ -92,9 +92,9 @@
         let started = Instant::now();
         let mut read_ahead = BytesMut::new();
         while read_ahead.len() < READ_AHEAD_BYTES {
-            let pace_deadline =
-                started + MAX_SEND_PAUSE + time_at_min_rate(read_ahead.len() as u64);
-            let deadline = pace_deadline.max(earliest_deadline);
+            let min_rate_deadline =
+                started + MAX_SEND_LAG + time_at_min_rate(read_ahead.len() as u64);
+            let deadline = min_rate_deadline.max(earliest_deadline);
             let deadline = shutdown_deadline.limit(deadline);
             let Some(frame) = frame_before(deadline, &mut body).await? else {
                 let unused = reserved.saturating_sub(read_ahead.len());
@@ -227,7 +227,7 @@
 /// The body of a request as it is sent to one upstream.
 pub struct UploadBody {
     upload: Rc<Upload>,
-    read_ahead_sent: bool,
+    is_read_ahead_sent: bool,
     /// Called with the body's length in bytes once all of it has been read.
     on_complete: Option<Box<dyn FnOnce(u64)>>,
     stall: StallTimer,
@@ -239,7 +239,7 @@
     pub fn new(upload: Rc<Upload>, on_complete: impl FnOnce(u64) + 'static) -> Self {
         let mut body = UploadBody {
             upload,
-            read_ahead_sent: false,
+            is_read_ahead_sent: false,
             on_complete: Some(Box::new(on_complete)),
             stall: StallTimer::new(CLIENT_STALL_TIMEOUT),
         };
@@ -265,7 +265,7 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        if !mem::replace(&mut self.read_ahead_sent, true) && !self.upload.read_ahead.is_empty() {
+        if !mem::replace(&mut self.is_read_ahead_sent, true) && !self.upload.read_ahead.is_empty() {
             return Poll::Ready(Some(Ok(Frame::data(self.upload.read_ahead.clone()))));
         }
         let upload = self.upload.clone();
@@ -288,7 +288,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        (self.read_ahead_sent || self.upload.read_ahead.is_empty()) && !self.upload.is_streamed()
+        (self.is_read_ahead_sent || self.upload.read_ahead.is_empty()) && !self.upload.is_streamed()
     }
 
     fn size_hint(&self) -> SizeHint {
--- a/src/bin/load-balancer/server/accept.rs
+++ b/src/bin/load-balancer/server/accept.rs
@@ -17,7 +17,7 @@
 /// Delay before the next accept from the second consecutive failure on.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// A resource shortage is persistent once this many more accepts have failed than succeeded.
-const PERSISTENT_SHORTAGE_EXCESS: u32 = 10;
+const PERSISTENT_SHORTAGE_FAILURES: u32 = 10;
 /// Minimum interval between two log lines about failed accepts.
 const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
@@ -26,24 +26,24 @@
 struct ResourceShortage {
     consecutive_failures: u32,
     /// Number of failures minus number of successes, never below zero.
-    excess: u32,
+    excess_failures: u32,
 }
 
 impl ResourceShortage {
     fn record_failure(&mut self) {
         self.consecutive_failures += 1;
-        self.excess += 1;
+        self.excess_failures += 1;
     }
 
     fn record_success(&mut self) {
         self.consecutive_failures = 0;
-        self.excess = self.excess.saturating_sub(1);
+        self.excess_failures = self.excess_failures.saturating_sub(1);
     }
 
     /// Returns whether the shortage has outlasted the retries, so that a descriptor has to be
     /// freed.
     fn is_persistent(&self) -> bool {
-        self.excess >= PERSISTENT_SHORTAGE_EXCESS
+        self.excess_failures >= PERSISTENT_SHORTAGE_FAILURES
     }
 }
 
@@ -59,7 +59,7 @@
                 () = &mut stop => return,
                 accepted = listener.accept() => accepted,
             };
-            self.handle_accepted(accepted, &mut shortage).await;
+            self.handle_accept_result(accepted, &mut shortage).await;
         }
     }
 
@@ -76,15 +76,15 @@
     ) -> io::Result<()> {
         let mut shortage = ResourceShortage::default();
         loop {
-            match listener.accept_now() {
+            match listener.try_accept() {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if Instant::now() >= deadline => return Err(error),
-                accepted => self.handle_accepted(accepted, &mut shortage).await,
+                accepted => self.handle_accept_result(accepted, &mut shortage).await,
             }
         }
     }
 
-    async fn handle_accepted(
+    async fn handle_accept_result(
         self: &Rc<Self>,
         accepted: io::Result<PendingConnection>,
         shortage: &mut ResourceShortage,
--- a/src/bin/load-balancer/server/connection/mod.rs
+++ b/src/bin/load-balancer/server/connection/mod.rs
@@ -75,9 +75,9 @@
     end_offset: Cell<Option<usize>>,
     /// The rest of the body is being read and discarded, because the response was known before the
     /// body was complete.
-    discarding_body: Cell<bool>,
+    is_discarding_body: Cell<bool>,
     /// The request was rejected before it was completely received.
-    rejected_incomplete: Cell<bool>,
+    is_rejected_incomplete: Cell<bool>,
 }
 
 /// The state of one client connection, shared by its task, the connection table and the guards of
@@ -123,7 +123,7 @@
 
     /// Records that the head of a request has been received.
     pub(super) fn begin_request(&self) {
-        self.request.discarding_body.set(false);
+        self.request.is_discarding_body.set(false);
         self.request.end_offset.set(None);
         let since = match self.history.get() {
             RequestHistory::Empty => self.opened,
@@ -151,24 +151,26 @@
 
     /// Records whether the current request was rejected before it was completely received.
     pub(super) fn set_rejected_incomplete(&self, rejected_incomplete: bool) {
-        self.request.rejected_incomplete.set(rejected_incomplete);
+        self.request.is_rejected_incomplete.set(rejected_incomplete);
     }
 
     /// Returns whether the last request was rejected before it was completely received.
     pub(super) fn is_rejected_incomplete(&self) -> bool {
-        self.request.rejected_incomplete.get()
+        self.request.is_rejected_incomplete.get()
     }
 
     /// Records that the rest of the request body is being discarded, because the response was known
     /// before the body was complete.
     pub(super) fn begin_discarding_body(&self) {
-        self.request.discarding_body.set(true);
+        self.request.is_discarding_body.set(true);
     }
 
     /// Records that the rest of the body has been discarded. Does nothing if the next request has
     /// begun.
     pub(super) fn end_discarding_body(&self) {
-        if self.request.discarding_body.replace(false) && self.phase() != Phase::StreamingResponse {
+        if self.request.is_discarding_body.replace(false)
+            && self.phase() != Phase::StreamingResponse
+        {
             self.mark_idle();
         }
     }
@@ -210,8 +212,8 @@
     /// already being streamed may not announce the close; in that case the close can begin unless
     /// bytes after its request have been received.
     pub(super) fn can_close_now(&self) -> bool {
-        let idle = self.socket.request_started_at().is_none() && self.socket.is_open_and_idle();
-        self.phase() == Phase::StreamingResponse && !self.has_pipelined_bytes() || idle
+        let is_idle = self.socket.request_started_at().is_none() && self.socket.is_open_and_idle();
+        self.phase() == Phase::StreamingResponse && !self.has_pipelined_bytes() || is_idle
     }
 
     /// Decides on a requested eviction. Returns true if the connection can be closed because no
--- a/src/bin/load-balancer/server/connection/signals.rs
+++ b/src/bin/load-balancer/server/connection/signals.rs
@@ -7,26 +7,26 @@
 /// Requests that a connection's task close the connection once it carries no request.
 #[derive(Default)]
 pub(in crate::server) struct CloseSignal {
-    requested: Cell<bool>,
+    is_requested: Cell<bool>,
     notify: Notify,
 }
 
 impl CloseSignal {
     /// Requests the close and wakes the connection's task.
     pub(in crate::server) fn request(&self) {
-        self.requested.set(true);
+        self.is_requested.set(true);
         self.notify.notify_one();
     }
 
     /// Requests the close before serving begins. The task is not woken, so the connection closes
     /// only after its first request.
     pub(in crate::server) fn request_initially(&self) {
-        self.requested.set(true);
+        self.is_requested.set(true);
     }
 
     /// Returns whether the close has been requested.
     pub(super) fn is_requested(&self) -> bool {
-        self.requested.get()
+        self.is_requested.get()
     }
 
     /// Waits until the close is requested.
@@ -39,7 +39,7 @@
 /// received.
 #[derive(Default)]
 pub(in crate::server) struct EvictionSignal {
-    pending: Cell<bool>,
+    is_pending: Cell<bool>,
     notify: Notify,
     decided: Rc<Notify>,
 }
@@ -49,14 +49,14 @@
     /// decided; if the connection was closed, it has been removed from the connection table by
     /// then.
     pub(in crate::server) fn request(&self) -> Rc<Notify> {
-        self.pending.set(true);
+        self.is_pending.set(true);
         self.notify.notify_one();
         self.decided.clone()
     }
 
     /// Returns whether the connection's task has not yet acknowledged a requested eviction.
     pub(in crate::server) fn is_pending(&self) -> bool {
-        self.pending.get()
+        self.is_pending.get()
     }
 
     /// Waits until the eviction is requested.
@@ -66,7 +66,7 @@
 
     /// Acknowledges the requested eviction; called by the connection's task.
     pub(super) fn acknowledge(&self) {
-        self.pending.set(false);
+        self.is_pending.set(false);
     }
 
     /// Wakes the task that requested the eviction.
--- a/src/bin/load-balancer/server/connection/stall.rs
+++ b/src/bin/load-balancer/server/connection/stall.rs
@@ -25,7 +25,8 @@
         loop {
             let now = Instant::now();
             let deadline = self.stall_deadline(now);
-            if deadline <= now && self.request.discarding_body.get() && self.socket.has_unread() {
+            if deadline <= now && self.request.is_discarding_body.get() && self.socket.has_unread()
+            {
                 // The rest of the body has arrived; it is unread only because this process has had
                 // no time to read it.
                 sleep(DISCONNECT_CHECK_INTERVAL).await;
@@ -58,7 +59,7 @@
         }
         // The rest of a body may take longer than a head, to which the stricter limit below
         // applies.
-        if self.request.discarding_body.get() {
+        if self.request.is_discarding_body.get() {
             return since.max(self.socket.last_read()) + CLIENT_STALL_TIMEOUT;
         }
         // A head that has begun to arrive gets its full time limit, even during a shutdown.
--- a/src/bin/load-balancer/server/listener.rs
+++ b/src/bin/load-balancer/server/listener.rs
@@ -46,12 +46,12 @@
     /// or if a failure persists.
     pub fn bind(address: SocketAddr, sharing: PortSharing) -> io::Result<Self> {
         let domain = Domain::for_address(address);
-        let share = sharing == PortSharing::Shared;
+        let is_shared = sharing == PortSharing::Shared;
         let socket =
             retry_transient_errors(|| Socket::new(domain, Type::STREAM, Some(Protocol::TCP)))?;
         retry_transient_errors(|| socket.set_nonblocking(true))?;
         retry_transient_errors(|| socket.set_reuse_address(true))?;
-        retry_transient_errors(|| socket.set_reuse_port(share))?;
+        retry_transient_errors(|| socket.set_reuse_port(is_shared))?;
         retry_transient_errors(|| socket.bind(&address.into()))?;
         retry_transient_errors(|| socket.listen(LISTEN_BACKLOG))?;
         let registered =
@@ -76,7 +76,7 @@
     pub async fn accept(&self) -> io::Result<PendingConnection> {
         loop {
             self.0.readable().await?;
-            match self.0.try_io(Interest::READABLE, || self.accept_now()) {
+            match self.0.try_io(Interest::READABLE, || self.try_accept()) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 result => return result,
             }
@@ -89,7 +89,7 @@
     /// # Errors
     ///
     /// Returns any error of accept(2), including `WouldBlock` if the queue is empty.
-    pub fn accept_now(&self) -> io::Result<PendingConnection> {
+    pub fn try_accept(&self) -> io::Result<PendingConnection> {
         let (stream, _) = SockRef::from(&self.0).accept()?;
         Ok(PendingConnection(stream.into()))
     }
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -40,7 +40,7 @@
     /// Offset of the body in the bytes received on the connection; `None` if the head is no longer
     /// among the stored bytes.
     start_offset: Option<usize>,
-    chunked: bool,
+    is_chunked: bool,
 }
 
 impl Server {
@@ -91,8 +91,8 @@
         check_idempotency_key(&head.headers, &settings.idempotency)?;
         let request_id = request_id(&head.headers)?.to_string();
         let framing = BodyFraming::find(&head.headers, socket, &request_id)?;
-        let timeout = timeout(&head.headers, settings.deadline)?;
-        let cost_hint = number(&head.headers, "work-hint")?.map(|micros| micros / 1e6);
+        let timeout = request_timeout(&head.headers, settings.deadline)?;
+        let cost_hint = numeric_header(&head.headers, "work-hint")?.map(|micros| micros / 1e6);
         Ok(ValidatedHead {
             request_id,
             class,
@@ -161,20 +161,20 @@
     /// which of the two headers takes precedence, so one request could be smuggled inside another.
     fn find(headers: &HeaderMap, socket: &Socket, request_id: &str) -> Result<Self, RequestError> {
         let raw_head = RawHead::find(&socket.recent_bytes(), request_id);
-        let chunked = headers.contains_key(TRANSFER_ENCODING);
-        if chunked && raw_head.as_ref().is_none_or(|raw| raw.has_content_length) {
+        let is_chunked = headers.contains_key(TRANSFER_ENCODING);
+        if is_chunked && raw_head.as_ref().is_none_or(|raw| raw.has_content_length) {
             return Err(RequestError::AmbiguousBodyLength);
         }
         Ok(BodyFraming {
             start_offset: raw_head.map(|raw| socket.bytes_read() - raw.trailing_bytes),
-            chunked,
+            is_chunked,
         })
     }
 
     /// Returns the offset of the body's end in the bytes received on the connection, if known. That
     /// of a chunked body is unknown, as its length doesn't include the chunk headers.
     fn end_offset(&self, upload: &Upload) -> Option<usize> {
-        let length = upload.length().filter(|_| !self.chunked);
+        let length = upload.length().filter(|_| !self.is_chunked);
         self.start_offset
             .zip(length)
             .map(|(start, length)| start + length as usize)
@@ -182,7 +182,10 @@
 }
 
 /// Returns the value of a header that may occur at most once.
-fn single<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, RequestError> {
+fn single_header<'a>(
+    headers: &'a HeaderMap,
+    name: &'static str,
+) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).into_iter();
     match (values.next().map(HeaderValue::to_str), values.next()) {
         (None, None) => Ok(None),
@@ -193,8 +196,8 @@
 }
 
 /// Returns the value of a header that holds a finite, non-negative number.
-fn number(headers: &HeaderMap, name: &'static str) -> Result<Option<f64>, RequestError> {
-    match single(headers, name)?.map(f64::from_str) {
+fn numeric_header(headers: &HeaderMap, name: &'static str) -> Result<Option<f64>, RequestError> {
+    match single_header(headers, name)?.map(f64::from_str) {
         None => Ok(None),
         Some(Ok(value)) if value.is_finite() && value >= 0.0 => Ok(Some(value)),
         Some(_) => Err(RequestError::NotANumber(name)),
@@ -204,7 +207,7 @@
 /// Returns the index of the request's tenant. A tenant that is not in the settings has no quota,
 /// and an index one past the last.
 fn tenant_index(headers: &HeaderMap, tenants: &[String]) -> Result<usize, RequestError> {
-    let name = single(headers, "tenant")?;
+    let name = single_header(headers, "tenant")?;
     Ok(tenants
         .iter()
         .position(|tenant| Some(tenant.as_str()) == name)
@@ -230,7 +233,7 @@
     headers: &HeaderMap,
     idempotency: &Idempotency,
 ) -> Result<(), RequestError> {
-    match (idempotency, single(headers, "idempotency-key")?) {
+    match (idempotency, single_header(headers, "idempotency-key")?) {
         (Idempotency::IdempotencyKey { .. }, None | Some("")) => {
             Err(RequestError::MissingIdempotencyKey)
         }
@@ -245,7 +248,7 @@
     let is_well_formed = |id: &str| {
         id.len() <= MAX_REQUEST_ID_BYTES && id.bytes().all(|byte| byte.is_ascii_graphic())
     };
-    match single(headers, "request-id")? {
+    match single_header(headers, "request-id")? {
         None | Some("") => Err(RequestError::MissingRequestId),
         Some(id) if is_well_formed(id) => Ok(id),
         Some(_) => Err(RequestError::MalformedRequestId),
@@ -254,8 +257,8 @@
 
 /// Returns how long the client waits: the value of Request-Timeout, but at most the deadline of its
 /// class (in seconds), which is also the default.
-fn timeout(headers: &HeaderMap, class_deadline: f64) -> Result<Duration, RequestError> {
-    let seconds = number(headers, "request-timeout")?
+fn request_timeout(headers: &HeaderMap, class_deadline: f64) -> Result<Duration, RequestError> {
+    let seconds = numeric_header(headers, "request-timeout")?
         .unwrap_or(class_deadline)
         .min(class_deadline);
     // Fails only for a class deadline beyond the range of `Duration`.
--- a/src/bin/load-balancer/server/request_error/tests.rs
+++ b/src/bin/load-balancer/server/request_error/tests.rs
@@ -1,4 +1,4 @@
-//! Clients see these statuses and texts.
+//! These statuses and texts are sent to clients.
 
 use super::*;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn an_invalid_request_is_a_bad_request() {
+fn invalid_requests_get_bad_request() {
     use RequestError as E;
     check(
         StatusCode::BAD_REQUEST,
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn other_errors_have_statuses_of_their_own() {
+fn method_and_body_errors_get_specific_statuses() {
     let expected = Method::GET;
     check(
         StatusCode::METHOD_NOT_ALLOWED,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn rejections_by_the_dispatcher_have_statuses_of_their_own() {
+fn dispatcher_rejections_get_specific_statuses() {
     check(
         StatusCode::SERVICE_UNAVAILABLE,
         [(
