--- a/src/bin/load-balancer/admin/mod.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -44,8 +44,8 @@
     descriptors: Rc<DescriptorBudget>,
     /// Connections that have no response yet, by their numbers: the oldest comes first. Notified,
     /// they close.
-    awaiting_response: RefCell<BTreeMap<u64, Rc<Notify>>>,
-    next_connection: Cell<u64>,
+    unanswered_connections: RefCell<BTreeMap<u64, Rc<Notify>>>,
+    next_connection_number: Cell<u64>,
 }
 
 impl Admin {
@@ -61,8 +61,8 @@
             server,
             handover,
             descriptors,
-            awaiting_response: RefCell::default(),
-            next_connection: Cell::new(0),
+            unanswered_connections: RefCell::default(),
+            next_connection_number: Cell::new(0),
         })
     }
 
@@ -102,7 +102,7 @@
         if let Some(permit) = self.descriptors.acquire(Purpose::Admin) {
             return Some(permit);
         }
-        if let Some(oldest) = self.awaiting_response.borrow().values().next() {
+        if let Some(oldest) = self.unanswered_connections.borrow().values().next() {
             oldest.notify_one();
         }
         // Lets the task of that connection close it.
@@ -112,15 +112,15 @@
     }
 
     async fn serve(self: Rc<Self>, socket: Socket) {
-        let number = self.next_connection.get();
-        self.next_connection.set(number + 1);
+        let number = self.next_connection_number.get();
+        self.next_connection_number.set(number + 1);
         let evicted = Rc::new(Notify::new());
-        self.awaiting_response
+        self.unanswered_connections
             .borrow_mut()
             .insert(number, evicted.clone());
         let service = service_fn(|request| async {
             let response = self.respond(request).await;
-            self.awaiting_response.borrow_mut().remove(&number);
+            self.unanswered_connections.borrow_mut().remove(&number);
             Ok::<_, Infallible>(response)
         });
         let mut http = http1::Builder::new();
@@ -132,7 +132,7 @@
             _ = timeout(CONNECTION_TIMEOUT, http.serve_connection(socket, service)) => {}
             () = evicted.notified() => {}
         }
-        self.awaiting_response.borrow_mut().remove(&number);
+        self.unanswered_connections.borrow_mut().remove(&number);
     }
 
     async fn respond(&self, request: Request<Incoming>) -> AdminResponse {
@@ -144,15 +144,15 @@
 
     async fn handle(&self, request: Request<Incoming>) -> Result<String, AdminError> {
         let (head, body) = request.into_parts();
-        let request = AdminRequest::at_path(head.uri.path()).ok_or(AdminError::UnknownPath)?;
+        let request = AdminRequest::from_path(head.uri.path()).ok_or(AdminError::UnknownPath)?;
         if head.method != request.method() {
             return Err(AdminError::WrongMethod(request.method()));
         }
         discard_body(body).await?;
-        self.carry_out(request)
+        self.execute(request)
     }
 
-    fn carry_out(&self, request: AdminRequest) -> Result<String, AdminError> {
+    fn execute(&self, request: AdminRequest) -> Result<String, AdminError> {
         match request {
             AdminRequest::Health => {
                 if !self.server.is_ready() {
--- a/src/bin/load-balancer/admin/request.rs
+++ b/src/bin/load-balancer/admin/request.rs
@@ -24,7 +24,7 @@
 
 impl<'a> AdminRequest<'a> {
     /// The request at this path; `None` if there is no such path.
-    pub fn at_path(path: &'a str) -> Option<Self> {
+    pub fn from_path(path: &'a str) -> Option<Self> {
         let segments: Vec<_> = path.strip_prefix('/')?.split('/').collect();
         Some(match segments[..] {
             ["healthcheck"] => AdminRequest::Health,
--- a/src/bin/load-balancer/admin/tests.rs
+++ b/src/bin/load-balancer/admin/tests.rs
@@ -38,7 +38,7 @@
         ),
     ] {
         assert_eq!(request.method(), method, "{path}");
-        assert_eq!(AdminRequest::at_path(path), Some(request));
+        assert_eq!(AdminRequest::from_path(path), Some(request));
     }
     for path in [
         "/",
@@ -48,6 +48,6 @@
         "/upstreams//x",
         "/upstreams/a/b/maint",
     ] {
-        assert_eq!(AdminRequest::at_path(path), None, "{path}");
+        assert_eq!(AdminRequest::from_path(path), None, "{path}");
     }
 }
--- a/src/bin/load-balancer/handover/folder.rs
+++ b/src/bin/load-balancer/handover/folder.rs
@@ -10,10 +10,10 @@
 use tokio::net::{UnixListener, UnixStream};
 
 /// Names of files begin with this: versions up to 47c951f look for it.
-const FILE_PREFIX: &str = "magpiechute";
+const FILE_NAME_PREFIX: &str = "magpiechute";
 
 /// For transient errors of the folder's files.
-pub const FOLDER_RETRY: RetrySchedule = RetrySchedule {
+pub const FOLDER_RETRY_SCHEDULE: RetrySchedule = RetrySchedule {
     interval: Duration::from_millis(20),
     timeout: Duration::from_secs(1),
 };
@@ -56,7 +56,7 @@
 
     fn file(&self, extension: &str) -> Option<PathBuf> {
         let folder = self.path.as_ref()?;
-        Some(folder.join(format!("{FILE_PREFIX}-{}.{extension}", self.address())))
+        Some(folder.join(format!("{FILE_NAME_PREFIX}-{}.{extension}", self.address())))
     }
 }
 
@@ -64,7 +64,7 @@
 pub async fn connect_to_predecessor(socket: &Path) -> Option<UnixStream> {
     let is_transient = |result: &io::Result<UnixStream>| result.as_ref().is_err_and(is_transient);
     let connect = || UnixStream::connect(socket);
-    FOLDER_RETRY.run(is_transient, connect).await.ok()
+    FOLDER_RETRY_SCHEDULE.run(is_transient, connect).await.ok()
 }
 
 /// Listens for a successor at this socket. It takes the place of the predecessor's socket in one
--- a/src/bin/load-balancer/handover/mod.rs
+++ b/src/bin/load-balancer/handover/mod.rs
@@ -16,7 +16,7 @@
 use crate::handover::message::PeerMessage;
 use crate::handover::peer_connection::{IncomingMessages, PeerConnection};
 use crate::handover::state_file::StateError;
-use crate::handover::state_store::{StateStore, WRITE_RETRY_INTERVAL};
+use crate::handover::state_store::{StateStore, STATE_WRITE_RETRY_INTERVAL};
 use crate::log;
 use crate::server::Server;
 use crate::socket::DescriptorBudget;
@@ -36,12 +36,12 @@
 const DESCRIPTOR_REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Connections to the predecessor that may end before it has reported: it may lack a resource for
 /// a moment.
-const MAX_CONNECTION_ATTEMPTS: usize = 3;
+const MAX_HANDSHAKE_ATTEMPTS: usize = 3;
 /// Pause after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval at which the socket for a successor is tried again. Longer than that of the state
 /// file, as some file systems never take a socket.
-const SOCKET_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+const SUCCESSOR_SOCKET_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why a change of maintenance was not carried out in full.
 #[derive(Debug, Error)]
@@ -132,7 +132,7 @@
     ) -> Result<(), MaintenanceError> {
         // The file may hold a change that the peer or the predecessor made and that has not
         // arrived here yet.
-        match self.store.read_maintenance() {
+        match self.store.reload_maintenance() {
             Some(Err(error)) if error.is_transient() => {
                 return Err(MaintenanceError::StateUnreadable(error));
             }
@@ -151,19 +151,19 @@
         match &written {
             Ok(()) => self.send(PeerMessage::StateChanged),
             Err(error) => {
-                let interval = WRITE_RETRY_INTERVAL.as_secs_f64();
+                let interval = STATE_WRITE_RETRY_INTERVAL.as_secs_f64();
                 log::line(format!(
                     "state file not written: {error}; retrying every {interval} s"
                 ));
                 if self.store.begin_retries() {
-                    spawn_local(self.clone().publish_state_later());
+                    spawn_local(self.clone().retry_publishing_state());
                 }
             }
         }
         written
     }
 
-    async fn publish_state_later(self: Rc<Self>) {
+    async fn retry_publishing_state(self: Rc<Self>) {
         self.store.retry_write().await;
         self.send(PeerMessage::StateChanged);
     }
@@ -174,11 +174,11 @@
         let Some(socket) = self.folder.socket() else {
             return;
         };
-        for _ in 0..MAX_CONNECTION_ATTEMPTS {
+        for _ in 0..MAX_HANDSHAKE_ATTEMPTS {
             let Some(stream) = connect_to_predecessor(&socket).await else {
                 break;
             };
-            if self.introduce(stream).await {
+            if self.perform_handshake(stream).await {
                 break;
             }
         }
@@ -189,7 +189,7 @@
 
     /// Introduces this process to its predecessor and waits for its report. False if the
     /// connection ended before that.
-    async fn introduce(self: &Rc<Self>, stream: UnixStream) -> bool {
+    async fn perform_handshake(self: &Rc<Self>, stream: UnixStream) -> bool {
         let half = self.max_descriptors / 2;
         let address = self.folder.address();
         log::line(format!(
@@ -198,7 +198,7 @@
         // Until the predecessor has reported.
         self.descriptors.set_limit(half);
         let descriptors_reported = Rc::new(Notify::new());
-        self.attach(stream, descriptors_reported.clone());
+        self.attach_peer(stream, descriptors_reported.clone());
         self.send(PeerMessage::Hello);
         if timeout(DESCRIPTOR_REPORT_TIMEOUT, descriptors_reported.notified())
             .await
@@ -229,19 +229,19 @@
             }
             Err(error) => {
                 let path = socket.display();
-                let interval = SOCKET_RETRY_INTERVAL.as_secs_f64();
+                let interval = SUCCESSOR_SOCKET_RETRY_INTERVAL.as_secs_f64();
                 log::line(format!(
                     "handover socket not created: {path}: {error}; retrying every {interval} s"
                 ));
-                spawn_local(self.clone().accept_successors_later(socket));
+                spawn_local(self.clone().retry_listening_for_successor(socket));
             }
         }
     }
 
     /// Awaits a successor once the socket can be created.
-    async fn accept_successors_later(self: Rc<Self>, socket: PathBuf) {
+    async fn retry_listening_for_successor(self: Rc<Self>, socket: PathBuf) {
         loop {
-            sleep(SOCKET_RETRY_INTERVAL).await;
+            sleep(SUCCESSOR_SOCKET_RETRY_INTERVAL).await;
             if let Ok(listener) = listen_for_successor(&socket) {
                 return self.accept_successors(listener).await;
             }
@@ -253,7 +253,7 @@
             match listener.accept().await {
                 // One upgrade at a time: a further process is disconnected and goes without a
                 // handover.
-                Ok((stream, _)) if !self.has_peer() => self.attach(stream, Rc::default()),
+                Ok((stream, _)) if !self.has_peer() => self.attach_peer(stream, Rc::default()),
                 Ok(_) => {}
                 Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
             }
@@ -262,7 +262,7 @@
 
     /// Serves the connection to the peer until that disconnects. `descriptors_reported` is
     /// notified of its report.
-    fn attach(self: &Rc<Self>, stream: UnixStream, descriptors_reported: Rc<Notify>) {
+    fn attach_peer(self: &Rc<Self>, stream: UnixStream, descriptors_reported: Rc<Notify>) {
         let (connection, messages) = PeerConnection::open(stream);
         *self.peer.borrow_mut() = Peer::Connected(connection);
         let handover = self.clone();
@@ -270,12 +270,12 @@
             handover
                 .handle_messages(messages, &descriptors_reported)
                 .await;
-            handover.detach();
+            handover.handle_peer_disconnect();
         });
     }
 
     /// The peer has disconnected: this process is the only one.
-    fn detach(self: &Rc<Self>) {
+    fn handle_peer_disconnect(self: &Rc<Self>) {
         let address = self.folder.address();
         let limit = self.max_descriptors;
         log::line(format!(
@@ -296,7 +296,7 @@
     ) {
         loop {
             match messages.next().await {
-                Ok(Some(message)) => self.handle(message, descriptors_reported).await,
+                Ok(Some(message)) => self.handle_message(message, descriptors_reported).await,
                 Ok(None) => return,
                 Err(error) => {
                     return log::line(format!(
@@ -307,15 +307,15 @@
         }
     }
 
-    async fn handle(self: &Rc<Self>, message: PeerMessage, descriptors_reported: &Notify) {
+    async fn handle_message(self: &Rc<Self>, message: PeerMessage, descriptors_reported: &Notify) {
         match message {
             PeerMessage::Hello => self.yield_descriptors().await,
             PeerMessage::DescriptorsInUse(count) => {
-                let rest = self.max_descriptors.saturating_sub(count);
-                self.descriptors.set_limit(rest);
+                let remaining = self.max_descriptors.saturating_sub(count);
+                self.descriptors.set_limit(remaining);
                 descriptors_reported.notify_one();
             }
-            PeerMessage::Ready => self.peer_accepts(),
+            PeerMessage::Ready => self.mark_peer_accepting(),
             PeerMessage::StateChanged => {
                 self.store.restore_maintenance().await;
             }
@@ -325,7 +325,7 @@
     /// A successor has started: writes the state for it and yields half of the descriptors.
     async fn yield_descriptors(self: &Rc<Self>) {
         // An unreadable file is overwritten.
-        let _ = self.store.read_maintenance_with_retries().await;
+        let _ = self.store.reload_maintenance_with_retries().await;
         // A failed write is retried; the successor is notified then.
         let _ = self.publish_state();
         let half = self.max_descriptors / 2;
@@ -335,7 +335,7 @@
         self.send(PeerMessage::DescriptorsInUse(in_use));
     }
 
-    fn peer_accepts(&self) {
+    fn mark_peer_accepting(&self) {
         let mut peer = self.peer.borrow_mut();
         if let Peer::Connected(connection) = std::mem::replace(&mut *peer, Peer::Absent) {
             *peer = Peer::Accepting(connection);
--- a/src/bin/load-balancer/handover/state_file.rs
+++ b/src/bin/load-balancer/handover/state_file.rs
@@ -99,16 +99,16 @@
     ///
     /// `Unreadable`, `Malformed` or `WrongBalancer`.
     pub fn read(path: &Path, address: SocketAddr) -> Result<Self, StateError> {
-        let text = std::fs::read(path).map_err(|source| StateError::Unreadable {
+        let bytes = std::fs::read(path).map_err(|source| StateError::Unreadable {
             path: path.into(),
             source,
         })?;
         let mut state: StoredState =
-            serde_json::from_slice(&text).map_err(|source| StateError::Malformed {
+            serde_json::from_slice(&bytes).map_err(|source| StateError::Malformed {
                 path: path.into(),
                 source,
             })?;
-        state.age = age_of(path);
+        state.age = file_age(path);
         if state.balancer != address.to_string() {
             return Err(StateError::WrongBalancer {
                 path: path.into(),
@@ -121,7 +121,7 @@
 
 /// How long ago a file was written; `None` if unknown, or if the wall clock says that it was
 /// written in the future.
-fn age_of(path: &Path) -> Option<Duration> {
+fn file_age(path: &Path) -> Option<Duration> {
     let written_at = std::fs::metadata(path).and_then(|file| file.modified());
     SystemTime::now().duration_since(written_at.ok()?).ok()
 }
--- a/src/bin/load-balancer/handover/state_store.rs
+++ b/src/bin/load-balancer/handover/state_store.rs
@@ -1,7 +1,7 @@
 //! Exchanges state between the dispatcher and the state file.
 
 use crate::dispatch::Dispatcher;
-use crate::handover::folder::{HandoverFolder, FOLDER_RETRY};
+use crate::handover::folder::{HandoverFolder, FOLDER_RETRY_SCHEDULE};
 use crate::handover::state_file::{StateError, StoredState};
 use crate::log;
 use load_balancer::Maintenance;
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 /// A failed write is retried at this interval.
-pub const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+pub const STATE_WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// True for a failed read that may succeed a moment later.
 fn is_transient_failure(result: &Option<Result<StoredState, StateError>>) -> bool {
@@ -69,7 +69,7 @@
     /// Writes the present state at intervals until that succeeds.
     pub async fn retry_write(&self) {
         while self.has_pending_write.get() {
-            sleep(WRITE_RETRY_INTERVAL).await;
+            sleep(STATE_WRITE_RETRY_INTERVAL).await;
             self.has_pending_write.set(self.write().is_err());
         }
     }
@@ -84,7 +84,7 @@
 
     /// Reads the file and applies its maintenance. `None` without a folder, and while a write is
     /// pending: the file is older than what this process knows then.
-    pub fn read_maintenance(&self) -> Option<Result<StoredState, StateError>> {
+    pub fn reload_maintenance(&self) -> Option<Result<StoredState, StateError>> {
         let path = self.folder.state_file()?;
         if self.has_pending_write.get() {
             return None;
@@ -98,16 +98,16 @@
         Some(state)
     }
 
-    /// Like [`Self::read_maintenance`]; transient errors are retried for a while.
-    pub async fn read_maintenance_with_retries(&self) -> Option<Result<StoredState, StateError>> {
-        FOLDER_RETRY
-            .run(is_transient_failure, || async { self.read_maintenance() })
+    /// Like [`Self::reload_maintenance`]; transient errors are retried for a while.
+    pub async fn reload_maintenance_with_retries(&self) -> Option<Result<StoredState, StateError>> {
+        FOLDER_RETRY_SCHEDULE
+            .run(is_transient_failure, || async { self.reload_maintenance() })
             .await
     }
 
-    /// Like [`Self::read_maintenance_with_retries`]; a failure is logged.
+    /// Like [`Self::reload_maintenance_with_retries`]; a failure is logged.
     pub async fn restore_maintenance(&self) -> Option<StoredState> {
-        match self.read_maintenance_with_retries().await? {
+        match self.reload_maintenance_with_retries().await? {
             Ok(state) => Some(state),
             Err(error) => {
                 log::line(format!("state not restored: {error}"));
--- a/src/bin/load-balancer/log.rs
+++ b/src/bin/load-balancer/log.rs
@@ -6,7 +6,7 @@
 use std::thread;
 
 /// Lines that may wait for a slow reader; further ones are dropped.
-const QUEUE_LINES: usize = 256;
+const MAX_QUEUED_LINES: usize = 256;
 static QUEUE: OnceLock<SyncSender<String>> = OnceLock::new();
 
 /// Starts the thread that writes the lines, unless it runs.
@@ -18,7 +18,7 @@
     if QUEUE.get().is_some() {
         return Ok(());
     }
-    let (sender, receiver) = sync_channel::<String>(QUEUE_LINES);
+    let (sender, receiver) = sync_channel::<String>(MAX_QUEUED_LINES);
     thread::Builder::new().spawn(move || write_lines(receiver))?;
     // Fails if another thread has set one meanwhile; lines go there then.
     let _ = QUEUE.set(sender);
--- a/src/bin/load-balancer/process.rs
+++ b/src/bin/load-balancer/process.rs
@@ -27,7 +27,7 @@
 /// Interval at which a successor looks whether the first endpoint list has arrived.
 const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Interval at which expired idle connections are closed.
-const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
+const EXPIRED_CONNECTION_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why the process ended without having served.
 #[derive(Debug, Error)]
@@ -99,16 +99,16 @@
 ///
 /// If it can't start; see [`StartError`].
 pub async fn run() -> Result<(), StartError> {
-    let end = ShutdownSignals::listen()?;
+    let shutdown_signals = ShutdownSignals::listen()?;
     // Before the configuration is read: an early SIGHUP would end the process.
     let hangup = Signal::listen(SIGHUP)?;
     let process = Process::start(Config::load()?)?;
     spawn_local(reload_on_signal(hangup, process.dispatcher.clone()));
     tokio::select! {
         () = process.take_over() => {}
-        () = end.received() => return Ok(()),
+        () = shutdown_signals.received() => return Ok(()),
     }
-    process.serve(end).await
+    process.serve(shutdown_signals).await
 }
 
 impl Process {
@@ -117,7 +117,7 @@
         let name = config.name.clone();
         let address = config.listen;
         let max_descriptors = config.max_descriptors;
-        let admin = config.admin.map(bind_admin).transpose()?;
+        let admin_listener = config.admin.map(bind_admin_listener).transpose()?;
         // Valid settings hold finite deadlines; one that no `Duration` holds counts as none.
         let longest_deadline = longest_deadline(&config.settings.classes).unwrap_or(Duration::ZERO);
         let shutdown_schedule = ShutdownSchedule::new(longest_deadline);
@@ -132,7 +132,7 @@
             resources.descriptors.clone(),
             max_descriptors,
         );
-        if let Some(listener) = admin {
+        if let Some(listener) = admin_listener {
             let address = retry_transient_errors(|| listener.local_addr())?;
             log::line(format!("listening for admin requests: {name} at {address}"));
             let admin = Admin::new(
@@ -164,7 +164,7 @@
     }
 
     /// Serves clients until a signal ends that, then shuts down gracefully.
-    async fn serve(self, end: ShutdownSignals) -> Result<(), StartError> {
+    async fn serve(self, shutdown_signals: ShutdownSignals) -> Result<(), StartError> {
         let address = self.address;
         let listener = Listener::bind(address, PortSharing::Shared)
             .map_err(|source| StartError::ClientListener { address, source })?;
@@ -173,7 +173,9 @@
         self.handover.announce_listening(address);
         let name = &self.name;
         log::line(format!("listening for clients: {name} at {address}"));
-        self.server.accept(&listener, end.received()).await;
+        self.server
+            .accept(&listener, shutdown_signals.received())
+            .await;
         let successor = if self.handover.is_replaced() {
             Successor::Accepting
         } else {
@@ -191,14 +193,14 @@
     }
 }
 
-fn bind_admin(address: SocketAddr) -> Result<Listener, StartError> {
+fn bind_admin_listener(address: SocketAddr) -> Result<Listener, StartError> {
     Listener::bind(address, PortSharing::Exclusive)
         .map_err(|source| StartError::AdminListener { address, source })
 }
 
 async fn close_expired_connections(pool: Rc<ConnectionPool>) {
     loop {
-        sleep(EXPIRY_INTERVAL).await;
+        sleep(EXPIRED_CONNECTION_CHECK_INTERVAL).await;
         pool.close_expired();
     }
 }
--- a/src/bin/load-balancer/reload.rs
+++ b/src/bin/load-balancer/reload.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// For a file that can't be opened: it may be just about to be replaced.
-const READ_RETRY: RetrySchedule = RetrySchedule {
+const CONFIG_READ_RETRY_SCHEDULE: RetrySchedule = RetrySchedule {
     interval: Duration::from_millis(50),
     timeout: Duration::from_secs(2),
 };
@@ -29,7 +29,7 @@
     let is_unreadable = |result: &Result<Config, ConfigError>| {
         matches!(result, Err(ConfigError::Unreadable { .. }))
     };
-    let read = READ_RETRY.run(is_unreadable, || async { Config::reload() });
+    let read = CONFIG_READ_RETRY_SCHEDULE.run(is_unreadable, || async { Config::reload() });
     match read.await {
         Ok(config) => {
             log::line(format!(
--- a/src/bin/load-balancer/retry.rs
+++ b/src/bin/load-balancer/retry.rs
@@ -21,10 +21,10 @@
         should_retry: impl Fn(&T) -> bool,
         mut call: impl FnMut() -> F,
     ) -> T {
-        let give_up_at = Instant::now() + self.timeout;
+        let deadline = Instant::now() + self.timeout;
         loop {
             let result = call().await;
-            if !should_retry(&result) || Instant::now() >= give_up_at {
+            if !should_retry(&result) || Instant::now() >= deadline {
                 return result;
             }
             sleep(self.interval).await;
--- a/src/bin/load-balancer/shutdown/mod.rs
+++ b/src/bin/load-balancer/shutdown/mod.rs
@@ -14,14 +14,14 @@
 /// notice it first.
 const ACCEPT_WINDOW: Duration = Duration::from_millis(800);
 /// SIGKILL follows SIGTERM after the longest deadline, but at most this time, and [`KILL_DELAY`].
-const MAX_DEADLINE_UNTIL_KILL: Duration = Duration::from_secs(3);
+const LONGEST_DEADLINE_CAP: Duration = Duration::from_secs(3);
 /// The constant part of the time from SIGTERM to SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// All requests have their responses this long before SIGKILL: the process may be paused for
 /// 0.15 s just then.
-const KILL_MARGIN: Duration = Duration::from_millis(250);
+const RESPONSE_MARGIN_BEFORE_KILL: Duration = Duration::from_millis(250);
 /// The listener closes this long before that.
-const LAST_REQUEST_MARGIN: Duration = Duration::from_millis(100);
+const LISTENER_CLOSE_MARGIN: Duration = Duration::from_millis(100);
 /// Once the listener is closed, connections have the longest deadline and this to end.
 const CONNECTION_GRACE: Duration = Duration::from_secs(1);
 /// Interval at which open connections are counted.
@@ -51,10 +51,10 @@
     /// The schedule where this is the longest deadline of a request class.
     pub fn new(longest_deadline: Duration) -> Self {
         let response_timeout =
-            longest_deadline.min(MAX_DEADLINE_UNTIL_KILL) + KILL_DELAY - KILL_MARGIN;
+            longest_deadline.min(LONGEST_DEADLINE_CAP) + KILL_DELAY - RESPONSE_MARGIN_BEFORE_KILL;
         ShutdownSchedule {
             // A request that is accepted later could not have its response in time.
-            accept_window: ACCEPT_WINDOW.min(response_timeout - LAST_REQUEST_MARGIN),
+            accept_window: ACCEPT_WINDOW.min(response_timeout - LISTENER_CLOSE_MARGIN),
             response_timeout,
             connection_timeout: longest_deadline.saturating_add(CONNECTION_GRACE),
         }
--- a/src/bin/load-balancer/signals.rs
+++ b/src/bin/load-balancer/signals.rs
@@ -47,12 +47,12 @@
     /// # Errors
     ///
     /// Those of socketpair(2) and sigaction(2).
-    pub fn listen(kind: i32) -> io::Result<Self> {
+    pub fn listen(signal_number: i32) -> io::Result<Self> {
         let is_pending = Arc::default();
         let pipe = retry_transient_errors(WakePipe::open)?;
         // In this order, so that the flag is set before the task is woken.
-        flag::register(kind, Arc::clone(&is_pending))?;
-        low_level::pipe::register(kind, pipe.writer)?;
+        flag::register(signal_number, Arc::clone(&is_pending))?;
+        low_level::pipe::register(signal_number, pipe.writer)?;
         Ok(Signal {
             is_pending,
             wake_reader: pipe.reader,
