--- a/src/bin/load-balancer/admin/mod.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The admin endpoint: health, figures, maintenance of upstreams and draining of clients. A
-//! connection carries one request.
+//! The admin endpoint: health check, metrics, maintenance of upstreams and draining of clients.
+//! Each connection carries one request.
 
 mod request;
 mod response;
@@ -27,29 +27,30 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
-/// A connection is closed after this time, whether or not its client has read the response.
+/// Time after which a connection is closed, whether or not its client has read the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_HEAD_BYTES: usize = 8 << 10;
 const MAX_HEADERS: usize = 64;
-/// No request needs a body; one of up to this size is read and ignored.
+/// Maximum size of a request body. No request needs a body; one of up to this size is read and
+/// ignored.
 const MAX_BODY_BYTES: usize = 4 << 10;
-/// Pause after a failed accept.
+/// Pause after a failed accept(2) on the admin listener.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Serves admin requests.
+/// The server of the admin endpoint.
 pub struct Admin {
     dispatcher: Rc<RefCell<Dispatcher>>,
     server: Rc<Server>,
     handover: Rc<Handover>,
     descriptors: Rc<DescriptorBudget>,
-    /// Connections that have no response yet, by their numbers: the oldest comes first. Notified,
-    /// they close.
+    /// Connections that have no response yet, keyed by their numbers, so that the first entry is
+    /// the oldest one. Notifying an entry closes its connection.
     unanswered_connections: RefCell<BTreeMap<u64, Rc<Notify>>>,
     next_connection_number: Cell<u64>,
 }
 
 impl Admin {
-    /// An admin endpoint for these parts of the process.
+    /// Creates an admin endpoint that reports on and controls these parts of the process.
     pub fn new(
         dispatcher: Rc<RefCell<Dispatcher>>,
         server: Rc<Server>,
@@ -66,7 +67,7 @@
         })
     }
 
-    /// Accepts connections until dropped.
+    /// Accepts and serves connections on `listener` until the future is dropped.
     pub async fn accept(self: Rc<Self>, listener: Listener) {
         loop {
             match listener.accept().await {
@@ -82,6 +83,8 @@
         }
     }
 
+    /// Registers an accepted connection with the event loop and serves it, if a descriptor permit
+    /// is available.
     async fn admit(self: &Rc<Self>, accepted: PendingConnection) {
         let stream = match accepted.register().await {
             Ok(stream) => stream,
@@ -96,8 +99,9 @@
         }
     }
 
-    /// A permit for one connection. Without a free one the oldest connection that has no response
-    /// yet is closed, so that silent clients can't lock out the others.
+    /// Returns a descriptor permit for one connection. If none is free, closes the oldest
+    /// connection that has no response yet, so that clients that send no request can't lock
+    /// out the others.
     async fn acquire_permit(&self) -> Option<DescriptorPermit> {
         if let Some(permit) = self.descriptors.acquire(Purpose::Admin) {
             return Some(permit);
@@ -105,7 +109,7 @@
         if let Some(oldest) = self.unanswered_connections.borrow().values().next() {
             oldest.notify_one();
         }
-        // Lets the task of that connection close it.
+        // Lets the task of the notified connection run and release its permit.
         yield_now().await;
         yield_now().await;
         self.descriptors.acquire(Purpose::Admin)
@@ -128,7 +132,7 @@
             .max_buf_size(MAX_HEAD_BYTES)
             .max_headers(MAX_HEADERS);
         tokio::select! {
-            // hyper itself rejects malformed requests.
+            // hyper rejects malformed requests itself.
             _ = timeout(CONNECTION_TIMEOUT, http.serve_connection(socket, service)) => {}
             () = evicted.notified() => {}
         }
@@ -174,7 +178,8 @@
                 let name = percent_decode_str(upstream)
                     .decode_utf8()
                     .map_err(|_| AdminError::MalformedUpstreamName)?;
-                // Confirmed only once stored: a successor has to know of it.
+                // The change is confirmed only after it has been stored, because a successor must
+                // know of it.
                 self.handover.set_maintenance(&name, change)?;
                 Ok("done".into())
             }
@@ -182,6 +187,7 @@
     }
 }
 
+/// Reads a request body and ignores it.
 async fn discard_body(body: Incoming) -> Result<(), AdminError> {
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(AdminError::BodyTooLarge);
--- a/src/bin/load-balancer/admin/request.rs
+++ b/src/bin/load-balancer/admin/request.rs
@@ -7,23 +7,23 @@
 /// A request to the admin endpoint.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AdminRequest<'a> {
-    /// Is this process ready to serve clients?
+    /// Asks whether this process is ready to serve clients.
     Health,
-    /// All figures.
+    /// Asks for all metrics.
     Metrics,
-    /// Begin or end the draining of clients.
+    /// Begins or ends a client drain.
     DrainClients(ClientDrain),
-    /// Take an upstream out of service, or put it back.
+    /// Begins or ends the maintenance of an upstream.
     SetMaintenance {
-        /// Its name, percent-encoded.
+        /// The name of the upstream, percent-encoded.
         upstream: &'a str,
-        /// What is to change.
+        /// Whether the maintenance begins or ends.
         change: Maintenance,
     },
 }
 
 impl<'a> AdminRequest<'a> {
-    /// The request at this path; `None` if there is no such path.
+    /// Returns the request for a path, or `None` if the path is unknown.
     pub fn from_path(path: &'a str) -> Option<Self> {
         let segments: Vec<_> = path.strip_prefix('/')?.split('/').collect();
         Some(match segments[..] {
@@ -43,7 +43,7 @@
         })
     }
 
-    /// The method that belongs to the request's path.
+    /// Returns the only HTTP method that is accepted for this request.
     pub fn method(&self) -> Method {
         match self {
             AdminRequest::Health | AdminRequest::Metrics => Method::GET,
--- a/src/bin/load-balancer/admin/response.rs
+++ b/src/bin/load-balancer/admin/response.rs
@@ -1,4 +1,4 @@
-//! Responses of the admin endpoint, and the one mapping of errors to a status.
+//! Responses of the admin endpoint, and the HTTP status of each error.
 
 use crate::handover::MaintenanceError;
 use bytes::Bytes;
@@ -10,31 +10,31 @@
 /// A response with a complete body.
 pub type AdminResponse = Response<Full<Bytes>>;
 
-/// Why a request was not carried out. The text is the body of the response.
+/// The reason why an admin request failed. Its text is the body of the response.
 #[derive(Debug, Error)]
 pub enum AdminError {
-    /// There is nothing at this path.
+    /// The path is unknown.
     #[error("no such call")]
     UnknownPath,
-    /// The path belongs to another method.
+    /// The path is known, but is only accepted with the given method.
     #[error("this is asked for with {0}")]
     WrongMethod(Method),
-    /// The body is longer than any request needs.
+    /// The request body exceeds the limit.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The body can't be read.
+    /// The request body could not be read.
     #[error("the body is broken")]
     MalformedBody,
-    /// The upstream's name is not UTF-8.
+    /// The percent-decoded name of the upstream is not valid UTF-8.
     #[error("the id can't be read")]
     MalformedUpstreamName,
     /// This process is not ready to serve clients.
     #[error("not ready")]
     NotReady,
-    /// No upstream of this name is known.
+    /// No upstream with this name is known.
     #[error("no such upstream")]
     UnknownUpstream,
-    /// The state file could not be read or written.
+    /// The state file could not be read or written, so a maintenance change is not stored.
     #[error("done, but an upgrade now would undo it")]
     StateNotStored,
 }
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The response that reports this error.
+    /// Returns the response that reports this error.
     pub fn response(&self) -> AdminResponse {
         let mut response = text_response(self.status(), &self.to_string());
         if let AdminError::WrongMethod(method) = self {
@@ -76,7 +76,7 @@
     }
 }
 
-/// A response with this text, ending in one line end.
+/// Returns a plain-text response with `text` as its body, terminated by exactly one line feed.
 pub fn text_response(status: StatusCode, text: &str) -> AdminResponse {
     let body = Bytes::from(format!("{}\n", text.trim_end()));
     let mut response = Response::new(Full::new(body));
--- a/src/bin/load-balancer/handover/folder.rs
+++ b/src/bin/load-balancer/handover/folder.rs
@@ -1,4 +1,4 @@
-//! The folder in which the processes of one balancer find each other.
+//! The folder with the handover socket and the state file of a balancer.
 
 use crate::retry::RetrySchedule;
 use crate::socket::system_errors::is_transient;
@@ -9,24 +9,24 @@
 use std::time::Duration;
 use tokio::net::{UnixListener, UnixStream};
 
-/// Names of files begin with this: versions up to 47c951f look for it.
+/// Prefix of the file names. Versions up to 47c951f look for files with this prefix.
 const FILE_NAME_PREFIX: &str = "magpiechute";
 
-/// For transient errors of the folder's files.
+/// Retries of a connect or a read in the folder that failed with a transient error.
 pub const FOLDER_RETRY_SCHEDULE: RetrySchedule = RetrySchedule {
     interval: Duration::from_millis(20),
     timeout: Duration::from_secs(1),
 };
 
-/// The folder `$TMPDIR`, and the address of the balancer, which is part of the files' names.
+/// The folder `$TMPDIR` and the balancer's listening address, which is part of the file names.
 pub struct HandoverFolder {
-    /// `None` without `$TMPDIR`: then no state is stored, and no other process is found.
+    /// `None` if `$TMPDIR` is not set: no state is stored and no peer process is found.
     path: Option<PathBuf>,
     address: Cell<SocketAddr>,
 }
 
 impl HandoverFolder {
-    /// The folder of the balancer that listens on this address.
+    /// Creates a handle to the folder at `path` for the balancer that listens on `address`.
     pub fn new(path: Option<PathBuf>, address: SocketAddr) -> Self {
         HandoverFolder {
             path,
@@ -34,22 +34,24 @@
         }
     }
 
-    /// The address on which the balancer listens for clients.
+    /// Returns the address on which the balancer listens for clients.
     pub fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// Sets that address, once the kernel has chosen the port.
+    /// Sets the address on which the balancer listens for clients. The configured port may be 0,
+    /// in which case the kernel chooses the port when the listener is bound.
     pub fn set_address(&self, address: SocketAddr) {
         self.address.set(address);
     }
 
-    /// The path of the state file.
+    /// Returns the path of the state file, or `None` without a folder.
     pub fn state_file(&self) -> Option<PathBuf> {
         self.file("state")
     }
 
-    /// The path of the socket on which a process awaits its successor.
+    /// Returns the path of the socket on which a process waits for its successor, or `None` without
+    /// a folder.
     pub fn socket(&self) -> Option<PathBuf> {
         self.file("sock")
     }
@@ -60,22 +62,23 @@
     }
 }
 
-/// Connects to the predecessor at this socket, if there is one; transient errors are retried.
+/// Connects to the predecessor that listens on `socket` and returns `None` if there is none.
+/// Transient errors are retried.
 pub async fn connect_to_predecessor(socket: &Path) -> Option<UnixStream> {
     let is_transient = |result: &io::Result<UnixStream>| result.as_ref().is_err_and(is_transient);
     let connect = || UnixStream::connect(socket);
     FOLDER_RETRY_SCHEDULE.run(is_transient, connect).await.ok()
 }
 
-/// Listens for a successor at this socket. It takes the place of the predecessor's socket in one
-/// step, so that a process that starts meanwhile finds one of the two.
+/// Listens for a successor on `socket`. The new socket atomically replaces the one of the
+/// predecessor, so that a process that starts at the same time finds one of the two.
 ///
 /// # Errors
 ///
-/// Those of the file system, and of socket(2) and bind(2).
+/// Returns the error of socket(2) or bind(2), or of the rename to `socket`.
 pub fn listen_for_successor(socket: &Path) -> io::Result<UnixListener> {
     let temporary = socket.with_extension(std::process::id().to_string());
-    // A file of this name was left by a dead process with the same id.
+    // A file with this name can only be left over from a dead process with the same process id.
     let _ = std::fs::remove_file(&temporary);
     let listener = UnixListener::bind(&temporary)?;
     std::fs::rename(&temporary, socket)?;
--- a/src/bin/load-balancer/handover/message.rs
+++ b/src/bin/load-balancer/handover/message.rs
@@ -1,43 +1,44 @@
 //! The messages that the two processes of an upgrade exchange, each as one line of JSON.
 //!
-//! Versions up to 47c951f speak the same lines, so neither they nor their forms may change.
+//! Versions up to 47c951f send and expect the same lines, so the set of messages and their format
+//! must not change.
 
 use serde::{Deserialize, Serialize};
 
-/// A message from one process to its peer.
+/// A message from one process of an upgrade to the other.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A successor has started and needs a part of the descriptors.
+    /// Sent by a successor that has started and needs a share of the descriptors.
     #[serde(rename = "hello")]
     Hello,
-    /// The predecessor uses at most this many descriptors from now on.
+    /// Sent by the predecessor: the maximum number of descriptors that it uses from now on.
     #[serde(rename = "holds")]
     DescriptorsInUse(usize),
-    /// The successor accepts clients' connections.
+    /// Sent by the successor once it accepts client connections.
     #[serde(rename = "ready")]
     Ready,
-    /// The state file has been replaced.
+    /// Sent by either process after it has replaced the state file.
     #[serde(rename = "state")]
     StateChanged,
 }
 
 impl PeerMessage {
-    /// The message as a line, with its end.
+    /// Serializes the message as one line, including the line end.
     ///
     /// # Errors
     ///
-    /// Those of the serializer.
+    /// Returns the serializer's error.
     pub fn to_line(&self) -> serde_json::Result<Vec<u8>> {
         let mut line = serde_json::to_vec(self)?;
         line.push(b'\n');
         Ok(line)
     }
 
-    /// The message on this line.
+    /// Parses a line into a message.
     ///
     /// # Errors
     ///
-    /// If the line is no message that this version knows.
+    /// Returns the parser's error if `line` is not a message that this version knows.
     pub fn from_line(line: &str) -> serde_json::Result<Self> {
         serde_json::from_str(line)
     }
--- a/src/bin/load-balancer/handover/mod.rs
+++ b/src/bin/load-balancer/handover/mod.rs
@@ -1,8 +1,8 @@
-//! Upgrade without lost clients: a successor process starts beside its predecessor and takes over
-//! from it.
+//! Handover: an upgrade without lost clients, in which a successor process starts while its
+//! predecessor still runs and takes over from it.
 //!
-//! The two processes meet at a Unix socket in `$TMPDIR` and share the limits of one balancer.
-//! Maintenance and learned state are stored in a file beside the socket.
+//! The two processes connect through a Unix socket in `$TMPDIR` and share the descriptor limit of
+//! one balancer. Maintenance and learned state are stored in a file in the same folder.
 
 mod folder;
 mod message;
@@ -32,40 +32,41 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A predecessor reports its descriptors within this time, or is taken to use half of them.
+/// Time within which a predecessor has to report how many descriptors it uses. Without a report it
+/// is assumed to use half of the limit.
 const DESCRIPTOR_REPORT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Connections to the predecessor that may end before it has reported: it may lack a resource for
-/// a moment.
+/// Maximum number of connections to the predecessor. A connection may end before the report because
+/// the predecessor briefly lacks a resource; a new one is opened then.
 const MAX_HANDSHAKE_ATTEMPTS: usize = 3;
-/// Pause after a failed accept.
+/// Pause after a failed accept(2) on the handover socket.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval at which the socket for a successor is tried again. Longer than that of the state
-/// file, as some file systems never take a socket.
+/// Interval of the attempts to create the handover socket. It is longer than
+/// [`STATE_WRITE_RETRY_INTERVAL`], because on some file systems a socket can never be created.
 const SUCCESSOR_SOCKET_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Why a change of maintenance was not carried out in full.
+/// The reason why a maintenance change was rejected, or is in force but not stored.
 #[derive(Debug, Error)]
 pub enum MaintenanceError {
-    /// No upstream of this name is known; nothing has changed.
+    /// No upstream with this name is known. Nothing has changed.
     #[error("unknown upstream")]
     UnknownUpstream,
-    /// The state file can't be read at the moment, so it may hold changes that would be
-    /// overwritten; nothing has changed.
+    /// The state file can't be read at the moment. It may contain changes that a write would
+    /// overwrite, so nothing has changed.
     #[error("state file not read: {0}")]
     StateUnreadable(#[source] StateError),
-    /// The change is in force, but a successor would not know of it until a retry has written the
-    /// file.
+    /// The change is in force, but the state file could not be written. A successor does not know
+    /// of the change until a retry has written the file.
     #[error("state file not written: {0}")]
     StateUnwritable(#[source] StateError),
 }
 
 /// The other process of an upgrade.
 enum Peer {
-    /// There is none.
+    /// No other process is connected.
     Absent,
-    /// It has connected.
+    /// A predecessor or successor is connected.
     Connected(PeerConnection),
-    /// It is the successor, and accepts clients' connections.
+    /// A successor is connected and accepts client connections.
     Accepting(PeerConnection),
 }
 
@@ -78,19 +79,20 @@
     }
 }
 
-/// This process's side of an upgrade.
+/// The part of this process in an upgrade, as predecessor, as successor or both in turn.
 pub struct Handover {
     folder: Rc<HandoverFolder>,
     store: StateStore,
     server: Rc<Server>,
     descriptors: Rc<DescriptorBudget>,
-    /// The most descriptors that both processes may hold together.
+    /// Maximum number of descriptors that both processes may use together.
     max_descriptors: usize,
     peer: RefCell<Peer>,
 }
 
 impl Handover {
-    /// The handover of the balancer that listens on `address`, by way of files in `folder`.
+    /// Creates the handover of the balancer that listens on `address`. The socket and the state
+    /// file are created in `folder`; without a folder there is no handover.
     pub fn new(
         folder: Option<PathBuf>,
         address: SocketAddr,
@@ -110,28 +112,29 @@
         })
     }
 
-    /// True once a successor accepts clients' connections.
+    /// Returns whether a successor accepts client connections.
     pub fn is_replaced(&self) -> bool {
         matches!(*self.peer.borrow(), Peer::Accepting(_))
     }
 
-    /// True while another process runs beside this one.
+    /// Returns whether another process of the same balancer is connected.
     pub fn has_peer(&self) -> bool {
         !matches!(*self.peer.borrow(), Peer::Absent)
     }
 
-    /// Takes an upstream out of service or puts it back, stores that, and notifies the peer.
+    /// Begins or ends the maintenance of an upstream, stores the change and notifies the peer.
     ///
     /// # Errors
     ///
-    /// See [`MaintenanceError`].
+    /// Returns a [`MaintenanceError`] if the upstream is unknown, or if the state file can't be
+    /// read or written.
     pub fn set_maintenance(
         self: &Rc<Self>,
         upstream: &str,
         change: Maintenance,
     ) -> Result<(), MaintenanceError> {
-        // The file may hold a change that the peer or the predecessor made and that has not
-        // arrived here yet.
+        // The peer or the predecessor may have stored a change of which this process has not been
+        // notified yet. Without reading it, the write below would undo that change.
         match self.store.reload_maintenance() {
             Some(Err(error)) if error.is_transient() => {
                 return Err(MaintenanceError::StateUnreadable(error));
@@ -163,13 +166,14 @@
         written
     }
 
+    /// Retries the write of the state file until it succeeds, then notifies the peer.
     async fn retry_publishing_state(self: Rc<Self>) {
         self.store.retry_write().await;
         self.send(PeerMessage::StateChanged);
     }
 
-    /// Takes over from the predecessor: its state, and the descriptors that it can spare if it
-    /// still runs. The caller then listens for clients once it can serve them.
+    /// Takes over the state of the predecessor and, if it still runs, the descriptors that it does
+    /// not need. The caller starts to listen for clients afterwards, once it can serve them.
     pub async fn take_over(self: &Rc<Self>) {
         let Some(socket) = self.folder.socket() else {
             return;
@@ -182,20 +186,21 @@
                 break;
             }
         }
-        // After the introduction: the predecessor writes the file on `Hello`, and reports later
-        // changes.
+        // The file is read after the handshake, because the predecessor writes it when it receives
+        // `Hello` and sends a message after each later change.
         self.store.restore().await;
     }
 
-    /// Introduces this process to its predecessor and waits for its report. False if the
-    /// connection ended before that.
+    /// Sends `Hello` to the predecessor and waits until it has reported its descriptors or
+    /// [`DESCRIPTOR_REPORT_TIMEOUT`] has passed. Returns false if the connection has ended without
+    /// a report.
     async fn perform_handshake(self: &Rc<Self>, stream: UnixStream) -> bool {
         let half = self.max_descriptors / 2;
         let address = self.folder.address();
         log::line(format!(
             "peer process found: balancer at {address} (descriptor limit {half})"
         ));
-        // Until the predecessor has reported.
+        // This limit applies until the predecessor has reported.
         self.descriptors.set_limit(half);
         let descriptors_reported = Rc::new(Notify::new());
         self.attach_peer(stream, descriptors_reported.clone());
@@ -213,16 +218,16 @@
         self.has_peer()
     }
 
-    /// To be called once this process listens for clients on `address`: notifies the predecessor
-    /// and awaits a successor.
+    /// Notifies the predecessor that this process listens for clients on `address`, and starts to
+    /// listen for a successor. Must be called after the listener for clients has been opened.
     pub fn announce_listening(self: &Rc<Self>, address: SocketAddr) {
         self.folder.set_address(address);
         self.send(PeerMessage::Ready);
         let Some(socket) = self.folder.socket() else {
             return;
         };
-        // Here and not in the task: a successor may be started as soon as this process is seen to
-        // listen.
+        // The socket is created here and not in a task, because a successor may be started as soon
+        // as this process listens for clients.
         match listen_for_successor(&socket) {
             Ok(listener) => {
                 spawn_local(self.clone().accept_successors(listener));
@@ -238,7 +243,7 @@
         }
     }
 
-    /// Awaits a successor once the socket can be created.
+    /// Retries the creation of the handover socket until it succeeds, then accepts successors.
     async fn retry_listening_for_successor(self: Rc<Self>, socket: PathBuf) {
         loop {
             sleep(SUCCESSOR_SOCKET_RETRY_INTERVAL).await;
@@ -248,11 +253,12 @@
         }
     }
 
+    /// Accepts connections of successors on the handover socket, one successor at a time.
     async fn accept_successors(self: Rc<Self>, listener: UnixListener) {
         loop {
             match listener.accept().await {
-                // One upgrade at a time: a further process is disconnected and goes without a
-                // handover.
+                // Only one upgrade runs at a time. Any other process is disconnected and starts
+                // without a handover.
                 Ok((stream, _)) if !self.has_peer() => self.attach_peer(stream, Rc::default()),
                 Ok(_) => {}
                 Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
@@ -260,8 +266,8 @@
         }
     }
 
-    /// Serves the connection to the peer until that disconnects. `descriptors_reported` is
-    /// notified of its report.
+    /// Starts a task that handles the messages of the peer until it disconnects.
+    /// `descriptors_reported` is notified when the peer has reported its descriptors.
     fn attach_peer(self: &Rc<Self>, stream: UnixStream, descriptors_reported: Rc<Notify>) {
         let (connection, messages) = PeerConnection::open(stream);
         *self.peer.borrow_mut() = Peer::Connected(connection);
@@ -274,7 +280,8 @@
         });
     }
 
-    /// The peer has disconnected: this process is the only one.
+    /// Restores the full descriptor limit after the peer has disconnected. If that was a successor
+    /// that had taken over, the handover socket is created again.
     fn handle_peer_disconnect(self: &Rc<Self>) {
         let address = self.folder.address();
         let limit = self.max_descriptors;
@@ -284,11 +291,12 @@
         let peer = self.peer.replace(Peer::Absent);
         self.descriptors.set_limit(limit);
         if matches!(peer, Peer::Accepting(_)) {
-            // The successor has taken over the socket, so it has to be created again.
+            // The successor has replaced the handover socket with its own.
             self.announce_listening(address);
         }
     }
 
+    /// Handles messages of the peer until it disconnects or sends a malformed one.
     async fn handle_messages(
         self: &Rc<Self>,
         mut messages: IncomingMessages,
@@ -322,11 +330,12 @@
         }
     }
 
-    /// A successor has started: writes the state for it and yields half of the descriptors.
+    /// Writes the state file for a successor that has started, and frees half of the descriptors
+    /// for it.
     async fn yield_descriptors(self: &Rc<Self>) {
-        // An unreadable file is overwritten.
+        // The result does not matter: a file that can't be read is overwritten below.
         let _ = self.store.reload_maintenance_with_retries().await;
-        // A failed write is retried; the successor is notified then.
+        // A failed write is retried, and the successor is notified once it has succeeded.
         let _ = self.publish_state();
         let half = self.max_descriptors / 2;
         self.descriptors.set_limit(half);
@@ -335,6 +344,7 @@
         self.send(PeerMessage::DescriptorsInUse(in_use));
     }
 
+    /// Records that the peer is a successor that accepts client connections.
     fn mark_peer_accepting(&self) {
         let mut peer = self.peer.borrow_mut();
         if let Peer::Connected(connection) = std::mem::replace(&mut *peer, Peer::Absent) {
@@ -342,6 +352,7 @@
         }
     }
 
+    /// Sends a message to the peer, if one is connected.
     fn send(&self, message: PeerMessage) {
         if let Some(connection) = self.peer.borrow().connection() {
             connection.send(message);
--- a/src/bin/load-balancer/handover/peer_connection.rs
+++ b/src/bin/load-balancer/handover/peer_connection.rs
@@ -8,13 +8,14 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::spawn_local;
 
-/// The sending side: messages are queued and written by a task that ends once this is dropped.
+/// The sending side of the connection. Messages are queued and written by a separate task, which
+/// ends after this value is dropped.
 pub struct PeerConnection {
     outgoing: UnboundedSender<PeerMessage>,
 }
 
 impl PeerConnection {
-    /// Takes over a connected stream: its sending side, and the messages that arrive on it.
+    /// Splits a connected stream into its sending side and the messages received on it.
     pub fn open(stream: UnixStream) -> (Self, IncomingMessages) {
         let (input, output) = stream.into_split();
         let (outgoing, queue) = unbounded_channel();
@@ -23,9 +24,10 @@
         (PeerConnection { outgoing }, IncomingMessages { lines })
     }
 
-    /// Queues a message.
+    /// Queues a message to the peer.
     pub fn send(&self, message: PeerMessage) {
-        // Fails only if the writing task has ended; the reading side then reports the end.
+        // This only fails if the writing task has ended. The receiving side then reports that the
+        // peer has disconnected.
         let _ = self.outgoing.send(message);
     }
 }
@@ -36,22 +38,22 @@
         let Ok(line) = message.to_line() else {
             continue;
         };
-        // A failure means that the peer has disconnected, which the reading side reports.
+        // A failure means that the peer has disconnected, which the receiving side reports.
         let _ = output.write_all(&line).await;
     }
 }
 
-/// The receiving side.
+/// The receiving side of the connection.
 pub struct IncomingMessages {
     lines: Lines<BufReader<RetryStream<OwnedReadHalf>>>,
 }
 
 impl IncomingMessages {
-    /// Waits for the next message; `None` once the peer has disconnected.
+    /// Waits for the next message. Returns `None` once the peer has disconnected.
     ///
     /// # Errors
     ///
-    /// If a line is no message that this version knows.
+    /// Returns the parser's error if a line is not a message that this version knows.
     pub async fn next(&mut self) -> serde_json::Result<Option<PeerMessage>> {
         match self.lines.next_line().await {
             Ok(Some(line)) => PeerMessage::from_line(&line).map(Some),
--- a/src/bin/load-balancer/handover/retry_stream.rs
+++ b/src/bin/load-balancer/handover/retry_stream.rs
@@ -6,11 +6,13 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Wraps a stream: an interrupted call is made again at once, one that failed for lack of a
-/// resource in a later turn of the event loop.
+/// A wrapper of a stream that hides transient errors. A call that was interrupted is repeated at
+/// once; a call that failed because a resource was exhausted is repeated in a later iteration of
+/// the event loop.
 pub struct RetryStream<T>(pub T);
 
-/// The final result of a call, or `None` if it has to be made again at once.
+/// Returns what the caller of a poll function gets, or `None` if the call has to be repeated at
+/// once.
 fn final_result<T>(result: Poll<io::Result<T>>, context: &Context) -> Option<Poll<io::Result<T>>> {
     match result {
         Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::Interrupted => None,
--- a/src/bin/load-balancer/handover/state_file.rs
+++ b/src/bin/load-balancer/handover/state_file.rs
@@ -1,6 +1,7 @@
-//! The state file: what a process stores for its successor.
+//! The state file, in which a process stores maintenance and learned state for its successor.
 //!
-//! Versions up to 47c951f read and write the same fields, so their names on disk may not change.
+//! Versions up to 47c951f read and write the same fields, so their names in the file must not
+//! change.
 
 use crate::socket::system_errors::is_transient;
 use load_balancer::LearnedState;
@@ -12,73 +13,74 @@
 use std::time::{Duration, SystemTime};
 use thiserror::Error;
 
-/// The contents of the file.
+/// The contents of the state file.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StoredState {
-    /// The address on which the balancer that wrote it listens for clients.
+    /// The address on which the balancer that wrote the file listens for clients.
     pub balancer: String,
-    /// The upstreams that operators have taken out of service.
+    /// Names of the upstreams in maintenance.
     #[serde(rename = "out")]
     pub upstreams_in_maintenance: BTreeSet<String>,
-    /// What the decision module has learned.
+    /// The learned state of the decision module.
     #[serde(default, rename = "knowledge")]
     pub learned_state: LearnedState,
-    /// For a state that was read: the age of the file by its own time stamp, as the wall clocks
-    /// that two processes read at their starts may differ.
+    /// Age of the file when it was read, if known. It is computed from the file's modification
+    /// time, because the wall clocks that two processes read at their starts may differ.
     #[serde(skip)]
     pub age: Option<Duration>,
 }
 
-/// Why a state file could not be read or written.
+/// The reason why the state file could not be read or written.
 #[derive(Debug, Error)]
 pub enum StateError {
-    /// The file is missing or can't be read.
+    /// The state file is missing or can't be read.
     #[error("{path}: {source}", path = .path.display())]
     Unreadable {
-        /// Its path.
+        /// The path of the state file.
         path: PathBuf,
-        /// The error of the file system.
+        /// The file system's error.
         source: io::Error,
     },
-    /// The file is incomplete or no state.
+    /// The state file is truncated or its contents are not a valid state.
     #[error("{path}: {source}", path = .path.display())]
     Malformed {
-        /// Its path.
+        /// The path of the state file.
         path: PathBuf,
-        /// The error of the parser.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// The file was written by a balancer at another address.
+    /// The state file was written by a balancer that listens on another address.
     #[error("{path} belongs to the balancer at {balancer}", path = .path.display())]
     WrongBalancer {
-        /// Its path.
+        /// The path of the state file.
         path: PathBuf,
-        /// The address of the balancer that wrote it.
+        /// The address of the balancer that wrote the file.
         balancer: String,
     },
-    /// The file can't be written.
+    /// The state file can't be written.
     #[error("{path}: {source}", path = .path.display())]
     Unwritable {
-        /// Its path.
+        /// The path of the state file.
         path: PathBuf,
-        /// The error of the file system.
+        /// The file system's error.
         source: io::Error,
     },
 }
 
 impl StateError {
-    /// True for an error of reading that may be over a moment later.
+    /// Returns whether this is a read error that may disappear when the read is repeated.
     pub fn is_transient(&self) -> bool {
         matches!(self, StateError::Unreadable { source, .. } if is_transient(source))
     }
 }
 
 impl StoredState {
-    /// Replaces the file in one step, so that a reader or a kill in between finds a complete one.
+    /// Replaces the state file atomically, so that it is complete for any reader, also after the
+    /// process was killed during the write.
     ///
     /// # Errors
     ///
-    /// `Unwritable`.
+    /// Returns [`StateError::Unwritable`] if the file can't be written or renamed.
     pub fn write(&self, path: &Path) -> Result<(), StateError> {
         self.replace_file(path)
             .map_err(|source| StateError::Unwritable {
@@ -93,11 +95,13 @@
         std::fs::rename(temporary, path)
     }
 
-    /// Reads the state of the balancer at this address.
+    /// Reads the state of the balancer that listens on `address`.
     ///
     /// # Errors
     ///
-    /// `Unreadable`, `Malformed` or `WrongBalancer`.
+    /// Returns [`StateError::Unreadable`] if the file can't be read, [`StateError::Malformed`] if
+    /// its contents are not a valid state, and [`StateError::WrongBalancer`] if a balancer at
+    /// another address wrote it.
     pub fn read(path: &Path, address: SocketAddr) -> Result<Self, StateError> {
         let bytes = std::fs::read(path).map_err(|source| StateError::Unreadable {
             path: path.into(),
@@ -119,8 +123,8 @@
     }
 }
 
-/// How long ago a file was written; `None` if unknown, or if the wall clock says that it was
-/// written in the future.
+/// Returns the time since the file's last modification, or `None` if it is unknown or lies in the
+/// future by the wall clock.
 fn file_age(path: &Path) -> Option<Duration> {
     let written_at = std::fs::metadata(path).and_then(|file| file.modified());
     SystemTime::now().duration_since(written_at.ok()?).ok()
--- a/src/bin/load-balancer/handover/state_store.rs
+++ b/src/bin/load-balancer/handover/state_store.rs
@@ -1,4 +1,4 @@
-//! Exchanges state between the dispatcher and the state file.
+//! Copies state between the dispatcher and the state file.
 
 use crate::dispatch::Dispatcher;
 use crate::handover::folder::{HandoverFolder, FOLDER_RETRY_SCHEDULE};
@@ -10,24 +10,24 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A failed write is retried at this interval.
+/// Interval at which a failed write of the state file is retried.
 pub const STATE_WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// True for a failed read that may succeed a moment later.
+/// Returns whether this is a failed read that may succeed when it is repeated.
 fn is_transient_failure(result: &Option<Result<StoredState, StateError>>) -> bool {
     matches!(result, Some(Err(error)) if error.is_transient())
 }
 
-/// Owns the state file of this process's balancer.
+/// Reads and writes the state file of the balancer to which this process belongs.
 pub struct StateStore {
     folder: Rc<HandoverFolder>,
     dispatcher: Rc<RefCell<Dispatcher>>,
-    /// A write has failed and is being retried: the file is older than the dispatcher's state.
+    /// Whether a failed write is being retried. The file is older than the dispatcher's state then.
     has_pending_write: Cell<bool>,
 }
 
 impl StateStore {
-    /// The state file in this folder, for the state of this dispatcher.
+    /// Creates the store that saves the state of `dispatcher` in `folder`.
     pub fn new(folder: Rc<HandoverFolder>, dispatcher: Rc<RefCell<Dispatcher>>) -> Self {
         StateStore {
             folder,
@@ -36,11 +36,11 @@
         }
     }
 
-    /// Writes the present state; nothing to do without a folder.
+    /// Writes the dispatcher's current state to the file. Does nothing without a folder.
     ///
     /// # Errors
     ///
-    /// `StateError::Unwritable`.
+    /// Returns [`StateError::Unwritable`] if the file can't be written.
     pub fn write(&self) -> Result<(), StateError> {
         let Some(path) = self.folder.state_file() else {
             return Ok(());
@@ -60,13 +60,14 @@
         state.write(&path)
     }
 
-    /// Notes that a write has failed. True if no retries are under way: then
-    /// [`Self::retry_write`] has to follow.
+    /// Records that a write has failed. Returns true if no retries are running yet; the caller must
+    /// then run [`Self::retry_write`].
     pub fn begin_retries(&self) -> bool {
         !self.has_pending_write.replace(true)
     }
 
-    /// Writes the present state at intervals until that succeeds.
+    /// Writes the dispatcher's current state every [`STATE_WRITE_RETRY_INTERVAL`] until a write
+    /// succeeds.
     pub async fn retry_write(&self) {
         while self.has_pending_write.get() {
             sleep(STATE_WRITE_RETRY_INTERVAL).await;
@@ -74,16 +75,17 @@
         }
     }
 
-    /// Takes an upstream out of service or puts it back; false if no upstream of this name is
-    /// known.
+    /// Begins or ends the maintenance of an upstream in the dispatcher, without writing the file.
+    /// Returns false if no upstream with this name is known.
     pub fn set_maintenance(&self, upstream: &str, change: Maintenance) -> bool {
         self.dispatcher
             .borrow_mut()
             .set_maintenance(upstream, change)
     }
 
-    /// Reads the file and applies its maintenance. `None` without a folder, and while a write is
-    /// pending: the file is older than what this process knows then.
+    /// Reads the file, applies its maintenance to the dispatcher and returns the state that was
+    /// read. Does nothing and returns `None` without a folder, or while a failed write is being
+    /// retried, as the file is then older than the dispatcher's state.
     pub fn reload_maintenance(&self) -> Option<Result<StoredState, StateError>> {
         let path = self.folder.state_file()?;
         if self.has_pending_write.get() {
@@ -98,14 +100,16 @@
         Some(state)
     }
 
-    /// Like [`Self::reload_maintenance`]; transient errors are retried for a while.
+    /// Calls [`Self::reload_maintenance`] and repeats it after a transient error, as scheduled by
+    /// [`FOLDER_RETRY_SCHEDULE`]. Returns the last result.
     pub async fn reload_maintenance_with_retries(&self) -> Option<Result<StoredState, StateError>> {
         FOLDER_RETRY_SCHEDULE
             .run(is_transient_failure, || async { self.reload_maintenance() })
             .await
     }
 
-    /// Like [`Self::reload_maintenance_with_retries`]; a failure is logged.
+    /// Calls [`Self::reload_maintenance_with_retries`] and logs a failure. Returns the state if it
+    /// was read.
     pub async fn restore_maintenance(&self) -> Option<StoredState> {
         match self.reload_maintenance_with_retries().await? {
             Ok(state) => Some(state),
@@ -116,7 +120,7 @@
         }
     }
 
-    /// Restores maintenance and, if the age of the file is known, the learned state.
+    /// Restores maintenance and, if the age of the file is known, the learned state from the file.
     pub async fn restore(&self) {
         let Some(state) = self.restore_maintenance().await else {
             return;
--- a/src/bin/load-balancer/main.rs
+++ b/src/bin/load-balancer/main.rs
@@ -1,5 +1,5 @@
-//! The load balancer as a process on real sockets. See README.md for its configuration, and
-//! `docs/architecture.md` for how its parts work together.
+//! The load balancer process, which runs the decision module on real sockets. See README.md for its
+//! configuration, and `docs/architecture.md` for how its parts work together.
 
 mod admin;
 mod body;
@@ -28,7 +28,7 @@
 
 fn main() -> ExitCode {
     abort_on_panic();
-    // Without a thread for the log its lines are lost, and nothing else.
+    // If the log thread can't be started, only log lines are lost.
     let _ = retry_transient_errors(log::start);
     match block_on_process() {
         Ok(()) => ExitCode::SUCCESS,
@@ -39,8 +39,8 @@
     }
 }
 
-/// Makes a panic anywhere end the process: without one of its tasks it would accept clients that
-/// it can't serve.
+/// Makes any panic abort the process. If only the panicking task ended, the process might go on to
+/// accept clients that it can't serve.
 fn abort_on_panic() {
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
--- a/src/bin/load-balancer/process.rs
+++ b/src/bin/load-balancer/process.rs
@@ -1,4 +1,4 @@
-//! The life of the process: start-up, serving, graceful shutdown.
+//! The life cycle of the process: start-up, serving, graceful shutdown.
 
 use crate::admin::Admin;
 use crate::config::{Config, ConfigError};
@@ -24,15 +24,15 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Interval at which a successor looks whether the first endpoint list has arrived.
+/// Interval at which a successor checks whether it has received its first endpoint list.
 const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Interval at which expired idle connections are closed.
+/// Interval at which expired idle connections to upstreams are closed.
 const EXPIRED_CONNECTION_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why the process ended without having served.
+/// The reason why the process ended without having served clients.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A system call failed, and went on to fail when it was retried.
+    /// A system call failed, and retries of it failed too.
     #[error("{0}")]
     System(#[from] io::Error),
     /// The configuration is invalid.
@@ -41,20 +41,20 @@
     /// The decision module rejects the settings.
     #[error("{0}")]
     Settings(#[from] SettingsError),
-    /// The address for clients can't be listened on.
+    /// The process can't listen for clients on the configured address.
     #[error("listen on {address}: {source}")]
     ClientListener {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// The error of the system.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// The address for admin requests can't be listened on.
+    /// The process can't listen for admin requests on the configured address.
     #[error("listen on {address} for admin requests: {source}")]
     AdminListener {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// The error of the system.
+        /// The error of the system call.
         source: io::Error,
     },
 }
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Waits for the first of them.
+    /// Waits until one of the signals is received.
     async fn received(&self) {
         tokio::select! {
             () = self.terminate.received() => {}
@@ -85,7 +85,7 @@
 /// The parts of a process that has started.
 struct Process {
     name: String,
-    /// Where clients connect, as configured.
+    /// The configured address for clients. Its port may be 0.
     address: SocketAddr,
     shutdown_schedule: ShutdownSchedule,
     dispatcher: Rc<RefCell<Dispatcher>>,
@@ -93,14 +93,15 @@
     handover: Rc<Handover>,
 }
 
-/// Runs the process from its start to its graceful end.
+/// Runs the process from its start to the end of its graceful shutdown.
 ///
 /// # Errors
 ///
-/// If it can't start; see [`StartError`].
+/// Returns a [`StartError`] if the process can't start.
 pub async fn run() -> Result<(), StartError> {
     let shutdown_signals = ShutdownSignals::listen()?;
-    // Before the configuration is read: an early SIGHUP would end the process.
+    // The handler is installed before the configuration is read, because a SIGHUP without a handler
+    // ends the process.
     let hangup = Signal::listen(SIGHUP)?;
     let process = Process::start(Config::load()?)?;
     spawn_local(reload_on_signal(hangup, process.dispatcher.clone()));
@@ -112,13 +113,14 @@
 }
 
 impl Process {
-    /// Starts all parts but the listener for clients.
+    /// Starts all parts of the process except the listener for clients.
     fn start(config: Config) -> Result<Self, StartError> {
         let name = config.name.clone();
         let address = config.listen;
         let max_descriptors = config.max_descriptors;
         let admin_listener = config.admin.map(bind_admin_listener).transpose()?;
-        // Valid settings hold finite deadlines; one that no `Duration` holds counts as none.
+        // Valid settings contain finite deadlines. If the longest one is out of the range of
+        // `Duration`, the schedule is computed for zero.
         let longest_deadline = longest_deadline(&config.settings.classes).unwrap_or(Duration::ZERO);
         let shutdown_schedule = ShutdownSchedule::new(longest_deadline);
         let resources = Resources::new(&config);
@@ -154,8 +156,8 @@
         })
     }
 
-    /// Takes over from a predecessor. While that serves clients, this process first waits until it
-    /// can serve them too.
+    /// Takes over from a predecessor, if there is one. While the predecessor still runs, waits
+    /// until this process can serve clients too.
     async fn take_over(&self) {
         self.handover.take_over().await;
         while self.handover.has_peer() && !self.dispatcher.borrow().is_ready() {
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Serves clients until a signal ends that, then shuts down gracefully.
+    /// Serves clients until a shutdown signal is received, then shuts down gracefully.
     async fn serve(self, shutdown_signals: ShutdownSignals) -> Result<(), StartError> {
         let address = self.address;
         let listener = Listener::bind(address, PortSharing::Shared)
--- a/src/bin/load-balancer/reload.rs
+++ b/src/bin/load-balancer/reload.rs
@@ -9,13 +9,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// For a file that can't be opened: it may be just about to be replaced.
+/// Retries of reading a configuration file that can't be opened, as it may be about to be
+/// replaced.
 const CONFIG_READ_RETRY_SCHEDULE: RetrySchedule = RetrySchedule {
     interval: Duration::from_millis(50),
     timeout: Duration::from_secs(2),
 };
 
-/// Reloads the configuration on each of these signals, for as long as the process runs.
+/// Reloads the configuration on each SIGHUP. Never returns.
 pub async fn reload_on_signal(hangup: Signal, dispatcher: Rc<RefCell<Dispatcher>>) {
     loop {
         hangup.received().await;
@@ -23,8 +24,8 @@
     }
 }
 
-/// Reads the configuration again. An invalid one changes nothing. Of a valid one only the address
-/// of discovery takes effect; all else needs a restart.
+/// Reads the configuration again and applies the address of discovery. All other settings need a
+/// restart to take effect. An invalid configuration changes nothing.
 async fn reload(dispatcher: &RefCell<Dispatcher>) {
     let is_unreadable = |result: &Result<Config, ConfigError>| {
         matches!(result, Err(ConfigError::Unreadable { .. }))
--- a/src/bin/load-balancer/resources.rs
+++ b/src/bin/load-balancer/resources.rs
@@ -1,5 +1,5 @@
-//! What the parts of the process share: its descriptors, its memory, the pooled connections and
-//! the metrics.
+//! The resources that the parts of the process share: descriptors, memory, pooled connections and
+//! metrics.
 
 use crate::body::MemoryBudget;
 use crate::config::Config;
@@ -8,21 +8,21 @@
 use crate::upstream::ConnectionPool;
 use std::rc::Rc;
 
-/// The shared resources of a process. Clones share them.
+/// The shared resources of a process. Clones refer to the same resources.
 #[derive(Clone)]
 pub struct Resources {
-    /// The process's descriptors.
+    /// The budget of file descriptors of the process.
     pub descriptors: Rc<DescriptorBudget>,
-    /// The memory for what is read ahead of bodies.
+    /// The budget of memory for the read-ahead of bodies.
     pub memory: Rc<MemoryBudget>,
-    /// Where the outcomes of requests and the attempts are counted.
+    /// Counters of request outcomes and of attempts.
     pub metrics: Rc<Metrics>,
     /// The idle connections to upstreams.
     pub pool: Rc<ConnectionPool>,
 }
 
 impl Resources {
-    /// The resources of a process with this configuration, none of them in use.
+    /// Creates the resources of a process with this configuration. None are in use at first.
     #[must_use]
     pub fn new(config: &Config) -> Self {
         let admin = match config.admin {
--- a/src/bin/load-balancer/retry.rs
+++ b/src/bin/load-balancer/retry.rs
@@ -4,18 +4,18 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// How often and for how long a call is retried.
+/// The interval and the time limit of the retries of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct RetrySchedule {
-    /// The pause between two calls.
+    /// The pause before each retry.
     pub interval: Duration,
-    /// No call is retried once this time has passed since the first.
+    /// A call is not retried once this time has passed since the start of the first one.
     pub timeout: Duration,
 }
 
 impl RetrySchedule {
-    /// Makes a call, and repeats it while `should_retry` holds for its result and the timeout has
-    /// not passed; the last result.
+    /// Makes a call and repeats it while `should_retry` returns true for its result and the timeout
+    /// has not passed. Returns the last result.
     pub async fn run<T, F: Future<Output = T>>(
         self,
         should_retry: impl Fn(&T) -> bool,
--- a/src/bin/load-balancer/shutdown/mod.rs
+++ b/src/bin/load-balancer/shutdown/mod.rs
@@ -1,7 +1,7 @@
-//! Graceful shutdown: when the process stops accepting, and when it ends.
+//! Graceful shutdown: when the process stops accepting connections, and when it exits.
 //!
-//! SIGKILL follows SIGTERM after the longest deadline of the settings, capped, and a constant. By
-//! then every request has its response.
+//! The process receives SIGKILL some time after SIGTERM: the longest deadline of a request class
+//! (capped) plus a constant. Every request must have its response before that.
 
 use crate::log;
 use crate::server::listener::Listener;
@@ -10,50 +10,52 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Connections are accepted for up to this long after SIGTERM: clients' health checks have to
-/// notice it first.
+/// Maximum time after SIGTERM during which connections are accepted. The health checks of clients
+/// have to notice the shutdown before the listener closes.
 const ACCEPT_WINDOW: Duration = Duration::from_millis(800);
-/// SIGKILL follows SIGTERM after the longest deadline, but at most this time, and [`KILL_DELAY`].
+/// SIGKILL follows SIGTERM after the longest deadline plus [`KILL_DELAY`]; the deadline counts for
+/// at most this time.
 const LONGEST_DEADLINE_CAP: Duration = Duration::from_secs(3);
-/// The constant part of the time from SIGTERM to SIGKILL.
+/// Constant part of the time from SIGTERM to SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// All requests have their responses this long before SIGKILL: the process may be paused for
-/// 0.15 s just then.
+/// Time before SIGKILL at which all requests must have their responses. It covers a pause of the
+/// process of 0.15 s at that moment.
 const RESPONSE_MARGIN_BEFORE_KILL: Duration = Duration::from_millis(250);
-/// The listener closes this long before that.
+/// Minimum time between the close of the listener and the moment at which all requests must have
+/// their responses.
 const LISTENER_CLOSE_MARGIN: Duration = Duration::from_millis(100);
-/// Once the listener is closed, connections have the longest deadline and this to end.
+/// Connections may stay open after the listener has closed for the longest deadline plus this time.
 const CONNECTION_GRACE: Duration = Duration::from_secs(1);
-/// Interval at which open connections are counted.
+/// Interval at which the shutdown checks whether connections are still open.
 const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Who accepts clients' connections from SIGTERM on.
+/// Whether another process accepts client connections when this one receives SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Successor {
-    /// Nobody else: this process goes on for a while.
+    /// No other process accepts connections, so this one does for the accept window.
     Absent,
-    /// A process that has taken over.
+    /// A successor has taken over and accepts connections.
     Accepting,
 }
 
-/// The schedule of a graceful shutdown, as spans of time from SIGTERM unless said otherwise.
+/// The schedule of a graceful shutdown. Durations count from SIGTERM unless stated otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// Connections are accepted for this long.
+    /// Time during which connections are accepted.
     pub accept_window: Duration,
-    /// All requests have their responses within this time.
+    /// Time within which all requests must have their responses.
     pub response_timeout: Duration,
-    /// Connections have this long to end, counted from when the listener is closed.
+    /// Time after the close of the listener within which all connections must have ended.
     pub connection_timeout: Duration,
 }
 
 impl ShutdownSchedule {
-    /// The schedule where this is the longest deadline of a request class.
+    /// Computes the schedule from the longest deadline of a request class.
     pub fn new(longest_deadline: Duration) -> Self {
         let response_timeout =
             longest_deadline.min(LONGEST_DEADLINE_CAP) + KILL_DELAY - RESPONSE_MARGIN_BEFORE_KILL;
         ShutdownSchedule {
-            // A request that is accepted later could not have its response in time.
+            // A request on a connection that is accepted later might not get its response in time.
             accept_window: ACCEPT_WINDOW.min(response_timeout - LISTENER_CLOSE_MARGIN),
             response_timeout,
             connection_timeout: longest_deadline.saturating_add(CONNECTION_GRACE),
@@ -61,8 +63,9 @@
     }
 }
 
-/// Shuts the server down gracefully: stops accepting, waits for the requests in flight, and
-/// returns once all connections have ended or their time is over.
+/// Shuts the server down gracefully: stops accepting connections, then waits until the requests in
+/// flight have finished and all connections have ended, for at most
+/// [`ShutdownSchedule::connection_timeout`].
 pub async fn shut_down(
     name: &str,
     server: &Rc<Server>,
@@ -88,8 +91,9 @@
     }
 }
 
-/// Begins the shutdown, accepts connections for the accept window unless a successor does, then
-/// those in the kernel's queue, and closes the listener.
+/// Begins the shutdown and closes the listener. Without a successor, connections are accepted for
+/// the accept window first; those left in the kernel's queue are accepted in either case. Open
+/// connections that have carried no request are closed after the accept window.
 async fn stop_accepting(
     server: &Rc<Server>,
     listener: Listener,
