--- a/src/bin/load-balancer/admin/tests.rs
+++ b/src/bin/load-balancer/admin/tests.rs
@@ -1,11 +1,11 @@
-//! Unit tests of the admin endpoint's paths.
+//! Unit tests of the paths and methods of the admin endpoint.
 
 use super::*;
 use hyper::Method;
 use load_balancer::Maintenance;
 
 #[test]
-fn requests_are_recognized_by_their_paths() {
+fn paths_are_parsed_into_admin_requests() {
     let upstream = "s-1";
     for (path, method, request) in [
         ("/healthcheck", Method::GET, AdminRequest::Health),
@@ -38,7 +38,7 @@
         ),
     ] {
         assert_eq!(request.method(), method, "{path}");
-        assert_eq!(AdminRequest::from_path(path), Some(request));
+        assert_eq!(AdminRequest::from_path(path), Some(request), "{path}");
     }
     for path in [
         "/",
--- a/src/bin/load-balancer/handover/tests.rs
+++ b/src/bin/load-balancer/handover/tests.rs
@@ -1,27 +1,32 @@
-//! Unit tests of the messages between two processes, and of their state file.
+//! Unit tests of the messages between the two processes of an upgrade, and of their files.
 
 use super::*;
 use crate::handover::state_file::StoredState;
 
-/// Versions up to 47c951f send and expect these lines.
+/// Versions up to 47c951f send and expect these lines, so an upgrade from them depends on the
+/// format.
 #[test]
-fn messages_have_the_lines_of_the_version_in_service() {
+fn peer_messages_keep_their_wire_format() {
     for (message, line) in [
         (PeerMessage::Hello, "\"hello\"\n"),
         (PeerMessage::DescriptorsInUse(128), "{\"holds\":128}\n"),
         (PeerMessage::Ready, "\"ready\"\n"),
         (PeerMessage::StateChanged, "\"state\"\n"),
     ] {
-        assert_eq!(message.to_line().unwrap(), line.as_bytes());
-        assert_eq!(PeerMessage::from_line(line).unwrap(), message);
+        assert_eq!(message.to_line().unwrap(), line.as_bytes(), "{message:?}");
+        assert_eq!(PeerMessage::from_line(line).unwrap(), message, "{line}");
     }
     for line in ["", "\"news\"", "{\"holds\":-1}", "{\"holds\":", "7"] {
-        assert!(PeerMessage::from_line(line).is_err(), "{line}");
+        assert!(
+            PeerMessage::from_line(line).is_err(),
+            "malformed line accepted: {line}"
+        );
     }
 }
 
+/// Versions up to 47c951f look for files with these names.
 #[test]
-fn the_files_have_the_names_of_the_version_in_service() {
+fn handover_files_keep_their_names() {
     let address = "127.0.0.1:80".parse().unwrap();
     let folder = HandoverFolder::new(Some("/tmp/f".into()), address);
     let state = folder.state_file().unwrap();
@@ -34,13 +39,14 @@
         socket.to_str(),
         Some("/tmp/f/magpiechute-127.0.0.1:80.sock")
     );
-    let without = HandoverFolder::new(None, address);
-    assert_eq!((without.state_file(), without.socket()), (None, None));
+    let no_folder = HandoverFolder::new(None, address);
+    assert_eq!((no_folder.state_file(), no_folder.socket()), (None, None));
 }
 
-/// A state file that version 47c951f wrote.
+/// The file was written by version 47c951f. Its fields must be read and written under the same
+/// names.
 #[test]
-fn a_state_file_of_the_version_in_service_is_read() {
+fn state_file_of_version_47c951f_is_read() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/state-47c951f.json");
     let recorded: serde_json::Value =
         serde_json::from_slice(&std::fs::read(path).unwrap()).unwrap();
@@ -50,5 +56,8 @@
     assert!(state.age.is_some());
     assert_eq!(serde_json::to_value(&state).unwrap(), recorded);
     let foreign = StoredState::read(path.as_ref(), "127.0.0.9:1".parse().unwrap());
-    assert!(matches!(foreign, Err(StateError::WrongBalancer { .. })));
+    assert!(
+        matches!(foreign, Err(StateError::WrongBalancer { .. })),
+        "state file of the balancer at {address} read for 127.0.0.9:1: {foreign:?}"
+    );
 }
--- a/src/bin/load-balancer/shutdown/tests.rs
+++ b/src/bin/load-balancer/shutdown/tests.rs
@@ -1,9 +1,11 @@
-//! Unit tests of the schedule of a graceful shutdown.
+//! Unit tests of the graceful shutdown schedule.
 
 use super::*;
 
+/// The listener closes before the last response is due, so that a request on the last connection
+/// can still be answered.
 #[test]
-fn the_schedule_follows_the_longest_deadline_and_the_listener_closes_before_the_last_response() {
+fn schedule_follows_the_longest_deadline() {
     let millis = Duration::from_millis;
     for (longest, response_timeout, accept_window) in [
         (0, 450, 350),
@@ -14,7 +16,8 @@
         let schedule = ShutdownSchedule::new(millis(longest));
         assert_eq!(
             (schedule.response_timeout, schedule.accept_window),
-            (millis(response_timeout), millis(accept_window))
+            (millis(response_timeout), millis(accept_window)),
+            "response timeout and accept window for a longest deadline of {longest} ms"
         );
     }
     assert_eq!(
@@ -23,16 +26,17 @@
     );
 }
 
-/// SIGKILL follows SIGTERM after the longest deadline, 3 s at most, and 0.7 s. A process that is
-/// paused for 0.15 s just as the last responses are due has written them by then.
+/// SIGKILL follows SIGTERM after the longest deadline (at most 3 s) plus 0.7 s. A process that is
+/// paused for 0.15 s when the last responses are due must still write them before SIGKILL.
 #[test]
-fn requests_have_their_responses_before_sigkill_though_the_process_is_paused() {
+fn responses_are_due_early_enough_before_sigkill_to_cover_a_pause() {
     for longest in [0, 300, 500, 2500, 3000, 9000].map(Duration::from_millis) {
-        let killed = longest.min(Duration::from_secs(3)) + Duration::from_millis(700);
+        let killed_after = longest.min(Duration::from_secs(3)) + Duration::from_millis(700);
         let response_timeout = ShutdownSchedule::new(longest).response_timeout;
         assert!(
-            response_timeout + Duration::from_millis(150 + 50) < killed,
-            "{longest:?}"
+            response_timeout + Duration::from_millis(150 + 50) < killed_after,
+            "longest deadline {longest:?}: responses due after {response_timeout:?}, \
+             SIGKILL after {killed_after:?}"
         );
     }
 }
--- a/src/bin/load-balancer/tests.rs
+++ b/src/bin/load-balancer/tests.rs
@@ -1,13 +1,13 @@
-//! Unit tests of how the time limits of several modules fit together.
+//! Unit tests of time limits that depend on several modules.
 
 use super::*;
 use crate::server::timeouts;
 use std::time::Duration;
 
-/// A client that sends no complete request gets an error or a close within 3 s, also by a
-/// process that is paused for 0.15 s.
+/// A client that does not complete its request must get an error response or a closed connection
+/// within 3 s, even if the process is paused for 0.15 s.
 #[test]
-fn a_client_that_stops_in_the_middle_of_a_request_is_rejected_in_time() {
+fn incomplete_request_is_rejected_within_3_s() {
     let latest = Duration::from_millis(3000 - 150);
     assert!(timeouts::REQUEST_ARRIVAL_TIMEOUT + timeouts::TIMEOUT_RESPONSE_GRACE < latest);
     assert!(body::CLIENT_STALL_TIMEOUT < latest);
