--- a/src/bin/load-balancer/body/upload.rs
+++ b/src/bin/load-balancer/body/upload.rs
@@ -148,14 +148,14 @@
 
     /// Returns the error because of which the rest of the body will not be received, if any.
     #[must_use]
-    pub fn error(&self) -> Option<BodyError> {
+    pub fn receive_error(&self) -> Option<BodyError> {
         self.error.get()
     }
 
     /// Returns a receiver that is notified once the complete body has been read, and fails if that
     /// never happens.
     #[must_use]
-    pub fn completed(&self) -> oneshot::Receiver<()> {
+    pub fn completion_receiver(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         *self.completion.borrow_mut() = Some(sender);
         receiver
--- a/src/bin/load-balancer/dispatch/endpoint_updates.rs
+++ b/src/bin/load-balancer/dispatch/endpoint_updates.rs
@@ -89,7 +89,7 @@
     /// Begins or ends the maintenance of an upstream at an operator's request. Returns false if no
     /// upstream of this name is known.
     pub fn set_maintenance(&mut self, name: &str, change: Maintenance) -> bool {
-        let is_known = self.upstreams.is_known(UpstreamId::of(name));
+        let is_known = self.upstreams.is_known(UpstreamId::from_name(name));
         if is_known {
             self.apply_maintenance(name, change);
         }
@@ -113,7 +113,10 @@
             self.apply_maintenance(&name, Maintenance::End);
         }
         for name in names {
-            if !self.upstreams.is_in_maintenance(UpstreamId::of(name)) {
+            if !self
+                .upstreams
+                .is_in_maintenance(UpstreamId::from_name(name))
+            {
                 self.apply_maintenance(name, Maintenance::Begin);
             }
         }
@@ -126,7 +129,7 @@
         });
         self.upstreams.set_maintenance(name, change);
         self.handle(Event::Maintenance {
-            upstream: UpstreamId::of(name),
+            upstream: UpstreamId::from_name(name),
             change,
         });
         self.reject_misdirected_attempts();
--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -148,7 +148,7 @@
     }
 
     /// Restores the learned state of an earlier process, which was saved `age` ago.
-    pub fn restore(&mut self, age: Duration, learned: LearnedState) {
+    pub fn restore_learned_state(&mut self, age: Duration, learned: LearnedState) {
         self.balancer
             .restore(self.clock.seconds_now(), age.as_secs_f64(), learned);
     }
--- a/src/bin/load-balancer/dispatch/request.rs
+++ b/src/bin/load-balancer/dispatch/request.rs
@@ -17,7 +17,7 @@
     /// The expected work, in seconds on a standard core.
     pub cost_hint: Option<f64>,
     /// The request in the form that is sent to upstreams.
-    pub forward: ForwardedRequest,
+    pub forwarded_request: ForwardedRequest,
 }
 
 /// A request that the dispatcher has accepted.
--- a/src/bin/load-balancer/dispatch/request_lifecycle.rs
+++ b/src/bin/load-balancer/dispatch/request_lifecycle.rs
@@ -7,7 +7,7 @@
     RejectionReason,
 };
 use crate::log;
-use crate::upstream::{Attempt, AttemptError, ConnectionIdle, UpstreamResponse};
+use crate::upstream::{Attempt, AttemptError, ConnectionIdleTime, UpstreamResponse};
 use load_balancer::{AttemptOutcome, AttemptResult, Event, Request, RequestId, UpstreamId};
 use std::rc::Rc;
 use std::time::Duration;
@@ -33,17 +33,20 @@
         request: AcceptedRequest,
     ) -> Result<DispatchedRequest, RejectionReason> {
         let id = self.requests.allocate_id(request.client_request_id)?;
-        let forward = Rc::new(request.forward);
-        let (deadline, streamed) = (forward.deadline(), forward.upload.is_streamed());
-        if let Some(dispatcher) = self.weak_self.upgrade().filter(|_| streamed) {
-            let completed = forward.upload.completed();
+        let forwarded_request = Rc::new(request.forwarded_request);
+        let (deadline, is_streamed) = (
+            forwarded_request.deadline(),
+            forwarded_request.upload.is_streamed(),
+        );
+        if let Some(dispatcher) = self.weak_self.upgrade().filter(|_| is_streamed) {
+            let completed = forwarded_request.upload.completion_receiver();
             spawn_local(async move {
                 if completed.await.is_ok() {
                     dispatcher.borrow_mut().upload_completed(id);
                 }
             });
         }
-        let response = self.requests.insert(id, forward);
+        let response = self.requests.insert(id, forwarded_request);
         self.timers
             .set(deadline - BACKSTOP_MARGIN, Timer::DeadlineBackstop(id));
         self.handle(Event::Request(Request {
@@ -52,7 +55,7 @@
             tenant: request.tenant,
             remaining: (deadline - DEADLINE_MARGIN - Instant::now()).as_secs_f64(),
             cost_hint: request.cost_hint,
-            streamed,
+            is_streamed,
         }));
         Ok(DispatchedRequest { id, response })
     }
@@ -84,8 +87,9 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let connection_idle = ConnectionIdle::default();
-        let number = request.add_attempt(upstream, address, started_at, connection_idle.clone());
+        let connection_idle_time = ConnectionIdleTime::default();
+        let number =
+            request.add_attempt(upstream, address, started_at, connection_idle_time.clone());
         let address = address.filter(|_| request.can_be_sent());
         let (Some(address), Some(dispatcher)) = (address, self.weak_self.upgrade()) else {
             self.events.push_back(not_sent_event(id, number));
@@ -99,7 +103,7 @@
             write_deadline: write_within
                 .and_then(|seconds| started_at.checked_add(duration_from_secs(seconds))),
             deadline_margin: DEADLINE_MARGIN,
-            connection_idle,
+            connection_idle_time,
         };
         let attempt_id = AttemptId {
             request: id,
@@ -221,6 +225,6 @@
         outcome: AttemptOutcome::NotSent,
         elapsed: 0.0,
         connection_idle: None,
-        request_concluded: false,
+        is_request_concluded: false,
     })
 }
--- a/src/bin/load-balancer/dispatch/request_table/mod.rs
+++ b/src/bin/load-balancer/dispatch/request_table/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatch::recent_request_ids::RecentRequestIds;
 use crate::dispatch::request::{FinalResponse, RejectionReason};
-use crate::upstream::{ConnectionIdle, ForwardedRequest};
+use crate::upstream::{ConnectionIdleTime, ForwardedRequest};
 use load_balancer::{AttemptOutcome, AttemptResult, Event, RequestId, UpstreamId};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
     /// The start of its measured duration: the time of the decision to start it or, for a streamed
     /// body, the time of the last byte.
     measured_from: Instant,
-    connection_idle: ConnectionIdle,
+    connection_idle_time: ConnectionIdleTime,
     /// The task that runs it; `None` if it never ran or has ended.
     task: Option<AbortHandle>,
 }
@@ -59,7 +59,7 @@
 
     /// Returns whether the attempt may have written any bytes to its upstream.
     fn has_written(&self) -> bool {
-        self.connection_idle.get().is_some()
+        self.connection_idle_time.get().is_some()
     }
 
     /// Ends the attempt. Returns its result, or `None` if it is not running.
@@ -67,7 +67,7 @@
         &mut self,
         id: AttemptId,
         outcome: AttemptOutcome,
-        request_concluded: bool,
+        is_request_concluded: bool,
     ) -> Option<AttemptResult> {
         self.task.take()?.abort();
         Some(AttemptResult {
@@ -75,8 +75,11 @@
             attempt: id.number,
             outcome,
             elapsed: self.measured_from.elapsed().as_secs_f64(),
-            connection_idle: self.connection_idle.get().map(|idle| idle.as_secs_f64()),
-            request_concluded,
+            connection_idle: self
+                .connection_idle_time
+                .get()
+                .map(|idle| idle.as_secs_f64()),
+            is_request_concluded,
         })
     }
 }
@@ -104,13 +107,13 @@
         upstream: UpstreamId,
         address: Option<SocketAddr>,
         started_at: Instant,
-        connection_idle: ConnectionIdle,
+        connection_idle_time: ConnectionIdleTime,
     ) -> u32 {
         self.attempts.push(AttemptRecord {
             upstream,
             address,
             measured_from: started_at,
-            connection_idle,
+            connection_idle_time,
             task: None,
         });
         (self.attempts.len() - 1) as u32
@@ -220,9 +223,9 @@
         outcome: AttemptOutcome,
     ) -> Option<AttemptResult> {
         let request = self.requests.get_mut(&attempt.request)?;
-        let request_concluded = !request.is_pending();
+        let is_request_concluded = !request.is_pending();
         let record = request.attempts.get_mut(attempt.number as usize)?;
-        let result = record.end(attempt, outcome, request_concluded)?;
+        let result = record.end(attempt, outcome, is_request_concluded)?;
         self.remove_if_finished(attempt.request);
         Some(result)
     }
--- a/src/bin/load-balancer/dispatch/request_table/tests.rs
+++ b/src/bin/load-balancer/dispatch/request_table/tests.rs
@@ -54,8 +54,8 @@
 }
 
 /// Adds an attempt that runs until it is aborted.
-fn add_running_attempt(table: &mut RequestTable, id: RequestId) -> (AttemptId, ConnectionIdle) {
-    let idle = ConnectionIdle::default();
+fn add_running_attempt(table: &mut RequestTable, id: RequestId) -> (AttemptId, ConnectionIdleTime) {
+    let idle = ConnectionIdleTime::default();
     let request = table.get_mut(id).expect("open");
     let number = request.add_attempt(UPSTREAM, Some(address(1)), Instant::now(), idle.clone());
     request.set_task(number, spawn_local(pending::<()>()).abort_handle());
@@ -97,14 +97,14 @@
         let (second, idle) = add_running_attempt(&mut table, id);
         idle.set(Duration::ZERO);
         let result = table.end_attempt(first, AttemptOutcome::Reset);
-        assert!(result.is_some_and(|result| !result.request_concluded));
+        assert!(result.is_some_and(|result| !result.is_request_concluded));
         assert_eq!(table.end_attempt(first, AttemptOutcome::Reset), None);
         assert!(table.conclude(id, &mut VecDeque::new()).is_some());
         assert!(table.conclude(id, &mut VecDeque::new()).is_none());
         table.remove_if_finished(id);
         assert!(table.is_running(second) && table.len() == 1);
         let result = table.end_attempt(second, AttemptOutcome::Success);
-        assert!(result.is_some_and(|result| result.request_concluded));
+        assert!(result.is_some_and(|result| result.is_request_concluded));
         assert_eq!(table.len(), 0);
     });
 }
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -56,7 +56,7 @@
 fn request_with_deadline(request_timeout: Duration) -> AcceptedRequest {
     let (method, uri, headers) = (Method::GET, Uri::from_static("/call"), HeaderMap::new());
     let upload = Rc::new(Upload::empty());
-    let forward = ForwardedRequest {
+    let forwarded_request = ForwardedRequest {
         method,
         uri,
         headers,
@@ -72,7 +72,7 @@
         class: 0,
         tenant: 0,
         cost_hint: None,
-        forward,
+        forwarded_request,
     }
 }
 
--- a/src/bin/load-balancer/dispatch/upstream_directory/mod.rs
+++ b/src/bin/load-balancer/dispatch/upstream_directory/mod.rs
@@ -86,7 +86,7 @@
     /// Adds an endpoint, or updates the upstream of the same name. Returns the entry for the
     /// decision module.
     pub fn update(&mut self, endpoint: Endpoint, names: &NameTables) -> UpstreamEntry {
-        let id = UpstreamId::of(&endpoint.name);
+        let id = UpstreamId::from_name(&endpoint.name);
         let state = match endpoint.status {
             EndpointStatus::InService => UpstreamState::Active,
             EndpointStatus::Draining => UpstreamState::Draining,
@@ -98,7 +98,7 @@
             self.pool.remove(id);
         }
         if state == UpstreamState::Active && !self.is_in_maintenance(id) {
-            self.pool.allow(id, endpoint.address);
+            self.pool.allow_pooling(id, endpoint.address);
         }
         let listed = ListedUpstream {
             name: endpoint.name,
@@ -140,7 +140,7 @@
 
     /// Begins or ends the maintenance of an upstream, whether or not it is listed.
     pub fn set_maintenance(&mut self, name: &str, change: Maintenance) {
-        let id = UpstreamId::of(name);
+        let id = UpstreamId::from_name(name);
         match change {
             Maintenance::Begin => {
                 self.in_maintenance.insert(id, name.to_string());
@@ -149,7 +149,7 @@
             Maintenance::End => {
                 self.in_maintenance.remove(&id);
                 if let Some(address) = self.available_address(id) {
-                    self.pool.allow(id, address);
+                    self.pool.allow_pooling(id, address);
                 }
             }
         }
--- a/src/bin/load-balancer/dispatch/upstream_directory/tests.rs
+++ b/src/bin/load-balancer/dispatch/upstream_directory/tests.rs
@@ -44,7 +44,7 @@
     };
     let entries = directory().apply(list(true, &[("s", EndpointStatus::InService)]), &names);
     let expected = UpstreamEntry {
-        id: UpstreamId::of("s"),
+        id: UpstreamId::from_name("s"),
         zone: 1,
         machine_kind: 0,
         cell: 3,
@@ -66,7 +66,7 @@
     directory.apply(list(true, &all), &names);
     assert!(directory.has_had_endpoints());
     let available = |directory: &UpstreamDirectory| {
-        ["s", "t", "u"].map(|name| directory.available_address(UpstreamId::of(name)))
+        ["s", "t", "u"].map(|name| directory.available_address(UpstreamId::from_name(name)))
     };
     assert_eq!(available(&directory), [Some(address(1)), None, None]);
     directory.purge_removed();
@@ -89,7 +89,10 @@
 #[test]
 fn maintenance_is_independent_of_the_endpoint_list() {
     let (mut directory, names) = (directory(), NameTables::default());
-    let (id, in_service) = (UpstreamId::of("s"), [("s", EndpointStatus::InService)]);
+    let (id, in_service) = (
+        UpstreamId::from_name("s"),
+        [("s", EndpointStatus::InService)],
+    );
     assert!(!directory.is_known(id));
     directory.set_maintenance("s", Maintenance::Begin);
     assert!(directory.is_known(id) && directory.is_in_maintenance(id));
--- a/src/bin/load-balancer/handover/state_store.rs
+++ b/src/bin/load-balancer/handover/state_store.rs
@@ -128,7 +128,7 @@
         if let Some(age) = state.age {
             self.dispatcher
                 .borrow_mut()
-                .restore(age, state.learned_state);
+                .restore_learned_state(age, state.learned_state);
         }
     }
 }
--- a/src/bin/load-balancer/process.rs
+++ b/src/bin/load-balancer/process.rs
@@ -171,7 +171,7 @@
         let listener = Listener::bind(address, PortSharing::Shared)
             .map_err(|source| StartError::ClientListener { address, source })?;
         let address = retry_transient_errors(|| listener.local_addr())?;
-        self.server.set_listening();
+        self.server.mark_listening();
         self.handover.announce_listening(address);
         let name = &self.name;
         log::line(format!("listening for clients: {name} at {address}"));
--- a/src/bin/load-balancer/server/capacity.rs
+++ b/src/bin/load-balancer/server/capacity.rs
@@ -74,7 +74,7 @@
     pub(super) async fn wait_for_capacity(&self, client: &ClientConnection) -> bool {
         // Excludes this connection from eviction.
         client.enter(Phase::AwaitingCapacity);
-        while self.resources.descriptors.is_exceeded() {
+        while self.resources.descriptors.is_rejection_reserve_in_use() {
             if !self.connections.evict_one().await {
                 return false;
             }
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -47,7 +47,7 @@
             Ok(accepted) => accepted,
             Err(error) => return error_response(&error),
         };
-        let upload = accepted.forward.upload.clone();
+        let upload = accepted.forwarded_request.upload.clone();
         client.record_valid_request();
         let in_flight = self.resources.metrics.begin_request(accepted.class);
         let dispatched = self.dispatcher.borrow_mut().accept(accepted);
--- a/src/bin/load-balancer/server/mod.rs
+++ b/src/bin/load-balancer/server/mod.rs
@@ -64,7 +64,7 @@
     }
 
     /// Records that the listener is open, so that the server can become ready.
-    pub fn set_listening(&self) {
+    pub fn mark_listening(&self) {
         self.is_listening.set(true);
     }
 
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -70,13 +70,13 @@
         let validated = self.validate_head(&head, &client.socket)?;
         let upload = self.receive_body(body, client, received_at).await?;
         client.set_request_end(validated.framing.end_offset(&upload));
-        let forward = self.forwarded_request(head, upload, validated.timeout, client)?;
+        let forwarded_request = self.forwarded_request(head, upload, validated.timeout, client)?;
         Ok(AcceptedRequest {
             client_request_id: validated.request_id,
             class: validated.class,
             tenant: validated.tenant,
             cost_hint: validated.cost_hint,
-            forward,
+            forwarded_request,
         })
     }
 
--- a/src/bin/load-balancer/socket/descriptor_budget.rs
+++ b/src/bin/load-balancer/socket/descriptor_budget.rs
@@ -143,7 +143,7 @@
     /// Returns whether descriptors reserved for rejections are in use: clients exceed their quota,
     /// or clients and upstreams together exceed their unreserved descriptors.
     #[must_use]
-    pub fn is_exceeded(&self) -> bool {
+    pub fn is_rejection_reserve_in_use(&self) -> bool {
         self.clients.get() > self.client_limit.get()
             || self.clients_and_upstreams() + RESERVED_FOR_REJECTIONS > self.shared_limit.get()
     }
--- a/src/bin/load-balancer/upstream/attempt.rs
+++ b/src/bin/load-balancer/upstream/attempt.rs
@@ -14,9 +14,9 @@
 /// How long the connection of an attempt had been idle before the attempt used it; unset until the
 /// attempt is about to write its first byte. All clones share one value.
 #[derive(Clone, Debug, Default)]
-pub struct ConnectionIdle(Rc<Cell<Option<Duration>>>);
+pub struct ConnectionIdleTime(Rc<Cell<Option<Duration>>>);
 
-impl ConnectionIdle {
+impl ConnectionIdleTime {
     /// Stores the idle time; called right before the attempt writes its first byte.
     pub fn set(&self, idle: Duration) {
         self.0.set(Some(idle));
@@ -53,7 +53,7 @@
     /// reaches the client in time.
     pub deadline_margin: Duration,
     /// The idle time of the connection, set right before the first byte is written.
-    pub connection_idle: ConnectionIdle,
+    pub connection_idle_time: ConnectionIdleTime,
 }
 
 /// The connection of an attempt: one taken from the pool, or a new one.
@@ -106,7 +106,7 @@
             let connection = self.connect().await?;
             let progress = ExchangeProgress::new(&connection.socket);
             let idle_for = connection.idle_for.unwrap_or(Duration::ZERO);
-            self.connection_idle.set(idle_for);
+            self.connection_idle_time.set(idle_for);
             let end = self.exchange_until_deadline(&progress).await?;
             let is_sent = progress.is_request_sent();
             match end {
@@ -119,7 +119,7 @@
                     return Err(AttemptError::NotSent);
                 }
                 ExchangeEnd::Broken if self.can_reconnect(&connection, &progress) => {
-                    self.connection_idle.clear();
+                    self.connection_idle_time.clear();
                 }
                 end => return Err(end.into_error(is_sent, &progress)),
             }
@@ -182,7 +182,8 @@
     /// Returns whether the client caused the exchange to fail: reading its body failed, or it
     /// disconnected before its request was sent.
     fn has_client_failed(&self, is_sent: bool) -> bool {
-        self.request.upload.error().is_some() || !is_sent && self.request.client.is_disconnected()
+        self.request.upload.receive_error().is_some()
+            || !is_sent && self.request.client.is_disconnected()
     }
 
     /// Returns whether the request can be sent on another connection: a reused connection failed
--- a/src/bin/load-balancer/upstream/mod.rs
+++ b/src/bin/load-balancer/upstream/mod.rs
@@ -12,7 +12,7 @@
 mod request;
 mod response;
 
-pub use attempt::{Attempt, ConnectionIdle};
+pub use attempt::{Attempt, ConnectionIdleTime};
 pub use error::AttemptError;
 pub use headers::end_to_end_headers;
 pub use pool::ConnectionPool;
--- a/src/bin/load-balancer/upstream/pool.rs
+++ b/src/bin/load-balancer/upstream/pool.rs
@@ -87,7 +87,7 @@
 
     /// Allows idle connections to `upstream` at `address` to be pooled. Closes those to a previous
     /// address of the upstream.
-    pub fn allow(&self, upstream: UpstreamId, address: SocketAddr) {
+    pub fn allow_pooling(&self, upstream: UpstreamId, address: SocketAddr) {
         let mut upstreams = self.upstreams.borrow_mut();
         let entry = upstreams
             .entry(upstream)
--- a/src/bin/load-balancer/upstream/tests.rs
+++ b/src/bin/load-balancer/upstream/tests.rs
@@ -28,8 +28,8 @@
             1.0,
             60.0,
         );
-        let upstream = UpstreamId::of("u0");
-        pool.allow(upstream, address);
+        let upstream = UpstreamId::from_name("u0");
+        pool.allow_pooling(upstream, address);
         let mut peers = Vec::new();
         for _ in 0..3 * MAX_IDLE_PER_UPSTREAM {
             let socket = pool.connect(address).await.expect("a connection");
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -64,7 +64,7 @@
             over_quota_share: self.over_quota_share(request.tenant, rate_window),
             queue_deadline: self.now + queue_time,
             has_short_deadline: request.remaining < objective,
-            is_uploading: request.streamed,
+            is_uploading: request.is_streamed,
             ..PendingRequest::default()
         };
         self.add_slow_start_tokens();
--- a/src/decision/attempt_results.rs
+++ b/src/decision/attempt_results.rs
@@ -24,7 +24,7 @@
         attempt.outcome = Some(outcome);
         let upstream = attempt.upstream.id;
         self.record_result(upstream, result, actions);
-        if result.request_concluded || outcome == AttemptOutcome::Success {
+        if result.is_request_concluded || outcome == AttemptOutcome::Success {
             self.conclude(id, actions);
         }
         self.release(id);
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -19,7 +19,7 @@
     /// Returns the id of the upstream with this name, an FNV-1a hash. It depends neither on the
     /// process nor on the order in which names are seen.
     #[must_use]
-    pub fn of(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         let add_byte = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
         UpstreamId(name.as_bytes().iter().fold(FNV_OFFSET_BASIS, add_byte))
     }
@@ -116,7 +116,7 @@
     pub cost_hint: Option<f64>,
     /// Whether the body is still being received and forwarded; if so, `Event::UploadCompleted`
     /// follows.
-    pub streamed: bool,
+    pub is_streamed: bool,
 }
 
 /// The result of an attempt. Each attempt ends once.
@@ -134,7 +134,7 @@
     /// connection), if the embedder knows.
     pub connection_idle: Option<f64>,
     /// Whether the request has its final response.
-    pub request_concluded: bool,
+    pub is_request_concluded: bool,
 }
 
 /// A change of an upstream's maintenance by operators.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -42,7 +42,7 @@
 //!         tenant: 0,
 //!         remaining: 2.0,
 //!         cost_hint: None,
-//!         streamed: false,
+//!         is_streamed: false,
 //!     })
 //! };
 //! let actions = handle(0.1, request(1));
@@ -61,7 +61,7 @@
 //!         outcome: AttemptOutcome::Success,
 //!         elapsed: 0.2,
 //!         connection_idle: None,
-//!         request_concluded: true,
+//!         is_request_concluded: true,
 //!     })
 //! };
 //! let actions = handle(0.3, success(1));
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -19,7 +19,7 @@
     ///
     /// Returns an error if another address has the same id.
     fn intern(&mut self, line: &Line, address: &str) -> Result<UpstreamId, WireError> {
-        let id = UpstreamId::of(address);
+        let id = UpstreamId::from_name(address);
         let known = self.0.entry(id).or_insert_with(|| address.to_string());
         if known != address {
             let problem = format!("'{address}' has the same id {} as '{known}'", id.0);
@@ -101,7 +101,7 @@
             tenant: line.number("team")?.unwrap_or(0),
             remaining: line.required_seconds("remaining")?,
             cost_hint: line.seconds("predicted")?,
-            streamed: false,
+            is_streamed: false,
         }),
         "COMPLETED" => Event::AttemptEnded(AttemptResult {
             id: line.request_id()?,
@@ -109,7 +109,7 @@
             outcome: parse_outcome(line)?,
             elapsed: line.seconds("costTime")?.unwrap_or(0.0),
             connection_idle: None,
-            request_concluded: line.flag("ended")?,
+            is_request_concluded: line.flag("ended")?,
         }),
         "ACCEPTED" => Event::ResponseStarted(line.request_id()?),
         "EXPIRED" => Event::ClientDisconnected(line.request_id()?),
--- a/tests/decision/concurrency_limit.rs
+++ b/tests/decision/concurrency_limit.rs
@@ -23,7 +23,7 @@
             outcome: *outcome,
             elapsed: 0.001,
             connection_idle: Some(*idle),
-            request_concluded: false,
+            is_request_concluded: false,
         }));
     }
     // Longer than a possible ejection lasts.
--- a/tests/decision/fleet_slow_start/simulation.rs
+++ b/tests/decision/fleet_slow_start/simulation.rs
@@ -473,7 +473,7 @@
             outcome,
             elapsed,
             connection_idle: None,
-            request_concluded: is_success,
+            is_request_concluded: is_success,
         };
         self.handle((id % 1000) as usize, Event::AttemptEnded(result));
     }
--- a/tests/decision/harness.rs
+++ b/tests/decision/harness.rs
@@ -53,7 +53,7 @@
         tenant: 0,
         remaining,
         cost_hint: None,
-        streamed: false,
+        is_streamed: false,
     })
 }
 
@@ -65,7 +65,7 @@
         outcome,
         elapsed: 0.1,
         connection_idle: None,
-        request_concluded: outcome == AttemptOutcome::Success,
+        is_request_concluded: outcome == AttemptOutcome::Success,
     })
 }
 
@@ -77,7 +77,7 @@
         outcome: AttemptOutcome::Success,
         elapsed,
         connection_idle: None,
-        request_concluded: true,
+        is_request_concluded: true,
     })
 }
 
@@ -89,7 +89,7 @@
         outcome,
         elapsed,
         connection_idle: None,
-        request_concluded: false,
+        is_request_concluded: false,
     })
 }
 
--- a/tests/decision/invariants.rs
+++ b/tests/decision/invariants.rs
@@ -196,7 +196,7 @@
             outcome,
             elapsed,
             connection_idle: None,
-            request_concluded: request.is_concluded,
+            is_request_concluded: request.is_concluded,
         })
     }
 
--- a/tests/decision/learned_state.rs
+++ b/tests/decision/learned_state.rs
@@ -58,7 +58,7 @@
             tenant: id as usize % 3 % 2,
             remaining: 2.0,
             cost_hint: (id % 4 == 0).then_some(1.5),
-            streamed: false,
+            is_streamed: false,
         }));
         harness.now += 0.05;
         // Each attempt ends before the next request arrives. A retry starts when the attempt before
@@ -80,7 +80,7 @@
                 outcome,
                 elapsed: 0.05 + upstream as f64 / 100.0,
                 connection_idle: None,
-                request_concluded: outcome == AttemptOutcome::Success,
+                is_request_concluded: outcome == AttemptOutcome::Success,
             }));
             attempt += 1;
         }
--- a/tests/decision/outliers.rs
+++ b/tests/decision/outliers.rs
@@ -179,7 +179,7 @@
             tenant: 0,
             remaining: 60.0,
             cost_hint: None,
-            streamed: true,
+            is_streamed: true,
         };
         let uploading_to = harness.send(Event::Request(streamed));
         harness.now += 1.0;
--- a/tests/decision/queues.rs
+++ b/tests/decision/queues.rs
@@ -184,7 +184,7 @@
             tenant,
             remaining: 2.0,
             cost_hint: None,
-            streamed: false,
+            is_streamed: false,
         })
     };
     for id in 1..100 {
--- a/tests/decision/rotation.rs
+++ b/tests/decision/rotation.rs
@@ -54,7 +54,7 @@
             tenant: 0,
             remaining: 2.0,
             cost_hint: Some(hint),
-            streamed: false,
+            is_streamed: false,
         };
         let upstream = harness.send(Event::Request(request));
         let elapsed = hint * if upstream == 1 { 1.0 } else { 3.0 };
