--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -15,7 +15,7 @@
     child.wait_with_output().unwrap()
 }
 
-const BORN: &str = "SYNC\ttime=5\tseq=1
+const FIRST_BATCH: &str = "SYNC\ttime=5\tseq=1
 SWITCH_TO\ti=3
 BORN\tsalt=42\tclasses.count=1\tclasses.0.aim=1.0\tclasses.0.hardLimit=2.0\t\
     classes.0.effect=read_like\tclasses.0.news=x\tdiscovery=push\tlimits.attemptsCap=2\tme=0\t\
@@ -28,9 +28,9 @@
 ";
 
 #[test]
-fn an_exchange_has_the_recorded_replies() {
+fn replies_match_a_recorded_exchange() {
     let input = format!(
-        "{BORN}SYNC\ttime=5.5\tseq=2\nSWITCH_TO\ti=3\n\
+        "{FIRST_BATCH}SYNC\ttime=5.5\tseq=2\nSWITCH_TO\ti=3\n\
             ARRIVAL\trid=77\tremaining=1.5\tcls=0\tcolour=red\nEND\n\
          SYNC\ttime=5.6\tseq=3\nSWITCH_TO\ti=3\n\
              COMPLETED\trid=77\toutcome=F\tupstream=10.0.0.1:80\tcostTime=0.1\ttry=0\nEND\n\
@@ -60,7 +60,7 @@
 fn malformed_inputs() -> Vec<(String, &'static str, &'static str)> {
     let second_batch = |line: &str| {
         let start = "SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\n";
-        format!("{BORN}{start}{line}\nEND\n")
+        format!("{FIRST_BATCH}{start}{line}\nEND\n")
     };
     let list = |lines: &str| batch(&format!("SHEET\tsetId=0\t{lines}"));
     vec![
@@ -109,7 +109,7 @@
             "{error} for {input}"
         );
         let replies = String::from_utf8(output.stdout).unwrap();
-        let expected = if input.starts_with(BORN) {
+        let expected = if input.starts_with(FIRST_BATCH) {
             "END\tseq=1\n"
         } else {
             ""
@@ -119,15 +119,15 @@
 }
 
 #[test]
-fn an_empty_input_is_a_success() {
+fn adapter_exits_successfully_on_empty_input() {
     let output = run("");
     assert!(output.status.success() && output.stdout.is_empty() && output.stderr.is_empty());
 }
 
 #[test]
-fn idle_connections_are_closed_on_the_wire() {
+fn closing_an_idle_connection_writes_let_go() {
     // Requests on connections idle for a second; two of them are reset.
-    let mut input = BORN.to_string();
+    let mut input = FIRST_BATCH.to_string();
     for (n, time) in [(1, 6.0), (2, 7.0), (3, 8.0), (4, 9.0), (5, 10.0)] {
         let outcome = if n == 2 || n == 4 { "R" } else { "S\tended=1" };
         input += &format!(
@@ -153,10 +153,10 @@
 }
 
 #[test]
-fn results_of_polls_and_messages_of_peers_are_ignored() {
+fn checked_and_from_peer_lines_are_ignored() {
     let input = format!(
-        "{BORN}SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\nCHECKED\tupstream=10.0.0.1:80\toutcome=S\t\
-            costTime=0.001\n\
+        "{FIRST_BATCH}SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\nCHECKED\tupstream=10.0.0.1:80\t\
+            outcome=S\tcostTime=0.001\n\
          FROM_PEER\tneighbour=2\tcontents=aGkgNw==\nEND\n"
     );
     assert_eq!(
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -7,7 +7,7 @@
 use support::*;
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
-const REQUESTS: usize = 200;
+const REQUEST_COUNT: usize = 200;
 
 /// Now, in Unix milliseconds.
 fn unix_now_ms() -> u64 {
@@ -73,7 +73,7 @@
     }
 
     /// Sends the program the restart of the last upstream.
-    fn restart(&self, program: &Program, watch: &mut StubWatch, since_ms: u64) {
+    fn report_restart(&self, program: &Program, watch: &mut StubWatch, since_ms: u64) {
         let other = endpoint("other", self.upstreams[0].address, "terminating");
         // No change before it.
         watch.line(&list(5, false, &[]));
@@ -87,7 +87,7 @@
     fn share(&self, program: &Program) -> usize {
         self.upstreams[3].seen.try_iter().count();
         let mut client = program.client();
-        for _ in 0..REQUESTS {
+        for _ in 0..REQUEST_COUNT {
             assert_eq!(client.request("/read", REQUEST_ID, "").status(), 200);
         }
         self.upstreams[3].seen.try_iter().count()
@@ -104,46 +104,46 @@
 /// An upstream that has just started gets its slow-start share. By a clock that is ahead its
 /// window would be over.
 #[test]
-fn a_restarted_upstream_is_in_slow_start_whatever_the_wall_clock_says() {
-    for ahead in [0, 100, 3600, -100, -3600] {
+fn restarted_upstream_is_in_slow_start_despite_a_wrong_wall_clock() {
+    for ahead_seconds in [0, 100, 3600, -100, -3600] {
         let fixture = SlowStartFixture::new(60.0);
-        let (program, mut watch) = fixture.start("127.0.0.1:0", ahead, 0);
-        fixture.restart(&program, &mut watch, unix_now_ms());
+        let (program, mut watch) = fixture.start("127.0.0.1:0", ahead_seconds, 0);
+        fixture.report_restart(&program, &mut watch, unix_now_ms());
         let share = fixture.share(&program);
         assert!(
-            share < REQUESTS / 10,
-            "{share} requests of {REQUESTS}, {ahead} s ahead"
+            share < REQUEST_COUNT / 10,
+            "{share} requests of {REQUEST_COUNT}, {ahead_seconds} s ahead"
         );
     }
 }
 
 /// By a clock that is behind the window would last until the clock has caught up.
 #[test]
-fn slow_start_after_a_restart_ends_in_time_whatever_the_wall_clock_says() {
-    for ahead in [0, 3600, -100, -3600] {
+fn slow_start_after_a_restart_ends_in_time_despite_a_wrong_wall_clock() {
+    for ahead_seconds in [0, 3600, -100, -3600] {
         let fixture = SlowStartFixture::new(0.5);
-        let (program, mut watch) = fixture.start("127.0.0.1:0", ahead, 0);
-        fixture.restart(&program, &mut watch, unix_now_ms());
+        let (program, mut watch) = fixture.start("127.0.0.1:0", ahead_seconds, 0);
+        fixture.report_restart(&program, &mut watch, unix_now_ms());
         sleep(Duration::from_millis(700));
         let share = fixture.share(&program);
         assert!(
-            share > REQUESTS / 6,
-            "{share} requests of {REQUESTS}, {ahead} s ahead"
+            share > REQUEST_COUNT / 6,
+            "{share} requests of {REQUEST_COUNT}, {ahead_seconds} s ahead"
         );
     }
 }
 
 /// The same for an upstream that was known at the start.
 #[test]
-fn slow_start_of_a_known_upstream_ends_in_time_though_the_wall_clock_is_behind() {
-    for ahead in [0, -100, -3600] {
+fn slow_start_of_a_known_upstream_ends_in_time_with_the_wall_clock_behind() {
+    for ahead_seconds in [0, -100, -3600] {
         let fixture = SlowStartFixture::new(0.5);
-        let (program, _watch) = fixture.start("127.0.0.1:0", ahead, unix_now_ms() - 1000);
+        let (program, _watch) = fixture.start("127.0.0.1:0", ahead_seconds, unix_now_ms() - 1000);
         sleep(Duration::from_millis(700));
         let share = fixture.share(&program);
         assert!(
-            share > REQUESTS / 6,
-            "{share} requests of {REQUESTS}, {ahead} s ahead"
+            share > REQUEST_COUNT / 6,
+            "{share} requests of {REQUEST_COUNT}, {ahead_seconds} s ahead"
         );
     }
 }
@@ -151,18 +151,18 @@
 /// The successor takes the start time from its predecessor, also where their wall clocks differ
 /// because one was stepped between the two starts.
 #[test]
-fn a_successor_continues_the_slow_start_that_its_predecessor_has_seen_begin() {
-    for ahead in [0, 100, 3600, -100, -3600] {
+fn slow_start_continues_across_an_upgrade() {
+    for ahead_seconds in [0, 100, 3600, -100, -3600] {
         let (fixture, since_ms) = (SlowStartFixture::new(60.0), unix_now_ms());
-        let (mut predecessor, mut watch) = fixture.start("127.0.0.1:0", ahead, 0);
-        fixture.restart(&predecessor, &mut watch, since_ms);
+        let (mut predecessor, mut watch) = fixture.start("127.0.0.1:0", ahead_seconds, 0);
+        fixture.report_restart(&predecessor, &mut watch, since_ms);
         let (successor, _watch) = fixture.start(&predecessor.address.to_string(), 0, since_ms);
         predecessor.terminate();
         assert!(predecessor.wait().success());
         let share = fixture.share(&successor);
         assert!(
-            share < REQUESTS / 10,
-            "{share} requests of {REQUESTS}, {ahead} s ahead"
+            share < REQUEST_COUNT / 10,
+            "{share} requests of {REQUEST_COUNT}, {ahead_seconds} s ahead"
         );
     }
 }
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -12,7 +12,7 @@
 /// A close over unread bytes would reset the connection, and with it what the client has not
 /// taken yet of its response.
 #[test]
-fn a_response_is_complete_though_bytes_behind_its_request_are_unread_at_the_close() {
+fn response_is_complete_despite_unread_bytes_behind_its_request() {
     // More than the buffers between the two hold.
     let size = 24 << 20;
     let text = format!(
@@ -32,18 +32,18 @@
     upstream.release();
     client.take(1);
     // More than the read-ahead buffer holds.
-    let behind = "x".repeat(200_000);
+    let second_body = "x".repeat(200_000);
     client.write(&format!(
-        "POST /pay HTTP/1.1\r\nRequest-Id: c101\r\nContent-Length: 200000\r\n\r\n{behind}"
+        "POST /pay HTTP/1.1\r\nRequest-Id: c101\r\nContent-Length: 200000\r\n\r\n{second_body}"
     ));
     // The end of the response is still to be read when the connection closes.
-    let left = 2 << 20;
-    client.take(size - left);
+    let unread = 2 << 20;
+    client.take(size - unread);
     wait_until("the response is written", || {
         program.metric("served.pay") == 1
     });
     sleep(Duration::from_millis(100));
-    assert!((left - 1..left + 1000).contains(&client.read_to_end_bytes().len()));
+    assert!((unread - 1..unread + 1000).contains(&client.read_to_end_bytes().len()));
     assert!(
         upstream.seen.try_recv().is_err(),
         "what came behind it is not sent on"
@@ -52,7 +52,7 @@
 
 /// A client that is still sending would get no response if its connection were reset.
 #[test]
-fn a_large_request_that_is_rejected_unread_gets_a_response() {
+fn large_request_rejected_before_its_body_is_read_gets_a_response() {
     let body = "x".repeat(3 << 20);
     let upstreams: Vec<_> = (0..12)
         .map(|_| StubUpstream::start(StubResponse::Never))
@@ -87,7 +87,7 @@
 
 /// None may be dropped because there are too many of them.
 #[test]
-fn many_pipelined_requests_get_a_response_each() {
+fn each_of_many_pipelined_requests_gets_a_response() {
     let upstream = StubUpstream::start(StubResponse::Hold);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
@@ -112,7 +112,7 @@
 
 /// Clients that send large amounts that nobody is to read would otherwise exhaust the memory.
 #[test]
-fn bytes_behind_requests_that_await_a_response_take_little_memory() {
+fn bytes_behind_requests_in_flight_use_little_memory() {
     let upstream = StubUpstream::start(StubResponse::Never);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut clients: Vec<_> = (0..60).map(|_| program.client()).collect();
@@ -130,7 +130,7 @@
 
 /// The client retries such a request elsewhere, so it must not reach an upstream.
 #[test]
-fn a_request_that_arrives_after_the_close_of_an_idle_connection_is_not_forwarded() {
+fn request_on_a_closed_idle_connection_is_not_forwarded() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (mut program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut clients: Vec<_> = (0..8).map(|_| program.client()).collect();
@@ -174,13 +174,13 @@
         }
         assert!(client.is_closed_by_peer(), "{what}");
     };
-    for ends in [true, false] {
+    for by_sigterm in [true, false] {
         let upstream = StubUpstream::start(StubResponse::Hold);
         let (program, _discovery) = Program::with_admin(&[upstream.address]);
         let mut client = program.client();
         client.write(&pipelined("a", 6));
         upstream.next();
-        if ends {
+        if by_sigterm {
             program.terminate();
             wait_until("the process is draining", || {
                 program.admin_call("GET /healthcheck").0 == 503
--- a/tests/failed_attempts.rs
+++ b/tests/failed_attempts.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_request_that_its_upstream_rejected_is_retried() {
+fn request_rejected_by_its_upstream_is_retried() {
     let (full, free) = (
         StubUpstream::start(StubResponse::Rejected),
         StubUpstream::start(StubResponse::Ok),
@@ -93,8 +93,8 @@
             .client()
             .request("/pay", &format!("{REQUEST_ID}Request-Timeout: 8.0\r\n"), "");
     assert_eq!(response.status(), 503);
-    let wait: f64 = response.header("retry-after").unwrap().parse().unwrap();
-    assert!(wait > 0.0 && wait <= 2.0, "{wait}");
+    let retry_after: f64 = response.header("retry-after").unwrap().parse().unwrap();
+    assert!(retry_after > 0.0 && retry_after <= 2.0, "{retry_after}");
 }
 
 #[test]
@@ -110,7 +110,7 @@
 
 /// A few malformed responses in a hundred do not use up the retry budget.
 #[test]
-fn malformed_responses_fail_no_idempotent_request_while_most_are_good() {
+fn idempotent_requests_succeed_despite_rare_malformed_responses() {
     let upstreams = [
         StubUpstream::start(StubResponse::Ok),
         StubUpstream::start(StubResponse::Ok),
@@ -147,7 +147,7 @@
 /// A 504 with `Not-Started` is treated like such a 503: the request is retried, also one that is
 /// not idempotent.
 #[test]
-fn a_request_that_was_never_started_is_retried_whatever_the_status() {
+fn request_marked_not_started_is_retried_for_503_and_504() {
     for status in [503, 504] {
         let response =
             format!("HTTP/1.1 {status} Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -8,7 +8,7 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-fn await_drain(program: &Program) {
+fn wait_until_draining(program: &Program) {
     wait_until("the process is draining", || {
         program.admin_call("GET /healthcheck").0 == 503
     });
@@ -20,13 +20,13 @@
 fn requests_sent_before_sigterm_was_handled_get_responses() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (mut program, _discovery) = Program::with_admin(&[upstream.address]);
-    let (mut idle, mut half) = (program.client(), program.client());
-    for client in [&mut idle, &mut half] {
+    let (mut idle, mut partial) = (program.client(), program.client());
+    for client in [&mut idle, &mut partial] {
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
     }
     program.suspend();
     idle.send("/pay", REQUEST_ID, "coins").unwrap();
-    half.write("POST /pay HTTP/1.1\r\nHost: b\r\nRequest-");
+    partial.write("POST /pay HTTP/1.1\r\nHost: b\r\nRequest-");
     let mut new_connections: Vec<_> = (0..6).map(|_| program.client()).collect();
     for client in &mut new_connections {
         client.send("/pay", REQUEST_ID, "coins").unwrap();
@@ -41,8 +41,8 @@
         );
         assert!(client.is_closed_by_peer());
     }
-    half.write("Id: e001\r\nContent-Length: 5\r\n\r\ncoins");
-    let response = half.receive().unwrap().expect("a response");
+    partial.write("Id: e001\r\nContent-Length: 5\r\n\r\ncoins");
+    let response = partial.receive().unwrap().expect("a response");
     assert_eq!(
         (response.status(), response.header("connection")),
         (200, Some("close"))
@@ -52,7 +52,7 @@
 
 /// A second signal must not cut the shutdown short.
 #[test]
-fn signals_during_the_shutdown_change_no_response() {
+fn further_signals_do_not_cut_the_shutdown_short() {
     let upstream = StubUpstream::start(StubResponse::Hold);
     let (mut program, discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
@@ -64,7 +64,7 @@
     program.reload(&config(&known, discovery.address, 256));
     program.terminate();
     program.resume();
-    await_drain(&program);
+    wait_until_draining(&program);
     program.terminate();
     program.reload("no configuration");
     assert_eq!(program.admin_call("GET /healthcheck").0, 503);
@@ -91,7 +91,7 @@
         assert!(begun.elapsed() < TEST_TIMEOUT, "all are taken");
     }
     program.terminate();
-    await_drain(&program);
+    wait_until_draining(&program);
     upstream.release();
     for client in &mut clients {
         let response = client.receive().unwrap().expect("a response");
@@ -106,7 +106,7 @@
 /// An upstream that is listed again under its name at another address is a new one, and the old
 /// address is given up.
 #[test]
-fn a_connecting_attempt_does_not_wait_for_an_upstream_that_has_moved() {
+fn move_of_an_upstream_cancels_its_connecting_attempts() {
     let (old, new) = (unreachable_address(), StubUpstream::start(StubResponse::Ok));
     let discovery = StubDiscovery::start();
     let config = with_long_timeouts(&config_with_upstreams(&[old], discovery.address, 1024));
@@ -126,7 +126,7 @@
 
 /// A response is not cut off because its client is slow to take it when the shutdown begins.
 #[test]
-fn a_response_that_is_half_read_at_sigterm_is_completed() {
+fn partly_read_response_is_completed_after_sigterm() {
     let size = 24 << 20;
     let text = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n{}",
@@ -138,7 +138,7 @@
     client.send("/pay", REQUEST_ID, "coins").unwrap();
     upstream.next();
     program.terminate();
-    await_drain(&program);
+    wait_until_draining(&program);
     assert_eq!(
         client.receive().unwrap().expect("a response").body.len(),
         size
@@ -149,7 +149,7 @@
 /// An idle connection may be chosen for eviction in the same event loop turn in which its next
 /// request arrives.
 #[test]
-fn a_request_that_crosses_the_eviction_of_its_connection_gets_a_response() {
+fn request_racing_with_eviction_of_its_connection_gets_a_response() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_descriptors(&[upstream.address], 64);
     let mut idle: Vec<_> = (0..20).map(|_| program.client()).collect();
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn accepted_requests_get_responses_after_sigterm_and_the_process_succeeds() {
+fn process_answers_accepted_requests_after_sigterm_and_exits_successfully() {
     let upstream = StubUpstream::start(StubResponse::Never);
     let (mut program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let (mut busy, mut idle, mut fresh) = (program.client(), program.client(), program.client());
@@ -219,12 +219,12 @@
         assert_eq!(program.client().request("/healthz", "", "").status(), 200);
         let begun = Instant::now();
         program.terminate();
-        let mut draining = false;
-        while let (false, Ok(mut health_check)) = (draining, Client::connect(program.address)) {
+        let mut is_draining = false;
+        while let (false, Ok(mut health_check)) = (is_draining, Client::connect(program.address)) {
             let health = health_check
                 .send("/healthz", "", "")
                 .and_then(|()| health_check.receive());
-            draining = health
+            is_draining = health
                 .ok()
                 .flatten()
                 .is_some_and(|health| health.status() == 503);
--- a/tests/handover_failures.rs
+++ b/tests/handover_failures.rs
@@ -65,7 +65,7 @@
 /// Otherwise it would take itself for the only process and miss the maintenance: EIO, EAGAIN,
 /// ENOMEM, ENFILE.
 #[test]
-fn a_successor_finds_its_predecessor_though_its_calls_fail_for_a_moment() {
+fn successor_finds_its_predecessor_despite_transient_call_failures() {
     for faults in [
         "open:5:2:1:3",
         "open:23:2:1:3",
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn changes_arrive_at_the_peer_though_calls_are_interrupted_or_lack_memory() {
+fn changes_reach_the_peer_despite_failing_recv_and_send() {
     for (call, error) in ["recv", "send"]
         .iter()
         .flat_map(|call| [4, 105, 12].map(|error| (*call, error)))
@@ -132,7 +132,7 @@
 /// A successor may be started as soon as that line is logged. The third bind, that of the
 /// handover socket, takes half a second.
 #[test]
-fn a_process_that_reports_that_it_listens_already_awaits_a_successor() {
+fn successor_can_connect_as_soon_as_listening_is_logged() {
     let fixture = UpgradeFixture::new();
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
@@ -148,7 +148,7 @@
 
 /// The predecessor can't register the connection (ENOMEM).
 #[test]
-fn a_successor_connects_again_if_the_first_connection_ends_at_once() {
+fn successor_reconnects_if_its_first_connection_ends_at_once() {
     let fixture = UpgradeFixture::new();
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_kill_during_a_write_of_the_state_file_leaves_the_previous_state() {
+fn kill_during_a_state_file_write_keeps_the_previous_state() {
     let fixture = UpgradeFixture::new();
     // The first rename is that of the handover socket, the second that of the first state file;
     // the third takes a minute.
@@ -178,16 +178,16 @@
         ("FAULTS", "rename:-60000:3:1:1"),
     ];
     let mut predecessor = fixture.start_with(&variables, "127.0.0.1:0");
-    let (address, state) = (predecessor.address, fixture.state_file(predecessor.address));
+    let (address, state_file) = (predecessor.address, fixture.state_file(predecessor.address));
     assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
-    let before = std::fs::read(&state).unwrap();
+    let previous_state = std::fs::read(&state_file).unwrap();
     let mut admin_client = predecessor.connect_admin();
     admin_client.write("POST /upstreams/u0/ready HTTP/1.1\r\nHost: console\r\n\r\n");
     wait_until("the new state is written", || {
-        state.with_extension("new").exists()
+        state_file.with_extension("new").exists()
     });
     predecessor.kill();
-    assert_eq!(std::fs::read(&state).unwrap(), before);
+    assert_eq!(std::fs::read(&state_file).unwrap(), previous_state);
     let successor = fixture.start(&address.to_string());
     assert_eq!(
         successor.metric("upstreams_excluded"),
--- a/tests/invalid_requests.rs
+++ b/tests/invalid_requests.rs
@@ -97,9 +97,9 @@
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let hidden = "POST /pay HTTP/1.1\r\nRequest-Id: ff03\r\nContent-Length: 1\r\n\r\nx";
-    let endless_head = format!("POST /pay HTTP/1.1\r\nNews: {}", "x".repeat(60_000));
+    let oversized_head = format!("POST /pay HTTP/1.1\r\nNews: {}", "x".repeat(60_000));
     let cases = INVALID_REQUESTS.map(|(status, start)| (status, format!("{start}{hidden}")));
-    for (status, text) in cases.into_iter().chain([(431, endless_head)]) {
+    for (status, text) in cases.into_iter().chain([(431, oversized_head)]) {
         let mut client = program.client();
         client.write(&text);
         assert_eq!(
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -41,7 +41,7 @@
 
 /// The time of ejection must not depend on the cost of the request that was lost.
 #[test]
-fn a_lost_request_ejects_its_upstream_for_no_longer_when_its_cost_is_large() {
+fn ejection_time_does_not_depend_on_the_cost_of_the_lost_request() {
     let (lossy, other) = (
         StubUpstream::start(StubResponse::Ok),
         StubUpstream::start(StubResponse::Ok),
@@ -95,7 +95,7 @@
 /// All upstreams are silent if the fault is in a dependency of theirs. A request waits in the
 /// queue then, as at other times, and is not rejected at once.
 #[test]
-fn a_request_is_queued_though_all_upstreams_are_ejected() {
+fn request_is_queued_while_all_upstreams_are_ejected() {
     let upstream = StubUpstream::start(StubResponse::Never);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let (mut one, mut two) = (program.client(), program.client());
@@ -118,7 +118,7 @@
 /// An upstream that fails fast would attract requests. Errors that all upstreams return eject none
 /// of them.
 #[test]
-fn an_upstream_that_alone_responds_with_errors_is_ejected() {
+fn upstream_is_ejected_for_errors_that_others_do_not_return() {
     let (bad, good) = (
         StubUpstream::start(StubResponse::Status(500)),
         [(); 2].map(|()| StubUpstream::start(StubResponse::Ok)),
--- a/tests/process_start.rs
+++ b/tests/process_start.rs
@@ -13,31 +13,31 @@
     assert_eq!(client.request("/read", REQUEST_ID, "").status(), 200);
     program.kill();
     let known = list(5, true, &[endpoint("u0", upstream.address, "in_service")]);
-    let again = Program::start(
+    let restarted = Program::start(
         &config(&known, discovery.address, 1024),
         &program.address.to_string(),
     );
-    assert_eq!(again.address, program.address);
+    assert_eq!(restarted.address, program.address);
     assert_eq!(
-        again.client().request("/read", REQUEST_ID, "").status(),
+        restarted.client().request("/read", REQUEST_ID, "").status(),
         200
     );
 }
 
 #[test]
-fn an_invalid_configuration_ends_the_process_with_one_line() {
-    let good = config("{}", refusing_address(), 1024);
+fn invalid_configuration_ends_the_process_with_a_one_line_error() {
+    let valid = config("{}", refusing_address(), 1024);
     let cases = [
         ("nonsense".to_string(), "PROXY_CONFIG"),
         (
-            good.replace("\"aim\":5.0", "\"aim\":\"soon\""),
+            valid.replace("\"aim\":5.0", "\"aim\":\"soon\""),
             "classes.0.aim",
         ),
         (
-            good.replace("\"hardLimit\":10.0", "\"hardLimit\":-1"),
+            valid.replace("\"hardLimit\":10.0", "\"hardLimit\":-1"),
             "deadline",
         ),
-        (good.replace("0a", "zz"), "seed"),
+        (valid.replace("0a", "zz"), "seed"),
     ];
     for (config, field) in cases {
         let output = spawn(&config, "127.0.0.1:0").wait_with_output().unwrap();
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -12,20 +12,20 @@
 use support::*;
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
-const MODES: [&str; 2] = ["ask", "push"];
+const DISCOVERY_MODES: [&str; 2] = ["ask", "push"];
 
-fn settings(known: &[String], discovery: SocketAddr, mode: &str) -> String {
+fn config_with_mode(known: &[String], discovery: SocketAddr, mode: &str) -> String {
     let mode = format!("\"discovery\":\"{mode}\"");
     config(&list(5, true, known), discovery, 256).replace("\"discovery\":\"ask\"", &mode)
 }
 
-fn health(program: &Program) -> u16 {
+fn health_status(program: &Program) -> u16 {
     program.client().request("/healthz", "", "").status()
 }
 
 /// The process does not wait for discovery, however old the list.
 #[test]
-fn a_known_endpoint_list_makes_ready_without_discovery() {
+fn process_with_known_endpoints_is_ready_without_discovery() {
     let (served, dead, silent) = (
         StubUpstream::start(StubResponse::Ok),
         RefusingPort::new(),
@@ -37,18 +37,18 @@
         dead.address,
         silent.address,
     ] {
-        for mode in MODES {
+        for mode in DISCOVERY_MODES {
             let old = [endpoint("u0", dead.address, "in_service")];
             assert_eq!(
-                health(&Program::start(
-                    &settings(&old, discovery, mode),
+                health_status(&Program::start(
+                    &config_with_mode(&old, discovery, mode),
                     "127.0.0.1:0"
                 )),
                 200
             );
             let good = [endpoint("u0", served.address, "in_service")];
-            let program = Program::start(&settings(&good, discovery, mode), "127.0.0.1:0");
-            assert_eq!(health(&program), 200);
+            let program = Program::start(&config_with_mode(&good, discovery, mode), "127.0.0.1:0");
+            assert_eq!(health_status(&program), 200);
             assert_eq!(
                 program
                     .client()
@@ -61,18 +61,18 @@
 }
 
 #[test]
-fn twenty_processes_that_start_at_once_are_ready_without_discovery() {
+fn twenty_processes_started_together_are_ready_without_discovery() {
     let (upstream, discovery) = (
         StubUpstream::start(StubResponse::Ok),
         StubDiscovery::start(),
     );
     let known = [endpoint("u0", upstream.address, "in_service")];
-    let config = settings(&known, discovery.address, "push");
+    let config = config_with_mode(&known, discovery.address, "push");
     thread::scope(|scope| {
-        let start = || health(&Program::start(&config, "127.0.0.1:0"));
-        let all: Vec<_> = (0..20).map(|_| scope.spawn(start)).collect();
-        for one in all {
-            assert_eq!(one.join().unwrap(), 200);
+        let start = || health_status(&Program::start(&config, "127.0.0.1:0"));
+        let processes: Vec<_> = (0..20).map(|_| scope.spawn(start)).collect();
+        for process in processes {
+            assert_eq!(process.join().unwrap(), 200);
         }
     });
 }
@@ -80,16 +80,16 @@
 /// Clients are not sent to a process that can't serve them; requests that arrive all the same
 /// wait.
 #[test]
-fn without_known_endpoints_it_is_ready_once_discovery_has_sent_some() {
+fn process_without_known_endpoints_is_ready_once_discovery_sends_some() {
     let upstream = StubUpstream::start(StubResponse::Ok);
-    for mode in MODES {
+    for mode in DISCOVERY_MODES {
         let down = RefusingPort::new();
-        let program = Program::start(&settings(&[], down.address, mode), "127.0.0.1:0");
-        assert_eq!(health(&program), 503);
+        let program = Program::start(&config_with_mode(&[], down.address, mode), "127.0.0.1:0");
+        assert_eq!(health_status(&program), 503);
         let mut early = program.client();
         early.send("/read", REQUEST_ID, "").unwrap();
         let mut watch = down.start_discovery().next();
-        assert_eq!(health(&program), 503);
+        assert_eq!(health_status(&program), 503);
         watch.line(&list(
             6,
             true,
@@ -99,18 +99,21 @@
             early.receive().unwrap().map(|response| response.status()),
             Some(200)
         );
-        assert_eq!(health(&program), 200);
+        assert_eq!(health_status(&program), 200);
     }
 }
 
 /// A slow discovery may response it last.
 #[test]
-fn the_first_watch_is_kept_while_further_ones_are_opened() {
+fn first_watch_stays_open_while_further_ones_are_opened() {
     let (upstream, discovery) = (
         StubUpstream::start(StubResponse::Ok),
         StubDiscovery::start(),
     );
-    let program = Program::start(&settings(&[], discovery.address, "push"), "127.0.0.1:0");
+    let program = Program::start(
+        &config_with_mode(&[], discovery.address, "push"),
+        "127.0.0.1:0",
+    );
     let mut watches: Vec<_> = (0..6).map(|_| discovery.next()).collect();
     assert!(watches[0].is_open(), "it is waited for");
     watches[0].line(&list(
@@ -118,7 +121,9 @@
         true,
         &[endpoint("u0", upstream.address, "in_service")],
     ));
-    wait_until("the list has been received", || health(&program) == 200);
+    wait_until("the list has been received", || {
+        health_status(&program) == 200
+    });
     assert_eq!(
         program
             .client()
@@ -135,7 +140,7 @@
         StubDiscovery::start(),
     );
     let known = [endpoint("u0", upstream.address, "in_service")];
-    let config = settings(&known, silent.address, "push");
+    let config = config_with_mode(&known, silent.address, "push");
     let start = |folder: &Path, listen: &str| {
         let variables = [
             ("TMPDIR", folder.to_str().unwrap()),
@@ -175,7 +180,7 @@
 
 /// Otherwise nobody would listen.
 #[test]
-fn a_successor_accepts_clients_before_it_is_ready_once_its_predecessor_is_gone() {
+fn unready_successor_accepts_clients_once_its_predecessor_is_gone() {
     let (upstream, silent, down) = (
         StubUpstream::start(StubResponse::Ok),
         StubDiscovery::start(),
@@ -186,12 +191,12 @@
     let variables = [("TMPDIR", folder.to_str().unwrap())];
     let mut predecessor = Program::start_with(
         &variables,
-        &settings(&known, silent.address, "push"),
+        &config_with_mode(&known, silent.address, "push"),
         "127.0.0.1:0",
     );
     let mut successor = spawn_in(
         &folder,
-        &settings(&[], down.address, "push"),
+        &config_with_mode(&[], down.address, "push"),
         &predecessor.address.to_string(),
     );
     let mut log = BufReader::new(successor.stderr.take().unwrap()).lines();
@@ -200,7 +205,7 @@
         "they have met"
     );
     predecessor.kill();
-    let (sender, listens) = channel();
+    let (sender, listening) = channel();
     thread::spawn(move || {
         log.find(|line| {
             line.as_ref()
@@ -208,7 +213,7 @@
         })
         .map(|_| sender.send(log))
     });
-    let log = listens.recv_timeout(TEST_TIMEOUT);
+    let log = listening.recv_timeout(TEST_TIMEOUT);
     let mut client = Client::connect(predecessor.address);
     if let Ok(client) = &mut client {
         client.send("/read", REQUEST_ID, "").unwrap();
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -13,7 +13,7 @@
 #[test]
 fn a_retry_is_not_written_after_the_deduplication_window() {
     for (scope, status) in [("all", 503), ("zone", 502), ("cell", 502)] {
-        let (first, slow_accept, discovery) = (
+        let (first, blocked_port, discovery) = (
             StubUpstream::start(StubResponse::Hold),
             BlockedPort::new(),
             StubDiscovery::start(),
@@ -32,7 +32,7 @@
         discovery.next().line(&list(
             6,
             false,
-            &[endpoint("u1", slow_accept.address, "in_service")],
+            &[endpoint("u1", blocked_port.address, "in_service")],
         ));
         while program.metric("upstreams_known") < 2 {
             assert!(started.elapsed() < TEST_TIMEOUT, "it is listed");
@@ -40,13 +40,13 @@
         first.set_response(StubResponse::Status(500));
         first.release();
         sleep(Duration::from_millis(1700).saturating_sub(started.elapsed()));
-        let late = slow_accept.open(StubResponse::Ok);
+        let late_upstream = blocked_port.open(StubResponse::Ok);
         assert_eq!(
             client.receive().unwrap().expect("a response").status(),
             status,
             "{scope}"
         );
-        assert!(late.seen.try_recv().is_err(), "{scope}");
+        assert!(late_upstream.seen.try_recv().is_err(), "{scope}");
     }
 }
 
@@ -63,7 +63,7 @@
 /// An attempt declares the time that its client has left, without what an earlier attempt, the
 /// queue, or an earlier request on the same connection has taken.
 #[test]
-fn an_attempt_declares_no_more_than_the_time_left_to_the_client() {
+fn attempt_declares_at_most_the_remaining_time_of_its_client() {
     let half_a_second = Duration::from_millis(500);
     let headers = "Request-Id: {id}\r\nRequest-Timeout: 5.0\r\n";
     let (one, two) = (
@@ -104,7 +104,7 @@
 
 /// The time of pipelined requests counts from their arrival, while they wait for the first one.
 #[test]
-fn the_time_of_pipelined_requests_counts_from_their_arrival() {
+fn timeout_of_a_pipelined_request_starts_at_its_arrival() {
     let upstream = StubUpstream::start(StubResponse::Hold);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -22,7 +22,7 @@
 /// The time from SIGTERM to SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(1200);
 /// How long after SIGTERM new connections may come by the protocol.
-const NEW_CONNECTIONS: Duration = Duration::from_millis(400);
+const NEW_CONNECTION_PERIOD: Duration = Duration::from_millis(400);
 /// How late a final response may be.
 const LATE_TOLERANCE: Duration = Duration::from_millis(500);
 /// How much longer it may take on a busy machine.
@@ -68,15 +68,15 @@
 struct SoakClient {
     address: SocketAddr,
     rng: Pcg64Mcg,
-    cached: Option<Client>,
+    open_connection: Option<Client>,
 }
 
 impl SoakClient {
     /// Sends a request; `None` if no process listens.
     fn request(&mut self, path: &str) -> Option<Outcome> {
-        let is_new_connection = self.cached.is_none();
+        let is_new_connection = self.open_connection.is_none();
         let client = self
-            .cached
+            .open_connection
             .take()
             .or_else(|| Client::connect(self.address).ok())?;
         let timeout: f64 = self.rng.random_range(0.1..DEADLINE_SECONDS);
@@ -115,7 +115,7 @@
             return Outcome::Closed;
         };
         let closes = response.header("connection") == Some("close");
-        self.cached = Some(client).filter(|_| !closes);
+        self.open_connection = Some(client).filter(|_| !closes);
         Outcome::Responded(response.status())
     }
 
@@ -143,7 +143,7 @@
 
 /// Makes upstreams fail and sends signals to the program, up to SIGKILL. Returns when the first
 /// SIGTERM was sent.
-fn disturb(
+fn inject_disruptions(
     rng: &mut Pcg64Mcg,
     program: &mut Program,
     upstreams: &[StubUpstream],
@@ -169,8 +169,8 @@
         pause(rng, 120);
     }
     program.terminate();
-    let terminated = Instant::now();
-    let kill_time = terminated + KILL_DELAY;
+    let sigterm_time = Instant::now();
+    let kill_time = sigterm_time + KILL_DELAY;
     for _ in 0..rng.random_range(0..4) {
         if rng.random_bool(0.5) {
             program.terminate();
@@ -181,7 +181,7 @@
     }
     sleep(kill_time.saturating_duration_since(Instant::now()));
     program.kill();
-    terminated
+    sigterm_time
 }
 
 /// Draws the faults of system calls while the program runs, and the offset of its wall clock.
@@ -222,7 +222,7 @@
     seed: u64,
     rng: Pcg64Mcg,
     /// Idle clients fill the descriptors.
-    crowded: bool,
+    is_crowded: bool,
     upstreams: Vec<StubUpstream>,
     /// Keeps the discovery services of `configs` running.
     _discoveries: [StubDiscovery; 2],
@@ -259,7 +259,7 @@
         Scenario {
             seed,
             rng,
-            crowded: seed % 3 == 0,
+            is_crowded: seed % 3 == 0,
             upstreams,
             _discoveries: discoveries,
             configs,
@@ -289,21 +289,22 @@
                 let client = SoakClient {
                     address,
                     rng: Pcg64Mcg::seed_from_u64(seed << 8 | number),
-                    cached: None,
+                    open_connection: None,
                 };
                 scope.spawn(move || client.send_until(stop, &format!("{seed}/{number}")))
             };
             let clients: Vec<_> = (0..CLIENTS).map(send).collect();
-            let idle_count = if self.crowded { IDLE_CLIENTS } else { 0 };
+            let idle_count = if self.is_crowded { IDLE_CLIENTS } else { 0 };
             let idle: Vec<_> = (0..idle_count).map(|_| Client::connect(address)).collect();
-            let terminated = disturb(&mut self.rng, &mut program, &self.upstreams, &self.configs);
+            let sigterm_time =
+                inject_disruptions(&mut self.rng, &mut program, &self.upstreams, &self.configs);
             stop.store(true, Ordering::SeqCst);
             drop(idle);
             let requests = clients
                 .into_iter()
                 .flat_map(|client| client.join().unwrap())
                 .collect();
-            (requests, terminated)
+            (requests, sigterm_time)
         })
     }
 
@@ -353,7 +354,7 @@
     request: &RequestRecord,
     runs: usize,
     sent_after_sigterm: Duration,
-    crowded: bool,
+    is_crowded: bool,
 ) -> Option<&'static str> {
     let (is_idempotent, duration) = (request.path.starts_with("/read"), request.duration);
     let latest = Duration::from_secs_f64(DEADLINE_SECONDS) + LATE_TOLERANCE + BUSY_TOLERANCE;
@@ -368,12 +369,12 @@
         Outcome::Closed | Outcome::Undeliverable if runs > 0 => Some("lost"),
         // New connections may be closed unread where idle clients fill the descriptors, and come
         // no later than 0.4 s after SIGTERM where the platform sends them.
-        Outcome::Closed if !crowded && sent_after_sigterm < NEW_CONNECTIONS => {
+        Outcome::Closed if !is_crowded && sent_after_sigterm < NEW_CONNECTION_PERIOD => {
             Some("closed on a new connection")
         }
         // A connection may be closed, but must not be left open until SIGKILL.
         Outcome::Closed
-            if sent_after_sigterm < NEW_CONNECTIONS
+            if sent_after_sigterm < NEW_CONNECTION_PERIOD
                 && sent_after_sigterm + duration >= KILL_DELAY =>
         {
             Some("left open until SIGKILL")
@@ -383,29 +384,29 @@
 }
 
 /// Runs this seed and returns the violated rules.
-fn play(seed: u64) -> Vec<String> {
+fn run_seed(seed: u64) -> Vec<String> {
     let mut scenario = Scenario::new(seed);
-    let (requests, terminated) = scenario.run();
+    let (requests, sigterm_time) = scenario.run();
     let runs_by_path = scenario.runs_by_path();
     let mut violations = Vec::new();
     for request in &requests {
-        let sent_after_sigterm = request.sent.saturating_duration_since(terminated);
+        let sent_after_sigterm = request.sent.saturating_duration_since(sigterm_time);
         let runs = runs_by_path.get(&request.path).copied().unwrap_or(0);
-        let rule = violated_rule(request, runs, sent_after_sigterm, scenario.crowded);
+        let rule = violated_rule(request, runs, sent_after_sigterm, scenario.is_crowded);
         let RequestRecord {
             path,
             outcome,
             duration,
             ..
         } = request;
-        let what = format!(
+        let description = format!(
             "seed {seed}: {path} {outcome:?} in {duration:?}, sent {sent_after_sigterm:?} after \
                 SIGTERM, {runs} runs"
         );
         if *outcome == Outcome::Closed {
-            println!("{what}");
+            println!("{description}");
         }
-        violations.extend(rule.map(|rule| format!("{rule}: {what}")));
+        violations.extend(rule.map(|rule| format!("{rule}: {description}")));
     }
     scenario.print_summary(&requests, violations.len());
     violations
@@ -413,6 +414,6 @@
 
 #[test]
 fn no_request_is_lost_or_run_twice_from_start_to_sigkill() {
-    let violations: Vec<_> = seeds().flat_map(play).collect();
+    let violations: Vec<_> = seeds().flat_map(run_seed).collect();
     assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/tests/state_file.rs
+++ b/tests/state_file.rs
@@ -36,7 +36,7 @@
 /// Stored fields were renamed in between; the older version also reads the maintenance set by
 /// this one.
 #[test]
-fn state_is_compatible_with_versions_that_have_older_field_names() {
+fn state_file_is_compatible_with_older_field_names() {
     let learned = r#"{"width":1.0,"pace":1.5,"answers":3.0,"health":[
         {"heard":9.0,"faults":0.1,"answers":3.0,"strikes":2,"rest_until":12.5}],
         "losses":0.0,"full_until":0.0,"suspect":0.0,"credit":0.25}"#;
@@ -52,13 +52,13 @@
         json(&old),
         "the older version finds all that it wrote"
     );
-    let names = [
+    let renamed_fields = [
         ("strikes", "failures"),
         ("rest_until", "ejected_until"),
         ("credit", "allowance"),
         ("reach", "subset"),
     ];
-    let new = names
+    let new = renamed_fields
         .iter()
         .fold(old.clone(), |text, (old, new)| text.replace(old, new));
     assert_ne!(new, old);
@@ -140,7 +140,7 @@
 
 /// An upgrade would undo it.
 #[test]
-fn a_change_that_cannot_be_stored_is_answered_with_an_error() {
+fn maintenance_that_cannot_be_stored_is_answered_with_an_error() {
     let fixture = UpgradeFixture::new();
     let program = fixture.start("127.0.0.1:0");
     std::fs::create_dir(Path::new(&fixture.state_file(program.address)).with_extension("new"))
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -34,7 +34,7 @@
             })
         })
         .collect();
-    let more = |count: u64| {
+    let wait_for_responses = |count: u64| {
         let goal = served.load(Ordering::SeqCst) + count;
         while served.load(Ordering::SeqCst) < goal {
             assert!(
@@ -44,15 +44,15 @@
             thread::sleep(Duration::from_millis(1));
         }
     };
-    more(20);
+    wait_for_responses(20);
     let successor = fixture.start(&address.to_string());
     assert_eq!(successor.address, address);
     assert_eq!(successor.admin_call("GET /healthcheck").0, 200);
-    more(20);
+    wait_for_responses(20);
     predecessor.terminate();
-    more(20);
+    wait_for_responses(20);
     assert!(predecessor.wait().success());
-    more(20);
+    wait_for_responses(20);
     stop.store(true, Ordering::SeqCst);
     for client in clients {
         client.join().expect("no client was rejected");
@@ -61,7 +61,7 @@
 
 /// New connections go to the successor from then on.
 #[test]
-fn a_replaced_process_stops_listening_and_finishes_its_requests() {
+fn predecessor_stops_listening_and_completes_its_requests() {
     let fixture = UpgradeFixture::new();
     let mut predecessor = fixture.start("127.0.0.1:0");
     fixture.upstream.set_response(StubResponse::Never);
@@ -99,7 +99,7 @@
     let successor = fixture.start(&predecessor.address.to_string());
     assert_eq!(successor.metric("upstreams_excluded"), 1);
     assert_eq!(successor.admin_call("POST /upstreams/u0/ready").0, 200);
-    let both = |count| {
+    let wait_for_excluded_on_both = |count| {
         while [&predecessor, &successor]
             .iter()
             .any(|program| program.metric("upstreams_excluded") != count)
@@ -107,9 +107,9 @@
             thread::sleep(Duration::from_millis(1));
         }
     };
-    both(0);
+    wait_for_excluded_on_both(0);
     assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
-    both(1);
+    wait_for_excluded_on_both(1);
     drop(predecessor);
     // The successor of the successor restores it too.
     let newest = fixture.start(&successor.address.to_string());
@@ -151,24 +151,27 @@
 }
 
 #[test]
-fn both_processes_together_keep_to_the_descriptor_limit_of_one() {
+fn predecessor_and_successor_share_one_descriptor_limit() {
     let fixture = UpgradeFixture::new();
     let predecessor = fixture.start("127.0.0.1:0");
     let idle: Vec<_> = (0..120).map(|_| predecessor.client()).collect();
     assert_eq!(predecessor.admin_call("GET /healthcheck").0, 200);
     let successor = fixture.start(&predecessor.address.to_string());
-    let more: Vec<_> = (0..250).map(|_| successor.client()).collect();
+    let later_clients: Vec<_> = (0..250).map(|_| successor.client()).collect();
     for program in [&predecessor, &successor] {
         assert_eq!(program.admin_call("GET /healthcheck").0, 200);
     }
-    let held = predecessor.open_descriptors() + successor.open_descriptors();
-    assert!(held <= 256, "{held}");
-    drop((idle, more));
+    let open_descriptors_of_both = predecessor.open_descriptors() + successor.open_descriptors();
+    assert!(
+        open_descriptors_of_both <= 256,
+        "{open_descriptors_of_both}"
+    );
+    drop((idle, later_clients));
 }
 
 /// The predecessor's changes are in the file before the successor has heard from it.
 #[test]
-fn maintenance_set_on_a_successor_at_once_keeps_that_of_the_predecessor() {
+fn early_maintenance_on_a_successor_keeps_that_of_the_predecessor() {
     let fixture = UpgradeFixture::new();
     let other = StubUpstream::start(StubResponse::Ok);
     let known = [("u0", fixture.upstream.address), ("u1", other.address)];
@@ -218,7 +221,7 @@
 }
 
 #[test]
-fn sigterm_to_a_successor_that_is_not_ready_leaves_the_predecessor_serving() {
+fn predecessor_keeps_serving_after_sigterm_to_an_unready_successor() {
     let fixture = UpgradeFixture::new();
     let predecessor = fixture.start("127.0.0.1:0");
     let mut client = predecessor.client();
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -54,7 +54,7 @@
 
 /// Bytes behind a response must not be read as the response to the next request.
 #[test]
-fn bytes_behind_a_response_are_never_the_next_one() {
+fn bytes_behind_a_response_are_not_read_as_the_next_response() {
     let response = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
     let upstream = StubUpstream::raw(&format!(
         "HTTP/1.1 103 Early Hints\r\n\r\n{response}{response}"
