--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: a recorded exchange, and malformed input.
+//! The simulator adapter as a process: a recorded exchange, and malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -15,6 +15,7 @@
     child.wait_with_output().unwrap()
 }
 
+/// The first batch: starts balancer 3 with an endpoint list of two upstreams.
 const FIRST_BATCH: &str = "SYNC\ttime=5\tseq=1
 SWITCH_TO\ti=3
 BORN\tsalt=42\tclasses.count=1\tclasses.0.aim=1.0\tclasses.0.hardLimit=2.0\t\
@@ -46,17 +47,18 @@
     assert!(output.status.success() && output.stderr.is_empty());
 }
 
-/// A batch with these lines, which may lack its end.
+/// Returns a batch that consists of its first line and `lines`. It is incomplete unless `lines`
+/// has the `END`.
 fn batch(lines: &str) -> String {
     format!("SYNC\ttime=1\tseq=1\n{lines}")
 }
 
-/// A batch with these lines for one balancer.
+/// Returns a batch with `lines` for balancer 1.
 fn batch_to_balancer(lines: &str) -> String {
     batch(&format!("SWITCH_TO\ti=1\n{lines}"))
 }
 
-/// Inputs that end the adapter, each with the line and the field that are at fault.
+/// Returns inputs on which the adapter fails, each with the line and the field at fault.
 fn malformed_inputs() -> Vec<(String, &'static str, &'static str)> {
     let second_batch = |line: &str| {
         let start = "SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\n";
@@ -114,7 +116,7 @@
         } else {
             ""
         };
-        assert_eq!(replies, expected, "no partial reply");
+        assert_eq!(replies, expected, "replies to {input}");
     }
 }
 
@@ -139,11 +141,12 @@
             s = 2 * n,
             t = 2 * n + 1,
             later = time + 0.1,
-            // Before any work could be done.
+            // The connection is reset before the upstream could do any work.
             took = if outcome == "R" { 0.001 } else { 0.1 },
         );
     }
-    // One more served request leaves an idle connection, and a second later it is no longer used.
+    // The last of them is served and leaves an idle connection. It is no longer used for the
+    // request that arrives a second later.
     let last = "SYNC\ttime=11\tseq=20\nSWITCH_TO\ti=3\nARRIVAL\trid=9\tremaining=1.5\tcls=0\nEND\n";
     let output = String::from_utf8(run(&(input + last)).stdout).unwrap();
     assert!(
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! Wall clocks that are stepped: the slow-start window is a span of real time.
+//! Stepped wall clocks: the slow-start window is a span of real time.
 
 mod support;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 const REQUEST_COUNT: usize = 200;
 
-/// Now, in Unix milliseconds.
+/// Returns the current Unix time in milliseconds.
 fn unix_now_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -17,11 +17,11 @@
         .as_millis() as u64
 }
 
-/// Four upstreams, the last of which restarts, and a program whose wall clock may be wrong.
+/// Four upstreams, the last of which restarts, for programs whose wall clock may be wrong.
 struct SlowStartFixture {
     upstreams: Vec<StubUpstream>,
     discovery: StubDiscovery,
-    /// The slow-start window in seconds.
+    /// The length of the slow-start window in seconds.
     slow_start_seconds: f64,
     folder: PathBuf,
 }
@@ -39,14 +39,14 @@
         }
     }
 
-    /// The entry of the last upstream, with this start time.
+    /// Returns the endpoint list entry of the last upstream with the start time `since_ms`.
     fn last_endpoint(&self, since_ms: u64) -> String {
         let entry = endpoint("u3", self.upstreams[3].address, "in_service");
         entry.replace("\"since_ms\":0", &format!("\"since_ms\":{since_ms}"))
     }
 
-    /// Starts a program whose wall clock is this many seconds ahead, and which knows this start
-    /// time of the last upstream.
+    /// Starts a program whose wall clock is `ahead_seconds` ahead and whose known endpoint list has
+    /// the start time `since_ms` for the last upstream.
     fn start(&self, listen: &str, ahead_seconds: i64, since_ms: u64) -> (Program, StubWatch) {
         let mut entries: Vec<_> = (0..3)
             .map(|number| {
@@ -72,10 +72,10 @@
         (program, self.discovery.next())
     }
 
-    /// Sends the program the restart of the last upstream.
+    /// Reports a restart of the last upstream to the program.
     fn report_restart(&self, program: &Program, watch: &mut StubWatch, since_ms: u64) {
         let other = endpoint("other", self.upstreams[0].address, "terminating");
-        // No change before it.
+        // No change precedes the restart.
         watch.line(&list(5, false, &[]));
         watch.line(&list(6, false, &[self.last_endpoint(since_ms), other]));
         wait_until("the restart has been received", || {
@@ -83,7 +83,7 @@
         });
     }
 
-    /// How many of `REQUESTS` requests the last upstream gets.
+    /// Sends `REQUEST_COUNT` requests and returns how many of them the last upstream gets.
     fn share(&self, program: &Program) -> usize {
         self.upstreams[3].seen.try_iter().count();
         let mut client = program.client();
@@ -101,8 +101,8 @@
     }
 }
 
-/// An upstream that has just started gets its slow-start share. By a clock that is ahead its
-/// window would be over.
+/// An upstream that has just restarted gets only its slow-start share. Measured by a wall clock
+/// that is ahead, its slow-start window would be over already.
 #[test]
 fn restarted_upstream_is_in_slow_start_despite_a_wrong_wall_clock() {
     for ahead_seconds in [0, 100, 3600, -100, -3600] {
@@ -117,7 +117,8 @@
     }
 }
 
-/// By a clock that is behind the window would last until the clock has caught up.
+/// Measured by a wall clock that is behind, the slow-start window would last until the clock has
+/// caught up.
 #[test]
 fn slow_start_after_a_restart_ends_in_time_despite_a_wrong_wall_clock() {
     for ahead_seconds in [0, 3600, -100, -3600] {
@@ -133,7 +134,8 @@
     }
 }
 
-/// The same for an upstream that was known at the start.
+/// A wall clock that is behind must not prolong the slow start of an upstream that was in the
+/// endpoint list at the start of the process.
 #[test]
 fn slow_start_of_a_known_upstream_ends_in_time_with_the_wall_clock_behind() {
     for ahead_seconds in [0, -100, -3600] {
@@ -148,8 +150,8 @@
     }
 }
 
-/// The successor takes the start time from its predecessor, also where their wall clocks differ
-/// because one was stepped between the two starts.
+/// The successor takes the start time of the upstream from its predecessor, even if their wall
+/// clocks differ because the clock was stepped between the starts of the two processes.
 #[test]
 fn slow_start_continues_across_an_upgrade() {
     for ahead_seconds in [0, 100, 3600, -100, -3600] {
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -1,4 +1,4 @@
-//! Closing of connections on which bytes are unread, and of those that carry pipelined requests.
+//! Closing of connections that have unread bytes or carry pipelined requests.
 
 mod support;
 use std::thread::sleep;
@@ -6,14 +6,14 @@
 use support::*;
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
-/// Descriptors that are reserved for the admin endpoint.
+/// The number of descriptors that are reserved for the admin endpoint.
 const ADMIN_DESCRIPTORS: usize = 12;
 
-/// A close over unread bytes would reset the connection, and with it what the client has not
-/// taken yet of its response.
+/// The close of a connection with unread bytes resets it, and the client would lose the part of its
+/// response that it has not read yet.
 #[test]
 fn response_is_complete_despite_unread_bytes_behind_its_request() {
-    // More than the buffers between the two hold.
+    // More than the socket buffers between the program and its client hold.
     let size = 24 << 20;
     let text = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n{}",
@@ -36,7 +36,7 @@
     client.write(&format!(
         "POST /pay HTTP/1.1\r\nRequest-Id: c101\r\nContent-Length: 200000\r\n\r\n{second_body}"
     ));
-    // The end of the response is still to be read when the connection closes.
+    // The client has not read the end of the response when the connection is closed.
     let unread = 2 << 20;
     client.take(size - unread);
     wait_until("the response is written", || {
@@ -46,7 +46,7 @@
     assert!((unread - 1..unread + 1000).contains(&client.read_to_end_bytes().len()));
     assert!(
         upstream.seen.try_recv().is_err(),
-        "what came behind it is not sent on"
+        "the second request was forwarded"
     );
 }
 
@@ -67,9 +67,8 @@
             .status(),
         400
     );
-    // Only some rejections are left to capacity. Connections without a request may be evicted for
-    // those with one, so each client connects once the requests before it have been accepted or
-    // rejected.
+    // Fills the capacity. A connection without a request may be evicted in favour of one with a
+    // request, so each client connects after the earlier requests have been accepted or rejected.
     let mut busy = Vec::new();
     for count in 1..=24 {
         let mut client = program.client();
@@ -78,14 +77,17 @@
         let settled = || program.metric("in_flight") + program.metric("refused.pay");
         wait_until("the request is settled", || settled() == count);
     }
-    assert!(program.metric("refused.pay") > 0, "there is no room");
+    assert!(
+        program.metric("refused.pay") > 0,
+        "none of 24 requests was rejected for lack of capacity"
+    );
     assert_eq!(
         program.client().request("/pay", REQUEST_ID, &body).status(),
         503
     );
 }
 
-/// None may be dropped because there are too many of them.
+/// Pipelined requests must not be dropped, however many there are.
 #[test]
 fn each_of_many_pipelined_requests_gets_a_response() {
     let upstream = StubUpstream::start(StubResponse::Hold);
@@ -102,7 +104,7 @@
         let response = client
             .receive()
             .unwrap()
-            .unwrap_or_else(|| panic!("a response to {n}"));
+            .unwrap_or_else(|| panic!("no response to request {n}"));
         assert!(
             String::from_utf8_lossy(&response.body).starts_with(&format!("GET /read/{n} ")),
             "{response:?}"
@@ -110,7 +112,8 @@
     }
 }
 
-/// Clients that send large amounts that nobody is to read would otherwise exhaust the memory.
+/// Bytes behind a request in flight are buffered only up to a limit, otherwise clients that send
+/// large amounts would exhaust the memory.
 #[test]
 fn bytes_behind_requests_in_flight_use_little_memory() {
     let upstream = StubUpstream::start(StubResponse::Never);
@@ -123,12 +126,12 @@
     }
     assert!(
         program.peak_memory_bytes() < 40 << 20,
-        "{}",
+        "peak memory: {} bytes",
         program.peak_memory_bytes()
     );
 }
 
-/// The client retries such a request elsewhere, so it must not reach an upstream.
+/// The client sends such a request again elsewhere, so it would run twice if it were forwarded.
 #[test]
 fn request_on_a_closed_idle_connection_is_not_forwarded() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -141,14 +144,14 @@
     program.terminate();
     for client in &mut clients {
         assert!(client.is_closed_by_peer());
-        // The process may have exited by now.
+        // The write fails if the process has exited by now.
         let _ = client.send("/pay", REQUEST_ID, "coins");
     }
     assert!(program.wait().success());
     assert!(upstream.seen.try_recv().is_err());
 }
 
-/// Pipelined requests whose ids begin with this prefix.
+/// Returns `count` pipelined requests whose ids begin with `id_prefix`.
 fn pipelined(id_prefix: &str, count: usize) -> String {
     let request = |number| {
         format!("GET /read/{number} HTTP/1.1\r\nHost: b\r\nRequest-Id: {id_prefix}{number}\r\n\r\n")
@@ -156,9 +159,9 @@
     (0..count).map(request).collect()
 }
 
-/// A request that has been read is lost if its connection closes without a response to it. Those
-/// that were pipelined before a shutdown or a client drain all get one, and the last one closes
-/// the connection.
+/// A request that has been read is lost if its connection is closed without a response to it.
+/// Requests that were pipelined before a shutdown or a client drain must all get a response, and
+/// the last response closes the connection.
 #[test]
 fn pipelined_requests_get_responses_before_their_connection_closes() {
     let expect_responses = |client: &mut Client, what: &str| {
@@ -166,13 +169,13 @@
             let response = client
                 .receive()
                 .unwrap()
-                .unwrap_or_else(|| panic!("{what}, {number}"));
+                .unwrap_or_else(|| panic!("{what}: no response to request {number}"));
             assert_eq!(
                 (response.status(), response.header("connection")),
                 (200, (number == 5).then_some("close"))
             );
         }
-        assert!(client.is_closed_by_peer(), "{what}");
+        assert!(client.is_closed_by_peer(), "{what}: not closed");
     };
     for by_sigterm in [true, false] {
         let upstream = StubUpstream::start(StubResponse::Hold);
@@ -189,10 +192,10 @@
             assert_eq!(program.admin_call("POST /healthcheck/fail").0, 200);
         }
         upstream.release();
-        expect_responses(&mut client, "those that waited");
+        expect_responses(&mut client, "requests in flight");
         let mut new = program.client();
         new.write(&pipelined("b", 6));
-        expect_responses(&mut new, "those on a new connection");
+        expect_responses(&mut new, "requests on a new connection");
     }
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
@@ -205,5 +208,5 @@
     client.write(&pipelined("c", 6));
     program.terminate();
     program.resume();
-    expect_responses(&mut client, "those that had not been read");
+    expect_responses(&mut client, "requests unread at SIGTERM");
 }
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list: draining upstreams and unknown states.
+//! Changes of the endpoint list: draining upstreams and unknown status values.
 
 mod support;
 use support::*;
@@ -41,8 +41,8 @@
     );
 }
 
-/// The attempt began before the drain. The request is retried elsewhere, long before the connect
-/// timeout.
+/// An attempt that began before the drain is cancelled long before the connect timeout, and the
+/// request is retried at another upstream.
 #[test]
 fn a_drain_cancels_an_attempt_that_is_still_connecting() {
     let (old, new) = (unreachable_address(), StubUpstream::start(StubResponse::Ok));
@@ -61,7 +61,7 @@
     assert_eq!(new.seen.try_iter().count(), 1);
 }
 
-/// A status that this version does not know is not taken for `in_service`.
+/// A status that this version does not know must not be treated as `in_service`.
 #[test]
 fn an_upstream_whose_status_is_unknown_gets_no_request() {
     let (unknown, known_good) = (
@@ -88,7 +88,7 @@
     }
     assert!(unknown.seen.try_recv().is_err());
     discovery.next().line(&list(6, true, &known("in_service")));
-    wait_until("it gets requests once it is in service", || {
+    wait_until("the upstream gets requests once it is in service", || {
         assert_eq!(
             client
                 .request("/pay", "Request-Id: {id}\r\n", "coins")
--- a/tests/failed_attempts.rs
+++ b/tests/failed_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that fail: which are retried, and which response the client gets.
+//! Failed attempts: which of them are retried, and which response the client gets.
 
 mod support;
 use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
     assert!(full.seen.try_iter().count() > 0);
 }
 
-/// A retry could run the request twice, and a part of a response must not be forwarded.
+/// A retry could run the request twice, and a truncated response must not be forwarded.
 #[test]
 fn a_non_idempotent_request_that_may_have_run_fails_without_a_retry() {
     for reply in [
@@ -62,7 +62,7 @@
     }
 }
 
-/// The attempt is cancelled before the deadline of the client, which gets a response.
+/// The attempt is cancelled before the client's deadline, so that the client gets a response.
 #[test]
 fn a_request_to_a_silent_upstream_fails_in_time_and_its_connection_is_closed() {
     let upstream = StubUpstream::start(StubResponse::Never);
@@ -73,16 +73,20 @@
         &format!("{REQUEST_ID}Request-Timeout: 1.5\r\n"),
         "coins",
     );
-    assert_eq!(response.status(), 502, "it may have run");
+    assert_eq!(
+        response.status(),
+        502,
+        "a request that may have run fails with 502"
+    );
     assert!(
         begin.elapsed() > Duration::from_secs(1),
-        "it was given its time"
+        "the request failed after less than 1 s of its 1.5 s"
     );
     assert_eq!(upstream.seen.try_iter().count(), 1);
     upstream
         .closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the connection is closed");
+        .expect("the connection to the upstream is still open");
 }
 
 #[test]
@@ -94,7 +98,10 @@
             .request("/pay", &format!("{REQUEST_ID}Request-Timeout: 8.0\r\n"), "");
     assert_eq!(response.status(), 503);
     let retry_after: f64 = response.header("retry-after").unwrap().parse().unwrap();
-    assert!(retry_after > 0.0 && retry_after <= 2.0, "{retry_after}");
+    assert!(
+        retry_after > 0.0 && retry_after <= 2.0,
+        "Retry-After: {retry_after}"
+    );
 }
 
 #[test]
@@ -144,8 +151,8 @@
     }
 }
 
-/// A 504 with `Not-Started` is treated like such a 503: the request is retried, also one that is
-/// not idempotent.
+/// `Not-Started` on a 503 or a 504 says that the request did not run, so even a non-idempotent
+/// request is retried.
 #[test]
 fn request_marked_not_started_is_retried_for_503_and_504() {
     for status in [503, 504] {
@@ -166,6 +173,6 @@
                 "{status}"
             );
         }
-        assert!(busy.seen.try_iter().count() > 0, "{status}");
+        assert!(busy.seen.try_iter().count() > 0, "no {status} was sent");
     }
 }
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown between SIGTERM and SIGKILL, and requests that cross a move of their
-//! upstream or the eviction of their connection.
+//! Graceful shutdown between SIGTERM and SIGKILL, and requests that race with a move of their
+//! upstream or with the eviction of their connection.
 
 mod support;
 use std::thread::sleep;
@@ -14,8 +14,8 @@
     });
 }
 
-/// SIGTERM may be handled before requests that were sent earlier: on an idle connection, on one
-/// that is still in the accept queue, and a request of which only a part has been sent.
+/// SIGTERM may be handled before requests that were sent earlier: requests on an idle connection or
+/// on one that is still in the accept queue, and a request of which only a part has been sent.
 #[test]
 fn requests_sent_before_sigterm_was_handled_get_responses() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -50,7 +50,6 @@
     assert!(program.wait().success());
 }
 
-/// A second signal must not cut the shutdown short.
 #[test]
 fn further_signals_do_not_cut_the_shutdown_short() {
     let upstream = StubUpstream::start(StubResponse::Hold);
@@ -58,7 +57,7 @@
     let mut client = program.client();
     client.send("/pay", REQUEST_ID, "coins").unwrap();
     upstream.next();
-    // SIGHUP and SIGTERM are both pending.
+    // SIGHUP and SIGTERM are both pending when the process resumes.
     program.suspend();
     let known = list(5, true, &[endpoint("u0", upstream.address, "in_service")]);
     program.reload(&config(&known, discovery.address, 256));
@@ -77,7 +76,6 @@
     assert!(program.wait().success());
 }
 
-/// Queued requests are not given up when the shutdown begins.
 #[test]
 fn queued_requests_get_responses_after_sigterm() {
     let upstream = StubUpstream::start(StubResponse::Hold);
@@ -88,7 +86,10 @@
     }
     let begun = Instant::now();
     while program.metric("in_flight") < 6 {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "all are taken");
+        assert!(
+            begun.elapsed() < TEST_TIMEOUT,
+            "not all 6 requests are in flight after {TEST_TIMEOUT:?}"
+        );
     }
     program.terminate();
     wait_until_draining(&program);
@@ -103,8 +104,8 @@
     assert!(program.wait().success());
 }
 
-/// An upstream that is listed again under its name at another address is a new one, and the old
-/// address is given up.
+/// An upstream that is listed again under its name with another address is a new upstream, so
+/// attempts that are still connecting to the old address are cancelled.
 #[test]
 fn move_of_an_upstream_cancels_its_connecting_attempts() {
     let (old, new) = (unreachable_address(), StubUpstream::start(StubResponse::Ok));
@@ -124,7 +125,7 @@
     assert_eq!(new.seen.try_iter().count(), 1);
 }
 
-/// A response is not cut off because its client is slow to take it when the shutdown begins.
+/// The shutdown must not cut off a response that its client reads slowly.
 #[test]
 fn partly_read_response_is_completed_after_sigterm() {
     let size = 24 << 20;
@@ -156,7 +157,7 @@
     for client in &mut idle {
         assert_eq!(client.request("/read", REQUEST_ID, "").status(), 200);
     }
-    // Now they may be evicted.
+    // The connections have now been idle for long enough to be evicted.
     sleep(Duration::from_millis(2100));
     program.suspend();
     let new_connections: Vec<_> = (0..40).map(|_| program.client()).collect();
@@ -186,9 +187,10 @@
     program.terminate();
     assert!(
         idle.receive().unwrap().is_none(),
-        "the idle connection is closed"
+        "the idle connection received a message instead of its close"
     );
-    // A connection that was accepted before but not used yet gets a response to its first request.
+    // A connection that was accepted before SIGTERM but not used yet gets a response to its first
+    // request.
     assert_eq!(fresh.request("/healthz", "", "").status(), 503);
     assert!(fresh.receive().unwrap().is_none());
     // New connections are still accepted; each carries one request.
@@ -200,7 +202,7 @@
     let response = busy
         .receive()
         .unwrap()
-        .expect("an accepted request gets a response");
+        .expect("no response to an accepted request");
     assert_eq!(
         (response.status(), response.header("connection")),
         (502, Some("close"))
@@ -209,8 +211,8 @@
     assert!(program.wait().success());
 }
 
-/// SIGKILL may come 3.7 s after SIGTERM. Requests that arrive in between get a response by then,
-/// whatever their deadline.
+/// SIGKILL may be sent 3.7 s after SIGTERM. Requests that arrive in between must get a response
+/// before it, whatever their deadline.
 #[test]
 fn requests_that_arrive_after_sigterm_get_responses_before_sigkill() {
     let upstream = StubUpstream::start(StubResponse::Never);
@@ -237,7 +239,7 @@
             &format!("{REQUEST_ID}Request-Timeout: 10.0\r\n"),
             "coins",
         );
-        // A run that was too slow for the times of the shutdown shows nothing, and is repeated.
+        // A run that took too long to send its request proves nothing and is repeated.
         if sent.is_ok() && begun.elapsed() < Duration::from_millis(400) {
             let timeout: f64 = upstream
                 .next()
@@ -245,12 +247,12 @@
                 .unwrap()
                 .parse()
                 .unwrap();
-            assert!(timeout < 3.7, "{timeout}");
+            assert!(timeout < 3.7, "Request-Timeout: {timeout}");
             assert_eq!(
                 client
                     .receive()
                     .unwrap()
-                    .expect("a response before SIGKILL")
+                    .expect("no response before SIGKILL")
                     .status(),
                 502
             );
--- a/tests/handover_failures.rs
+++ b/tests/handover_failures.rs
@@ -5,10 +5,10 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-/// The folder takes no writes for a while.
+/// Writes to the folder of the state file fail temporarily.
 #[test]
 fn a_failed_write_of_the_state_file_is_retried() {
-    // ENOSPC, EIO; 8 is more than are made before the response.
+    // ENOSPC and EIO. More calls fail (8) than are made before the response.
     for faults in ["write:28:1:1:8", "rename:5:1:1:8"] {
         let fixture = UpgradeFixture::new();
         let variables = [
@@ -31,11 +31,12 @@
     }
 }
 
-/// The folder is full for a while.
+/// The folder of the socket is full temporarily.
 #[test]
 fn a_failed_creation_of_the_handover_socket_is_retried() {
     let fixture = UpgradeFixture::new();
-    // The third bind of a process is that of the handover socket, after its two listeners.
+    // The first two binds of a process are those of its listeners, the third is that of the
+    // handover socket.
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", "bind:28:3:1:2"),
@@ -62,8 +63,8 @@
     assert!(predecessor.open_descriptors() + successor.open_descriptors() <= 256);
 }
 
-/// Otherwise it would take itself for the only process and miss the maintenance: EIO, EAGAIN,
-/// ENOMEM, ENFILE.
+/// A successor that does not find its predecessor would act as the only process and miss the
+/// maintenance. The calls fail with EIO, ENFILE, EAGAIN or ENOMEM.
 #[test]
 fn successor_finds_its_predecessor_despite_transient_call_failures() {
     for faults in [
@@ -129,8 +130,9 @@
     }
 }
 
-/// A successor may be started as soon as that line is logged. The third bind, that of the
-/// handover socket, takes half a second.
+/// A successor may be started as soon as its predecessor logs that it is listening. The third bind
+/// of the predecessor, that of the handover socket, takes half a second, so a successor would miss
+/// a handover socket that is created only after the log line.
 #[test]
 fn successor_can_connect_as_soon_as_listening_is_logged() {
     let fixture = UpgradeFixture::new();
@@ -146,7 +148,7 @@
     });
 }
 
-/// The predecessor can't register the connection (ENOMEM).
+/// The predecessor closes the first connection because it cannot register it (ENOMEM).
 #[test]
 fn successor_reconnects_if_its_first_connection_ends_at_once() {
     let fixture = UpgradeFixture::new();
@@ -172,7 +174,7 @@
 fn kill_during_a_state_file_write_keeps_the_previous_state() {
     let fixture = UpgradeFixture::new();
     // The first rename is that of the handover socket, the second that of the first state file;
-    // the third takes a minute.
+    // the third takes a minute, so that the kill interrupts it.
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", "rename:-60000:3:1:1"),
@@ -192,6 +194,6 @@
     assert_eq!(
         successor.metric("upstreams_excluded"),
         1,
-        "its return was never confirmed"
+        "u0 is in service though its return was never confirmed"
     );
 }
--- a/tests/idle_clients.rs
+++ b/tests/idle_clients.rs
@@ -7,8 +7,8 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-/// Clients that hold more connections than there are descriptors neither end the process nor keep
-/// it from accepting.
+/// Clients that hold more connections than there are descriptors must neither crash the process nor
+/// keep it from accepting connections.
 #[test]
 fn idle_connections_are_evicted_when_descriptors_run_short() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -26,8 +26,8 @@
     }
 }
 
-/// A client that stalls in the middle of a request gets an error or a close within 3 s, also if it
-/// has had a response on that connection before.
+/// A client that stalls in the middle of a request gets an error or a close within 3 s, even if it
+/// has received a response on that connection before.
 #[test]
 fn a_client_that_stalls_in_a_later_request_is_rejected() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -56,14 +56,14 @@
         // The timeout of idle connections is 10 s. A busy machine may take longer than 3 s.
         assert!(
             begun.elapsed() < Duration::from_secs(6),
-            "{:?} {partial:.60}",
+            "response or close after {:?}: {partial:.60}",
             begun.elapsed()
         );
     }
 }
 
-/// Clients that send nothing, or a part of a request, are closed in time and do not take the
-/// capacity of others.
+/// Connections on which nothing or only a part of a request is sent are closed in time, and do not
+/// use up the capacity that other clients need.
 #[test]
 fn a_client_that_stalls_in_its_first_request_is_closed() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -86,8 +86,8 @@
             client
         })
         .collect();
-    // There is capacity for less than half of these: in time one of them is evicted for a complete
-    // request.
+    // There is capacity for less than half of these connections, so one of them must be evicted for
+    // a complete request.
     while Client::connect(program.address)
         .ok()
         .and_then(|mut client| {
--- a/tests/invalid_requests.rs
+++ b/tests/invalid_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that are rejected before anything is forwarded: malformed ones, and those under a name
-//! in use.
+//! Requests that are rejected before anything is forwarded: malformed requests, and requests whose
+//! id is in use.
 
 mod support;
 use support::*;
@@ -43,7 +43,8 @@
     assert!(upstream.seen.try_recv().is_err());
 }
 
-/// Invalid requests, each with the status of its rejection. A complete request follows them.
+/// Invalid requests, each with the status of its rejection. The test appends a valid request to
+/// each of them.
 const INVALID_REQUESTS: [(u16, &str); 12] = [
     (
         400,
@@ -90,8 +91,8 @@
     (400, "\0\0nonsense\r\n\r\n"),
 ];
 
-/// After a rejected request the remaining bytes cannot be framed, and one that is hidden in its
-/// body must not be served: the connection ends after a 4xx.
+/// The bytes behind a rejected request cannot be framed, and a request that is hidden in its body
+/// must not be served, so the connection is closed after a 4xx.
 #[test]
 fn a_rejected_request_ends_its_connection() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -112,7 +113,7 @@
     assert!(upstream.seen.try_recv().is_err());
 }
 
-/// A second request under the same id would run beside the first.
+/// A second request with the same id would run at the same time as the first.
 #[test]
 fn a_request_whose_id_is_in_flight_is_rejected() {
     let upstream = StubUpstream::start(StubResponse::Never);
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Ejection of upstreams that fail, and what it leaves to requests.
+//! Ejection of failing upstreams, and how requests are handled meanwhile.
 
 mod support;
 use std::thread::sleep;
@@ -7,8 +7,9 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-/// The concurrency limit is a whole number of requests, so a multiplier that returns to just below
-/// its former value would be one request less for good.
+/// The concurrency limit is a whole number of requests. If the multiplier from which it is computed
+/// were restored only to just below its former value, the limit would stay one request lower
+/// permanently.
 #[test]
 fn good_responses_restore_the_concurrency_limit_after_a_malformed_one() {
     let upstream = StubUpstream::raw("what?\r\n\r\n");
@@ -39,7 +40,8 @@
     upstream.next();
 }
 
-/// The time of ejection must not depend on the cost of the request that was lost.
+/// If the ejection time grew with the cost of the lost request, a costly request would keep its
+/// upstream ejected for too long.
 #[test]
 fn ejection_time_does_not_depend_on_the_cost_of_the_lost_request() {
     let (lossy, other) = (
@@ -83,7 +85,7 @@
     while seen.contains(&0) {
         assert!(
             begin.elapsed() < TEST_TIMEOUT,
-            "one of them gets no requests any more"
+            "requests received after {TEST_TIMEOUT:?}: {seen:?}"
         );
         send_cheap();
         seen[0] += lossy.seen.try_iter().count();
@@ -92,8 +94,8 @@
     }
 }
 
-/// All upstreams are silent if the fault is in a dependency of theirs. A request waits in the
-/// queue then, as at other times, and is not rejected at once.
+/// A fault in a dependency of all upstreams makes all of them silent. Requests must then be queued
+/// as usual, not rejected at once.
 #[test]
 fn request_is_queued_while_all_upstreams_are_ejected() {
     let upstream = StubUpstream::start(StubResponse::Never);
@@ -103,20 +105,20 @@
     two.send("/pay", REQUEST_ID, "coins").unwrap();
     upstream.next();
     upstream.next();
-    // The upstream is ejected after six times its latency estimate, which starts at a sixth of the
-    // latency objective.
+    // The upstream is ejected when it has been silent for six times its latency estimate, which
+    // starts at a sixth of the latency objective.
     sleep(Duration::from_millis(5200));
     upstream.set_response(StubResponse::Ok);
     let mut third = program.client();
     third.send("/pay", REQUEST_ID, "coins").unwrap();
-    // The request has been accepted by now, and would have been rejected.
+    // By now the request has been accepted, and would have been rejected if it were not queued.
     sleep(Duration::from_millis(300));
     drop(one);
     assert_eq!(third.receive().unwrap().unwrap().status(), 200);
 }
 
-/// An upstream that fails fast would attract requests. Errors that all upstreams return eject none
-/// of them.
+/// An upstream that fails fast would attract requests if it were not ejected. Errors that all
+/// upstreams return eject none of them.
 #[test]
 fn upstream_is_ejected_for_errors_that_others_do_not_return() {
     let (bad, good) = (
@@ -138,12 +140,15 @@
         "{share} of 90, where an even share is 30"
     );
     bad.set_response(StubResponse::Ok);
-    // A few requests go there until it has responded well for a while; then its share is even
-    // again.
+    // The upstream gets only a few requests until it has responded well for a while; then its share
+    // is even again.
     let mut rounds = 0;
     while bad.seen.try_iter().count() < 25 {
         rounds += 1;
-        assert!(rounds < 200, "it stays ejected");
+        assert!(
+            rounds < 200,
+            "the upstream still gets too few requests after {rounds} rounds"
+        );
         send(90);
     }
     let all_upstreams = || good.iter().chain([&bad]);
@@ -157,13 +162,14 @@
             .map(|upstream| upstream.seen.try_iter().count())
             .collect()
     };
-    // Shares are even in response time, which varies with the machine: one even round is enough.
+    // Requests are balanced by response time, which varies with the machine: one round with even
+    // shares is enough.
     for round in 0.. {
         let shares = shares_with(StubResponse::Status(500));
         if shares.iter().all(|count| *count > 20) {
             break;
         }
-        assert!(round < 50, "{shares:?}");
+        assert!(round < 50, "uneven shares: {shares:?}");
         shares_with(StubResponse::Ok);
     }
 }
--- a/tests/process_start.rs
+++ b/tests/process_start.rs
@@ -1,4 +1,4 @@
-//! The start of a process: again at the same address, and with an invalid configuration.
+//! Process start: a restart at the same address, and an invalid configuration.
 
 mod support;
 use support::*;
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -1,6 +1,6 @@
-//! When a process that has just started is ready, by `GET /healthz`. No test bounds the time but
-//! for the timeout of all; in most, discovery sends nothing, which shows that the process does
-//! not wait for it.
+//! Readiness of a newly started process, as reported by `GET /healthz`. The tests have no time
+//! limits other than `TEST_TIMEOUT`. In most of them discovery sends nothing, so a process that
+//! waited for discovery would never become ready.
 
 mod support;
 use std::io::{BufRead, BufReader};
@@ -23,7 +23,7 @@
     program.client().request("/healthz", "", "").status()
 }
 
-/// The process does not wait for discovery, however old the list.
+/// The process does not wait for discovery, even if all endpoints that it knows are gone.
 #[test]
 fn process_with_known_endpoints_is_ready_without_discovery() {
     let (served, dead, silent) = (
@@ -77,8 +77,8 @@
     });
 }
 
-/// Clients are not sent to a process that can't serve them; requests that arrive all the same
-/// wait.
+/// The platform must not send clients to a process that knows no upstream. Requests that arrive
+/// nevertheless are queued.
 #[test]
 fn process_without_known_endpoints_is_ready_once_discovery_sends_some() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -103,7 +103,7 @@
     }
 }
 
-/// A slow discovery may response it last.
+/// A slow discovery may send the list on the first watch after further ones have been opened.
 #[test]
 fn first_watch_stays_open_while_further_ones_are_opened() {
     let (upstream, discovery) = (
@@ -115,15 +115,13 @@
         "127.0.0.1:0",
     );
     let mut watches: Vec<_> = (0..6).map(|_| discovery.next()).collect();
-    assert!(watches[0].is_open(), "it is waited for");
+    assert!(watches[0].is_open(), "the first watch was closed");
     watches[0].line(&list(
         6,
         true,
         &[endpoint("u0", upstream.address, "in_service")],
     ));
-    wait_until("the list has been received", || {
-        health_status(&program) == 200
-    });
+    wait_until("the list is received", || health_status(&program) == 200);
     assert_eq!(
         program
             .client()
@@ -161,7 +159,7 @@
         assert_eq!(
             start(&folder, &address).admin_call("GET /healthcheck").0,
             200,
-            "{text}"
+            "state file {text:?}"
         );
     }
     std::fs::remove_file(&state).unwrap();
@@ -171,14 +169,14 @@
         200
     );
     std::fs::remove_dir_all(&folder).unwrap();
-    // Now the folder is missing.
+    // The folder does not exist any more.
     assert_eq!(
         start(&folder, &address).admin_call("GET /healthcheck").0,
         200
     );
 }
 
-/// Otherwise nobody would listen.
+/// If the successor waited until it is ready, no process would listen after its predecessor's end.
 #[test]
 fn unready_successor_accepts_clients_once_its_predecessor_is_gone() {
     let (upstream, silent, down) = (
@@ -202,7 +200,7 @@
     let mut log = BufReader::new(successor.stderr.take().unwrap()).lines();
     assert!(
         log.any(|line| line.unwrap().contains("peer process found")),
-        "they have met"
+        "the successor did not find its predecessor"
     );
     predecessor.kill();
     let (sender, listening) = channel();
@@ -226,7 +224,10 @@
     }
     successor.kill().unwrap();
     successor.wait().unwrap();
-    assert!(log.is_ok() && client.is_ok(), "a process listens");
+    assert!(
+        log.is_ok() && client.is_ok(),
+        "no process listens after the kill of the predecessor"
+    );
     std::fs::remove_dir_all(folder).unwrap();
 }
 
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,5 +1,5 @@
-//! Retries through the real program: until when they may be written, and the remaining time that
-//! they declare.
+//! Retries: until when they may be written to an upstream, and the remaining time that attempts
+//! declare in `Request-Timeout`.
 
 mod support;
 use std::thread::sleep;
@@ -8,8 +8,8 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\nIdempotency-Key: k\r\n";
 
-/// A retry that is decided within the deduplication window isn't written after it, even if its
-/// connection is established late: the upstream would take it for a new request.
+/// A retry that is decided within the deduplication window must not be written after the window,
+/// even if its connection is established late: the upstream would treat it as a new request.
 #[test]
 fn a_retry_is_not_written_after_the_deduplication_window() {
     for (scope, status) in [("all", 503), ("zone", 502), ("cell", 502)] {
@@ -35,7 +35,10 @@
             &[endpoint("u1", blocked_port.address, "in_service")],
         ));
         while program.metric("upstreams_known") < 2 {
-            assert!(started.elapsed() < TEST_TIMEOUT, "it is listed");
+            assert!(
+                started.elapsed() < TEST_TIMEOUT,
+                "u1 is not known after {TEST_TIMEOUT:?}"
+            );
         }
         first.set_response(StubResponse::Status(500));
         first.release();
@@ -50,7 +53,7 @@
     }
 }
 
-/// The remaining time in seconds that the next request at this upstream declares.
+/// Returns the remaining time in seconds that the next request to `upstream` declares.
 fn next_remaining_time(upstream: &StubUpstream) -> f64 {
     upstream
         .next()
@@ -60,8 +63,8 @@
         .unwrap()
 }
 
-/// An attempt declares the time that its client has left, without what an earlier attempt, the
-/// queue, or an earlier request on the same connection has taken.
+/// The remaining time that an attempt declares excludes the time spent on an earlier attempt, in
+/// the queue, or behind an earlier request on the same connection.
 #[test]
 fn attempt_declares_at_most_the_remaining_time_of_its_client() {
     let half_a_second = Duration::from_millis(500);
@@ -79,7 +82,10 @@
     sleep(half_a_second);
     // The rejected requests are retried at the other upstream, and the queued ones follow them.
     let early = one.seen.try_iter().count() + two.seen.try_iter().count();
-    assert!((2..12).contains(&early), "some are queued");
+    assert!(
+        (2..12).contains(&early),
+        "{early} of 12 requests were sent, some should be queued"
+    );
     one.set_response(StubResponse::Rejected);
     two.set_response(StubResponse::Ok);
     one.release();
@@ -87,9 +93,13 @@
     for client in &mut clients {
         assert!(client.receive().unwrap().is_some());
     }
-    // All that were queued, and most of those that the first upstream rejected.
+    // These are all queued requests, and most of those that the first upstream rejected.
     let late: Vec<_> = one.seen.try_iter().chain(two.seen.try_iter()).collect();
-    assert!(late.len() > 12 - early, "{}", late.len());
+    assert!(
+        late.len() > 12 - early,
+        "{} attempts after the release",
+        late.len()
+    );
     for request in late {
         assert!(
             request
@@ -102,7 +112,7 @@
     }
 }
 
-/// The time of pipelined requests counts from their arrival, while they wait for the first one.
+/// Pipelined requests use up their time while they wait for the first one.
 #[test]
 fn timeout_of_a_pipelined_request_starts_at_its_arrival() {
     let upstream = StubUpstream::start(StubResponse::Hold);
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,9 +1,10 @@
-//! A process from its start to SIGKILL, drawn from a seed: clients use their connections for as
-//! long as these stay open, signals come in series, upstreams fail, in some runs there are many
-//! idle clients, and in some runs system calls fail. SIGKILL comes at the earliest moment that the
-//! protocol allows.
+//! Soak test: runs the program from its start to SIGKILL, with load and faults drawn from a seed.
 //!
-//! A few seeds run by default. `SOAK_SEEDS=FIRST..END` names others.
+//! Clients reuse their connections while these stay open, upstreams fail, and SIGHUP and SIGTERM
+//! are sent repeatedly. In some runs there are many idle clients, and in some system calls fail.
+//! SIGKILL is sent at the earliest time that the protocol allows.
+//!
+//! A few seeds run by default. `SOAK_SEEDS=FIRST..END` selects others; END itself is not run.
 
 mod support;
 use rand::{Rng, SeedableRng};
@@ -19,35 +20,35 @@
 const DEFAULT_SEEDS: Range<u64> = 1..9;
 /// The longest deadline of the classes.
 const DEADLINE_SECONDS: f64 = 0.5;
-/// The time from SIGTERM to SIGKILL.
+/// The time from the first SIGTERM to SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(1200);
-/// How long after SIGTERM new connections may come by the protocol.
+/// How long after SIGTERM clients may open new connections by the protocol.
 const NEW_CONNECTION_PERIOD: Duration = Duration::from_millis(400);
-/// How late a final response may be.
+/// How long after its deadline a request may get its final response.
 const LATE_TOLERANCE: Duration = Duration::from_millis(500);
-/// How much longer it may take on a busy machine.
+/// The additional delay that is allowed on a busy machine.
 const BUSY_TOLERANCE: Duration = Duration::from_millis(1000);
 const CLIENTS: u64 = 8;
-/// The idle clients of a crowded run, more than there is capacity for.
+/// The number of idle clients in a crowded run, which exceeds the program's capacity.
 const IDLE_CLIENTS: usize = 150;
 
 /// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Outcome {
-    /// A response with this status.
+    /// A response with this status was received.
     Responded(u16),
-    /// A new connection ended without a response.
+    /// A new connection was closed without a response.
     Closed,
-    /// Its connection was closed between two requests, and no process listens to which it could be
+    /// The reused connection was closed, and no process was listening when the request was to be
     /// sent again.
     Undeliverable,
-    /// Its client disconnected.
+    /// The client disconnected before the response.
     Abandoned,
 }
 
-/// A request that was sent.
+/// A request that was sent, with its outcome.
 struct RequestRecord {
-    /// Unique.
+    /// Identifies the request at the upstreams.
     path: String,
     outcome: Outcome,
     sent: Instant,
@@ -63,7 +64,7 @@
     std::env::var("SOAK_SEEDS").map_or(DEFAULT_SEEDS, parse)
 }
 
-/// A client that sends one request after the other, on one connection for as long as it stays
+/// A client that sends one request after the other and keeps its connection while this stays
 /// open.
 struct SoakClient {
     address: SocketAddr,
@@ -72,7 +73,7 @@
 }
 
 impl SoakClient {
-    /// Sends a request; `None` if no process listens.
+    /// Sends a request. Returns `None` if no process is listening.
     fn request(&mut self, path: &str) -> Option<Outcome> {
         let is_new_connection = self.open_connection.is_none();
         let client = self
@@ -88,15 +89,15 @@
         if outcome != Outcome::Closed || is_new_connection {
             return Some(outcome);
         }
-        // The connection was idle, and its close crossed the request, which is sent again
-        // unchanged.
+        // The idle connection was closed while the request was being sent, so the request is sent
+        // again unchanged.
         let new_connection = Client::connect(self.address).ok();
         Some(new_connection.map_or(Outcome::Undeliverable, |client| {
             self.request_on(client, path, &headers)
         }))
     }
 
-    /// Sends a request on this connection, and caches the connection if it stays open.
+    /// Sends a request on the connection of `client` and keeps the connection if it stays open.
     fn request_on(&mut self, mut client: Client, path: &str, headers: &str) -> Outcome {
         let sent = client.send(
             path,
@@ -119,7 +120,7 @@
         Outcome::Responded(response.status())
     }
 
-    /// Sends requests until `stop` is set.
+    /// Sends requests until `stop` is set, and returns them.
     fn send_until(mut self, stop: &AtomicBool, name: &str) -> Vec<RequestRecord> {
         let mut requests = Vec::new();
         while !stop.load(Ordering::SeqCst) {
@@ -141,8 +142,8 @@
     }
 }
 
-/// Makes upstreams fail and sends signals to the program, up to SIGKILL. Returns when the first
-/// SIGTERM was sent.
+/// Makes upstreams fail and sends signals to the program, the last of which is SIGKILL. Returns the
+/// time of the first SIGTERM.
 fn inject_disruptions(
     rng: &mut Pcg64Mcg,
     program: &mut Program,
@@ -184,7 +185,8 @@
     sigterm_time
 }
 
-/// Draws the faults of system calls while the program runs, and the offset of its wall clock.
+/// Draws the system call faults of a run and the offset of its wall clock, as values of the
+/// variables `FAULTS` and `FAULTS_WALL`.
 fn draw_faults(rng: &mut Pcg64Mcg) -> (String, &'static str) {
     const CALLS: [(&str, &[u32]); 11] = [
         ("accept4", &[4, 24, 103, 105]),
@@ -201,7 +203,7 @@
     ];
     let first = rng.random_range(0..CALLS.len());
     let mut fault = |number: usize| {
-        // Different calls, each of which fails only now and then.
+        // Each fault is in a different call, and only some invocations of the call fail.
         let (call, errors) = CALLS[(first + 2 * number) % CALLS.len()];
         let error = errors[rng.random_range(0..errors.len())];
         format!(
@@ -217,20 +219,20 @@
     )
 }
 
-/// What a run starts from: the upstreams, two discovery services, and what is drawn from the seed.
+/// The environment of a run: upstreams, two discovery services and parameters drawn from the seed.
 struct Scenario {
     seed: u64,
     rng: Pcg64Mcg,
-    /// Idle clients fill the descriptors.
+    /// Whether idle clients use up the program's descriptors.
     is_crowded: bool,
     upstreams: Vec<StubUpstream>,
     /// Keeps the discovery services of `configs` running.
     _discoveries: [StubDiscovery; 2],
     /// A configuration for each discovery service.
     configs: Vec<String>,
-    /// The faults of system calls.
+    /// The injected system call faults, as the value of the variable `FAULTS`.
     faults: String,
-    /// How far the wall clock is ahead, in seconds.
+    /// How far the program's wall clock is ahead, in seconds.
     wall_clock_offset: &'static str,
 }
 
@@ -277,8 +279,8 @@
         Program::start_with(&variables, &self.configs[0], "127.0.0.1:0")
     }
 
-    /// Runs the program and its clients to SIGKILL. Returns the requests, and when SIGTERM was
-    /// sent first.
+    /// Runs the program and its clients until SIGKILL. Returns the requests and the time of the
+    /// first SIGTERM.
     fn run(&mut self) -> (Vec<RequestRecord>, Instant) {
         let mut program = self.start_program();
         let (address, seed) = (program.address, self.seed);
@@ -308,7 +310,7 @@
         })
     }
 
-    /// How many times each path has reached an upstream that did not reject it.
+    /// Returns how often the request of each path reached an upstream that did not reject it.
     fn runs_by_path(&self) -> BTreeMap<String, usize> {
         let mut runs = BTreeMap::<String, usize>::new();
         let seen = self
@@ -349,7 +351,7 @@
     }
 }
 
-/// The rule that a request breaks, if any.
+/// Returns the rule that a request violates, if any.
 fn violated_rule(
     request: &RequestRecord,
     runs: usize,
@@ -365,25 +367,25 @@
             Some("rejected though it may have run")
         }
         Outcome::Responded(400..=499) => Some("rejected as invalid"),
-        Outcome::Responded(_) if duration > latest => Some("late"),
-        Outcome::Closed | Outcome::Undeliverable if runs > 0 => Some("lost"),
-        // New connections may be closed unread where idle clients fill the descriptors, and come
-        // no later than 0.4 s after SIGTERM where the platform sends them.
+        Outcome::Responded(_) if duration > latest => Some("response too late"),
+        Outcome::Closed | Outcome::Undeliverable if runs > 0 => Some("run without a response"),
+        // A new connection may be closed unread while idle clients use up the descriptors. The
+        // platform opens none later than 0.4 s after SIGTERM.
         Outcome::Closed if !is_crowded && sent_after_sigterm < NEW_CONNECTION_PERIOD => {
-            Some("closed on a new connection")
+            Some("new connection closed without a response")
         }
-        // A connection may be closed, but must not be left open until SIGKILL.
+        // A connection that may be closed unread must still be closed before SIGKILL.
         Outcome::Closed
             if sent_after_sigterm < NEW_CONNECTION_PERIOD
                 && sent_after_sigterm + duration >= KILL_DELAY =>
         {
-            Some("left open until SIGKILL")
+            Some("connection left open until SIGKILL")
         }
         _ => None,
     }
 }
 
-/// Runs this seed and returns the violated rules.
+/// Runs the scenario of `seed` and returns descriptions of the violations.
 fn run_seed(seed: u64) -> Vec<String> {
     let mut scenario = Scenario::new(seed);
     let (requests, sigterm_time) = scenario.run();
--- a/tests/state_file.rs
+++ b/tests/state_file.rs
@@ -1,4 +1,4 @@
-//! The state file: what other versions have written is read, and what is malformed is ignored.
+//! The state file: files from other versions are read, and malformed files are ignored.
 
 mod support;
 use load_balancer::LearnedState;
@@ -9,11 +9,11 @@
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 /// A state file that version 47c951f wrote: `u0` and `u1` were listed and had served requests,
-/// and operators had taken `u0` out of service.
+/// and operators had put `u0` into maintenance.
 const STATE_OF_47C951F: &str = include_str!("data/state-47c951f.json");
 
-/// The paths of all fields of a JSON value. List elements and entries keyed by a number count as
-/// one, `*`.
+/// Returns the paths of all fields of a JSON value. In them, `*` stands for each list element and
+/// for each key that is a number.
 fn field_paths(value: &serde_json::Value) -> BTreeSet<String> {
     fn collect(path: &str, value: &serde_json::Value, paths: &mut BTreeSet<String>) {
         paths.insert(path.to_string());
@@ -33,8 +33,9 @@
     paths
 }
 
-/// Stored fields were renamed in between; the older version also reads the maintenance set by
-/// this one.
+/// Stored fields were renamed after older versions had written them. Both names are read and the
+/// older names are written, so that an older version can read a file of this version, and with it
+/// the maintenance.
 #[test]
 fn state_file_is_compatible_with_older_field_names() {
     let learned = r#"{"width":1.0,"pace":1.5,"answers":3.0,"health":[
@@ -50,7 +51,7 @@
     assert_eq!(
         serde_json::to_value(read(&old)).unwrap(),
         json(&old),
-        "the older version finds all that it wrote"
+        "the older version does not find all fields that it wrote"
     );
     let renamed_fields = [
         ("strikes", "failures"),
@@ -76,7 +77,7 @@
     );
 }
 
-/// The maintenance and the learned state that the version in service has written hold in this one.
+/// Maintenance and learned state that the version in service has written are restored.
 #[test]
 fn a_state_file_of_the_version_in_service_is_read() {
     let recorded: serde_json::Value = serde_json::from_str(STATE_OF_47C951F).unwrap();
@@ -97,7 +98,7 @@
     );
 }
 
-/// The version in service finds every field in a state file of this one, and no others.
+/// The version in service finds all its fields in a state file of this version, and no others.
 #[test]
 fn a_state_file_has_the_fields_of_the_version_in_service() {
     let fixture = UpgradeFixture::new();
@@ -138,7 +139,7 @@
     }
 }
 
-/// An upgrade would undo it.
+/// An upgrade would undo a maintenance that is missing in the state file.
 #[test]
 fn maintenance_that_cannot_be_stored_is_answered_with_an_error() {
     let fixture = UpgradeFixture::new();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Upgrades: a successor of the real program beside its predecessor.
+//! Upgrades: a successor is started beside its predecessor and takes over its clients.
 
 mod support;
 use std::io::{BufRead, BufReader};
@@ -12,7 +12,7 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-/// Clients that open a connection for each request never find a closed listener.
+/// Clients that open a connection for each request must find a listening process at all times.
 #[test]
 fn all_clients_are_served_during_an_upgrade() {
     let fixture = UpgradeFixture::new();
@@ -27,7 +27,7 @@
             let (stop, served) = (stop.clone(), served.clone());
             thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
-                    let mut client = Client::connect(address).expect("a process listens");
+                    let mut client = Client::connect(address).expect("no process is listening");
                     assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
                     served.fetch_add(1, Ordering::SeqCst);
                 }
@@ -39,7 +39,7 @@
         while served.load(Ordering::SeqCst) < goal {
             assert!(
                 !clients.iter().any(thread::JoinHandle::is_finished),
-                "a client was rejected"
+                "a client stopped after a failed request"
             );
             thread::sleep(Duration::from_millis(1));
         }
@@ -55,11 +55,13 @@
     wait_for_responses(20);
     stop.store(true, Ordering::SeqCst);
     for client in clients {
-        client.join().expect("no client was rejected");
+        client
+            .join()
+            .expect("a client stopped after a failed request");
     }
 }
 
-/// New connections go to the successor from then on.
+/// Once the predecessor has stopped listening, all new connections go to the successor.
 #[test]
 fn predecessor_stops_listening_and_completes_its_requests() {
     let fixture = UpgradeFixture::new();
@@ -77,7 +79,7 @@
     let successor = fixture.start(&predecessor.address.to_string());
     fixture.upstream.set_response(StubResponse::Ok);
     predecessor.terminate();
-    // The response is sent before the process ends.
+    // The predecessor sends the response before it exits.
     assert_eq!(waiting.receive().unwrap().unwrap().status(), 502);
     assert!(predecessor.wait().success());
     for _ in 0..10 {
@@ -111,7 +113,7 @@
     assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
     wait_for_excluded_on_both(1);
     drop(predecessor);
-    // The successor of the successor restores it too.
+    // A further successor restores the maintenance too.
     let newest = fixture.start(&successor.address.to_string());
     assert_eq!(newest.metric("upstreams_excluded"), 1);
 }
@@ -139,7 +141,10 @@
                 200
             );
         }
-        assert!(!successor.is_finished(), "it listens without an upstream");
+        assert!(
+            !successor.is_finished(),
+            "the successor is listening for clients without a known upstream"
+        );
         watch.line(&list(
             6,
             true,
@@ -164,12 +169,13 @@
     let open_descriptors_of_both = predecessor.open_descriptors() + successor.open_descriptors();
     assert!(
         open_descriptors_of_both <= 256,
-        "{open_descriptors_of_both}"
+        "{open_descriptors_of_both} descriptors are open, the limit is 256"
     );
     drop((idle, later_clients));
 }
 
-/// The predecessor's changes are in the file before the successor has heard from it.
+/// While the predecessor is suspended, the successor knows the predecessor's maintenance only from
+/// the state file, and must keep it when it gets a maintenance request itself.
 #[test]
 fn early_maintenance_on_a_successor_keeps_that_of_the_predecessor() {
     let fixture = UpgradeFixture::new();
@@ -204,7 +210,7 @@
     );
     predecessor.resume();
     assert!(log.any(|line| line.contains("listening for clients: ")));
-    wait_until("the predecessor has both in maintenance", || {
+    wait_until("the predecessor has both upstreams in maintenance", || {
         predecessor.metric("upstreams_excluded") == 2
     });
     let mut admin_client = Client::connect(admin).unwrap();
@@ -214,7 +220,7 @@
         String::from_utf8(metrics)
             .unwrap()
             .contains("upstreams_excluded:2|"),
-        "so has the successor"
+        "the successor does not have both upstreams in maintenance"
     );
     successor.kill().unwrap();
     successor.wait().unwrap();
@@ -226,13 +232,13 @@
     let predecessor = fixture.start("127.0.0.1:0");
     let mut client = predecessor.client();
     assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
-    // It knows no upstream, and discovery sends nothing.
+    // The successor knows no upstream and discovery sends nothing, so it is not ready.
     let empty = config(&list(5, true, &[]), fixture.discovery.address, 256);
     let mut successor = spawn_in(&fixture.folder, &empty, &predecessor.address.to_string());
     let mut log = BufReader::new(successor.stderr.take().unwrap()).lines();
     assert!(
         log.any(|line| line.unwrap().contains("peer process found")),
-        "they have met"
+        "the successor did not find its predecessor"
     );
     assert!(Command::new("kill")
         .args(["-TERM", &successor.id().to_string()])
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -34,7 +34,7 @@
             .unwrap()
             .parse()
             .unwrap();
-        assert!(timeout > 0.0 && timeout < 5.5, "{timeout}");
+        assert!(timeout > 0.0 && timeout < 5.5, "Request-Timeout: {timeout}");
     }
     assert_eq!(upstream.connections.load(Ordering::SeqCst), 1);
 }
@@ -52,7 +52,7 @@
     assert_eq!(upstream.seen.try_iter().count(), 5);
 }
 
-/// Bytes behind a response must not be read as the response to the next request.
+/// Bytes behind a response belong to no request: a client that got them would get a wrong response.
 #[test]
 fn bytes_behind_a_response_are_not_read_as_the_next_response() {
     let response = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
@@ -66,13 +66,13 @@
         upstream
             .closed
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the connection is closed");
+            .expect("the connection to the upstream is still open");
     }
     assert_eq!(upstream.seen.try_iter().count(), 5);
 }
 
-/// The limit is the idle time of the settings, also if the process was suspended as it ran out and
-/// the upstream has not closed the connection yet.
+/// The idle timeout of the settings holds even if the process is suspended when it expires and the
+/// upstream has not closed the connection yet.
 #[test]
 fn a_connection_that_was_idle_for_too_long_is_not_reused() {
     let (upstream, discovery) = (
