--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: a recorded exchange, and malformed input.
+//! The simulator adapter as a process: a recorded exchange, and malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -15,7 +15,8 @@
     child.wait_with_output().unwrap()
 }
 
-const BORN: &str = "SYNC\ttime=5\tseq=1
+/// The first batch: starts balancer 3 with an endpoint list of two upstreams.
+const FIRST_BATCH: &str = "SYNC\ttime=5\tseq=1
 SWITCH_TO\ti=3
 BORN\tsalt=42\tclasses.count=1\tclasses.0.aim=1.0\tclasses.0.hardLimit=2.0\t\
     classes.0.effect=read_like\tclasses.0.news=x\tdiscovery=push\tlimits.attemptsCap=2\tme=0\t\
@@ -28,9 +29,9 @@
 ";
 
 #[test]
-fn an_exchange_has_the_recorded_replies() {
+fn replies_match_a_recorded_exchange() {
     let input = format!(
-        "{BORN}SYNC\ttime=5.5\tseq=2\nSWITCH_TO\ti=3\n\
+        "{FIRST_BATCH}SYNC\ttime=5.5\tseq=2\nSWITCH_TO\ti=3\n\
             ARRIVAL\trid=77\tremaining=1.5\tcls=0\tcolour=red\nEND\n\
          SYNC\ttime=5.6\tseq=3\nSWITCH_TO\ti=3\n\
              COMPLETED\trid=77\toutcome=F\tupstream=10.0.0.1:80\tcostTime=0.1\ttry=0\nEND\n\
@@ -46,21 +47,22 @@
     assert!(output.status.success() && output.stderr.is_empty());
 }
 
-/// A batch with these lines, which may lack its end.
+/// Returns a batch that consists of its first line and `lines`. It is incomplete unless `lines`
+/// has the `END`.
 fn batch(lines: &str) -> String {
     format!("SYNC\ttime=1\tseq=1\n{lines}")
 }
 
-/// A batch with these lines for one balancer.
+/// Returns a batch with `lines` for balancer 1.
 fn batch_to_balancer(lines: &str) -> String {
     batch(&format!("SWITCH_TO\ti=1\n{lines}"))
 }
 
-/// Inputs that end the adapter, each with the line and the field that are at fault.
+/// Returns inputs on which the adapter fails, each with the line and the field at fault.
 fn malformed_inputs() -> Vec<(String, &'static str, &'static str)> {
     let second_batch = |line: &str| {
         let start = "SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\n";
-        format!("{BORN}{start}{line}\nEND\n")
+        format!("{FIRST_BATCH}{start}{line}\nEND\n")
     };
     let list = |lines: &str| batch(&format!("SHEET\tsetId=0\t{lines}"));
     vec![
@@ -109,25 +111,25 @@
             "{error} for {input}"
         );
         let replies = String::from_utf8(output.stdout).unwrap();
-        let expected = if input.starts_with(BORN) {
+        let expected = if input.starts_with(FIRST_BATCH) {
             "END\tseq=1\n"
         } else {
             ""
         };
-        assert_eq!(replies, expected, "no partial reply");
+        assert_eq!(replies, expected, "replies to {input}");
     }
 }
 
 #[test]
-fn an_empty_input_is_a_success() {
+fn adapter_exits_successfully_on_empty_input() {
     let output = run("");
     assert!(output.status.success() && output.stdout.is_empty() && output.stderr.is_empty());
 }
 
 #[test]
-fn idle_connections_are_closed_on_the_wire() {
+fn closing_an_idle_connection_writes_let_go() {
     // Requests on connections idle for a second; two of them are reset.
-    let mut input = BORN.to_string();
+    let mut input = FIRST_BATCH.to_string();
     for (n, time) in [(1, 6.0), (2, 7.0), (3, 8.0), (4, 9.0), (5, 10.0)] {
         let outcome = if n == 2 || n == 4 { "R" } else { "S\tended=1" };
         input += &format!(
@@ -139,11 +141,12 @@
             s = 2 * n,
             t = 2 * n + 1,
             later = time + 0.1,
-            // Before any work could be done.
+            // The connection is reset before the upstream could do any work.
             took = if outcome == "R" { 0.001 } else { 0.1 },
         );
     }
-    // One more served request leaves an idle connection, and a second later it is no longer used.
+    // The last of them is served and leaves an idle connection. It is no longer used for the
+    // request that arrives a second later.
     let last = "SYNC\ttime=11\tseq=20\nSWITCH_TO\ti=3\nARRIVAL\trid=9\tremaining=1.5\tcls=0\nEND\n";
     let output = String::from_utf8(run(&(input + last)).stdout).unwrap();
     assert!(
@@ -153,10 +156,10 @@
 }
 
 #[test]
-fn results_of_polls_and_messages_of_peers_are_ignored() {
+fn checked_and_from_peer_lines_are_ignored() {
     let input = format!(
-        "{BORN}SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\nCHECKED\tupstream=10.0.0.1:80\toutcome=S\t\
-            costTime=0.001\n\
+        "{FIRST_BATCH}SYNC\ttime=6\tseq=2\nSWITCH_TO\ti=3\nCHECKED\tupstream=10.0.0.1:80\t\
+            outcome=S\tcostTime=0.001\n\
          FROM_PEER\tneighbour=2\tcontents=aGkgNw==\nEND\n"
     );
     assert_eq!(
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! Wall clocks that are stepped: the slow-start window is a span of real time.
+//! Stepped wall clocks: the slow-start window is a span of real time.
 
 mod support;
 use std::path::PathBuf;
@@ -7,9 +7,9 @@
 use support::*;
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
-const REQUESTS: usize = 200;
+const REQUEST_COUNT: usize = 200;
 
-/// Now, in Unix milliseconds.
+/// Returns the current Unix time in milliseconds.
 fn unix_now_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -17,11 +17,11 @@
         .as_millis() as u64
 }
 
-/// Four upstreams, the last of which restarts, and a program whose wall clock may be wrong.
+/// Four upstreams, the last of which restarts, for programs whose wall clock may be wrong.
 struct SlowStartFixture {
     upstreams: Vec<StubUpstream>,
     discovery: StubDiscovery,
-    /// The slow-start window in seconds.
+    /// The length of the slow-start window in seconds.
     slow_start_seconds: f64,
     folder: PathBuf,
 }
@@ -39,14 +39,14 @@
         }
     }
 
-    /// The entry of the last upstream, with this start time.
+    /// Returns the endpoint list entry of the last upstream with the start time `since_ms`.
     fn last_endpoint(&self, since_ms: u64) -> String {
         let entry = endpoint("u3", self.upstreams[3].address, "in_service");
         entry.replace("\"since_ms\":0", &format!("\"since_ms\":{since_ms}"))
     }
 
-    /// Starts a program whose wall clock is this many seconds ahead, and which knows this start
-    /// time of the last upstream.
+    /// Starts a program whose wall clock is `ahead_seconds` ahead and whose known endpoint list has
+    /// the start time `since_ms` for the last upstream.
     fn start(&self, listen: &str, ahead_seconds: i64, since_ms: u64) -> (Program, StubWatch) {
         let mut entries: Vec<_> = (0..3)
             .map(|number| {
@@ -72,10 +72,10 @@
         (program, self.discovery.next())
     }
 
-    /// Sends the program the restart of the last upstream.
-    fn restart(&self, program: &Program, watch: &mut StubWatch, since_ms: u64) {
+    /// Reports a restart of the last upstream to the program.
+    fn report_restart(&self, program: &Program, watch: &mut StubWatch, since_ms: u64) {
         let other = endpoint("other", self.upstreams[0].address, "terminating");
-        // No change before it.
+        // No change precedes the restart.
         watch.line(&list(5, false, &[]));
         watch.line(&list(6, false, &[self.last_endpoint(since_ms), other]));
         wait_until("the restart has been received", || {
@@ -83,11 +83,11 @@
         });
     }
 
-    /// How many of `REQUESTS` requests the last upstream gets.
+    /// Sends `REQUEST_COUNT` requests and returns how many of them the last upstream gets.
     fn share(&self, program: &Program) -> usize {
         self.upstreams[3].seen.try_iter().count();
         let mut client = program.client();
-        for _ in 0..REQUESTS {
+        for _ in 0..REQUEST_COUNT {
             assert_eq!(client.request("/read", REQUEST_ID, "").status(), 200);
         }
         self.upstreams[3].seen.try_iter().count()
@@ -101,68 +101,70 @@
     }
 }
 
-/// An upstream that has just started gets its slow-start share. By a clock that is ahead its
-/// window would be over.
+/// An upstream that has just restarted gets only its slow-start share. Measured by a wall clock
+/// that is ahead, its slow-start window would be over already.
 #[test]
-fn a_restarted_upstream_is_in_slow_start_whatever_the_wall_clock_says() {
-    for ahead in [0, 100, 3600, -100, -3600] {
+fn restarted_upstream_is_in_slow_start_despite_a_wrong_wall_clock() {
+    for ahead_seconds in [0, 100, 3600, -100, -3600] {
         let fixture = SlowStartFixture::new(60.0);
-        let (program, mut watch) = fixture.start("127.0.0.1:0", ahead, 0);
-        fixture.restart(&program, &mut watch, unix_now_ms());
+        let (program, mut watch) = fixture.start("127.0.0.1:0", ahead_seconds, 0);
+        fixture.report_restart(&program, &mut watch, unix_now_ms());
         let share = fixture.share(&program);
         assert!(
-            share < REQUESTS / 10,
-            "{share} requests of {REQUESTS}, {ahead} s ahead"
+            share < REQUEST_COUNT / 10,
+            "{share} requests of {REQUEST_COUNT}, {ahead_seconds} s ahead"
         );
     }
 }
 
-/// By a clock that is behind the window would last until the clock has caught up.
+/// Measured by a wall clock that is behind, the slow-start window would last until the clock has
+/// caught up.
 #[test]
-fn slow_start_after_a_restart_ends_in_time_whatever_the_wall_clock_says() {
-    for ahead in [0, 3600, -100, -3600] {
+fn slow_start_after_a_restart_ends_in_time_despite_a_wrong_wall_clock() {
+    for ahead_seconds in [0, 3600, -100, -3600] {
         let fixture = SlowStartFixture::new(0.5);
-        let (program, mut watch) = fixture.start("127.0.0.1:0", ahead, 0);
-        fixture.restart(&program, &mut watch, unix_now_ms());
+        let (program, mut watch) = fixture.start("127.0.0.1:0", ahead_seconds, 0);
+        fixture.report_restart(&program, &mut watch, unix_now_ms());
         sleep(Duration::from_millis(700));
         let share = fixture.share(&program);
         assert!(
-            share > REQUESTS / 6,
-            "{share} requests of {REQUESTS}, {ahead} s ahead"
+            share > REQUEST_COUNT / 6,
+            "{share} requests of {REQUEST_COUNT}, {ahead_seconds} s ahead"
         );
     }
 }
 
-/// The same for an upstream that was known at the start.
+/// A wall clock that is behind must not prolong the slow start of an upstream that was in the
+/// endpoint list at the start of the process.
 #[test]
-fn slow_start_of_a_known_upstream_ends_in_time_though_the_wall_clock_is_behind() {
-    for ahead in [0, -100, -3600] {
+fn slow_start_of_a_known_upstream_ends_in_time_with_the_wall_clock_behind() {
+    for ahead_seconds in [0, -100, -3600] {
         let fixture = SlowStartFixture::new(0.5);
-        let (program, _watch) = fixture.start("127.0.0.1:0", ahead, unix_now_ms() - 1000);
+        let (program, _watch) = fixture.start("127.0.0.1:0", ahead_seconds, unix_now_ms() - 1000);
         sleep(Duration::from_millis(700));
         let share = fixture.share(&program);
         assert!(
-            share > REQUESTS / 6,
-            "{share} requests of {REQUESTS}, {ahead} s ahead"
+            share > REQUEST_COUNT / 6,
+            "{share} requests of {REQUEST_COUNT}, {ahead_seconds} s ahead"
         );
     }
 }
 
-/// The successor takes the start time from its predecessor, also where their wall clocks differ
-/// because one was stepped between the two starts.
+/// The successor takes the start time of the upstream from its predecessor, even if their wall
+/// clocks differ because the clock was stepped between the starts of the two processes.
 #[test]
-fn a_successor_continues_the_slow_start_that_its_predecessor_has_seen_begin() {
-    for ahead in [0, 100, 3600, -100, -3600] {
+fn slow_start_continues_across_an_upgrade() {
+    for ahead_seconds in [0, 100, 3600, -100, -3600] {
         let (fixture, since_ms) = (SlowStartFixture::new(60.0), unix_now_ms());
-        let (mut predecessor, mut watch) = fixture.start("127.0.0.1:0", ahead, 0);
-        fixture.restart(&predecessor, &mut watch, since_ms);
+        let (mut predecessor, mut watch) = fixture.start("127.0.0.1:0", ahead_seconds, 0);
+        fixture.report_restart(&predecessor, &mut watch, since_ms);
         let (successor, _watch) = fixture.start(&predecessor.address.to_string(), 0, since_ms);
         predecessor.terminate();
         assert!(predecessor.wait().success());
         let share = fixture.share(&successor);
         assert!(
-            share < REQUESTS / 10,
-            "{share} requests of {REQUESTS}, {ahead} s ahead"
+            share < REQUEST_COUNT / 10,
+            "{share} requests of {REQUEST_COUNT}, {ahead_seconds} s ahead"
         );
     }
 }
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown between SIGTERM and SIGKILL, and requests that cross a move of their
-//! upstream or the eviction of their connection.
+//! Graceful shutdown between SIGTERM and SIGKILL, and requests that race with a move of their
+//! upstream or with the eviction of their connection.
 
 mod support;
 use std::thread::sleep;
@@ -8,25 +8,25 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-fn await_drain(program: &Program) {
+fn wait_until_draining(program: &Program) {
     wait_until("the process is draining", || {
         program.admin_call("GET /healthcheck").0 == 503
     });
 }
 
-/// SIGTERM may be handled before requests that were sent earlier: on an idle connection, on one
-/// that is still in the accept queue, and a request of which only a part has been sent.
+/// SIGTERM may be handled before requests that were sent earlier: requests on an idle connection or
+/// on one that is still in the accept queue, and a request of which only a part has been sent.
 #[test]
 fn requests_sent_before_sigterm_was_handled_get_responses() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (mut program, _discovery) = Program::with_admin(&[upstream.address]);
-    let (mut idle, mut half) = (program.client(), program.client());
-    for client in [&mut idle, &mut half] {
+    let (mut idle, mut partial) = (program.client(), program.client());
+    for client in [&mut idle, &mut partial] {
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
     }
     program.suspend();
     idle.send("/pay", REQUEST_ID, "coins").unwrap();
-    half.write("POST /pay HTTP/1.1\r\nHost: b\r\nRequest-");
+    partial.write("POST /pay HTTP/1.1\r\nHost: b\r\nRequest-");
     let mut new_connections: Vec<_> = (0..6).map(|_| program.client()).collect();
     for client in &mut new_connections {
         client.send("/pay", REQUEST_ID, "coins").unwrap();
@@ -41,8 +41,8 @@
         );
         assert!(client.is_closed_by_peer());
     }
-    half.write("Id: e001\r\nContent-Length: 5\r\n\r\ncoins");
-    let response = half.receive().unwrap().expect("a response");
+    partial.write("Id: e001\r\nContent-Length: 5\r\n\r\ncoins");
+    let response = partial.receive().unwrap().expect("a response");
     assert_eq!(
         (response.status(), response.header("connection")),
         (200, Some("close"))
@@ -50,21 +50,20 @@
     assert!(program.wait().success());
 }
 
-/// A second signal must not cut the shutdown short.
 #[test]
-fn signals_during_the_shutdown_change_no_response() {
+fn further_signals_do_not_cut_the_shutdown_short() {
     let upstream = StubUpstream::start(StubResponse::Hold);
     let (mut program, discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
     client.send("/pay", REQUEST_ID, "coins").unwrap();
     upstream.next();
-    // SIGHUP and SIGTERM are both pending.
+    // SIGHUP and SIGTERM are both pending when the process resumes.
     program.suspend();
     let known = list(5, true, &[endpoint("u0", upstream.address, "in_service")]);
     program.reload(&config(&known, discovery.address, 256));
     program.terminate();
     program.resume();
-    await_drain(&program);
+    wait_until_draining(&program);
     program.terminate();
     program.reload("no configuration");
     assert_eq!(program.admin_call("GET /healthcheck").0, 503);
@@ -77,7 +76,6 @@
     assert!(program.wait().success());
 }
 
-/// Queued requests are not given up when the shutdown begins.
 #[test]
 fn queued_requests_get_responses_after_sigterm() {
     let upstream = StubUpstream::start(StubResponse::Hold);
@@ -88,10 +86,13 @@
     }
     let begun = Instant::now();
     while program.metric("in_flight") < 6 {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "all are taken");
+        assert!(
+            begun.elapsed() < TEST_TIMEOUT,
+            "not all 6 requests are in flight after {TEST_TIMEOUT:?}"
+        );
     }
     program.terminate();
-    await_drain(&program);
+    wait_until_draining(&program);
     upstream.release();
     for client in &mut clients {
         let response = client.receive().unwrap().expect("a response");
@@ -103,10 +104,10 @@
     assert!(program.wait().success());
 }
 
-/// An upstream that is listed again under its name at another address is a new one, and the old
-/// address is given up.
+/// An upstream that is listed again under its name with another address is a new upstream, so
+/// attempts that are still connecting to the old address are cancelled.
 #[test]
-fn a_connecting_attempt_does_not_wait_for_an_upstream_that_has_moved() {
+fn move_of_an_upstream_cancels_its_connecting_attempts() {
     let (old, new) = (unreachable_address(), StubUpstream::start(StubResponse::Ok));
     let discovery = StubDiscovery::start();
     let config = with_long_timeouts(&config_with_upstreams(&[old], discovery.address, 1024));
@@ -124,9 +125,9 @@
     assert_eq!(new.seen.try_iter().count(), 1);
 }
 
-/// A response is not cut off because its client is slow to take it when the shutdown begins.
+/// The shutdown must not cut off a response that its client reads slowly.
 #[test]
-fn a_response_that_is_half_read_at_sigterm_is_completed() {
+fn partly_read_response_is_completed_after_sigterm() {
     let size = 24 << 20;
     let text = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n{}",
@@ -138,7 +139,7 @@
     client.send("/pay", REQUEST_ID, "coins").unwrap();
     upstream.next();
     program.terminate();
-    await_drain(&program);
+    wait_until_draining(&program);
     assert_eq!(
         client.receive().unwrap().expect("a response").body.len(),
         size
@@ -149,14 +150,14 @@
 /// An idle connection may be chosen for eviction in the same event loop turn in which its next
 /// request arrives.
 #[test]
-fn a_request_that_crosses_the_eviction_of_its_connection_gets_a_response() {
+fn request_racing_with_eviction_of_its_connection_gets_a_response() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_descriptors(&[upstream.address], 64);
     let mut idle: Vec<_> = (0..20).map(|_| program.client()).collect();
     for client in &mut idle {
         assert_eq!(client.request("/read", REQUEST_ID, "").status(), 200);
     }
-    // Now they may be evicted.
+    // The connections have now been idle for long enough to be evicted.
     sleep(Duration::from_millis(2100));
     program.suspend();
     let new_connections: Vec<_> = (0..40).map(|_| program.client()).collect();
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn accepted_requests_get_responses_after_sigterm_and_the_process_succeeds() {
+fn process_answers_accepted_requests_after_sigterm_and_exits_successfully() {
     let upstream = StubUpstream::start(StubResponse::Never);
     let (mut program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let (mut busy, mut idle, mut fresh) = (program.client(), program.client(), program.client());
@@ -186,9 +187,10 @@
     program.terminate();
     assert!(
         idle.receive().unwrap().is_none(),
-        "the idle connection is closed"
+        "the idle connection received a message instead of its close"
     );
-    // A connection that was accepted before but not used yet gets a response to its first request.
+    // A connection that was accepted before SIGTERM but not used yet gets a response to its first
+    // request.
     assert_eq!(fresh.request("/healthz", "", "").status(), 503);
     assert!(fresh.receive().unwrap().is_none());
     // New connections are still accepted; each carries one request.
@@ -200,7 +202,7 @@
     let response = busy
         .receive()
         .unwrap()
-        .expect("an accepted request gets a response");
+        .expect("no response to an accepted request");
     assert_eq!(
         (response.status(), response.header("connection")),
         (502, Some("close"))
@@ -209,8 +211,8 @@
     assert!(program.wait().success());
 }
 
-/// SIGKILL may come 3.7 s after SIGTERM. Requests that arrive in between get a response by then,
-/// whatever their deadline.
+/// SIGKILL may be sent 3.7 s after SIGTERM. Requests that arrive in between must get a response
+/// before it, whatever their deadline.
 #[test]
 fn requests_that_arrive_after_sigterm_get_responses_before_sigkill() {
     let upstream = StubUpstream::start(StubResponse::Never);
@@ -219,12 +221,12 @@
         assert_eq!(program.client().request("/healthz", "", "").status(), 200);
         let begun = Instant::now();
         program.terminate();
-        let mut draining = false;
-        while let (false, Ok(mut health_check)) = (draining, Client::connect(program.address)) {
+        let mut is_draining = false;
+        while let (false, Ok(mut health_check)) = (is_draining, Client::connect(program.address)) {
             let health = health_check
                 .send("/healthz", "", "")
                 .and_then(|()| health_check.receive());
-            draining = health
+            is_draining = health
                 .ok()
                 .flatten()
                 .is_some_and(|health| health.status() == 503);
@@ -237,7 +239,7 @@
             &format!("{REQUEST_ID}Request-Timeout: 10.0\r\n"),
             "coins",
         );
-        // A run that was too slow for the times of the shutdown shows nothing, and is repeated.
+        // A run that took too long to send its request proves nothing and is repeated.
         if sent.is_ok() && begun.elapsed() < Duration::from_millis(400) {
             let timeout: f64 = upstream
                 .next()
@@ -245,12 +247,12 @@
                 .unwrap()
                 .parse()
                 .unwrap();
-            assert!(timeout < 3.7, "{timeout}");
+            assert!(timeout < 3.7, "Request-Timeout: {timeout}");
             assert_eq!(
                 client
                     .receive()
                     .unwrap()
-                    .expect("a response before SIGKILL")
+                    .expect("no response before SIGKILL")
                     .status(),
                 502
             );
--- a/tests/handover_failures.rs
+++ b/tests/handover_failures.rs
@@ -5,10 +5,10 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-/// The folder takes no writes for a while.
+/// Writes to the folder of the state file fail temporarily.
 #[test]
 fn a_failed_write_of_the_state_file_is_retried() {
-    // ENOSPC, EIO; 8 is more than are made before the response.
+    // ENOSPC and EIO. More calls fail (8) than are made before the response.
     for faults in ["write:28:1:1:8", "rename:5:1:1:8"] {
         let fixture = UpgradeFixture::new();
         let variables = [
@@ -31,11 +31,12 @@
     }
 }
 
-/// The folder is full for a while.
+/// The folder of the socket is full temporarily.
 #[test]
 fn a_failed_creation_of_the_handover_socket_is_retried() {
     let fixture = UpgradeFixture::new();
-    // The third bind of a process is that of the handover socket, after its two listeners.
+    // The first two binds of a process are those of its listeners, the third is that of the
+    // handover socket.
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", "bind:28:3:1:2"),
@@ -62,10 +63,10 @@
     assert!(predecessor.open_descriptors() + successor.open_descriptors() <= 256);
 }
 
-/// Otherwise it would take itself for the only process and miss the maintenance: EIO, EAGAIN,
-/// ENOMEM, ENFILE.
+/// A successor that does not find its predecessor would act as the only process and miss the
+/// maintenance. The calls fail with EIO, ENFILE, EAGAIN or ENOMEM.
 #[test]
-fn a_successor_finds_its_predecessor_though_its_calls_fail_for_a_moment() {
+fn successor_finds_its_predecessor_despite_transient_call_failures() {
     for faults in [
         "open:5:2:1:3",
         "open:23:2:1:3",
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn changes_arrive_at_the_peer_though_calls_are_interrupted_or_lack_memory() {
+fn changes_reach_the_peer_despite_failing_recv_and_send() {
     for (call, error) in ["recv", "send"]
         .iter()
         .flat_map(|call| [4, 105, 12].map(|error| (*call, error)))
@@ -129,10 +130,11 @@
     }
 }
 
-/// A successor may be started as soon as that line is logged. The third bind, that of the
-/// handover socket, takes half a second.
+/// A successor may be started as soon as its predecessor logs that it is listening. The third bind
+/// of the predecessor, that of the handover socket, takes half a second, so a successor would miss
+/// a handover socket that is created only after the log line.
 #[test]
-fn a_process_that_reports_that_it_listens_already_awaits_a_successor() {
+fn successor_can_connect_as_soon_as_listening_is_logged() {
     let fixture = UpgradeFixture::new();
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
@@ -146,9 +148,9 @@
     });
 }
 
-/// The predecessor can't register the connection (ENOMEM).
+/// The predecessor closes the first connection because it cannot register it (ENOMEM).
 #[test]
-fn a_successor_connects_again_if_the_first_connection_ends_at_once() {
+fn successor_reconnects_if_its_first_connection_ends_at_once() {
     let fixture = UpgradeFixture::new();
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
@@ -169,29 +171,29 @@
 }
 
 #[test]
-fn a_kill_during_a_write_of_the_state_file_leaves_the_previous_state() {
+fn kill_during_a_state_file_write_keeps_the_previous_state() {
     let fixture = UpgradeFixture::new();
     // The first rename is that of the handover socket, the second that of the first state file;
-    // the third takes a minute.
+    // the third takes a minute, so that the kill interrupts it.
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", "rename:-60000:3:1:1"),
     ];
     let mut predecessor = fixture.start_with(&variables, "127.0.0.1:0");
-    let (address, state) = (predecessor.address, fixture.state_file(predecessor.address));
+    let (address, state_file) = (predecessor.address, fixture.state_file(predecessor.address));
     assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
-    let before = std::fs::read(&state).unwrap();
+    let previous_state = std::fs::read(&state_file).unwrap();
     let mut admin_client = predecessor.connect_admin();
     admin_client.write("POST /upstreams/u0/ready HTTP/1.1\r\nHost: console\r\n\r\n");
     wait_until("the new state is written", || {
-        state.with_extension("new").exists()
+        state_file.with_extension("new").exists()
     });
     predecessor.kill();
-    assert_eq!(std::fs::read(&state).unwrap(), before);
+    assert_eq!(std::fs::read(&state_file).unwrap(), previous_state);
     let successor = fixture.start(&address.to_string());
     assert_eq!(
         successor.metric("upstreams_excluded"),
         1,
-        "its return was never confirmed"
+        "u0 is in service though its return was never confirmed"
     );
 }
--- a/tests/invalid_requests.rs
+++ b/tests/invalid_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that are rejected before anything is forwarded: malformed ones, and those under a name
-//! in use.
+//! Requests that are rejected before anything is forwarded: malformed requests, and requests whose
+//! id is in use.
 
 mod support;
 use support::*;
@@ -43,7 +43,8 @@
     assert!(upstream.seen.try_recv().is_err());
 }
 
-/// Invalid requests, each with the status of its rejection. A complete request follows them.
+/// Invalid requests, each with the status of its rejection. The test appends a valid request to
+/// each of them.
 const INVALID_REQUESTS: [(u16, &str); 12] = [
     (
         400,
@@ -90,16 +91,16 @@
     (400, "\0\0nonsense\r\n\r\n"),
 ];
 
-/// After a rejected request the remaining bytes cannot be framed, and one that is hidden in its
-/// body must not be served: the connection ends after a 4xx.
+/// The bytes behind a rejected request cannot be framed, and a request that is hidden in its body
+/// must not be served, so the connection is closed after a 4xx.
 #[test]
 fn a_rejected_request_ends_its_connection() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let hidden = "POST /pay HTTP/1.1\r\nRequest-Id: ff03\r\nContent-Length: 1\r\n\r\nx";
-    let endless_head = format!("POST /pay HTTP/1.1\r\nNews: {}", "x".repeat(60_000));
+    let oversized_head = format!("POST /pay HTTP/1.1\r\nNews: {}", "x".repeat(60_000));
     let cases = INVALID_REQUESTS.map(|(status, start)| (status, format!("{start}{hidden}")));
-    for (status, text) in cases.into_iter().chain([(431, endless_head)]) {
+    for (status, text) in cases.into_iter().chain([(431, oversized_head)]) {
         let mut client = program.client();
         client.write(&text);
         assert_eq!(
@@ -112,7 +113,7 @@
     assert!(upstream.seen.try_recv().is_err());
 }
 
-/// A second request under the same id would run beside the first.
+/// A second request with the same id would run at the same time as the first.
 #[test]
 fn a_request_whose_id_is_in_flight_is_rejected() {
     let upstream = StubUpstream::start(StubResponse::Never);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Upgrades: a successor of the real program beside its predecessor.
+//! Upgrades: a successor is started beside its predecessor and takes over its clients.
 
 mod support;
 use std::io::{BufRead, BufReader};
@@ -12,7 +12,7 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-/// Clients that open a connection for each request never find a closed listener.
+/// Clients that open a connection for each request must find a listening process at all times.
 #[test]
 fn all_clients_are_served_during_an_upgrade() {
     let fixture = UpgradeFixture::new();
@@ -27,41 +27,43 @@
             let (stop, served) = (stop.clone(), served.clone());
             thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
-                    let mut client = Client::connect(address).expect("a process listens");
+                    let mut client = Client::connect(address).expect("no process is listening");
                     assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
                     served.fetch_add(1, Ordering::SeqCst);
                 }
             })
         })
         .collect();
-    let more = |count: u64| {
+    let wait_for_responses = |count: u64| {
         let goal = served.load(Ordering::SeqCst) + count;
         while served.load(Ordering::SeqCst) < goal {
             assert!(
                 !clients.iter().any(thread::JoinHandle::is_finished),
-                "a client was rejected"
+                "a client stopped after a failed request"
             );
             thread::sleep(Duration::from_millis(1));
         }
     };
-    more(20);
+    wait_for_responses(20);
     let successor = fixture.start(&address.to_string());
     assert_eq!(successor.address, address);
     assert_eq!(successor.admin_call("GET /healthcheck").0, 200);
-    more(20);
+    wait_for_responses(20);
     predecessor.terminate();
-    more(20);
+    wait_for_responses(20);
     assert!(predecessor.wait().success());
-    more(20);
+    wait_for_responses(20);
     stop.store(true, Ordering::SeqCst);
     for client in clients {
-        client.join().expect("no client was rejected");
+        client
+            .join()
+            .expect("a client stopped after a failed request");
     }
 }
 
-/// New connections go to the successor from then on.
+/// Once the predecessor has stopped listening, all new connections go to the successor.
 #[test]
-fn a_replaced_process_stops_listening_and_finishes_its_requests() {
+fn predecessor_stops_listening_and_completes_its_requests() {
     let fixture = UpgradeFixture::new();
     let mut predecessor = fixture.start("127.0.0.1:0");
     fixture.upstream.set_response(StubResponse::Never);
@@ -77,7 +79,7 @@
     let successor = fixture.start(&predecessor.address.to_string());
     fixture.upstream.set_response(StubResponse::Ok);
     predecessor.terminate();
-    // The response is sent before the process ends.
+    // The predecessor sends the response before it exits.
     assert_eq!(waiting.receive().unwrap().unwrap().status(), 502);
     assert!(predecessor.wait().success());
     for _ in 0..10 {
@@ -99,7 +101,7 @@
     let successor = fixture.start(&predecessor.address.to_string());
     assert_eq!(successor.metric("upstreams_excluded"), 1);
     assert_eq!(successor.admin_call("POST /upstreams/u0/ready").0, 200);
-    let both = |count| {
+    let wait_for_excluded_on_both = |count| {
         while [&predecessor, &successor]
             .iter()
             .any(|program| program.metric("upstreams_excluded") != count)
@@ -107,11 +109,11 @@
             thread::sleep(Duration::from_millis(1));
         }
     };
-    both(0);
+    wait_for_excluded_on_both(0);
     assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
-    both(1);
+    wait_for_excluded_on_both(1);
     drop(predecessor);
-    // The successor of the successor restores it too.
+    // A further successor restores the maintenance too.
     let newest = fixture.start(&successor.address.to_string());
     assert_eq!(newest.metric("upstreams_excluded"), 1);
 }
@@ -139,7 +141,10 @@
                 200
             );
         }
-        assert!(!successor.is_finished(), "it listens without an upstream");
+        assert!(
+            !successor.is_finished(),
+            "the successor is listening for clients without a known upstream"
+        );
         watch.line(&list(
             6,
             true,
@@ -151,24 +156,28 @@
 }
 
 #[test]
-fn both_processes_together_keep_to_the_descriptor_limit_of_one() {
+fn predecessor_and_successor_share_one_descriptor_limit() {
     let fixture = UpgradeFixture::new();
     let predecessor = fixture.start("127.0.0.1:0");
     let idle: Vec<_> = (0..120).map(|_| predecessor.client()).collect();
     assert_eq!(predecessor.admin_call("GET /healthcheck").0, 200);
     let successor = fixture.start(&predecessor.address.to_string());
-    let more: Vec<_> = (0..250).map(|_| successor.client()).collect();
+    let later_clients: Vec<_> = (0..250).map(|_| successor.client()).collect();
     for program in [&predecessor, &successor] {
         assert_eq!(program.admin_call("GET /healthcheck").0, 200);
     }
-    let held = predecessor.open_descriptors() + successor.open_descriptors();
-    assert!(held <= 256, "{held}");
-    drop((idle, more));
+    let open_descriptors_of_both = predecessor.open_descriptors() + successor.open_descriptors();
+    assert!(
+        open_descriptors_of_both <= 256,
+        "{open_descriptors_of_both} descriptors are open, the limit is 256"
+    );
+    drop((idle, later_clients));
 }
 
-/// The predecessor's changes are in the file before the successor has heard from it.
+/// While the predecessor is suspended, the successor knows the predecessor's maintenance only from
+/// the state file, and must keep it when it gets a maintenance request itself.
 #[test]
-fn maintenance_set_on_a_successor_at_once_keeps_that_of_the_predecessor() {
+fn early_maintenance_on_a_successor_keeps_that_of_the_predecessor() {
     let fixture = UpgradeFixture::new();
     let other = StubUpstream::start(StubResponse::Ok);
     let known = [("u0", fixture.upstream.address), ("u1", other.address)];
@@ -201,7 +210,7 @@
     );
     predecessor.resume();
     assert!(log.any(|line| line.contains("listening for clients: ")));
-    wait_until("the predecessor has both in maintenance", || {
+    wait_until("the predecessor has both upstreams in maintenance", || {
         predecessor.metric("upstreams_excluded") == 2
     });
     let mut admin_client = Client::connect(admin).unwrap();
@@ -211,25 +220,25 @@
         String::from_utf8(metrics)
             .unwrap()
             .contains("upstreams_excluded:2|"),
-        "so has the successor"
+        "the successor does not have both upstreams in maintenance"
     );
     successor.kill().unwrap();
     successor.wait().unwrap();
 }
 
 #[test]
-fn sigterm_to_a_successor_that_is_not_ready_leaves_the_predecessor_serving() {
+fn predecessor_keeps_serving_after_sigterm_to_an_unready_successor() {
     let fixture = UpgradeFixture::new();
     let predecessor = fixture.start("127.0.0.1:0");
     let mut client = predecessor.client();
     assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
-    // It knows no upstream, and discovery sends nothing.
+    // The successor knows no upstream and discovery sends nothing, so it is not ready.
     let empty = config(&list(5, true, &[]), fixture.discovery.address, 256);
     let mut successor = spawn_in(&fixture.folder, &empty, &predecessor.address.to_string());
     let mut log = BufReader::new(successor.stderr.take().unwrap()).lines();
     assert!(
         log.any(|line| line.unwrap().contains("peer process found")),
-        "they have met"
+        "the successor did not find its predecessor"
     );
     assert!(Command::new("kill")
         .args(["-TERM", &successor.id().to_string()])
