--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -1,4 +1,4 @@
-//! A client of the load balancer.
+//! An HTTP client of the load balancer.
 
 use super::*;
 use socket2::SockRef;
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The next request id.
-static NEXT_ID: AtomicU64 = AtomicU64::new(0x1000);
+/// The next request ID, so that no two requests of a test process have the same one.
+static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(0x1000);
 
 /// A client with one connection.
 pub struct Client {
@@ -26,10 +26,11 @@
         })
     }
 
-    /// Sends a request for this path, by GET for `/read` and POST for others. `headers` are
-    /// complete lines, in which `{id}` stands for a new request id.
+    /// Sends a request for `path`, with GET if the path begins with `/read` and with POST
+    /// otherwise. `headers` holds complete header lines, in which `{id}` is replaced by a new
+    /// request ID.
     pub fn send(&mut self, path: &str, headers: &str, body: &str) -> io::Result<()> {
-        let id = format!("{:04x}", NEXT_ID.fetch_add(1, Ordering::SeqCst));
+        let id = format!("{:04x}", NEXT_REQUEST_ID.fetch_add(1, Ordering::SeqCst));
         let headers = headers.replace("{id}", &id);
         let method = if path.starts_with("/read") {
             "GET"
@@ -47,41 +48,42 @@
         self.output.write_all(text.as_bytes())
     }
 
-    /// The local port of the connection.
+    /// Returns the local port of the connection.
     pub fn port(&self) -> u16 {
         self.output.local_addr().unwrap().port()
     }
 
-    /// Shuts down the sending half of the connection.
+    /// Closes the sending half of the connection.
     pub fn half_close(&self) {
         self.output.shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Resets the connection.
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
         SockRef::from(&self.output)
             .set_linger(Some(Duration::ZERO))
             .unwrap();
     }
 
-    /// Sends this text as it is. Errors are ignored, as the program may have closed the
+    /// Sends `text` unchanged. Errors are ignored, as the program may already have closed the
     /// connection.
     pub fn write(&mut self, text: &str) {
         let _ = self.output.write_all(text.as_bytes());
     }
 
-    /// Returns a writer for another thread, while this one waits for the response.
+    /// Returns a function that sends text on the connection, for use on another thread while this
+    /// one waits for the response.
     pub fn writer(&self) -> impl FnMut(&str) -> io::Result<()> + Send + 'static {
         let mut output = self.output.try_clone().unwrap();
         move |text| output.write_all(text.as_bytes())
     }
 
-    /// Reads and discards this many bytes.
+    /// Reads and discards `count` bytes.
     pub fn take(&mut self, count: usize) {
         self.input.read_exact(&mut vec![0; count]).unwrap();
     }
 
-    /// Reads to the end of the connection.
+    /// Reads until the connection ends, and returns the bytes.
     pub fn read_to_end_bytes(&mut self) -> Vec<u8> {
         let mut bytes = Vec::new();
         // The connection may end in a reset.
@@ -89,7 +91,8 @@
         bytes
     }
 
-    /// Waits for the next event on the connection; true if it is a close and no data.
+    /// Waits until the connection is readable. Returns whether the peer has closed or reset it:
+    /// false if data was received, or if nothing happened within `TEST_TIMEOUT`.
     pub fn is_closed_by_peer(&mut self) -> bool {
         match self.input.read(&mut [0]) {
             Ok(count) => count == 0,
@@ -97,14 +100,16 @@
         }
     }
 
-    /// Receives a response; `None` if the connection ends without one.
+    /// Receives a response. Returns `None` if the connection ends before its head is complete.
     pub fn receive(&mut self) -> io::Result<Option<Message>> {
         Message::read(&mut self.input)
     }
 
-    /// Sends a request and receives its response.
+    /// Sends a request and returns its response.
     pub fn request(&mut self, path: &str, headers: &str, body: &str) -> Message {
         self.send(path, headers, body).unwrap();
-        self.receive().unwrap().expect("a response")
+        self.receive()
+            .unwrap()
+            .expect("the connection ended without a response")
     }
 }
--- a/tests/support/config.rs
+++ b/tests/support/config.rs
@@ -1,14 +1,14 @@
-//! Configurations of the program, and endpoint lists.
+//! Builds configurations of the program, and endpoint lists.
 
 use std::net::SocketAddr;
 
-/// An entry of an endpoint list, as JSON.
+/// Returns an entry of an endpoint list as JSON.
 pub fn endpoint(name: &str, address: SocketAddr, status: &str) -> String {
     let identity = format!(r#""name":"{name}","address":"{address}","zone":"z","type":"std""#);
     format!(r#"{{{identity},"group":0,"status":"{status}","weight":1.0,"since_ms":0,"news":0}}"#)
 }
 
-/// An endpoint list, as JSON: a snapshot, or changes to the list before it.
+/// Returns an endpoint list as JSON: a snapshot, or else the changes to the previous list.
 pub fn list(version: u64, snapshot: bool, endpoints: &[String]) -> String {
     format!(
         r#"{{"index":{version},"snapshot":{snapshot},"endpoints":[{}]}}"#,
@@ -16,8 +16,9 @@
     )
 }
 
-/// A configuration with three request classes: `read` is read-only, `hold` takes an idempotency
-/// key, and `pay` is not idempotent.
+/// Returns a configuration with three request classes: `read` is read-only, `hold` takes an
+/// idempotency key, and `pay` is not idempotent. `known` is the endpoint list, as JSON, with which
+/// the program starts.
 pub fn config(known: &str, discovery: SocketAddr, max_descriptors: usize) -> String {
     let class = |name: &str, effect: &str| {
         let effect = format!(r#""effect":"{effect}","dedupScope":"all","dedupWindow":8.0"#);
@@ -39,7 +40,8 @@
     )
 }
 
-/// A configuration with these upstreams in service, named `u0`, `u1` and so on.
+/// Returns a configuration whose endpoint list has these upstreams in service, named `u0`, `u1`
+/// and so on.
 pub fn config_with_upstreams(
     upstreams: &[SocketAddr],
     discovery: SocketAddr,
@@ -52,7 +54,7 @@
     config(&list(5, true, &entries), discovery, max_descriptors)
 }
 
-/// The configuration with deadlines and a connect timeout beyond the time of any test.
+/// Returns the configuration with deadlines and a connect timeout that no test reaches.
 pub fn with_long_timeouts(config: &str) -> String {
     config
         .replace(
--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -8,13 +8,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// A discovery service that passes each watch that is opened to the test.
+/// A discovery service that accepts each watch and hands it to the test through `watches`.
 pub struct StubDiscovery {
     pub address: SocketAddr,
     pub watches: Receiver<StubWatch>,
 }
 
-/// An open watch: its request line and its connection.
+/// A watch that the program has opened: its request line and its connection.
 pub struct StubWatch {
     pub request_line: String,
     stream: TcpStream,
@@ -22,10 +22,10 @@
 
 impl StubDiscovery {
     pub fn start() -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").unwrap())
+        Self::with_listener(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    pub(super) fn on(listener: TcpListener) -> Self {
+    pub(super) fn with_listener(listener: TcpListener) -> Self {
         let address = listener.local_addr().unwrap();
         let (sender, watches) = channel();
         thread::spawn(move || {
@@ -44,48 +44,52 @@
         StubDiscovery { address, watches }
     }
 
-    /// The next watch; waits until it is opened.
+    /// Waits until the program opens a watch, and returns it.
     pub fn next(&self) -> StubWatch {
         self.watches
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a watch is opened")
+            .expect("the program opened no watch")
     }
 }
 
 impl StubWatch {
-    /// Waits until the program has closed the watch.
+    /// Waits until the program closes the watch.
     pub fn wait_for_end(&mut self) {
         self.stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         match self.stream.read(&mut [0]) {
-            Ok(count) => assert_eq!(count, 0, "a watch carries one request"),
-            // The program closed it before it had read the last line.
+            Ok(count) => assert_eq!(
+                count, 0,
+                "the program sent data after the request of its watch"
+            ),
+            // The program closed the watch before it had read the last line, so the kernel sent a
+            // reset.
             Err(error) => assert_eq!(error.kind(), io::ErrorKind::ConnectionReset),
         }
     }
 
-    /// Sends this text and a line feed, as one chunk.
+    /// Sends `text` and a line feed as one chunk.
     pub fn line(&mut self, text: &str) {
         self.part(&format!("{text}\n"));
     }
 
-    /// Sends this text as one chunk.
+    /// Sends `text` as one chunk.
     pub fn part(&mut self, text: &str) {
         write!(self.stream, "{:x}\r\n{text}\r\n", text.len()).unwrap();
     }
 
-    /// Resets the connection.
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
         SockRef::from(&self.stream)
             .set_linger(Some(Duration::ZERO))
             .unwrap();
     }
 
-    /// True if the program has not closed the watch.
+    /// Returns whether the program has left the watch open.
     pub fn is_open(&mut self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let read = self.stream.read(&mut [0]);
-        let open = read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock);
+        let is_open = read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock);
         self.stream.set_nonblocking(false).unwrap();
-        open
+        is_open
     }
 }
--- a/tests/support/message.rs
+++ b/tests/support/message.rs
@@ -2,23 +2,23 @@
 
 use std::io::{self, BufRead};
 
-/// A request or a response as it was read from a connection.
+/// A request or a response that was read from a connection.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// The upstream has rejected this request without starting it.
+    /// Whether the stub upstream rejects this request as not started.
     pub rejected: bool,
 }
 
 impl Message {
-    /// Reads one message; `None` if the connection ends before it.
-    pub fn read(from: &mut impl BufRead) -> io::Result<Option<Self>> {
+    /// Reads one message. Returns `None` if the connection ends before the head is complete.
+    pub fn read(input: &mut impl BufRead) -> io::Result<Option<Self>> {
         let mut message = Message::default();
         loop {
             let mut line = String::new();
-            if from.read_line(&mut line)? == 0 {
+            if input.read_line(&mut line)? == 0 {
                 return Ok(None);
             }
             match line.trim_end() {
@@ -32,36 +32,36 @@
                 }
             }
         }
-        message.read_body(from)?;
+        message.read_body(input)?;
         Ok(Some(message))
     }
 
-    fn read_body(&mut self, from: &mut impl BufRead) -> io::Result<()> {
+    fn read_body(&mut self, input: &mut impl BufRead) -> io::Result<()> {
         if self.header("transfer-encoding").is_none() {
             let length = self
                 .header("content-length")
                 .and_then(|value| value.parse().ok())
                 .unwrap_or(0);
             self.body.resize(length, 0);
-            return from.read_exact(&mut self.body);
+            return input.read_exact(&mut self.body);
         }
         loop {
             let mut size = String::new();
-            from.read_line(&mut size)?;
+            input.read_line(&mut size)?;
             let invalid = |_| io::Error::from(io::ErrorKind::InvalidData);
             let size = usize::from_str_radix(size.trim_end(), 16).map_err(invalid)?;
-            let begin = self.body.len();
-            // The line end behind the chunk is read with it.
-            self.body.resize(begin + size + 2, 0);
-            from.read_exact(&mut self.body[begin..])?;
-            self.body.truncate(begin + size);
+            let start = self.body.len();
+            // The CRLF that ends the chunk is read with its data, and removed below.
+            self.body.resize(start + size + 2, 0);
+            input.read_exact(&mut self.body[start..])?;
+            self.body.truncate(start + size);
             if size == 0 {
                 return Ok(());
             }
         }
     }
 
-    /// The value of the first header of this name, which is in lower case.
+    /// Returns the value of the first header with this name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -69,7 +69,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The status of a response; 0 if there is none.
+    /// Returns the status code of a response, or 0 if the start line has none.
     pub fn status(&self) -> u16 {
         self.start_line
             .split(' ')
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! Runs the load balancer on loopback sockets, with stub upstreams, a stub discovery service and
-//! clients. Each test target uses a part of this.
+//! clients. Unused items are allowed, as each test target uses only some of them.
 #![allow(dead_code, unused_imports)]
 
 mod client;
@@ -25,14 +25,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest time that a step of a test takes, also on a busy machine.
+/// Time limit of one step of a test, long enough for a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until `holds` returns true, and panics with `what` after `TEST_TIMEOUT`.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !holds() {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "{what}");
+/// Waits until `condition` returns true. Panics after `TEST_TIMEOUT` with a message that
+/// ends with "waiting until" and `description`.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "timed out after {TEST_TIMEOUT:?} waiting until {description}"
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
--- a/tests/support/ports.rs
+++ b/tests/support/ports.rs
@@ -1,12 +1,12 @@
-//! Addresses at which connections are refused, or not accepted.
+//! Addresses that refuse connections, or that leave connection attempts pending.
 
 use super::*;
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// An address where no connection is established: the backlog of its listener is full, and nothing
-/// accepts from it until the process ends.
+/// Returns an address where connection attempts stay pending until the test process ends: the
+/// backlog of its listener is full, and no connection is accepted from it.
 pub fn unreachable_address() -> SocketAddr {
     let BlockedPort {
         address,
@@ -17,21 +17,23 @@
     address
 }
 
-/// An address that refuses connections, and that nothing else can bind until the process ends.
+/// Returns an address that refuses connections. It stays bound until the test process ends, so
+/// that no other process can use it.
 pub fn refusing_address() -> SocketAddr {
     let RefusingPort { address, socket } = RefusingPort::new();
     std::mem::forget(socket);
     address
 }
 
-/// True while a connection to this address is being established.
+/// Returns whether a connection attempt to this address is waiting for the answer to its SYN.
 pub fn has_pending_connect(address: SocketAddr) -> bool {
     tcp_endpoints()
         .iter()
         .any(|endpoint| endpoint.remote_port == address.port() && endpoint.state == SYN_SENT)
 }
 
-/// An address where no connection is established until it is opened.
+/// An address where connection attempts stay pending until `open` is called: the backlog of its
+/// listener is full.
 pub struct BlockedPort {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -49,15 +51,15 @@
         }
     }
 
-    /// Starts an upstream that accepts the pending connections, but for those that filled the
-    /// backlog.
+    /// Closes the connections that fill the backlog, and starts an upstream that accepts the
+    /// pending ones. It also accepts and counts the closed ones, which are still in the backlog.
     pub fn open(self, response: StubResponse) -> StubUpstream {
         drop(self.waiting);
-        StubUpstream::on(self.listener, response)
+        StubUpstream::with_listener(self.listener, response)
     }
 }
 
-/// An address that refuses connections, and that nothing else can bind.
+/// An address that refuses connections. It stays bound, so that no other process can use it.
 pub struct RefusingPort {
     pub address: SocketAddr,
     socket: Socket,
@@ -73,14 +75,14 @@
         RefusingPort { address, socket }
     }
 
-    /// Starts a discovery service at this address.
+    /// Starts a discovery service that listens at this address.
     pub fn start_discovery(self) -> StubDiscovery {
         self.socket.listen(128).unwrap();
-        StubDiscovery::on(self.socket.into())
+        StubDiscovery::with_listener(self.socket.into())
     }
 }
 
-/// A listener whose backlog is full, its address, and the connections that fill the backlog.
+/// Returns a listener whose backlog is full, its address, and the connections that fill it.
 fn listen_with_full_backlog() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
@@ -88,8 +90,8 @@
         .unwrap();
     socket.listen(0).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
-    let timeout = Duration::from_millis(200);
+    let connect_timeout = Duration::from_millis(200);
     let waiting =
-        std::iter::from_fn(|| TcpStream::connect_timeout(&address, timeout).ok()).collect();
+        std::iter::from_fn(|| TcpStream::connect_timeout(&address, connect_timeout).ok()).collect();
     (socket.into(), address, waiting)
 }
--- a/tests/support/program.rs
+++ b/tests/support/program.rs
@@ -1,4 +1,4 @@
-//! The load balancer as a process.
+//! Runs the load balancer as a process.
 
 use super::*;
 use std::io::{BufRead, BufReader};
@@ -9,7 +9,8 @@
 use std::sync::OnceLock;
 use std::thread;
 
-/// A running process, which is killed when dropped. Its log is not read any more once it listens.
+/// A running process, which is killed when dropped. The pipe of its log is closed as soon as the
+/// process listens.
 pub struct Program {
     child: Child,
     config: PathBuf,
@@ -18,19 +19,20 @@
     pub admin: Option<SocketAddr>,
 }
 
-/// Creates a folder for the files that the processes of a test share.
+/// Creates a folder for the files that the processes of a test share, and returns its path.
 pub fn create_temp_folder() -> PathBuf {
-    let number = FILES.fetch_add(1, Ordering::SeqCst);
-    // The path of a Unix socket must be short.
+    let number = NEXT_FILE_NUMBER.fetch_add(1, Ordering::SeqCst);
+    // The processes create Unix sockets in it, whose paths must be short.
     let path = std::env::temp_dir().join(format!("load-balancer-{}-{number}", std::process::id()));
     std::fs::create_dir(&path).unwrap();
     path
 }
 
-static FILES: AtomicU64 = AtomicU64::new(0);
+/// Number of the next file or folder, so that those of a test process have different names.
+static NEXT_FILE_NUMBER: AtomicU64 = AtomicU64::new(0);
 
-/// Builds the library that injects faults into system calls, once, and returns its path; its
-/// source lists the variables that control it.
+/// Returns the path of the library that injects faults into system calls; the first call builds
+/// it. Its source, `tests/faults/faults.c`, lists the environment variables that control it.
 pub fn fault_injection_library() -> &'static str {
     static LIBRARY: OnceLock<String> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -45,39 +47,39 @@
             .status();
         assert!(
             built.unwrap().success(),
-            "the C compiler that links the program builds this too"
+            "cc, which also links the program, failed to build {source}"
         );
         library
     })
 }
 
-/// Starts the program with this configuration, and does not wait until it listens.
+/// Starts the program with this configuration, without waiting until it listens.
 pub fn spawn(config: &str, listen: &str) -> Child {
     spawn_with(&[], &write_config(config), listen)
 }
 
-/// The same with a folder that it shares with other processes.
+/// Does the same as [`spawn`], with a folder that the program shares with other processes.
 pub fn spawn_in(folder: &Path, config: &str, listen: &str) -> Child {
     spawn_by_variables(&[("TMPDIR", folder.to_str().unwrap())], config, listen)
 }
 
-/// The same with these environment variables.
+/// Does the same as [`spawn`], with additional environment variables.
 pub fn spawn_by_variables(variables: &[(&str, &str)], config: &str, listen: &str) -> Child {
     spawn_with(variables, &write_config(config), listen)
 }
 
 fn write_config(config: &str) -> PathBuf {
-    let number = FILES.fetch_add(1, Ordering::SeqCst);
+    let number = NEXT_FILE_NUMBER.fetch_add(1, Ordering::SeqCst);
     let path = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("config-{}-{number}.json", std::process::id()));
     std::fs::write(&path, config).unwrap();
     path
 }
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_load-balancer");
+const PROGRAM_PATH: &str = env!("CARGO_BIN_EXE_load-balancer");
 
 fn spawn_with(variables: &[(&str, &str)], config: &Path, listen: &str) -> Child {
-    spawn_command(Command::new(PROGRAM), variables, config, listen)
+    spawn_command(Command::new(PROGRAM_PATH), variables, config, listen)
 }
 
 fn spawn_command(
@@ -91,7 +93,7 @@
         .env("PROXY_LISTEN", listen)
         .env_remove("PROXY_DISCOVERY")
         .env_remove("PROXY_NAME")
-        // Processes that share it take each other for predecessor and successor.
+        // Processes with the same TMPDIR treat each other as predecessor and successor.
         .env_remove("TMPDIR")
         .envs(variables.iter().copied())
         .stderr(Stdio::piped())
@@ -105,14 +107,14 @@
         Self::start_with(&[], config, listen)
     }
 
-    /// The same with these environment variables.
+    /// Starts the program with additional environment variables and waits until it listens.
     pub fn start_with(variables: &[(&str, &str)], config: &str, listen: &str) -> Self {
         let config = write_config(config);
         let child = spawn_with(variables, &config, listen);
         Self::wait_until_listening(child, config)
     }
 
-    /// Starts the program with this limit on open files (`ulimit -n`).
+    /// Starts the program with this limit on open files (`ulimit -n`) and waits until it listens.
     pub fn start_limited(descriptors: usize, variables: &[(&str, &str)], config: &str) -> Self {
         let config = write_config(config);
         let mut command = Command::new("sh");
@@ -120,13 +122,13 @@
             "-c",
             "ulimit -n $0 && exec $1",
             &descriptors.to_string(),
-            PROGRAM,
+            PROGRAM_PATH,
         ]);
         let child = spawn_command(command, variables, &config, "127.0.0.1:0");
         Self::wait_until_listening(child, config)
     }
 
-    /// Waits until the process listens, and takes its addresses from its log.
+    /// Waits until the process listens, and reads its addresses from its log.
     fn wait_until_listening(mut child: Child, config: PathBuf) -> Self {
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let (mut line, mut admin) = (String::new(), None);
@@ -136,7 +138,7 @@
             line.clear();
             assert!(
                 log.read_line(&mut line).unwrap() > 0,
-                "the process ended before it listened"
+                "the process closed its log before it listened for clients"
             );
             if line.contains("listening for admin requests: ") {
                 admin = Some(address_at_end(&line));
@@ -150,12 +152,13 @@
         }
     }
 
-    /// Starts the program with an admin endpoint and these upstreams.
+    /// Starts the program with an admin endpoint, a discovery service and these upstreams, named
+    /// `u0`, `u1` and so on.
     pub fn with_admin(upstreams: &[SocketAddr]) -> (Self, StubDiscovery) {
         Self::with_admin_and_descriptors(upstreams, 256)
     }
 
-    /// The same with this descriptor limit.
+    /// Does the same as [`Self::with_admin`], with this descriptor limit in the configuration.
     pub fn with_admin_and_descriptors(
         upstreams: &[SocketAddr],
         max_descriptors: usize,
@@ -168,38 +171,45 @@
         )
     }
 
-    /// Connects to the admin endpoint.
+    /// Connects a client to the admin endpoint.
     pub fn connect_admin(&self) -> Client {
-        Client::connect(self.admin.expect("an admin endpoint")).unwrap()
+        Client::connect(self.admin.expect("no admin endpoint is configured")).unwrap()
     }
 
-    /// Sends a request, given by method and path, to the admin endpoint; returns status and body.
+    /// Sends a request to the admin endpoint, such as `GET /stats`, and returns the status and the
+    /// body of the response.
     pub fn admin_call(&self, method_and_path: &str) -> (u16, String) {
         let mut client = self.connect_admin();
         client.write(&format!(
             "{method_and_path} HTTP/1.1\r\nHost: console\r\n\r\n"
         ));
-        let response = client.receive().unwrap().expect("a response");
-        assert!(client.is_closed_by_peer(), "one request a connection");
+        let response = client
+            .receive()
+            .unwrap()
+            .expect("the admin endpoint sent no response");
+        assert!(
+            client.is_closed_by_peer(),
+            "the admin endpoint left the connection open after its response"
+        );
         (response.status(), String::from_utf8(response.body).unwrap())
     }
 
-    /// The value of this metric.
+    /// Returns the value of this metric, read from the admin endpoint.
     pub fn metric(&self, name: &str) -> u64 {
         let text = self.admin_call("GET /stats").1;
         let line = text
             .lines()
             .find_map(|line| line.strip_prefix(&format!("balancer.{name}:")));
         line.and_then(|line| line.split('|').next()?.parse().ok())
-            .unwrap_or_else(|| panic!("{name} in {text}"))
+            .unwrap_or_else(|| panic!("no value of {name} in {text:?}"))
     }
 
-    /// Starts the program with these upstreams, named `u0`, `u1` and so on, and with discovery.
+    /// Starts the program with a discovery service and these upstreams, named `u0`, `u1` and so on.
     pub fn with_upstreams(upstreams: &[SocketAddr]) -> (Self, StubDiscovery) {
         Self::with_descriptors(upstreams, 1024)
     }
 
-    /// The same with this descriptor limit.
+    /// Does the same as [`Self::with_upstreams`], with this descriptor limit in the configuration.
     pub fn with_descriptors(
         upstreams: &[SocketAddr],
         max_descriptors: usize,
@@ -214,7 +224,7 @@
         )
     }
 
-    /// The process id.
+    /// Returns the process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -235,22 +245,27 @@
         self.signal("-HUP");
     }
 
-    /// Suspends the process until `resume`; data and signals for it are queued meanwhile.
+    /// Sends SIGSTOP and waits until the process is stopped. Data and signals for it are queued
+    /// until `resume` is called.
     pub fn suspend(&self) {
         self.signal("-STOP");
-        let stat = format!("/proc/{}/stat", self.child.id());
-        while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
+        let stat_path = format!("/proc/{}/stat", self.child.id());
+        while !std::fs::read_to_string(&stat_path)
+            .unwrap()
+            .contains(") T ")
+        {
             thread::yield_now();
         }
     }
 
-    /// True once the kernel has received the close or the reset of the client with this port,
-    /// whether the process has read it or not.
+    /// Returns whether the kernel has received the close or the reset of the client with this port,
+    /// even if the process has not read it yet.
     pub fn has_received_close_from(&self, client_port: u16) -> bool {
         !established_connections().contains(&(self.address.port(), client_port))
     }
 
-    /// True while the process has a descriptor of its connection to the client with this port.
+    /// Returns whether the process has a descriptor for its connection to the client with this
+    /// port.
     pub fn has_connection_to(&self, client_port: u16) -> bool {
         tcp_endpoints().iter().any(|endpoint| {
             (endpoint.local_port, endpoint.remote_port) == (self.address.port(), client_port)
@@ -258,7 +273,7 @@
         })
     }
 
-    /// Resumes a suspended process.
+    /// Sends SIGCONT to the stopped process.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
@@ -272,7 +287,7 @@
             .success());
     }
 
-    /// The peak resident memory of the process, in bytes.
+    /// Returns the peak resident memory of the process, in bytes.
     pub fn peak_memory_bytes(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status
@@ -288,20 +303,20 @@
             << 10
     }
 
-    /// How many descriptors the process has open.
+    /// Returns how many descriptors the process has open.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .unwrap()
             .count()
     }
 
-    /// Sends SIGKILL and waits for the end of the process.
+    /// Sends SIGKILL and waits until the process has ended.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process has ended, and returns its exit status.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
--- a/tests/support/tcp_table.rs
+++ b/tests/support/tcp_table.rs
@@ -1,21 +1,21 @@
-//! The kernel's table of TCP connections.
+//! Reads the kernel's table of TCP connections, `/proc/net/tcp`.
 
-/// The state of a connection that is established.
+/// Number of the state of an established connection.
 pub(super) const ESTABLISHED: &str = "01";
-/// The state of a connection whose SYN has not been answered.
+/// Number of the state of a connection whose SYN has not been answered.
 pub(super) const SYN_SENT: &str = "02";
 
-/// One endpoint of a TCP connection, as it stands in the kernel's table.
+/// One endpoint of a TCP connection: a row of the kernel's table.
 pub(super) struct TcpEndpoint {
     pub(super) local_port: u16,
     pub(super) remote_port: u16,
-    /// The state's number, in hexadecimal digits.
+    /// Number of the state, in hexadecimal digits.
     pub(super) state: String,
-    /// A process has a descriptor of it.
+    /// Whether a process has a descriptor for it; otherwise its inode is 0.
     pub(super) has_descriptor: bool,
 }
 
-/// All TCP endpoints over IPv4.
+/// Returns all TCP endpoints over IPv4.
 pub(super) fn tcp_endpoints() -> Vec<TcpEndpoint> {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let port =
@@ -33,8 +33,8 @@
     rows.map(endpoint).collect()
 }
 
-/// The local and remote ports of all endpoints of established connections, which have received
-/// neither a close nor a reset.
+/// Returns the local and the remote port of each endpoint of an established connection, which is
+/// one that has received neither a close nor a reset.
 pub fn established_connections() -> Vec<(u16, u16)> {
     tcp_endpoints()
         .into_iter()
--- a/tests/support/upgrade.rs
+++ b/tests/support/upgrade.rs
@@ -1,30 +1,30 @@
-//! Processes that share a folder, as a predecessor and its successor do.
+//! Starts processes that share a folder, as a predecessor and its successor do.
 
 use super::*;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Starts a process with an admin endpoint that shares this folder.
+/// Starts a process with an admin endpoint, which shares this folder with other processes.
 pub fn start_in_folder(folder: &Path, config: &str, listen: &str) -> Program {
     start_in_folder_with(&[], folder, config, listen)
 }
 
-/// The same with more environment variables.
+/// Does the same as [`start_in_folder`], with additional environment variables.
 pub fn start_in_folder_with(
     variables: &[(&str, &str)],
     folder: &Path,
     config: &str,
     listen: &str,
 ) -> Program {
-    let own = [
+    let fixed_variables = [
         ("TMPDIR", folder.to_str().unwrap()),
         ("PROXY_CONSOLE", "127.0.0.1:0"),
     ];
-    Program::start_with(&[variables, &own].concat(), config, listen)
+    Program::start_with(&[variables, &fixed_variables].concat(), config, listen)
 }
 
-/// One upstream, discovery, and the folder that processes share; the folder is deleted when
-/// dropped.
+/// One upstream, a discovery service, and the folder that the processes share. Dropping the fixture
+/// deletes the folder.
 pub struct UpgradeFixture {
     pub folder: PathBuf,
     pub upstream: StubUpstream,
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Starts a process that knows the upstream.
+    /// Starts a process whose endpoint list has the upstream in service.
     pub fn start(&self, listen: &str) -> Program {
         self.start_with(&[], listen)
     }
 
-    /// The same with more environment variables.
+    /// Does the same as [`Self::start`], with additional environment variables.
     pub fn start_with(&self, variables: &[(&str, &str)], listen: &str) -> Program {
         let known = list(
             5,
@@ -60,7 +60,7 @@
         )
     }
 
-    /// The state file of the process at this address.
+    /// Returns the path of the state file of the process that listens at this address.
     pub fn state_file(&self, address: SocketAddr) -> PathBuf {
         self.folder.join(format!("magpiechute-{address}.state"))
     }
@@ -68,7 +68,7 @@
 
 impl Drop for UpgradeFixture {
     fn drop(&mut self) {
-        // A failure only leaves files behind.
+        // If this fails, only temporary files stay behind.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
--- a/tests/support/upstream.rs
+++ b/tests/support/upstream.rs
@@ -9,56 +9,57 @@
 use std::thread;
 use std::time::Instant;
 
-/// How an upstream responds to a request.
+/// How a stub upstream responds to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StubResponse {
     Ok,
-    /// Responds, then closes the connection without `Connection: close`.
+    /// Responds with 200 and without `Connection: close`, then closes the connection.
     OkThenClose,
     Status(u16),
-    /// 503 with `Not-Started: 1`.
+    /// Responds with 503 and `Not-Started: 1`.
     Rejected,
     /// Closes the connection without a response.
     Close,
-    /// Closes the connection in the middle of the response.
+    /// Closes the connection in the middle of the response body.
     Truncate,
-    /// Closes the connection in the middle of a large response.
+    /// Closes the connection in the middle of a large response body.
     TruncateLarge,
-    /// Responds with this text.
+    /// Sends this text as the response.
     Raw(&'static str),
-    /// Responds with this text and closes the connection.
+    /// Sends this text as the response and closes the connection.
     RawThenClose(&'static str),
     /// Sends nothing until the peer closes the connection.
     Never,
-    /// Delays the response until `release`; then it is the one that is set by then, or `Ok`.
+    /// Sends no response until `release` is called, and then the one that is configured by that
+    /// time; `Hold` then means `Ok`.
     Hold,
 }
 
-/// An upstream that records the requests it receives.
+/// An upstream that hands the requests it receives to the test through `seen`.
 pub struct StubUpstream {
     pub address: SocketAddr,
     pub seen: Receiver<Message>,
     /// One message for each connection that has ended.
     pub closed: Receiver<()>,
-    /// The number of connections that have been accepted.
+    /// Number of connections that have been accepted.
     pub connections: Arc<AtomicU64>,
-    /// The number of responses that have been written.
+    /// Number of responses that have been written on connections that stayed open.
     pub responses: Arc<AtomicU64>,
     response: Arc<Mutex<StubResponse>>,
     gate: Arc<Gate>,
 }
 
-/// Whether delayed responses have been released.
+/// Whether held responses have been released, and the condition variable that signals it.
 type Gate = (Mutex<bool>, Condvar);
 
 impl StubUpstream {
     pub fn start(response: StubResponse) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").unwrap(), response)
+        Self::with_listener(TcpListener::bind("127.0.0.1:0").unwrap(), response)
     }
 
-    pub(super) fn on(listener: TcpListener, response: StubResponse) -> Self {
-        let (sender, seen) = channel();
-        let (closing, closed) = channel();
+    pub(super) fn with_listener(listener: TcpListener, response: StubResponse) -> Self {
+        let (request_sender, seen) = channel();
+        let (close_sender, closed) = channel();
         let response = Arc::new(Mutex::new(response));
         let connections = Arc::new(AtomicU64::new(0));
         let responses = Arc::new(AtomicU64::new(0));
@@ -75,20 +76,23 @@
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 connections.fetch_add(1, Ordering::SeqCst);
-                let (response, sender, closing) =
-                    (response.clone(), sender.clone(), closing.clone());
+                let (response, request_sender, close_sender) = (
+                    response.clone(),
+                    request_sender.clone(),
+                    close_sender.clone(),
+                );
                 let (gate, responses) = (gate.clone(), responses.clone());
                 thread::spawn(move || {
-                    // The end of the connection counts, whatever its cause.
-                    let _ = respond(stream, &response, &sender, &gate, &responses);
-                    let _ = closing.send(());
+                    // The end of the connection is reported whether an error caused it or not.
+                    let _ = respond(stream, &response, &request_sender, &gate, &responses);
+                    let _ = close_sender.send(());
                 });
             }
         });
         upstream
     }
 
-    /// Starts an upstream that responds to each request with this text.
+    /// Starts an upstream that sends this text in response to each request.
     pub fn raw(text: &str) -> Self {
         Self::start(StubResponse::Raw(text.to_string().leak()))
     }
@@ -97,37 +101,40 @@
         *self.response.lock().unwrap() = response;
     }
 
-    /// Waits until a connection has been closed, and until the kernel has delivered the close to
-    /// the peer, which on a busy machine may be later.
+    /// Waits until a connection has ended and the kernel has delivered the close to the peer, which
+    /// on a busy machine may be later.
     pub fn wait_for_close(&self) {
         self.closed
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a connection to the upstream is closed");
-        let begin = Instant::now();
+            .expect("no connection to the upstream was closed");
+        let start = Instant::now();
         while established_connections()
             .iter()
             .any(|(_, remote_port)| *remote_port == self.address.port())
         {
-            assert!(begin.elapsed() < TEST_TIMEOUT, "the close is delivered");
+            assert!(
+                start.elapsed() < TEST_TIMEOUT,
+                "the close did not reach the peer within {TEST_TIMEOUT:?}"
+            );
             thread::yield_now();
         }
     }
 
-    /// Releases delayed responses, also those to later requests.
+    /// Releases held responses, also those to later requests.
     pub fn release(&self) {
         *self.gate.0.lock().unwrap() = true;
         self.gate.1.notify_all();
     }
 
-    /// The next request; waits until it arrives.
+    /// Waits until a request is received, and returns it.
     pub fn next(&self) -> Message {
         self.seen
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a request reaches the upstream")
+            .expect("no request reached the upstream")
     }
 }
 
-/// Responds to the requests on one connection until it ends.
+/// Sends the requests on one connection to `seen` and responds to them, until the connection ends.
 fn respond(
     stream: TcpStream,
     response: &Mutex<StubResponse>,
@@ -146,8 +153,8 @@
             ..request
         });
         let response = if configured == StubResponse::Hold {
-            let open = gate.0.lock().unwrap();
-            drop(gate.1.wait_while(open, |open| !*open).unwrap());
+            let released = gate.0.lock().unwrap();
+            drop(gate.1.wait_while(released, |released| !*released).unwrap());
             *response.lock().unwrap()
         } else {
             configured
