--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -1,4 +1,4 @@
-//! What the platform requires of the deploy file and of the program that it starts.
+//! Requirements of the platform on the deploy file and on the program that it starts.
 
 mod support;
 use std::fs;
@@ -11,16 +11,20 @@
     fs::read_to_string(Path::new(REPOSITORY).join("deploy/balancer.toml")).unwrap()
 }
 
-/// The strings of a list in the deploy file, in order.
-fn listed(deploy: &str, key: &str) -> Vec<String> {
+/// Returns the strings of a list in the deploy file, in order.
+fn listed_strings(deploy: &str, key: &str) -> Vec<String> {
     let assignment = format!("\n{key} = [");
-    let (_, rest) = deploy.split_once(&assignment).expect("the list exists");
-    let (list, _) = rest.split_once(']').expect("the list ends");
+    let (_, rest) = deploy
+        .split_once(&assignment)
+        .expect("the list is missing in the deploy file");
+    let (list, _) = rest
+        .split_once(']')
+        .expect("the list has no closing bracket");
     let strings = list.split('"').skip(1).step_by(2);
     strings.map(str::to_string).collect()
 }
 
-/// The paths of all files below a folder, relative to the repository and sorted.
+/// Returns the paths of all files below a folder, relative to the repository and sorted.
 fn files_below(folder: &str) -> Vec<String> {
     let mut files = Vec::new();
     for entry in fs::read_dir(Path::new(REPOSITORY).join(folder)).unwrap() {
@@ -36,42 +40,42 @@
     files
 }
 
-/// The platform accepts only files under `policy`, and skips a path that does not exist.
+/// Under `policy`, the platform accepts only files, and skips a path that does not exist.
 #[test]
 fn policy_lists_exactly_the_files_of_the_decision_module() {
-    let policy = listed(&deploy_file(), "policy");
+    let policy = listed_strings(&deploy_file(), "policy");
     for path in &policy {
         assert!(
             Path::new(REPOSITORY).join(path).is_file(),
-            "{path} is not a file"
+            "{path}, listed under policy, is not a file"
         );
     }
     assert_eq!(policy, files_below("src/decision"));
 }
 
-/// `node` may also name folders.
+/// Under `node`, the platform accepts files and folders.
 #[test]
 fn each_path_under_node_exists() {
-    let node = listed(&deploy_file(), "node");
+    let node = listed_strings(&deploy_file(), "node");
     assert!(!node.is_empty());
     for path in &node {
         assert!(
             Path::new(REPOSITORY).join(path).exists(),
-            "{path} does not exist"
+            "{path}, listed under node, does not exist"
         );
     }
 }
 
-/// The platform can only manage a single process that starts no others and is linked with the C
-/// library when it is loaded.
+/// The platform can only manage a program that is a single process, starts no others, and is
+/// dynamically linked with the C library.
 #[test]
 fn the_deployed_program_is_one_dynamically_linked_process() {
     assert!(deploy_file()
         .lines()
         .any(|line| line == "run = \"exec target/release/load-balancer\""));
     let image = fs::read(env!("CARGO_BIN_EXE_load-balancer")).unwrap();
-    let names = |name: &[u8]| image.windows(name.len()).any(|part| part == name);
-    assert!(names(b"/ld-linux") && names(b"libc.so.6\0"));
+    let contains = |name: &[u8]| image.windows(name.len()).any(|part| part == name);
+    assert!(contains(b"/ld-linux") && contains(b"libc.so.6\0"));
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     assert_eq!(
--- a/tests/known_red/incomplete_output.rs
+++ b/tests/known_red/incomplete_output.rs
@@ -1,10 +1,10 @@
-//! Output that is incomplete, inconsistent or misleading.
+//! Runs whose output is incomplete, inconsistent or misleading.
 
+use super::script::{expect_fail, expect_pass, ENTRY};
 use super::test_output::{binary_output, command_output, output_with_one_failure};
-use super::verdict::{expect_fail, expect_pass, ENTRY};
 
 #[test]
-fn a_command_that_fails_before_the_tests_fails_the_run() {
+fn command_failure_before_the_tests_fails_the_run() {
     let outputs = [
         ("Diff in src/lib.rs:1:\n-fn  a() {}\n+fn a() {}\n", 1),
         (
@@ -24,7 +24,7 @@
             "admin::hangs is listed and did not run",
         );
     }
-    // The tests ran, but the command ended with another code than that of failed tests.
+    // The tests ran and one failed, for which cargo's exit code is 101.
     for code in [0, 1, 137] {
         expect_fail(
             ENTRY,
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn a_binary_without_a_result_fails_the_run() {
-    let died = "     Running tests/rules.rs (target/debug/deps/rules-fe4fa0301ed8959d)\n\n\
+fn test_binary_without_a_result_fails_the_run() {
+    let aborted = "     Running tests/rules.rs (target/debug/deps/rules-fe4fa0301ed8959d)\n\n\
         running 2 tests\n\
         test keeps ... ok\nerror: test failed, to rerun pass `--test rules`\n";
-    let caused = "\nCaused by:\n  process didn't exit successfully: `rules` (signal: 6, SIGABRT: \
+    let cause = "\nCaused by:\n  process didn't exit successfully: `rules` (signal: 6, SIGABRT: \
         process abort signal)\n";
     let admin = binary_output("admin", &[("hangs", "FAILED")]);
-    for text in [died.to_string(), format!("{died}{caused}")] {
+    for text in [aborted.to_string(), format!("{aborted}{cause}")] {
         for output in [
             command_output(&[admin.clone(), text.clone()]),
             command_output(&[text.clone(), admin.clone()]),
@@ -54,11 +54,11 @@
     let rules = binary_output("rules", &[("keeps", "ok")]);
     expect_fail(
         ENTRY,
-        &command_output(&[admin.clone(), rules.clone() + caused]),
+        &command_output(&[admin.clone(), rules.clone() + cause]),
         101,
         "process didn't exit successfully",
     );
-    // It reports success, yet it failed.
+    // The binary reports success, but cargo reports that it failed.
     let failed = format!("{rules}error: test failed, to rerun pass `--test rules`\n");
     expect_fail(
         ENTRY,
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_run_that_stops_at_the_first_failure_fails() {
+fn run_that_stops_at_the_first_failure_fails() {
     let output = output_with_one_failure();
     let end = output.find("error: 1 target").unwrap();
     expect_fail(
@@ -102,22 +102,23 @@
     }
 }
 
-/// A failure must not be hidden by what a listed test prints.
+/// The captured output of a listed test may look like that of a run, and must not hide that another
+/// test failed.
 #[test]
-fn captured_output_that_looks_like_a_run_hides_no_failure() {
-    let shown = |captured: &str| output_with_one_failure().replace("CAPTURED", captured);
+fn captured_output_hides_no_failure() {
+    let output_with = |captured: &str| output_with_one_failure().replace("CAPTURED", captured);
     expect_pass(
         ENTRY,
-        &shown("test other ... FAILED\n\nfailures:\n    other\n\n---- hangs stderr ----"),
+        &output_with("test other ... FAILED\n\nfailures:\n    other\n\n---- hangs stderr ----"),
     );
-    let hidden = binary_output("admin", &[("hangs", "FAILED"), ("answers", "FAILED")]);
+    let both_failed = binary_output("admin", &[("hangs", "FAILED"), ("answers", "FAILED")]);
     let forged =
         "failures:\n    hangs\n\ntest result: FAILED. 1 passed; 1 failed; 0 ignored; 0 measured\n";
-    let hidden = command_output(&[hidden.replacen("CAPTURED", forged, 1)]);
-    expect_fail(ENTRY, &hidden, 101, "admin has more than one result");
+    let output = command_output(&[both_failed.replacen("CAPTURED", forged, 1)]);
+    expect_fail(ENTRY, &output, 101, "admin has more than one result");
     expect_fail(
         ENTRY,
-        &shown(&binary_output("rules", &[("keeps", "ok")])),
+        &output_with(&binary_output("rules", &[("keeps", "ok")])),
         101,
         "admin ended with no result",
     );
--- a/tests/known_red/list_format.rs
+++ b/tests/known_red/list_format.rs
@@ -1,14 +1,14 @@
-//! The list: its form, and how its names are matched with tests.
+//! The format of the list, and how its names are matched with tests.
 
+use super::script::{expect_fail, expect_pass, run_with_list_file, ENTRY};
 use super::test_output::{binary_output, command_output, output_with_one_failure};
-use super::verdict::{expect_fail, expect_pass, verdict_on, ENTRY};
 use std::path::Path;
 
 #[test]
-fn a_list_that_cannot_be_read_fails_the_run() {
+fn unreadable_list_fails_the_run() {
     for code in [0, 101] {
         assert_ne!(
-            verdict_on(
+            run_with_list_file(
                 Path::new(env!("CARGO_TARGET_TMPDIR")),
                 &output_with_one_failure(),
                 code
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_list_of_more_than_three_lines_fails_the_run() {
+fn list_of_more_than_three_lines_fails_the_run() {
     let tests = [
         ("a", "FAILED"),
         ("b", "FAILED"),
@@ -51,8 +51,8 @@
 }
 
 #[test]
-fn a_malformed_line_fails_the_run() {
-    let malformed_entries = [
+fn malformed_line_fails_the_run() {
+    let malformed_lines = [
         "",
         "  ",
         "# why",
@@ -71,7 +71,7 @@
         "rules::x cargo test why 1",
         "rules::x, why, 1",
     ];
-    for line in malformed_entries {
+    for line in malformed_lines {
         expect_fail(
             &format!("{ENTRY}{line}\n"),
             &output_with_one_failure(),
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_test_that_is_listed_twice_fails_the_run() {
+fn duplicate_entry_fails_the_run() {
     expect_fail(
         &format!("{ENTRY}{ENTRY}"),
         &output_with_one_failure(),
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_name_in_two_binaries_is_ambiguous() {
+fn test_name_in_two_binaries_is_ambiguous() {
     let admin = binary_output("admin", &[("hangs", "FAILED")]);
     for other in ["ok", "FAILED", "ignored"] {
         let output = command_output(&[admin.clone(), binary_output("rules", &[("hangs", other)])]);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_listed_test_that_did_not_run_fails_the_run() {
+fn listed_test_that_did_not_run_fails_the_run() {
     for name in [
         "gone",
         "hang",
--- a/tests/known_red/main.rs
+++ b/tests/known_red/main.rs
@@ -1,7 +1,7 @@
-//! The verdict of `.ci/known-red` on made-up runs of the test command; no case runs cargo.
+//! Tests of `.ci/known-red` on made-up output of the test command; cargo is not run.
 
 mod incomplete_output;
 mod list_format;
 mod results;
+mod script;
 mod test_output;
-mod verdict;
--- a/tests/known_red/results.rs
+++ b/tests/known_red/results.rs
@@ -1,28 +1,29 @@
-//! Results of tests that are listed, and of tests that are not.
+//! Results of listed and of unlisted tests.
 
+use super::script::{expect_fail, expect_pass, run_with_list, run_with_list_file, ENTRY};
 use super::test_output::{binary_output, command_output, output_with_one_failure};
-use super::verdict::{expect_fail, expect_pass, verdict, verdict_on, ENTRY};
 use std::path::Path;
 
 #[test]
-fn without_a_list_the_exit_code_is_that_of_the_command() {
+fn missing_or_empty_list_keeps_the_exit_code_of_the_command() {
     for output in [
         output_with_one_failure(),
         "error: could not compile `load-balancer`\n".into(),
         String::new(),
     ] {
         for code in [0, 1, 101] {
-            let none = verdict_on(Path::new("no/such/KNOWN-RED.txt"), &output, code);
-            assert_eq!(none, (code, String::new()));
+            let without_list =
+                run_with_list_file(Path::new("no/such/KNOWN-RED.txt"), &output, code);
+            assert_eq!(without_list, (code, String::new()));
             for empty in ["", "\n", " \n\n"] {
-                assert_eq!(verdict(empty, &output, code), (code, String::new()));
+                assert_eq!(run_with_list(empty, &output, code), (code, String::new()));
             }
         }
     }
 }
 
 #[test]
-fn a_listed_failure_passes_the_run_and_is_printed() {
+fn listed_failure_passes_the_run_and_is_printed() {
     expect_pass(ENTRY, &output_with_one_failure());
     expect_pass(
         "hangs; cargo test --seed 7; the answer has no end; #12",
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn a_listed_test_that_passes_fails_the_run() {
+fn listed_test_that_passes_fails_the_run() {
     let list = format!("{ENTRY}admin::answers; cargo test --seed 7; was slow; #13\n");
     expect_fail(
         &list,
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn a_listed_test_that_is_ignored_fails_the_run() {
+fn ignored_listed_test_fails_the_run() {
     for result in ["ignored", "ignored, slow"] {
         let text = binary_output("admin", &[("hangs", "ignored")])
             .replace("... ignored", &format!("... {result}"));
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn a_failure_that_is_not_listed_fails_the_run() {
+fn unlisted_failure_fails_the_run() {
     let admin = [("hangs", "FAILED"), ("hangs_twice", "FAILED")];
     expect_fail(
         ENTRY,
--- a/tests/known_red/test_output.rs
+++ b/tests/known_red/test_output.rs
@@ -1,11 +1,12 @@
-//! Made-up output of the test command.
+//! Builds made-up output of the test command.
 
-/// The output of one test binary: each test with the text behind its name.
+/// Returns the output of one test binary. Each test is given by its name and the result that is
+/// printed after it.
 pub fn binary_output(name: &str, tests: &[(&str, &str)]) -> String {
-    let count = |start| {
+    let count = |ending| {
         tests
             .iter()
-            .filter(|(_, result)| result.ends_with(start))
+            .filter(|(_, result)| result.ends_with(ending))
             .count()
     };
     let (passed, failed, ignored) = (count("ok"), count("FAILED"), count("ignored"));
@@ -18,32 +19,32 @@
         text += &format!("test {test} ... {result}\n");
     }
     if failed > 0 {
-        let named = tests
+        let failed_tests = tests
             .iter()
             .filter(|(_, result)| result.ends_with("FAILED"));
-        let named: Vec<_> = named
+        let failed_tests: Vec<_> = failed_tests
             .map(|(test, _)| test.trim_end_matches(" - should panic"))
             .collect();
         text += "\nfailures:\n";
-        for test in &named {
+        for test in &failed_tests {
             text += &format!("\n---- {test} stdout ----\nCAPTURED\n");
         }
         text += "\n\nfailures:\n";
-        for test in &named {
+        for test in &failed_tests {
             text += &format!("    {test}\n");
         }
     }
-    let word = if failed > 0 { "FAILED" } else { "ok" };
+    let result = if failed > 0 { "FAILED" } else { "ok" };
     let counts =
         format!("{passed} passed; {failed} failed; {ignored} ignored; 0 measured; 0 filtered out");
-    text += &format!("\ntest result: {word}. {counts}; finished in 0.01s\n\n");
+    text += &format!("\ntest result: {result}. {counts}; finished in 0.01s\n\n");
     if failed > 0 {
         text += &format!("error: test failed, to rerun pass `--test {name}`\n");
     }
     text
 }
 
-/// The complete output of the test command.
+/// Returns the complete output of the test command from the output of its test binaries.
 pub fn command_output(binaries: &[String]) -> String {
     let failed = binaries
         .iter()
@@ -62,7 +63,7 @@
     )
 }
 
-/// Output with the listed failure among tests that pass.
+/// Returns the output of a run in which the test of `script::ENTRY` fails and all others pass.
 pub fn output_with_one_failure() -> String {
     let admin = binary_output(
         "admin",
