--- a/tests/support/upstream.rs
+++ b/tests/support/upstream.rs
@@ -43,7 +43,7 @@
     pub closed: Receiver<()>,
     /// Number of connections that have been accepted.
     pub connections: Arc<AtomicU64>,
-    /// Number of responses that have been written on connections that stayed open.
+    /// Number of responses that have been written, without those that close the connection.
     pub responses: Arc<AtomicU64>,
     response: Arc<Mutex<StubResponse>>,
     gate: Arc<Gate>,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Sends the requests on one connection to `seen` and responds to them, until the connection ends.
+/// Sends each request on one connection to `seen` and responds to it, until the connection ends.
 fn respond(
     stream: TcpStream,
     response: &Mutex<StubResponse>,
