--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint of the real program.
+//! The admin endpoint of the running program.
 
 mod support;
 use std::thread::sleep;
@@ -18,7 +18,7 @@
     }
     assert_eq!(program.admin_call("GET /healthcheck").0, 200);
     assert_eq!(program.admin_call("GET /stats").0, 200);
-    // They are closed in the end, without a response.
+    // The balancer closes the connections of the unfinished requests without a response.
     for caller in &mut slow {
         assert!(caller.is_closed_by_peer());
     }
@@ -100,10 +100,10 @@
     });
     assert_eq!(program.metric("in_flight"), 1);
     drop(leaving);
-    wait_until("its client has disconnected", || {
+    wait_until("the disconnect is noticed", || {
         program.metric("in_flight") == 0
     });
-    // Without an id the request is malformed.
+    // A request without Request-Id is malformed.
     assert_eq!(client.request("/pay", "", "coins").status(), 400);
     let counts = [
         ("served.read", 3),
@@ -118,7 +118,7 @@
     }
 }
 
-/// Clients do not stay with a drained balancer, and lose no request.
+/// A client drain closes all client connections, and no request is lost.
 #[test]
 fn a_client_drain_closes_connections_after_a_response_and_can_be_ended() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -164,7 +164,7 @@
     );
 }
 
-/// Operators may be working on the upstream, whatever discovery lists.
+/// Operators may still be working on the upstream when discovery lists it again.
 #[test]
 fn maintenance_holds_against_the_endpoint_list_until_it_is_ended() {
     let (one, two) = (
@@ -184,9 +184,9 @@
     one.closed
         .recv_timeout(TEST_TIMEOUT)
         .expect("the idle connection is closed");
-    // Discovery removes it and lists it again as in service.
+    // Discovery removes u0 and lists it again as in service.
     watch.line(&list(6, true, &[endpoint("u1", two.address, "in_service")]));
-    wait_until("it is removed from the list", || {
+    wait_until("u0 is removed from the list", || {
         program.metric("upstreams_known") == 1
     });
     let both = [
@@ -194,7 +194,7 @@
         endpoint("u1", two.address, "in_service"),
     ];
     watch.line(&list(7, true, &both));
-    wait_until("it is back on the list", || {
+    wait_until("u0 is on the list again", || {
         program.metric("upstreams_known") == 2
     });
     assert_eq!(program.metric("upstreams_excluded"), 1);
@@ -207,7 +207,7 @@
     );
     assert_eq!(program.admin_call("POST /upstreams/%750/ready").0, 200);
     assert_eq!(program.metric("upstreams_excluded"), 0);
-    wait_until("it is used again", || {
+    wait_until("u0 receives requests again", || {
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
         one.seen.try_iter().count() > 0
     });
@@ -243,26 +243,26 @@
     let healthy: Vec<_> = (0..200)
         .map(|_| {
             let mut client = program.client();
-            // Without capacity for it, it gets an error.
+            // A client beyond the capacity gets an error response.
             client.request("/healthz", "", "");
             client
         })
         .collect();
-    // Long enough that each may be evicted; more does no harm.
+    // After this time each connection may be evicted; a longer pause does no harm.
     sleep(Duration::from_millis(60));
     let ask = |mut client: Client| {
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
         client
     };
     let clients: Vec<_> = (0..40).map(|_| ask(program.client())).collect();
-    // None of these is evicted for another.
+    // None of these connections is evicted for another one.
     clients.into_iter().map(ask).for_each(drop);
     drop(healthy);
 }
 
 #[test]
 fn a_request_rejected_for_want_of_capacity_is_counted() {
-    // So many that the decision module rejects nothing.
+    // So many upstreams that the decision module rejects no request.
     let upstreams: Vec<_> = (0..12)
         .map(|_| StubUpstream::start(StubResponse::Never))
         .collect();
@@ -273,9 +273,9 @@
         client.send("/pay", REQUEST_ID, "coins").unwrap();
     }
     let mut refused = 0;
-    wait_until("one is rejected", || {
+    wait_until("a request is rejected", || {
         let mut client = program.client();
-        // It may be closed at once, without capacity even for a response.
+        // The connection may be closed at once if there is no capacity even for a response.
         let response = client
             .send("/read", REQUEST_ID, "")
             .and_then(|()| client.receive());
@@ -288,7 +288,7 @@
     assert_eq!(program.metric("refused.read"), refused);
 }
 
-/// At the end of the process, and in a client drain.
+/// A partial request may be completed during a graceful shutdown and during a client drain.
 #[test]
 fn a_request_that_has_arrived_in_part_is_served_before_its_connection_closes() {
     for drain in [false, true] {
@@ -305,20 +305,20 @@
         wait_until("the process is draining", || {
             program.admin_call("GET /healthcheck").0 == 503
         });
-        // Longer than the grace of an idle connection, and shorter than a head may take.
+        // Longer than an idle connection stays open, and shorter than the time limit for a head.
         sleep(Duration::from_millis(1000));
         client.write("1\r\nContent-Length: 5\r\n\r\ncoins");
         let response = client.receive().unwrap().expect("a response");
         assert_eq!(
             (response.status(), response.header("connection")),
             (200, Some("close")),
-            "{drain}"
+            "client drain: {drain}"
         );
         assert!(client.is_closed_by_peer());
     }
 }
 
-/// Otherwise it would be open when the process is killed.
+/// A request that is still being received would otherwise be open when SIGKILL ends the process.
 #[test]
 fn a_request_whose_body_still_arrives_is_rejected_before_sigkill() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -332,7 +332,7 @@
         program.metric("in_flight") == 1
     });
     program.terminate();
-    // Sends for longer than the process may live, unless a response comes.
+    // Sends for 20 s, longer than the process may live, or until a write fails.
     let mut writer = client.writer();
     let sending = std::thread::spawn(move || {
         for _ in 0..400 {
@@ -344,6 +344,9 @@
         true
     });
     assert_eq!(client.receive().unwrap().expect("a response").status(), 503);
-    assert!(!sending.is_finished(), "it came while the body did");
+    assert!(
+        !sending.is_finished(),
+        "expected the response while the body was being sent"
+    );
     assert!(upstream.seen.try_recv().is_err());
 }
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies through the real program: large, slow, streamed, and with unusual framing.
+//! Bodies of requests and responses: large, slow, streamed, and with unusual framing.
 
 mod support;
 use std::sync::mpsc::{channel, RecvTimeoutError};
@@ -8,7 +8,7 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-/// A body in which a shifted or repeated part would show.
+/// Returns a body in which a comparison detects shifted and repeated parts.
 fn body_of(length: usize) -> String {
     (0..length)
         .map(|index| char::from(b'a' + (index * 7 + index / 1009) as u8 % 26))
@@ -61,7 +61,7 @@
     }
 }
 
-/// A response without a length is valid if it declares that its connection closes at its end.
+/// A response without a length is valid if it has `Connection: close`.
 #[test]
 fn a_response_may_be_delimited_by_a_declared_close() {
     for length in [3, 1 << 20] {
@@ -81,7 +81,7 @@
     }
 }
 
-/// A client must not take a part of a response for all of it.
+/// A client must not mistake a part of a response for a complete one.
 #[test]
 fn a_client_can_detect_a_truncated_large_response() {
     let upstream = StubUpstream::start(StubResponse::TruncateLarge);
@@ -115,7 +115,7 @@
         assert_eq!(client.receive().unwrap().unwrap().status(), 200, "{length}");
         assert!(upstream.next().body == body.as_bytes(), "{length}");
     }
-    // A chunked body without bytes.
+    // An empty chunked body.
     client
         .send(
             "/read",
@@ -145,8 +145,8 @@
     }
 }
 
-/// A rejected client gets its response while it is still sending, and a body of which a part was
-/// streamed to one upstream goes to no other.
+/// The client gets the rejection while it is still sending its body. A body that was partly
+/// streamed to one upstream is not sent to another.
 #[test]
 fn a_rejected_large_request_is_answered_and_not_retried() {
     let upstream = StubUpstream::start(StubResponse::Rejected);
@@ -159,7 +159,8 @@
     assert_eq!(upstream.seen.try_iter().count(), 1);
 }
 
-/// A client may go on sending its body after the response, for longer than a head may take.
+/// After the response, a client may go on sending its body for longer than the time limit for a
+/// head.
 #[test]
 fn a_client_may_send_the_rest_of_its_body_long_after_the_response() {
     let refusing = RefusingPort::new();
@@ -175,7 +176,7 @@
             let mut longest_pause = last_write.elapsed();
             while stopped.recv_timeout(Duration::from_millis(20)) == Err(RecvTimeoutError::Timeout)
             {
-                // If the connection has been closed, the next request shows that.
+                // If the connection has been closed, the next request fails.
                 let _ = write("1\r\nx\r\n");
                 longest_pause = longest_pause.max(last_write.elapsed());
                 last_write = Instant::now();
@@ -187,17 +188,17 @@
         // Longer than the time limit for a head.
         sleep(Duration::from_secs(4));
         stop.send(()).unwrap();
-        // If the machine paused the client for too long, closing its connection is correct.
+        // If the machine paused the client for too long, the balancer may close its connection.
         if sending.join().unwrap() < Duration::from_secs(2) {
             assert_eq!(response.unwrap().expect("a response").status(), 503);
             assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 503);
             return;
         }
     }
-    panic!("the machine paused the client in each try");
+    panic!("the machine paused the client for at least 2 s in each of 10 tries");
 }
 
-/// A client that sends slowly but steadily may take longer than a first request may.
+/// A body that is sent slowly but steadily may take longer than a first request may.
 #[test]
 fn a_slow_but_steady_body_is_accepted() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -217,7 +218,8 @@
     assert!(upstream.next().body == body.as_bytes());
 }
 
-/// A body that arrived in time isn't late because the process was paused before it could read it.
+/// A body that arrived in time must not count as late because the process was paused and read it
+/// later.
 #[test]
 fn a_body_that_arrives_while_the_process_is_paused_is_in_time() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -228,14 +230,15 @@
     assert_eq!(client.receive().unwrap().unwrap().status(), 100);
     program.suspend();
     client.write(&body);
-    // Longer than a body of this size may take.
+    // Longer than the time limit for a body of this size.
     sleep(Duration::from_secs(4));
     program.resume();
     assert_eq!(client.receive().unwrap().unwrap().status(), 200);
     assert!(upstream.next().body == body.as_bytes());
 }
 
-/// If a client stops in the middle of a streamed body, the upstream is released and not blamed.
+/// If a client stops in the middle of a streamed body, its upstream connection is closed, and the
+/// failure does not count against the upstream.
 #[test]
 fn a_stalled_upload_releases_its_upstream() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -258,7 +261,8 @@
     assert_eq!(program.metric("upstreams_excluded"), 0);
 }
 
-/// The same for a client that sends far below the mean rate of 32 kB/s.
+/// A client that sends far below the minimum mean rate of 32 kB/s must not hold its upstream
+/// connection, and the failure does not count against the upstream.
 #[test]
 fn an_upload_below_the_minimum_rate_releases_its_upstream() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -288,7 +292,7 @@
     assert_eq!(program.metric("upstreams_excluded"), 0);
 }
 
-/// Bodies don't pile up in memory if one side is slower than the other.
+/// Bodies must not accumulate in memory if one side is slower than the other.
 #[test]
 fn many_concurrent_large_bodies_take_little_memory() {
     let body = body_of(8 << 20);
@@ -302,7 +306,7 @@
         .collect();
     let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
     let (program, _discovery) = Program::with_upstreams(&addresses);
-    // All send their requests before the first one reads its response.
+    // All clients send their requests before the first one reads its response.
     let mut clients: Vec<_> = (0..40).map(|_| program.client()).collect();
     for client in &mut clients {
         client.send("/read", REQUEST_ID, "").unwrap();
@@ -315,7 +319,7 @@
             response.start_line
         );
     }
-    // Large requests.
+    // Large request bodies.
     for _ in 0..8 {
         assert_eq!(
             program.client().request("/pay", REQUEST_ID, &body).status(),
@@ -324,7 +328,7 @@
     }
     assert!(
         program.peak_memory_bytes() < 32 << 20,
-        "{}",
+        "peak memory of {} bytes, expected less than 32 MiB",
         program.peak_memory_bytes()
     );
 }
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect: their requests are not forwarded any more.
+//! Client disconnects: requests of disconnected clients are neither forwarded nor retried.
 
 mod support;
 use std::io::Read;
@@ -7,13 +7,14 @@
 use support::*;
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
-/// Bytes behind a request: none, few, and many more than are read ahead.
+/// How many bytes a client sends behind its request: none, few, and many more than the balancer
+/// reads ahead.
 const BYTES_BEHIND: [usize; 3] = [0, 20, 200_000];
-/// The same, limited to what the kernel buffers for a process that is stopped.
+/// Like `BYTES_BEHIND`, but limited to what the kernel buffers for a process that is stopped.
 const BYTES_BEHIND_WHILE_STOPPED: [usize; 3] = [0, 20, 30_000];
 
-/// A balancer with deadlines beyond the time of any test, so that requests end early only with
-/// their clients.
+/// Starts a balancer whose deadlines are longer than any test, so that a request ends early only if
+/// its client disconnects.
 fn start(upstreams: &[SocketAddr], cancel: bool) -> (Program, StubDiscovery) {
     let discovery = StubDiscovery::start();
     let config = with_long_timeouts(&config_with_upstreams(upstreams, discovery.address, 256))
@@ -25,7 +26,7 @@
     )
 }
 
-/// Disconnects a client, with this many bytes behind its request, by a close or a reset.
+/// Sends `bytes_behind` bytes behind a client's request, and closes or resets its connection.
 fn disconnect(mut client: Client, bytes_behind: usize, reset: bool) {
     if bytes_behind > 0 {
         client.write("GET /read/behind HTTP/1.1\r\n");
@@ -36,17 +37,18 @@
     }
 }
 
-/// The same, and waits until the kernel of the stopped process has received it.
+/// Disconnects a client as `disconnect` does, and waits until the kernel has received the close or
+/// the reset, which the stopped process has not read.
 fn disconnect_while_stopped(program: &Program, client: Client, bytes_behind: usize, reset: bool) {
     let port = client.port();
     disconnect(client, bytes_behind, reset);
-    wait_until("its close has arrived", || {
+    wait_until("the kernel has received the close", || {
         program.has_received_close_from(port)
     });
 }
 
-/// Requests that fill an upstream's concurrency limit, two at the start, and one more that is
-/// queued.
+/// Sends as many requests as an upstream's concurrency limit admits, two at the start, and one more
+/// that is queued. Returns the clients of the running requests and the client of the queued one.
 fn one_queued(program: &Program, upstream: &StubUpstream, path: &str) -> (Vec<Client>, Client) {
     let next = |count, metric| {
         let mut client = program.client();
@@ -62,7 +64,8 @@
     (running, waiting)
 }
 
-/// The same with this many queued requests.
+/// Fills an upstream's concurrency limit, and queues `count` requests. Returns the clients of the
+/// running requests and those of the queued ones.
 fn many_queued(
     program: &Program,
     upstream: &StubUpstream,
@@ -82,7 +85,7 @@
     (running, all_waiting)
 }
 
-/// Four clients, whose requests to `/pay/0`, `/pay/1` and so on have all been forwarded.
+/// Returns four clients whose requests to `/pay/0`, `/pay/1` and so on have all been forwarded.
 fn four_forwarded(program: &Program) -> Vec<Client> {
     let mut clients: Vec<_> = (0..4).map(|_| program.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
@@ -96,7 +99,7 @@
     clients
 }
 
-/// A client whose request waits for a connection to this upstream.
+/// Returns a client whose request waits until a connection to this upstream is established.
 fn connecting(program: &Program, upstream: SocketAddr) -> Client {
     let mut client = program.client();
     client.send("/pay", REQUEST_ID, "coins").unwrap();
@@ -106,8 +109,8 @@
     client
 }
 
-/// The next request to reach the upstream is a new one: none of the clients that have
-/// disconnected does.
+/// Sends a new request and expects the upstream to receive it next, not one of a client that has
+/// disconnected.
 fn expect_only_new_requests(program: &Program, upstream: &StubUpstream, what: &str) {
     assert_eq!(
         program
@@ -124,7 +127,7 @@
     );
 }
 
-/// Bytes bytes_behind a queued request must not hide that its client has disconnected.
+/// Bytes behind a queued request must not hide that its client has disconnected.
 #[test]
 fn a_queued_request_whose_client_has_disconnected_is_not_forwarded() {
     for bytes_behind in BYTES_BEHIND {
@@ -134,7 +137,7 @@
             let (mut running, waiting) = one_queued(&program, &upstream, "/pay");
             disconnect(waiting, bytes_behind, reset);
             let left = running.len() as u64;
-            wait_until("its disconnect is noticed", || {
+            wait_until("the disconnect is noticed", || {
                 program.metric("in_flight") == left
             });
             upstream.release();
@@ -150,7 +153,8 @@
     }
 }
 
-/// The same for many clients that disconnect together, in different ways.
+/// Many clients disconnect at once, by close and by reset, with and without bytes behind their
+/// requests.
 #[test]
 fn queued_requests_whose_clients_disconnect_together_are_not_forwarded() {
     let upstream = StubUpstream::start(StubResponse::Hold);
@@ -159,18 +163,18 @@
     for (number, client) in leaving.into_iter().enumerate() {
         disconnect(client, BYTES_BEHIND[number % 3], number % 2 == 0);
     }
-    wait_until("their disconnects are noticed", || {
+    wait_until("all disconnects are noticed", || {
         program.metric("in_flight") == running.len() as u64
     });
     upstream.release();
     for client in &mut running {
         client.receive().unwrap().expect("a response");
     }
-    expect_only_new_requests(&program, &upstream, "they have left together");
+    expect_only_new_requests(&program, &upstream, "simultaneous disconnects");
 }
 
-/// The client disconnects between two attempts: one upstream has rejected its request, which is
-/// queued for the other.
+/// The client disconnects between two attempts: one upstream has rejected its request, and the
+/// retry is queued for the other.
 #[test]
 fn a_request_whose_client_has_disconnected_is_not_retried() {
     for bytes_behind in BYTES_BEHIND {
@@ -186,7 +190,7 @@
         full.set_response(StubResponse::Rejected);
         full.release();
         disconnect(clients.remove(leaving), bytes_behind, bytes_behind > 0);
-        wait_until("its disconnect is noticed", || {
+        wait_until("the disconnect is noticed", || {
             program.metric("in_flight") == 3
         });
         busy.release();
@@ -207,8 +211,8 @@
     }
 }
 
-/// A request must not be sent on a connection that comes up after its client has disconnected,
-/// also where requests in flight may not be cancelled.
+/// The connection that a request waits for must not be used after the client has disconnected, even
+/// where requests in flight may not be cancelled.
 #[test]
 fn a_request_whose_client_has_disconnected_waits_for_no_connection() {
     for cancel in [true, false] {
@@ -218,14 +222,14 @@
             let client = connecting(&program, upstream);
             let port = client.port();
             disconnect(client, bytes_behind, false);
-            wait_until("its connections are closed", || {
+            wait_until("the connections of client and upstream are closed", || {
                 !has_pending_connect(upstream) && !program.has_connection_to(port)
             });
         }
     }
 }
 
-/// The client disconnects while its request is queued and a part of its body is still to come.
+/// The client disconnects while its request is queued and a part of its body has not been sent.
 #[test]
 fn a_queued_request_whose_client_disconnects_in_the_middle_of_its_body_is_not_forwarded() {
     for reset in [false, true] {
@@ -243,7 +247,7 @@
             program.metric("in_flight") == all
         });
         disconnect(uploading, 0, reset);
-        wait_until("its disconnect is noticed", || {
+        wait_until("the disconnect is noticed", || {
             program.metric("in_flight") == all - 1
         });
         upstream.release();
@@ -258,8 +262,8 @@
     }
 }
 
-/// A process that got no CPU time for a while may handle events in any order: clients have
-/// disconnected in different ways, and slots have become free, before or after that.
+/// A process that got no CPU time for a while handles the events of that time in any order: clients
+/// have closed or reset their connections, and slots have become free before or after that.
 #[test]
 fn queued_requests_whose_clients_disconnected_while_the_process_was_stopped_are_not_forwarded() {
     for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
@@ -289,7 +293,8 @@
     }
 }
 
-/// The same for a client that disconnected before its request was read.
+/// The request and the close of its connection are received while the process is stopped, so that
+/// it reads them together.
 #[test]
 fn a_request_whose_client_disconnected_before_it_was_read_is_not_forwarded() {
     for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
@@ -308,8 +313,8 @@
     }
 }
 
-/// The same for one whose first attempt was rejected meanwhile, while the other upstream's slots
-/// became free.
+/// While the process is stopped, one upstream rejects the first attempt, the other upstream's slots
+/// become free, and the client disconnects.
 #[test]
 fn a_request_whose_client_disconnected_while_the_process_was_stopped_is_not_retried() {
     for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
@@ -346,7 +351,8 @@
     }
 }
 
-/// The same for one whose connection to its upstream was established meanwhile.
+/// While the process is stopped, the connection that a request waits for is established, and the
+/// client disconnects.
 #[test]
 fn a_request_is_not_sent_on_a_connection_that_came_up_after_its_client_disconnected() {
     for cancel in [true, false] {
@@ -363,7 +369,7 @@
             });
             disconnect_while_stopped(&program, client, bytes_behind, false);
             program.resume();
-            wait_until("its disconnect is noticed", || {
+            wait_until("the disconnect is noticed", || {
                 program.metric("in_flight") == 0
             });
             expect_only_new_requests(&program, &upstream, &format!("{cancel} {bytes_behind}"));
@@ -371,8 +377,8 @@
     }
 }
 
-/// The upstream begins with the last byte of a body, which must not be forwarded after the client
-/// has disconnected.
+/// An upstream starts to process a request when it has received the last byte of the body. That
+/// byte must not be forwarded after the client has disconnected.
 #[test]
 fn a_streamed_body_whose_client_disconnected_while_the_process_was_stopped_stays_incomplete() {
     for cancel in [true, false] {
@@ -386,7 +392,7 @@
             client.write("Content-Length: 150000\r\n\r\n");
             client.write(&"x".repeat(149_000));
             let (mut upstream, _) = listener.accept().unwrap();
-            // Together with the head this is nearly all that has been sent so far.
+            // The head and nearly all of the body that has been sent so far.
             upstream.read_exact(&mut [0; 149_000]).unwrap();
             program.suspend();
             client.write(&"x".repeat(1000));
@@ -403,8 +409,8 @@
     }
 }
 
-/// A half-close can't be told from a close, so such a client counts as disconnected: its request
-/// is not forwarded, and its connection closes without a response.
+/// The balancer can't distinguish a half-close from a close, so the client counts as disconnected:
+/// its request is not forwarded, and its connection is closed without a response.
 #[test]
 fn a_client_that_half_closes_counts_as_disconnected() {
     for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
@@ -415,7 +421,7 @@
         waiting.half_close();
         assert!(waiting.is_closed_by_peer(), "{bytes_behind}");
         let left = running.len() as u64;
-        wait_until("its disconnect is noticed", || {
+        wait_until("the disconnect is noticed", || {
             program.metric("in_flight") == left
         });
         upstream.release();
@@ -426,7 +432,7 @@
         let mut early = program.client();
         early.send("/pay", REQUEST_ID, "coins").unwrap();
         early.half_close();
-        wait_until("its close has arrived", || {
+        wait_until("the kernel has received the close", || {
             program.has_received_close_from(early.port())
         });
         program.resume();
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Requests and changes that race with a close, a drain or a timeout. The process is suspended
-//! until both sides of the race have happened.
+//! Requests and responses that race with a close, a drain or a timeout. The process is suspended
+//! until both events of the race have happened.
 
 mod support;
 use socket2::SockRef;
@@ -13,7 +13,7 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-/// A change of the endpoint list that the program knows.
+/// Returns a change to the endpoint list, with entries of name, address and status.
 fn change(version: u64, entries: &[(&str, SocketAddr, &str)]) -> String {
     let entries: Vec<_> = entries
         .iter()
@@ -59,7 +59,7 @@
     }
 }
 
-/// The response to a cancelled attempt must not be read as that of the next one.
+/// The response to a cancelled attempt must not be read as the response to the next attempt.
 #[test]
 fn a_response_that_crosses_its_client_s_disconnect_reaches_no_other_client() {
     let upstream = StubUpstream::start(StubResponse::Hold);
@@ -100,7 +100,7 @@
     wait_until("the connection is established", || {
         old.connections.load(Ordering::SeqCst) == 1
     });
-    // A request that is sent now gets its response after that attempt has begun.
+    // The response to a request that is sent now shows that the attempt has begun.
     assert_eq!(program.client().request("/healthz", "", "").status(), 200);
     let mut watch = discovery.next();
     let draining = ("u0", old.address, "terminating");
@@ -131,7 +131,7 @@
     assert!(new.seen.try_recv().is_err());
 }
 
-/// The retry must not go to an upstream that began to drain during the first attempt.
+/// A retry must not be sent to an upstream that began to drain during the first attempt.
 #[test]
 fn a_retry_avoids_an_upstream_that_has_begun_to_drain() {
     let (first, draining, free) = (
@@ -148,15 +148,16 @@
     wait_until("both upstreams are known", || {
         program.metric("upstreams_known") == 2
     });
-    // The upstream is used until it drains, and the close of its idle connection shows when that
-    // is known. The clients stay connected, as nothing is forwarded for one that has left. They
-    // send one at a time, so that no request is on its way when the drain is sent.
+    // A request leaves an idle connection to the upstream that will drain. The balancer closes it
+    // when it receives the drain. The clients stay connected, as requests of disconnected clients
+    // are not forwarded. They send one at a time, so that no request is on its way when the drain
+    // is sent.
     let mut others = Vec::new();
     let mut used = false;
     while !used {
         let mut other = program.client();
         other.send("/pay", REQUEST_ID, "coins").unwrap();
-        wait_until("it reaches an upstream", || {
+        wait_until("the request reaches an upstream", || {
             used = draining.seen.try_recv().is_ok();
             used || first.seen.try_recv().is_ok()
         });
@@ -184,7 +185,8 @@
     assert!(draining.seen.try_recv().is_err());
 }
 
-/// The name and the address are the same, but the connection leads to a process that has ended.
+/// A restarted upstream keeps its name and address, but its connections lead to a process that has
+/// ended.
 #[test]
 fn connections_to_an_upstream_that_has_restarted_are_closed() {
     let (upstream, discovery) = (
@@ -219,7 +221,8 @@
     assert_eq!(upstream.connections.load(Ordering::SeqCst), 2);
 }
 
-/// A connection may be established late, within the connect timeout.
+/// Establishing a connection may take long, within the connect timeout. The request is then sent
+/// exactly once.
 #[test]
 fn a_connection_that_is_established_late_carries_its_request_once() {
     let blocked = BlockedPort::new();
@@ -238,7 +241,8 @@
     assert_eq!(upstream.seen.try_iter().count(), 1);
 }
 
-/// A request whose last byte was never written cannot have run, and so is rejected, not failed.
+/// A request whose last byte was never written cannot have run, so its client gets a 503 instead of
+/// a 502.
 #[test]
 fn a_reset_before_the_last_byte_proves_that_a_request_never_ran() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -257,7 +261,7 @@
     assert_eq!(client.receive().unwrap().expect("a response").status(), 503);
 }
 
-/// The connection must not be held for a response without end whose client has gone.
+/// An endless response must not keep its connection open after its client has disconnected.
 #[test]
 fn an_endless_response_is_cancelled_when_its_client_disconnects() {
     let upstream =
@@ -276,15 +280,16 @@
     });
 }
 
-/// The connections to upstreams that are there before the process is suspended.
+/// Whether the connections to the upstreams exist before the process is suspended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum UpstreamConnections {
     Cached,
     New,
 }
 
-/// Suspends the process while requests and a list arrive, which drains the first upstream behind
-/// `others` more entries. The process is suspended `again` times more while it reads them.
+/// Suspends the process while it receives requests and an endpoint list. The list drains the first
+/// upstream in its last entry, behind `others` other entries. The process is suspended `again` more
+/// times while it reads them.
 fn check_drain_while_suspended(round: usize, others: usize, again: usize) {
     let connections = [UpstreamConnections::Cached, UpstreamConnections::New][round % 2];
     let (drains, stays) = (
@@ -328,8 +333,8 @@
     assert!(drains.seen.try_recv().is_err(), "{connections:?}");
 }
 
-/// A request that was received before the drain must not be sent there after it, on a cached
-/// connection or on a new one. There are several rounds, as the order of reads may vary.
+/// A request that was received before the drain must not be sent to the draining upstream after it,
+/// on a cached connection or on a new one. The order of reads may vary, hence several rounds.
 #[test]
 fn requests_received_while_suspended_avoid_an_upstream_that_drains_since() {
     for round in 0..16 {
@@ -337,7 +342,7 @@
     }
 }
 
-/// The same with a list that is read in many pieces.
+/// The drain is the last entry of a list that is read in many pieces.
 #[test]
 fn requests_received_while_suspended_wait_for_a_long_list_to_be_complete() {
     for round in 0..4 {
@@ -345,7 +350,7 @@
     }
 }
 
-/// The same with a process that is suspended repeatedly while it reads.
+/// The process is suspended repeatedly while it reads the requests and the list.
 #[test]
 fn requests_received_while_suspended_repeatedly_avoid_a_draining_upstream() {
     for round in 0..16 {
@@ -353,8 +358,8 @@
     }
 }
 
-/// An upstream that never responds. It sends the result of `observe` when the first byte of a
-/// connection arrives.
+/// Starts an upstream that never responds. The returned receiver gets the result of `observe` when
+/// the first byte of a connection is received.
 fn spawn_silent_upstream<T: Send + 'static>(
     observe: impl Fn() -> T + Send + 'static,
 ) -> (SocketAddr, Receiver<T>) {
@@ -363,7 +368,7 @@
     std::thread::spawn(move || {
         let mut connections = Vec::new();
         for mut stream in listener.incoming().map_while(Result::ok) {
-            // A connection without a request is ignored.
+            // Connections without a request are ignored.
             if stream.read(&mut [0]).is_ok_and(|count| count > 0) {
                 let _ = sender.send(observe());
             }
@@ -373,7 +378,7 @@
     (address, receiver)
 }
 
-/// Without hedged requests no two attempts may be open at a time.
+/// Without hedged requests, a request must not have two open attempts at a time.
 #[test]
 fn an_abandoned_attempt_is_closed_before_the_next_begins() {
     for _ in 0..4 {
@@ -401,7 +406,7 @@
             .collect::<Vec<_>>();
         assert!(
             observed.iter().all(|observed| observed.len() == 1),
-            "one attempt each"
+            "expected one attempt at each upstream"
         );
         let ports: Vec<_> = addresses.iter().map(SocketAddr::port).collect();
         let has_both = |connections: &Vec<(u16, u16)>| {
@@ -411,7 +416,7 @@
         };
         assert!(
             !observed.iter().flatten().any(has_both),
-            "both connections were open"
+            "the connections of both attempts were open at the same time"
         );
     }
 }
--- a/tests/descriptor_limits.rs
+++ b/tests/descriptor_limits.rs
@@ -1,5 +1,5 @@
-//! Descriptor limits under many idle clients: what is reserved for discovery, the admin endpoint
-//! and clients with requests.
+//! Descriptor limits with many idle clients: discovery, the admin endpoint and clients with
+//! requests still get descriptors.
 
 mod support;
 use std::collections::VecDeque;
@@ -12,13 +12,14 @@
 use support::*;
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
-/// Descriptor limits: the smallest that is allowed, and larger ones.
+/// The smallest descriptor limit that is allowed, and larger ones.
 const DESCRIPTOR_LIMITS: [usize; 4] = [64, 128, 256, 1024];
 
-/// Runs one test at a time, as together they would hold more descriptors than a process may.
+/// Waits until no other test of this file runs, as together the tests would exceed the descriptor
+/// limit of their process.
 fn run_exclusively() -> MutexGuard<'static, ()> {
     static EXCLUSIVE: Mutex<()> = Mutex::new(());
-    // A test that has failed before this one has ended all the same.
+    // A test that failed has poisoned the lock, but has ended.
     EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -28,14 +29,15 @@
     Program::start_with(&[("PROXY_CONSOLE", "127.0.0.1:0")], &config, "127.0.0.1:0")
 }
 
-/// This many connections on which nothing is sent.
+/// Opens `count` connections on which nothing is sent.
 fn open_idle(address: SocketAddr, count: usize) -> Vec<TcpStream> {
     (0..count)
         .map(|_| TcpStream::connect(address).unwrap())
         .collect()
 }
 
-/// Idle clients that hold more connections than there are descriptors, and keep opening new ones.
+/// Idle clients that open more connections than the descriptor limit has room for, and keep
+/// replacing the oldest connection by a new one.
 struct IdleClients {
     stop: Arc<AtomicBool>,
     clients: Option<JoinHandle<()>>,
@@ -63,14 +65,14 @@
 impl Drop for IdleClients {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
-        // A panic has been reported already.
+        // A panic of the thread has been printed already.
         let _ = self.clients.take().map(JoinHandle::join);
     }
 }
 
-/// A request may arrive among open_idle connections that are all accepted in one turn of the
-/// event loop, and among others whose close has not been noticed. Its connection is evicted after
-/// those without a request.
+/// A request may arrive among idle connections that are all accepted in one turn of the event loop,
+/// and among connections whose close has not been noticed. Its connection must not be evicted while
+/// there are others without a request.
 #[test]
 fn a_request_among_idle_connections_is_the_last_to_be_evicted() {
     let _exclusive = run_exclusively();
@@ -105,8 +107,8 @@
     }
 }
 
-/// A request is not rejected for a lack of descriptors that has ended since its connection was
-/// accepted.
+/// Descriptors may be lacking when a connection is accepted, but be free again when its request is
+/// read. The request must not be rejected then.
 #[test]
 fn a_client_accepted_over_capacity_is_served_if_there_is_capacity_when_its_request_arrives() {
     let _exclusive = run_exclusively();
@@ -134,8 +136,8 @@
     );
 }
 
-/// The same when all are accepted in one turn of the event loop, at whatever place the request
-/// comes.
+/// The connections are all accepted in one turn of the event loop, and the one with the complete
+/// request is the last of them.
 #[test]
 fn a_complete_request_has_capacity_behind_any_number_of_partial_ones() {
     let _exclusive = run_exclusively();
@@ -160,8 +162,8 @@
     }
 }
 
-/// Sends a request on a new connection, which is accepted only after all of the request has
-/// arrived.
+/// Sends a request on a new connection, which the balancer accepts only after the complete request
+/// has arrived.
 fn send_before_accept(program: &Program, path: &str) -> Client {
     program.suspend();
     let mut client = program.client();
@@ -170,8 +172,8 @@
     client
 }
 
-/// Connections with partial requests, and those that sent only health checks and stay open, are
-/// evicted first.
+/// Connections with partial requests, and connections that stay open after a health check, are
+/// evicted before those with complete requests.
 #[test]
 fn a_complete_request_goes_before_partial_ones_and_before_health_checks() {
     let _exclusive = run_exclusively();
@@ -183,7 +185,7 @@
             "GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n",
         ] {
             let mut idle_clients = open_idle(program.address, sockets * 2 / 3);
-            // Some have been evicted already.
+            // Writing fails on connections that have been evicted already.
             for client in &mut idle_clients {
                 drop(client.write_all(text.as_bytes()));
             }
@@ -201,9 +203,9 @@
     }
 }
 
-/// A watch finds a descriptor once discovery is back, the admin endpoint responds, and requests
-/// are served then. The endpoint list at the start is empty, or holds only an upstream that is
-/// gone.
+/// While discovery is down, idle clients must not take the descriptors of the watch and the admin
+/// endpoint. Requests are served once discovery is back and has sent a list. The endpoint list at
+/// the start is empty, or holds only an upstream that is gone.
 #[test]
 fn behind_many_idle_clients_requests_are_served_once_discovery_has_responded() {
     let _exclusive = run_exclusively();
@@ -237,13 +239,13 @@
         }
         let discovery = down.start_discovery();
         let mut watch = discovery.next();
-        // It is silent at first, so that in push mode another watch is opened beside it.
+        // The watch is silent at first, so a second one is opened in push mode.
         let other = (mode == "push").then(|| discovery.next());
         assert_eq!(program.admin_call("GET /stats").0, 200);
         let new =
             [1, 2].map(|n| endpoint(&format!("u{n}"), upstreams[n - 1].address, "in_service"));
         watch.line(&list(6, true, &new));
-        wait_until("the list has been received", || {
+        wait_until("both upstreams are known", || {
             program.metric("upstreams_known") == 2
         });
         for _ in 0..8 {
@@ -256,7 +258,7 @@
             assert!(program.open_descriptors() <= sockets, "{sockets}");
         }
         if empty {
-            // This request has been queued meanwhile.
+            // This request was queued until the list was received.
             assert_eq!(
                 early.receive().unwrap().map(|response| response.status()),
                 Some(200)
@@ -267,8 +269,8 @@
 }
 
 /// A watch fails while a new process has half of the descriptors, and clients with requests in
-/// flight, which can't be evicted, hold more than the other half. Discovery has descriptors of
-/// its own.
+/// flight, which can't be evicted, hold more than the other half. It can reconnect because some
+/// descriptors are reserved for discovery.
 #[test]
 fn a_watch_reconnects_while_a_new_process_has_half_of_the_descriptors() {
     let _exclusive = run_exclusively();
@@ -318,8 +320,8 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// The system's limit may be smaller than the configured one. Clients must not take every
-/// descriptor then and leave none to discovery and the admin endpoint.
+/// The system's limit may be smaller than the configured one. Clients must then not take the
+/// descriptors of discovery and the admin endpoint.
 #[test]
 fn the_descriptor_limit_is_no_larger_than_that_of_the_system() {
     let _exclusive = run_exclusively();
@@ -330,7 +332,10 @@
     let idle_clients = IdleClients::at(program.address, 300);
     for _ in 0..10 {
         assert_eq!(program.admin_call("GET /stats").0, 200);
-        assert!(program.open_descriptors() < 128 - 8, "some stay free");
+        assert!(
+            program.open_descriptors() < 128 - 8,
+            "more than 8 of 128 descriptors stay free"
+        );
     }
     let mut watch = down.start_discovery().next();
     watch.line(&list(
@@ -338,7 +343,7 @@
         true,
         &[endpoint("u0", upstream.address, "in_service")],
     ));
-    wait_until("the list has been received", || {
+    wait_until("the health check succeeds", || {
         program.admin_call("GET /healthcheck").0 == 200
     });
     for _ in 0..8 {
--- a/tests/failing_system_calls.rs
+++ b/tests/failing_system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls that fail with transient errors, in all the ways that Linux documents.
+//! System calls that fail with the transient errors that Linux documents for them.
 
 mod support;
 use std::net::SocketAddr;
@@ -22,10 +22,11 @@
 const ETIMEDOUT: i32 = 110;
 const EHOSTUNREACH: i32 = 113;
 
-/// More calls than any test makes.
+/// A number of failures that no test reaches: the faults last until the test ends.
 const ALWAYS: u32 = 1_000_000;
 
-/// A program with these upstreams, some of whose system calls fail.
+/// Starts a program with these upstreams whose system calls fail as `faults` says, in the format of
+/// the variable `FAULTS` in `faults/faults.c`.
 fn start(faults: &str, upstreams: &[SocketAddr], sockets: usize) -> (Program, StubDiscovery) {
     let discovery = StubDiscovery::start();
     let variables = [
@@ -42,7 +43,7 @@
     )
 }
 
-/// Idle clients are not disconnected because the next connection can't be accepted at once.
+/// Idle clients must not be disconnected if the next connection can't be accepted at once.
 #[test]
 fn a_transient_accept_error_closes_no_other_connection() {
     for error in [ECONNABORTED, ENOBUFS, EINTR, ENFILE, EMFILE] {
@@ -73,13 +74,14 @@
     }
 }
 
-/// An accepted connection is served though it can't be registered with epoll at once, even if
-/// SIGTERM arrives meanwhile.
+/// An accepted connection that can't be registered with epoll at once is served later, even if
+/// SIGTERM is received in the meantime.
 #[test]
 fn a_connection_is_served_after_transient_registration_errors() {
     for error in [ENOMEM, ENOSPC] {
         let upstream = StubUpstream::start(StubResponse::Ok);
-        // The first connection, and one of those around SIGTERM, for some 0.2 s each.
+        // Registration fails for the first connection and for one of those around SIGTERM, for
+        // about 0.2 s each.
         let faults =
             format!("epoll_ctl_accepted:{error}:1:1:20,epoll_ctl_accepted:{error}:25:1:20");
         let (mut program, _discovery) = start(&faults, &[upstream.address], 256);
@@ -107,7 +109,8 @@
     }
 }
 
-/// Clients that connected before the listener closes are answered though the last accepts fail.
+/// Clients that connect before the listener closes get a response, although up to 300 calls of
+/// accept fail first.
 #[test]
 fn queued_connections_are_accepted_at_shutdown_after_transient_accept_errors() {
     for (error, times) in [(ECONNABORTED, 300), (ENOBUFS, 95), (EMFILE, 95)] {
@@ -134,8 +137,8 @@
     }
 }
 
-/// If every second accept fails, many connections are still accepted before the listener closes,
-/// which is 0.95 s after SIGTERM with deadlines of 0.5 s.
+/// The listener closes 0.95 s after SIGTERM if the deadlines are 0.5 s. 200 queued connections must
+/// be accepted before that.
 #[test]
 fn many_connections_are_accepted_in_time_though_every_second_accept_fails() {
     for error in [ENOBUFS, ENFILE, EMFILE] {
@@ -169,7 +172,7 @@
     }
 }
 
-/// How long it takes to response many clients that connected before SIGTERM.
+/// Returns how long it takes to respond to 300 clients that connected before SIGTERM.
 fn time_to_answer_many(faults: &str) -> Duration {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = start(faults, &[upstream.address], 1024);
@@ -190,8 +193,8 @@
     started.elapsed()
 }
 
-/// Connections that can't be registered at once delay those behind them only briefly, as SIGKILL
-/// may come soon.
+/// Connections that can't be registered at once must not delay those behind them for long, as
+/// SIGKILL may follow soon.
 #[test]
 fn registration_errors_hardly_delay_other_connections() {
     let without_faults = time_to_answer_many("");
@@ -204,7 +207,6 @@
     }
 }
 
-/// Local errors of connect fail no request, and count against no upstream.
 #[test]
 fn local_connect_errors_fail_no_request_and_count_against_no_upstream() {
     let calls = [
@@ -218,40 +220,43 @@
             .into_iter()
             .chain([("connect", ENOMEM), ("socket", ENOBUFS), ("socket", ENFILE)]);
     for (call, error) in calls {
-        // With one connection per request.
+        // Each request needs a new connection.
         let upstreams: Vec<_> = (0..3)
             .map(|_| StubUpstream::start(StubResponse::OkThenClose))
             .collect();
         let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
-        // Two of three calls fail, except for the first ones, which are made at startup.
+        // From the fifth call on, two of three fail. The first calls are made at startup.
         let faults = format!("{call}:{error}:5:3:{ALWAYS},{call}:{error}:6:3:{ALWAYS}");
         let (program, _discovery) = start(&faults, &addresses, 256);
         let mut client = program.client();
         for _ in 0..60 {
             let response = client.request("/pay", REQUEST_ID, "coins");
             assert_eq!(response.status(), 200, "{call}, error {error}");
-            // A request that is written before the close arrives may have run.
+            // A request that is written before the close is received may have run, so it would not
+            // be retried.
             let served_by = |upstream: &&StubUpstream| {
                 response
                     .body
                     .ends_with(upstream.address.to_string().as_bytes())
             };
             let upstream = upstreams.iter().find(served_by);
-            upstream.expect("it names itself").wait_for_close();
+            upstream
+                .expect("the response names its upstream")
+                .wait_for_close();
         }
         for upstream in &upstreams {
             let seen = upstream.seen.try_iter().count();
-            // The rotation evens out the time that calls take, which varies on a busy machine. An
-            // ejected upstream would get few calls.
+            // The rotation balances the time that requests take, which varies on a busy machine. An
+            // ejected upstream would receive far fewer requests.
             assert!(
                 (12..=30).contains(&seen),
-                "{seen} calls of 60 at one of three, {call}, error {error}"
+                "{seen} of 60 requests at one of three upstreams, expected 12 to 30, \
+                    {call}, error {error}"
             );
         }
     }
 }
 
-/// Transient errors of socket don't keep the process from starting.
 #[test]
 fn startup_retries_transient_socket_errors() {
     for error in [ENFILE, EMFILE, ENOBUFS, ENOMEM] {
@@ -266,8 +271,8 @@
     }
 }
 
-/// Nor do those of any other call before the process listens: the first one of its kind, a later
-/// one, or every second one.
+/// Of each system call that the process makes before it listens, the first call, a later one or
+/// every second one fails.
 #[test]
 fn startup_retries_transient_errors_of_every_call() {
     let calls = [
@@ -306,7 +311,6 @@
     }
 }
 
-/// A new configuration is applied though its file can't be opened at once.
 #[test]
 fn a_reload_retries_opening_the_configuration() {
     for error in [ENFILE, EMFILE, ENOMEM, EIO] {
@@ -331,7 +335,7 @@
     }
 }
 
-/// Calls that are interrupted, or fail for a temporary lack of buffers, are retried.
+/// Calls that are interrupted or fail for a temporary lack of buffers are retried.
 #[test]
 fn interrupted_reads_and_writes_fail_no_request() {
     let interrupted = ["recv", "send", "writev", "poll", "epoll_wait"].map(|call| (call, EINTR));
@@ -358,9 +362,9 @@
 /// A connection that breaks counts as reset whichever error reports it: a request that may have
 /// run is not retried, and a 503 means that the request did not run.
 ///
-/// A request with a fault makes nine calls of recv, so that every ninth call may be the same one
-/// of each request, even the one that reads the response to a request that has run. In that case
-/// no minimum of served requests is asserted.
+/// A request with a fault makes nine calls of recv. Every ninth call may therefore be the same one
+/// of each request, even the one that reads the response after the request has run. Only one served
+/// request is required if every ninth call of recv fails.
 #[test]
 fn a_broken_connection_runs_no_request_twice_whatever_the_error() {
     for error in [ETIMEDOUT, EHOSTUNREACH, ECONNRESET] {
@@ -397,10 +401,13 @@
                     .iter()
                     .filter(|message| message.start_line == line)
                     .count();
-                assert!(runs <= 1, "{runs} runs of {number}, {call}, error {error}");
+                assert!(
+                    runs <= 1,
+                    "request {number} ran {runs} times, {call}, error {error}"
+                );
                 match status {
-                    Some(200) => assert_eq!(runs, 1, "{number}, {call}, error {error}"),
-                    Some(503) => assert_eq!(runs, 0, "{number}, {call}, error {error}"),
+                    Some(200) => assert_eq!(runs, 1, "request {number}, {call}, error {error}"),
+                    Some(503) => assert_eq!(runs, 0, "request {number}, {call}, error {error}"),
                     _ => {}
                 }
             }
@@ -410,13 +417,14 @@
                 .count();
             assert!(
                 served > min_served,
-                "{served} of 60 served, {call} {every}, error {error}"
+                "{served} of 60 requests served, expected more than {min_served}, \
+                    {call} {every}, error {error}"
             );
         }
     }
 }
 
-/// Signals are handled though the calls that pass them on inside the process are interrupted.
+/// A signal is passed on inside the process by send and recv, which may be interrupted.
 #[test]
 fn signals_are_handled_though_their_notification_is_interrupted() {
     for call in ["recv", "send"] {
--- a/tests/faults/faults.c
+++ b/tests/faults/faults.c
@@ -2,18 +2,19 @@
  * Makes system calls of a program under test fail, and shifts its wall clock. Loaded with
  * LD_PRELOAD.
  *
- * FAULTS       Comma-separated `call:error:first:every:times`: of the calls with this name, the
- *              one numbered `first` and then every `every`-th one fail with the error `error`,
- *              `times` times in all. A negative `error` delays the call by that many milliseconds
- *              instead. Calls that count:
- *                write                 for regular files only
- *                socket, connect       for IPv4 only
+ * FAULTS       Comma-separated `call:error:first:every:times`: call number `first` of this name and
+ *              every `every`-th one after it fail with the error number `error`, until `times`
+ *              calls have failed. A negative `error` delays the call by that many milliseconds
+ *              instead. Some names select only a part of the calls:
+ *                poll                  only with a timeout of 0
+ *                write                 only for regular files
+ *                socket, connect       only for IPv4
  *                socket_unix, connect_unix
  *                                      for local sockets
  *                open                  for the configuration and for paths in $TMPDIR
  *                epoll_ctl             for descriptors that are added
  *                epoll_ctl_accepted    for clients' connections that are added
- * FAULTS_WALL  Seconds by which the wall clock is ahead.
+ * FAULTS_WALL  Seconds that are added to the wall clock.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -54,7 +55,8 @@
     }
 }
 
-/* Whether this call has to fail, with errno set; delays the call instead if so configured. */
+/* Counts the call, and returns whether it has to fail, with errno set. Delays the call if the fault
+ * has a negative error. */
 static int must_fail(const char *call) {
     long error = 0;
     for (int i = 0; i < fault_count; i++) {
@@ -142,7 +144,7 @@
     return must_fail("pthread_create") ? errno : real(thread, with, run, value);
 }
 
-/* Inodes of the latest accepted sockets: a duplicated descriptor has the same inode. */
+/* Inodes of the sockets that were accepted last: a duplicated descriptor has the same inode. */
 static ino_t accepted_inodes[MAX_ACCEPTED];
 static unsigned accepted_count;
 
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -1,4 +1,5 @@
-//! Framing of requests and responses: all forms, in pieces, and messages that never end.
+//! Framing of requests and responses: all valid forms byte by byte, and incomplete, malformed and
+//! endless messages.
 
 mod support;
 use socket2::SockRef;
@@ -10,7 +11,7 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-/// An upstream that responds to the first request on each connection by `response`.
+/// Starts an upstream that responds to the first request on each connection by `response`.
 fn upstream(response: impl Fn(&mut TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -25,9 +26,9 @@
     address
 }
 
-/// A reset must not be taken for the end of a response that is delimited by the close of its
-/// connection: also when nothing of it has arrived, all of it, or a part that is being streamed
-/// already.
+/// A reset must not be mistaken for the end of a response that is delimited by the close of its
+/// connection, whether no part, all or a part of the body has arrived, and whether or not it is
+/// already being streamed to the client.
 #[test]
 fn a_response_without_a_length_that_is_reset_is_incomplete() {
     for (count, pause) in [
@@ -59,7 +60,7 @@
             )
             .unwrap();
         let text = String::from_utf8(client.read_to_end_bytes()).unwrap();
-        // The client gets either an error or a response that is not terminated.
+        // The client gets either an error or a response without its last chunk.
         let (failed, cut) = (
             text.starts_with("HTTP/1.1 502 "),
             !text.ends_with("0\r\n\r\n"),
@@ -74,7 +75,7 @@
     }
 }
 
-/// No form that HTTP/1.1 allows counts as malformed, or is cut in the wrong place, when it
+/// Every form of a response that HTTP/1.1 allows is accepted and delimited correctly when it
 /// arrives byte by byte.
 #[test]
 fn responses_are_read_in_all_forms_byte_by_byte() {
@@ -107,8 +108,8 @@
     }
 }
 
-/// A chunk size that never ends would otherwise be read until the request's deadline. It begins
-/// after the head has been read.
+/// The balancer must not read an endless chunk size until the request's deadline. The chunk size
+/// goes on after the balancer has read the head.
 #[test]
 fn a_chunk_size_that_never_ends_is_malformed() {
     let responses = [
@@ -139,22 +140,23 @@
             "HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n{begin}"
         )
         .unwrap();
-        // Later requests are responded to after that has been read.
+        // The responses to these requests show that the balancer has read what was written.
         for _ in 0..2 {
             assert_eq!(program.client().request("/healthz", "", "").status(), 200);
         }
-        // More than the buffers between the two hold.
+        // More than the buffers between the upstream and the balancer hold.
         let accepted_chunks =
             (0..400).take_while(|_| stream.write_all(again.repeat(100_000).as_bytes()).is_ok());
         assert!(
             accepted_chunks.count() < 400,
-            "the response is cancelled: {status} {begin:?}"
+            "expected a failed write after the response is cancelled: {status} {begin:?}"
         );
         assert_eq!(client.receive().unwrap().expect("a response").status(), 502);
     }
 }
 
-/// The same for requests, which are also forwarded unchanged.
+/// Every form of a request that HTTP/1.1 allows is accepted when it arrives byte by byte, and its
+/// path, body and id are forwarded unchanged.
 #[test]
 fn requests_are_read_in_all_forms_byte_by_byte() {
     let forms = [
@@ -190,7 +192,7 @@
     }
 }
 
-/// A malformed response is not read for as long as it goes on.
+/// The balancer stops reading an endless response and does not wait for the request's deadline.
 #[test]
 fn a_response_that_never_ends_is_malformed() {
     let forms = [
@@ -229,13 +231,13 @@
         );
         assert!(
             begun.elapsed() < Duration::from_secs(9),
-            "before its client's time is up"
+            "the response to the client took 9 s or longer"
         );
     }
 }
 
-/// A response that cannot be known to be complete is not forwarded, the request may have run and
-/// is not retried, and the connection is not reused.
+/// A response that can't be proved complete is not forwarded. Its request may have run and is not
+/// retried, and the connection is not reused.
 #[test]
 fn a_malformed_response_is_a_failure_that_may_have_run() {
     let endless = "HTTP/1.1 200 OK\r\nNews: ".to_string() + &"x".repeat(1 << 20);
@@ -265,7 +267,7 @@
         );
         let count = |upstream: &StubUpstream| upstream.seen.try_iter().count();
         assert_eq!(count(&one) + count(&two), 1, "{text:.99}");
-        // The connection has been closed, whichever upstream it was.
+        // The connection is closed, whichever upstream it leads to.
         while one.closed.try_recv().is_err() && two.closed.try_recv().is_err() {
             sleep(Duration::from_millis(1));
         }
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -1,4 +1,4 @@
-//! Watches on discovery: what is received when one ends, falls silent or overlaps with another.
+//! Discovery watches that fail, fall silent or overlap: changes are received all the same.
 
 mod support;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-/// A program that knows two upstreams, of which one is in service.
+/// A program whose endpoint list holds one upstream, and a second upstream that a change adds.
 struct WatchFixture {
     old: StubUpstream,
     new: StubUpstream,
@@ -42,7 +42,7 @@
         )
     }
 
-    /// The change that drains the old upstream and puts the new one into service.
+    /// Returns the change that drains the old upstream and puts the new one into service.
     fn change(&self, version: u64) -> String {
         let changes = [
             endpoint("u0", self.old.address, "terminating"),
@@ -51,8 +51,8 @@
         list(version, false, &changes)
     }
 
-    /// Leaves an idle connection to the upstream in service. Its close shows that the change has
-    /// been received.
+    /// Sends a request, which leaves an idle connection to the old upstream. The balancer closes
+    /// that connection when it receives the change.
     fn leave_idle_connection(&self) {
         assert_eq!(
             self.program
@@ -64,8 +64,8 @@
         self.old.next();
     }
 
-    /// Waits until the change has been received: the connection that `leave_idle_connection` left
-    /// is closed, and requests go to the new upstream.
+    /// Waits until the change is in force: the connection that `leave_idle_connection` left is
+    /// closed, and requests are sent to the new upstream only.
     fn expect_changed(&self) {
         self.old
             .closed
@@ -83,7 +83,7 @@
     }
 }
 
-/// The line breaks, and where the list is cut into chunks, make no difference.
+/// Line breaks and chunk boundaries may be anywhere in a list.
 #[test]
 fn a_list_may_span_several_lines() {
     let fixture = WatchFixture::new("push");
@@ -103,8 +103,8 @@
     assert!(watch.is_open() && fixture.discovery.watches.try_recv().is_err());
 }
 
-/// A change may come between the close of a silent watch and the opening of the next, and the next
-/// may be silent too: one of them is open at any time.
+/// A change may be sent between the close of a silent watch and the opening of the next one, which
+/// may be silent as well. At least one watch is therefore open at any time.
 #[test]
 fn a_silent_watch_stays_open_until_another_has_received_data() {
     for (mode, begin) in [
@@ -127,7 +127,7 @@
         );
         assert!(first.is_open(), "{mode} {begin:?}");
         if mode == "push" {
-            // The second is silent as well.
+            // The second watch is silent as well.
             let mut third = fixture.discovery.next();
             assert!(first.is_open() && second.is_open());
             third.line(&fixture.change(6));
@@ -139,7 +139,7 @@
     }
 }
 
-/// Empty lines behind an incomplete list must not keep the watch alive.
+/// A watch that sends only empty lines behind an incomplete list is replaced like a silent one.
 #[test]
 fn empty_lines_inside_a_list_are_no_heartbeat() {
     let fixture = WatchFixture::new("push");
@@ -153,13 +153,17 @@
             Ok(second) => break second,
             Err(_) => sleep(Duration::from_millis(20)),
         }
-        assert!(begun.elapsed() < TEST_TIMEOUT, "the watch counts as alive");
+        assert!(
+            begun.elapsed() < TEST_TIMEOUT,
+            "no second watch within {TEST_TIMEOUT:?}, the empty lines keep the first alive"
+        );
     };
     second.line(&fixture.change(6));
     fixture.expect_changed();
 }
 
-/// A watch that resumes after a silence may have missed a change and send only a later one.
+/// A watch that resumes after a silence may have missed a change and send only a later one. The
+/// balancer receives the missed change on the watch that it has opened in the meantime.
 #[test]
 fn changes_that_a_silent_watch_has_missed_come_from_the_next_one() {
     let fixture = WatchFixture::new("push");
@@ -167,7 +171,7 @@
     let mut first = fixture.discovery.next();
     first.line("");
     let mut second = fixture.discovery.next();
-    // The first one resumes with another change, and then breaks.
+    // The first watch resumes with change 7 and has missed change 6.
     first.line(&list(
         7,
         false,
@@ -184,7 +188,7 @@
     );
 }
 
-/// The reset right behind the list must not discard it.
+/// A complete list must not be discarded if the connection is reset directly after it.
 #[test]
 fn a_complete_list_is_used_though_its_connection_is_reset() {
     for mode in ["push", "ask"] {
@@ -210,7 +214,7 @@
     }
 }
 
-/// An incomplete list is neither applied nor counted as the known version.
+/// An incomplete list is not applied, and the next watch still asks from the previous version.
 #[test]
 fn an_incomplete_list_is_discarded_and_requested_again() {
     let fixture = WatchFixture::new("push");
@@ -238,7 +242,7 @@
     fixture.expect_changed();
 }
 
-/// A malformed list neither discards nor empties the last good one.
+/// A malformed list neither replaces nor empties the last valid one.
 #[test]
 fn a_malformed_list_leaves_the_last_good_one_in_use() {
     let fixture = WatchFixture::new("push");
@@ -266,8 +270,8 @@
     fixture.old.next();
 }
 
-/// Discovery may be down, and return at another address. The old watch is used until the new one
-/// has received a list.
+/// Discovery may go down and come back at another address. The watches on the old address are used
+/// until the watch on the new one has received a list.
 #[test]
 fn discovery_may_move_while_its_watch_is_silent() {
     let fixture = WatchFixture::new("push");
@@ -288,7 +292,7 @@
         moved.request_line
     );
     assert!(silent.is_open() && second.is_open());
-    // The old discovery resumes and sends a drain to its watches.
+    // The old discovery resumes and sends a drain on its second watch.
     second.line(&fixture.change(6));
     fixture.expect_changed();
     silent.wait_for_end();
@@ -310,7 +314,7 @@
     fixture.new.next();
 }
 
-/// A reconnect that fails is retried before the notification deadline. The silent watch is used
+/// A failed reconnect is retried before the notification deadline. The silent watch stays open
 /// meanwhile.
 #[test]
 fn a_failed_reconnect_is_retried_beside_the_silent_watch() {
@@ -328,7 +332,7 @@
     }
 }
 
-/// The response to a poll that was queued is used, also if others were made beside it.
+/// The response to a pending poll is used even if later polls have been sent in the meantime.
 #[test]
 fn a_queued_poll_is_used_though_others_were_made_beside_it() {
     let fixture = WatchFixture::new("ask");
@@ -343,8 +347,8 @@
     assert!(waiting.is_open());
 }
 
-/// The backoff must not grow beyond the notification deadline of 6 s while discovery is down, also
-/// if one poll hangs and one is reset at its return.
+/// The backoff must not grow beyond the notification deadline of 6 s while discovery is down. When
+/// discovery is back, its first poll gets no response and its second one is reset.
 #[test]
 fn changes_after_an_outage_of_8_s_are_received_though_the_first_calls_fail() {
     for moved in [false, true] {
@@ -361,11 +365,11 @@
             } else {
                 away.start_discovery()
             };
-            // Its first poll is made at once, within the deadline.
+            // The first poll is sent within the notification deadline.
             let mut unanswered = back
                 .watches
                 .recv_timeout(Duration::from_secs(6))
-                .expect("the first poll comes in time");
+                .expect("the first poll is sent within 6 s of the return");
             back.next().reset();
             let mut last = back.next();
             assert!(unanswered.is_open());
@@ -392,7 +396,7 @@
         "{}",
         again.request_line
     );
-    // A malformed line breaks the watch as well; the known list stays in force.
+    // A malformed line ends the watch as well; the known list stays in force.
     again.line("nonsense");
     assert!(discovery.next().request_line.contains("since=9"));
     assert_eq!(
@@ -401,7 +405,8 @@
     );
 }
 
-/// The list would become outdated behind a watch whose server has vanished.
+/// The watch of a server that has vanished receives nothing, and the endpoint list would become
+/// outdated.
 #[test]
 fn a_silent_watch_is_replaced() {
     let (_program, discovery) = Program::with_upstreams(&[refusing_address()]);
@@ -409,8 +414,9 @@
     assert!(discovery.next().request_line.contains("since=5"));
 }
 
-/// SIGHUP does not end the process, the known list is kept for the new discovery, and its changes
-/// are used though their versions are lower than those of the old one.
+/// SIGHUP does not end the process, and the known list stays in force while the new discovery is
+/// connected. The changes of the new discovery are applied although their versions are lower than
+/// those of the old one.
 #[test]
 fn a_reload_moves_the_watch_to_another_discovery() {
     let (one, two) = (
@@ -430,7 +436,7 @@
     ));
     program.reload("not a configuration");
     program.reload(&config(&known, new.address, 1024));
-    // The first connection fails. It is retried, and the known list stays in force.
+    // The first watch fails and is retried, and the known list stays in force.
     drop(new.next());
     assert_eq!(
         program
