--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -8,19 +8,19 @@
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 #[test]
-fn admin_requests_are_answered_beside_callers_that_never_finish_theirs() {
+fn admin_requests_are_answered_despite_unfinished_ones() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
-    let half = "POST /healthcheck/fail HTTP/1.1\r\nHost: c";
-    let mut slow: Vec<_> = (0..60).map(|_| program.connect_admin()).collect();
-    for caller in slow.iter_mut().step_by(2) {
-        caller.write(half);
+    let partial_request = "POST /healthcheck/fail HTTP/1.1\r\nHost: c";
+    let mut unfinished: Vec<_> = (0..60).map(|_| program.connect_admin()).collect();
+    for admin_client in unfinished.iter_mut().step_by(2) {
+        admin_client.write(partial_request);
     }
     assert_eq!(program.admin_call("GET /healthcheck").0, 200);
     assert_eq!(program.admin_call("GET /stats").0, 200);
     // The balancer closes the connections of the unfinished requests without a response.
-    for caller in &mut slow {
-        assert!(caller.is_closed_by_peer());
+    for admin_client in &mut unfinished {
+        assert!(admin_client.is_closed_by_peer());
     }
     assert_eq!(program.client().request("/healthz", "", "").status(), 200);
 }
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn figures_count_each_outcome_once_and_attempts_when_written() {
+fn metrics_count_each_outcome_once_and_attempts_when_written() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
@@ -93,13 +93,13 @@
     upstream.set_response(StubResponse::Rejected);
     assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 503);
     upstream.set_response(StubResponse::Never);
-    let mut leaving = program.client();
-    leaving.send("/pay", REQUEST_ID, "coins").unwrap();
+    let mut disconnecting = program.client();
+    disconnecting.send("/pay", REQUEST_ID, "coins").unwrap();
     wait_until("the last attempt is written", || {
         program.metric("attempts") == 6
     });
     assert_eq!(program.metric("in_flight"), 1);
-    drop(leaving);
+    drop(disconnecting);
     wait_until("the disconnect is noticed", || {
         program.metric("in_flight") == 0
     });
@@ -166,7 +166,7 @@
 
 /// Operators may still be working on the upstream when discovery lists it again.
 #[test]
-fn maintenance_holds_against_the_endpoint_list_until_it_is_ended() {
+fn maintenance_outlasts_changes_of_the_endpoint_list() {
     let (one, two) = (
         StubUpstream::start(StubResponse::Ok),
         StubUpstream::start(StubResponse::Ok),
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn connections_that_only_checked_health_are_evicted_for_requests() {
+fn connections_with_only_health_checks_are_evicted_for_requests() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let healthy: Vec<_> = (0..200)
@@ -250,18 +250,18 @@
         .collect();
     // After this time each connection may be evicted; a longer pause does no harm.
     sleep(Duration::from_millis(60));
-    let ask = |mut client: Client| {
+    let send_request = |mut client: Client| {
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
         client
     };
-    let clients: Vec<_> = (0..40).map(|_| ask(program.client())).collect();
+    let clients: Vec<_> = (0..40).map(|_| send_request(program.client())).collect();
     // None of these connections is evicted for another one.
-    clients.into_iter().map(ask).for_each(drop);
+    clients.into_iter().map(send_request).for_each(drop);
     drop(healthy);
 }
 
 #[test]
-fn a_request_rejected_for_want_of_capacity_is_counted() {
+fn request_rejected_for_lack_of_capacity_is_counted() {
     // So many upstreams that the decision module rejects no request.
     let upstreams: Vec<_> = (0..12)
         .map(|_| StubUpstream::start(StubResponse::Never))
@@ -272,32 +272,32 @@
     for client in &mut busy {
         client.send("/pay", REQUEST_ID, "coins").unwrap();
     }
-    let mut refused = 0;
+    let mut rejected = 0;
     wait_until("a request is rejected", || {
         let mut client = program.client();
         // The connection may be closed at once if there is no capacity even for a response.
         let response = client
             .send("/read", REQUEST_ID, "")
             .and_then(|()| client.receive());
-        refused += u64::from(
+        rejected += u64::from(
             response
                 .is_ok_and(|response| response.is_some_and(|response| response.status() == 503)),
         );
-        refused > 0
+        rejected > 0
     });
-    assert_eq!(program.metric("refused.read"), refused);
+    assert_eq!(program.metric("refused.read"), rejected);
 }
 
 /// A partial request may be completed during a graceful shutdown and during a client drain.
 #[test]
-fn a_request_that_has_arrived_in_part_is_served_before_its_connection_closes() {
-    for drain in [false, true] {
+fn partial_request_is_served_before_its_connection_closes() {
+    for is_client_drain in [false, true] {
         let upstream = StubUpstream::start(StubResponse::Ok);
         let (program, _discovery) = Program::with_admin(&[upstream.address]);
         let mut client = program.client();
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
         client.write("POST /pay HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: dd0");
-        if drain {
+        if is_client_drain {
             assert_eq!(program.admin_call("POST /healthcheck/fail").0, 200);
         } else {
             program.terminate();
@@ -312,7 +312,7 @@
         assert_eq!(
             (response.status(), response.header("connection")),
             (200, Some("close")),
-            "client drain: {drain}"
+            "client drain: {is_client_drain}"
         );
         assert!(client.is_closed_by_peer());
     }
@@ -320,7 +320,7 @@
 
 /// A request that is still being received would otherwise be open when SIGKILL ends the process.
 #[test]
-fn a_request_whose_body_still_arrives_is_rejected_before_sigkill() {
+fn request_with_an_incomplete_body_is_rejected_before_sigkill() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -9,9 +9,9 @@
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 /// How many bytes a client sends behind its request: none, few, and many more than the balancer
 /// reads ahead.
-const BYTES_BEHIND: [usize; 3] = [0, 20, 200_000];
-/// Like `BYTES_BEHIND`, but limited to what the kernel buffers for a process that is stopped.
-const BYTES_BEHIND_WHILE_STOPPED: [usize; 3] = [0, 20, 30_000];
+const TRAILING_BYTES: [usize; 3] = [0, 20, 200_000];
+/// Like `TRAILING_BYTES`, but limited to what the kernel buffers for a process that is stopped.
+const TRAILING_BYTES_WHILE_STOPPED: [usize; 3] = [0, 20, 30_000];
 
 /// Starts a balancer whose deadlines are longer than any test, so that a request ends early only if
 /// its client disconnects.
@@ -26,22 +26,27 @@
     )
 }
 
-/// Sends `bytes_behind` bytes behind a client's request, and closes or resets its connection.
-fn disconnect(mut client: Client, bytes_behind: usize, reset: bool) {
-    if bytes_behind > 0 {
+/// Sends `trailing_bytes` bytes behind a client's request, and closes or resets its connection.
+fn disconnect(mut client: Client, trailing_bytes: usize, by_reset: bool) {
+    if trailing_bytes > 0 {
         client.write("GET /read/behind HTTP/1.1\r\n");
-        client.write(&"x".repeat(bytes_behind));
+        client.write(&"x".repeat(trailing_bytes));
     }
-    if reset {
+    if by_reset {
         client.reset();
     }
 }
 
 /// Disconnects a client as `disconnect` does, and waits until the kernel has received the close or
 /// the reset, which the stopped process has not read.
-fn disconnect_while_stopped(program: &Program, client: Client, bytes_behind: usize, reset: bool) {
+fn disconnect_while_stopped(
+    program: &Program,
+    client: Client,
+    trailing_bytes: usize,
+    by_reset: bool,
+) {
     let port = client.port();
-    disconnect(client, bytes_behind, reset);
+    disconnect(client, trailing_bytes, by_reset);
     wait_until("the kernel has received the close", || {
         program.has_received_close_from(port)
     });
@@ -49,44 +54,48 @@
 
 /// Sends as many requests as an upstream's concurrency limit admits, two at the start, and one more
 /// that is queued. Returns the clients of the running requests and the client of the queued one.
-fn one_queued(program: &Program, upstream: &StubUpstream, path: &str) -> (Vec<Client>, Client) {
-    let next = |count, metric| {
+fn queue_one_request(
+    program: &Program,
+    upstream: &StubUpstream,
+    path: &str,
+) -> (Vec<Client>, Client) {
+    let send_until = |count, metric| {
         let mut client = program.client();
         client.send(path, REQUEST_ID, "").unwrap();
         wait_until(metric, || program.metric(metric) == count);
         client
     };
-    let running = vec![next(1, "attempts"), next(2, "attempts")];
-    let waiting = next(3, "in_flight");
+    let running = vec![send_until(1, "attempts"), send_until(2, "attempts")];
+    let queued = send_until(3, "in_flight");
     for _ in &running {
         upstream.next();
     }
-    (running, waiting)
+    (running, queued)
 }
 
 /// Fills an upstream's concurrency limit, and queues `count` requests. Returns the clients of the
 /// running requests and those of the queued ones.
-fn many_queued(
+fn queue_many_requests(
     program: &Program,
     upstream: &StubUpstream,
     count: usize,
 ) -> (Vec<Client>, Vec<Client>) {
-    let (running, waiting) = one_queued(program, upstream, "/pay");
-    let mut all_waiting = vec![waiting];
-    while all_waiting.len() < count {
+    let (running, queued) = queue_one_request(program, upstream, "/pay");
+    let mut all_queued = vec![queued];
+    while all_queued.len() < count {
         let mut client = program.client();
         client.send("/pay", REQUEST_ID, "").unwrap();
-        all_waiting.push(client);
+        all_queued.push(client);
     }
-    let all = (running.len() + count) as u64;
+    let total = (running.len() + count) as u64;
     wait_until("all requests are accepted", || {
-        program.metric("in_flight") == all
+        program.metric("in_flight") == total
     });
-    (running, all_waiting)
+    (running, all_queued)
 }
 
 /// Returns four clients whose requests to `/pay/0`, `/pay/1` and so on have all been forwarded.
-fn four_forwarded(program: &Program) -> Vec<Client> {
+fn forward_four_requests(program: &Program) -> Vec<Client> {
     let mut clients: Vec<_> = (0..4).map(|_| program.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client
@@ -100,7 +109,7 @@
 }
 
 /// Returns a client whose request waits until a connection to this upstream is established.
-fn connecting(program: &Program, upstream: SocketAddr) -> Client {
+fn send_until_connecting(program: &Program, upstream: SocketAddr) -> Client {
     let mut client = program.client();
     client.send("/pay", REQUEST_ID, "coins").unwrap();
     wait_until("a connection is being established", || {
@@ -111,44 +120,44 @@
 
 /// Sends a new request and expects the upstream to receive it next, not one of a client that has
 /// disconnected.
-fn expect_only_new_requests(program: &Program, upstream: &StubUpstream, what: &str) {
+fn expect_only_new_requests(program: &Program, upstream: &StubUpstream, context: &str) {
     assert_eq!(
         program
             .client()
             .request("/pay/last", REQUEST_ID, "")
             .status(),
         200,
-        "{what}"
+        "{context}"
     );
     assert_eq!(
         upstream.next().start_line,
         "POST /pay/last HTTP/1.1",
-        "{what}"
+        "{context}"
     );
 }
 
 /// Bytes behind a queued request must not hide that its client has disconnected.
 #[test]
-fn a_queued_request_whose_client_has_disconnected_is_not_forwarded() {
-    for bytes_behind in BYTES_BEHIND {
-        for reset in [false, true] {
+fn queued_request_of_a_disconnected_client_is_not_forwarded() {
+    for trailing_bytes in TRAILING_BYTES {
+        for by_reset in [false, true] {
             let upstream = StubUpstream::start(StubResponse::Hold);
             let (program, _discovery) = start(&[upstream.address], true);
-            let (mut running, waiting) = one_queued(&program, &upstream, "/pay");
-            disconnect(waiting, bytes_behind, reset);
-            let left = running.len() as u64;
+            let (mut running, queued) = queue_one_request(&program, &upstream, "/pay");
+            disconnect(queued, trailing_bytes, by_reset);
+            let remaining = running.len() as u64;
             wait_until("the disconnect is noticed", || {
-                program.metric("in_flight") == left
+                program.metric("in_flight") == remaining
             });
             upstream.release();
             for client in &mut running {
                 assert_eq!(
                     client.receive().unwrap().unwrap().status(),
                     200,
-                    "{bytes_behind} {reset}"
+                    "{trailing_bytes} {by_reset}"
                 );
             }
-            expect_only_new_requests(&program, &upstream, &format!("{bytes_behind} {reset}"));
+            expect_only_new_requests(&program, &upstream, &format!("{trailing_bytes} {by_reset}"));
         }
     }
 }
@@ -156,12 +165,12 @@
 /// Many clients disconnect at once, by close and by reset, with and without bytes behind their
 /// requests.
 #[test]
-fn queued_requests_whose_clients_disconnect_together_are_not_forwarded() {
+fn queued_requests_are_not_forwarded_after_simultaneous_disconnects() {
     let upstream = StubUpstream::start(StubResponse::Hold);
     let (program, _discovery) = start(&[upstream.address], true);
-    let (mut running, leaving) = many_queued(&program, &upstream, 12);
-    for (number, client) in leaving.into_iter().enumerate() {
-        disconnect(client, BYTES_BEHIND[number % 3], number % 2 == 0);
+    let (mut running, disconnecting) = queue_many_requests(&program, &upstream, 12);
+    for (number, client) in disconnecting.into_iter().enumerate() {
+        disconnect(client, TRAILING_BYTES[number % 3], number % 2 == 0);
     }
     wait_until("all disconnects are noticed", || {
         program.metric("in_flight") == running.len() as u64
@@ -176,20 +185,24 @@
 /// The client disconnects between two attempts: one upstream has rejected its request, and the
 /// retry is queued for the other.
 #[test]
-fn a_request_whose_client_has_disconnected_is_not_retried() {
-    for bytes_behind in BYTES_BEHIND {
-        let (full, busy) = (
+fn request_of_a_disconnected_client_is_not_retried() {
+    for trailing_bytes in TRAILING_BYTES {
+        let (rejecting, busy) = (
             StubUpstream::start(StubResponse::Hold),
             StubUpstream::start(StubResponse::Hold),
         );
-        let (program, _discovery) = start(&[full.address, busy.address], true);
-        let mut clients = four_forwarded(&program);
-        let leaving: usize = full.next().start_line["POST /pay/".len()..][..1]
+        let (program, _discovery) = start(&[rejecting.address, busy.address], true);
+        let mut clients = forward_four_requests(&program);
+        let disconnecting_number: usize = rejecting.next().start_line["POST /pay/".len()..][..1]
             .parse()
             .unwrap();
-        full.set_response(StubResponse::Rejected);
-        full.release();
-        disconnect(clients.remove(leaving), bytes_behind, bytes_behind > 0);
+        rejecting.set_response(StubResponse::Rejected);
+        rejecting.release();
+        disconnect(
+            clients.remove(disconnecting_number),
+            trailing_bytes,
+            trailing_bytes > 0,
+        );
         wait_until("the disconnect is noticed", || {
             program.metric("in_flight") == 3
         });
@@ -198,15 +211,15 @@
             assert_eq!(
                 client.receive().unwrap().unwrap().status(),
                 200,
-                "{bytes_behind}"
+                "{trailing_bytes}"
             );
         }
-        let left = format!("POST /pay/{leaving} HTTP/1.1");
+        let disconnected_start_line = format!("POST /pay/{disconnecting_number} HTTP/1.1");
         assert!(
             busy.seen
                 .try_iter()
-                .all(|message| message.start_line != left),
-            "{bytes_behind}"
+                .all(|message| message.start_line != disconnected_start_line),
+            "{trailing_bytes}"
         );
     }
 }
@@ -214,14 +227,14 @@
 /// The connection that a request waits for must not be used after the client has disconnected, even
 /// where requests in flight may not be cancelled.
 #[test]
-fn a_request_whose_client_has_disconnected_waits_for_no_connection() {
+fn pending_connection_is_closed_when_its_client_disconnects() {
     for cancel in [true, false] {
-        for bytes_behind in BYTES_BEHIND {
+        for trailing_bytes in TRAILING_BYTES {
             let upstream = unreachable_address();
             let (program, _discovery) = start(&[upstream], cancel);
-            let client = connecting(&program, upstream);
+            let client = send_until_connecting(&program, upstream);
             let port = client.port();
-            disconnect(client, bytes_behind, false);
+            disconnect(client, trailing_bytes, false);
             wait_until("the connections of client and upstream are closed", || {
                 !has_pending_connect(upstream) && !program.has_connection_to(port)
             });
@@ -231,27 +244,27 @@
 
 /// The client disconnects while its request is queued and a part of its body has not been sent.
 #[test]
-fn a_queued_request_whose_client_disconnects_in_the_middle_of_its_body_is_not_forwarded() {
-    for reset in [false, true] {
+fn queued_request_with_a_partial_body_is_not_forwarded_after_a_disconnect() {
+    for by_reset in [false, true] {
         let upstream = StubUpstream::start(StubResponse::Hold);
         let (program, _discovery) = start(&[upstream.address], true);
-        let (mut running, waiting) = one_queued(&program, &upstream, "/pay");
+        let (mut running, queued) = queue_one_request(&program, &upstream, "/pay");
         let mut uploading = program.client();
         uploading.write(
             "POST /pay/half HTTP/1.1\r\nHost: b\r\nRequest-Id: c003\r\n\
                 Content-Length: 200000\r\n\r\n",
         );
         uploading.write(&"x".repeat(100_000));
-        let all = running.len() as u64 + 2;
+        let total = running.len() as u64 + 2;
         wait_until("the request is accepted", || {
-            program.metric("in_flight") == all
+            program.metric("in_flight") == total
         });
-        disconnect(uploading, 0, reset);
+        disconnect(uploading, 0, by_reset);
         wait_until("the disconnect is noticed", || {
-            program.metric("in_flight") == all - 1
+            program.metric("in_flight") == total - 1
         });
         upstream.release();
-        for client in running.iter_mut().chain([waiting].iter_mut()) {
+        for client in running.iter_mut().chain([queued].iter_mut()) {
             assert_eq!(client.receive().unwrap().unwrap().status(), 200);
         }
         assert!(upstream
@@ -265,30 +278,34 @@
 /// A process that got no CPU time for a while handles the events of that time in any order: clients
 /// have closed or reset their connections, and slots have become free before or after that.
 #[test]
-fn queued_requests_whose_clients_disconnected_while_the_process_was_stopped_are_not_forwarded() {
-    for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
+fn queued_requests_are_not_forwarded_after_disconnects_while_stopped() {
+    for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
         for free_first in [false, true] {
             let upstream = StubUpstream::start(StubResponse::Hold);
             let (program, _discovery) = start(&[upstream.address], true);
-            let (mut running, leaving) = many_queued(&program, &upstream, 8);
+            let (mut running, disconnecting) = queue_many_requests(&program, &upstream, 8);
             program.suspend();
-            let free = || {
+            let free_slots = || {
                 upstream.release();
                 let count = running.len() as u64;
                 wait_until("all upstreams have responded", || {
                     upstream.responses.load(Ordering::SeqCst) == count
                 });
             };
-            free_first.then(free);
-            for (number, client) in leaving.into_iter().enumerate() {
-                disconnect_while_stopped(&program, client, bytes_behind, number % 2 == 1);
+            free_first.then(free_slots);
+            for (number, client) in disconnecting.into_iter().enumerate() {
+                disconnect_while_stopped(&program, client, trailing_bytes, number % 2 == 1);
             }
-            (!free_first).then(free);
+            (!free_first).then(free_slots);
             program.resume();
             for client in &mut running {
                 client.receive().unwrap().expect("a response");
             }
-            expect_only_new_requests(&program, &upstream, &format!("{bytes_behind} {free_first}"));
+            expect_only_new_requests(
+                &program,
+                &upstream,
+                &format!("{trailing_bytes} {free_first}"),
+            );
         }
     }
 }
@@ -296,8 +313,8 @@
 /// The request and the close of its connection are received while the process is stopped, so that
 /// it reads them together.
 #[test]
-fn a_request_whose_client_disconnected_before_it_was_read_is_not_forwarded() {
-    for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
+fn unread_request_of_a_disconnected_client_is_not_forwarded() {
+    for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
         let upstream = StubUpstream::start(StubResponse::Ok);
         let (program, _discovery) = start(&[upstream.address], true);
         for _ in 0..4 {
@@ -306,9 +323,9 @@
             upstream.next();
             program.suspend();
             client.send("/pay", REQUEST_ID, "coins").unwrap();
-            disconnect_while_stopped(&program, client, bytes_behind, false);
+            disconnect_while_stopped(&program, client, trailing_bytes, false);
             program.resume();
-            expect_only_new_requests(&program, &upstream, &bytes_behind.to_string());
+            expect_only_new_requests(&program, &upstream, &trailing_bytes.to_string());
         }
     }
 }
@@ -316,26 +333,26 @@
 /// While the process is stopped, one upstream rejects the first attempt, the other upstream's slots
 /// become free, and the client disconnects.
 #[test]
-fn a_request_whose_client_disconnected_while_the_process_was_stopped_is_not_retried() {
-    for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
-        let (full, busy) = (
+fn request_is_not_retried_after_a_disconnect_while_stopped() {
+    for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
+        let (rejecting, busy) = (
             StubUpstream::start(StubResponse::Hold),
             StubUpstream::start(StubResponse::Hold),
         );
-        let (program, _discovery) = start(&[full.address, busy.address], true);
-        let clients = four_forwarded(&program);
-        let gone = [full.next().start_line, full.next().start_line];
+        let (program, _discovery) = start(&[rejecting.address, busy.address], true);
+        let clients = forward_four_requests(&program);
+        let disconnected = [rejecting.next().start_line, rejecting.next().start_line];
         program.suspend();
-        full.set_response(StubResponse::Rejected);
-        for upstream in [&full, &busy] {
+        rejecting.set_response(StubResponse::Rejected);
+        for upstream in [&rejecting, &busy] {
             upstream.release();
             wait_until("the upstream has responded", || {
                 upstream.responses.load(Ordering::SeqCst) == 2
             });
         }
         for (number, client) in clients.into_iter().enumerate() {
-            if gone.contains(&format!("POST /pay/{number} HTTP/1.1")) {
-                disconnect_while_stopped(&program, client, bytes_behind, false);
+            if disconnected.contains(&format!("POST /pay/{number} HTTP/1.1")) {
+                disconnect_while_stopped(&program, client, trailing_bytes, false);
             }
         }
         program.resume();
@@ -345,8 +362,8 @@
         assert!(
             busy.seen
                 .try_iter()
-                .all(|message| !gone.contains(&message.start_line)),
-            "{bytes_behind}"
+                .all(|message| !disconnected.contains(&message.start_line)),
+            "{trailing_bytes}"
         );
     }
 }
@@ -354,25 +371,25 @@
 /// While the process is stopped, the connection that a request waits for is established, and the
 /// client disconnects.
 #[test]
-fn a_request_is_not_sent_on_a_connection_that_came_up_after_its_client_disconnected() {
+fn established_connection_is_not_used_after_a_disconnect_while_stopped() {
     for cancel in [true, false] {
-        for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
+        for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
             let blocked = BlockedPort::new();
             let (program, discovery) = start(&[blocked.address], cancel);
             let _watch = discovery.next();
-            let client = connecting(&program, blocked.address);
+            let client = send_until_connecting(&program, blocked.address);
             program.suspend();
-            let all = blocked.waiting.len() as u64 + 1;
+            let total = blocked.waiting.len() as u64 + 1;
             let upstream = blocked.open(StubResponse::Ok);
             wait_until("the connection is established", || {
-                upstream.connections.load(Ordering::SeqCst) == all
+                upstream.connections.load(Ordering::SeqCst) == total
             });
-            disconnect_while_stopped(&program, client, bytes_behind, false);
+            disconnect_while_stopped(&program, client, trailing_bytes, false);
             program.resume();
             wait_until("the disconnect is noticed", || {
                 program.metric("in_flight") == 0
             });
-            expect_only_new_requests(&program, &upstream, &format!("{cancel} {bytes_behind}"));
+            expect_only_new_requests(&program, &upstream, &format!("{cancel} {trailing_bytes}"));
         }
     }
 }
@@ -380,7 +397,7 @@
 /// An upstream starts to process a request when it has received the last byte of the body. That
 /// byte must not be forwarded after the client has disconnected.
 #[test]
-fn a_streamed_body_whose_client_disconnected_while_the_process_was_stopped_stays_incomplete() {
+fn streamed_body_stays_incomplete_after_a_disconnect_while_stopped() {
     for cancel in [true, false] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let (program, _discovery) = start(&[listener.local_addr().unwrap()], cancel);
@@ -412,17 +429,17 @@
 /// The balancer can't distinguish a half-close from a close, so the client counts as disconnected:
 /// its request is not forwarded, and its connection is closed without a response.
 #[test]
-fn a_client_that_half_closes_counts_as_disconnected() {
-    for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
+fn half_close_counts_as_a_disconnect() {
+    for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
         let upstream = StubUpstream::start(StubResponse::Hold);
         let (program, _discovery) = start(&[upstream.address], true);
-        let (mut running, mut waiting) = one_queued(&program, &upstream, "/pay");
-        waiting.write(&"x".repeat(bytes_behind));
-        waiting.half_close();
-        assert!(waiting.is_closed_by_peer(), "{bytes_behind}");
-        let left = running.len() as u64;
+        let (mut running, mut queued) = queue_one_request(&program, &upstream, "/pay");
+        queued.write(&"x".repeat(trailing_bytes));
+        queued.half_close();
+        assert!(queued.is_closed_by_peer(), "{trailing_bytes}");
+        let remaining = running.len() as u64;
         wait_until("the disconnect is noticed", || {
-            program.metric("in_flight") == left
+            program.metric("in_flight") == remaining
         });
         upstream.release();
         for client in &mut running {
@@ -441,9 +458,9 @@
                 .receive()
                 .unwrap()
                 .is_none_or(|response| response.status() == 502),
-            "{bytes_behind}"
+            "{trailing_bytes}"
         );
-        expect_only_new_requests(&program, &upstream, &bytes_behind.to_string());
+        expect_only_new_requests(&program, &upstream, &trailing_bytes.to_string());
         assert_eq!(program.metric("failed.pay"), 0);
     }
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -25,7 +25,7 @@
 /// A response that arrives as the timeout expires leads to exactly one final response, and its
 /// slot is freed exactly once.
 #[test]
-fn a_response_that_crosses_the_timeout_ends_its_request_once() {
+fn response_racing_with_the_timeout_ends_its_request_once() {
     for _ in 0..3 {
         let upstream = StubUpstream::start(StubResponse::Hold);
         let (program, _discovery) = Program::with_admin(&[upstream.address]);
@@ -61,7 +61,7 @@
 
 /// The response to a cancelled attempt must not be read as the response to the next attempt.
 #[test]
-fn a_response_that_crosses_its_client_s_disconnect_reaches_no_other_client() {
+fn response_racing_with_a_disconnect_reaches_no_other_client() {
     let upstream = StubUpstream::start(StubResponse::Hold);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
@@ -86,7 +86,7 @@
 /// A request that is partly written when its upstream begins to drain is neither cancelled nor
 /// sent again.
 #[test]
-fn a_request_that_is_half_written_when_its_upstream_drains_is_completed_there() {
+fn partly_written_request_is_completed_at_a_draining_upstream() {
     let (old, new) = (
         StubUpstream::start(StubResponse::Ok),
         StubUpstream::start(StubResponse::Ok),
@@ -113,8 +113,8 @@
         200
     );
     // A request that reaches the new upstream shows that the drain has been received.
-    let mut known = new.seen.try_iter().count() == 1;
-    while !known {
+    let mut is_change_known = new.seen.try_iter().count() == 1;
+    while !is_change_known {
         old.next();
         assert_eq!(
             program
@@ -123,7 +123,7 @@
                 .status(),
             200
         );
-        known = new.seen.try_iter().count() == 1;
+        is_change_known = new.seen.try_iter().count() == 1;
     }
     client.write(&"x".repeat(50_000));
     assert_eq!(client.receive().unwrap().expect("a response").status(), 200);
@@ -153,13 +153,13 @@
     // are not forwarded. They send one at a time, so that no request is on its way when the drain
     // is sent.
     let mut others = Vec::new();
-    let mut used = false;
-    while !used {
+    let mut is_used = false;
+    while !is_used {
         let mut other = program.client();
         other.send("/pay", REQUEST_ID, "coins").unwrap();
         wait_until("the request reaches an upstream", || {
-            used = draining.seen.try_recv().is_ok();
-            used || first.seen.try_recv().is_ok()
+            is_used = draining.seen.try_recv().is_ok();
+            is_used || first.seen.try_recv().is_ok()
         });
         others.push(other);
     }
@@ -188,7 +188,7 @@
 /// A restarted upstream keeps its name and address, but its connections lead to a process that has
 /// ended.
 #[test]
-fn connections_to_an_upstream_that_has_restarted_are_closed() {
+fn connections_to_a_restarted_upstream_are_closed() {
     let (upstream, discovery) = (
         StubUpstream::start(StubResponse::Ok),
         StubDiscovery::start(),
@@ -224,7 +224,7 @@
 /// Establishing a connection may take long, within the connect timeout. The request is then sent
 /// exactly once.
 #[test]
-fn a_connection_that_is_established_late_carries_its_request_once() {
+fn late_connection_carries_its_request_once() {
     let blocked = BlockedPort::new();
     let discovery = StubDiscovery::start();
     let config = with_long_timeouts(&config_with_upstreams(
@@ -244,7 +244,7 @@
 /// A request whose last byte was never written cannot have run, so its client gets a 503 instead of
 /// a 502.
 #[test]
-fn a_reset_before_the_last_byte_proves_that_a_request_never_ran() {
+fn request_reset_before_its_last_byte_is_rejected() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (program, _discovery) = Program::with_upstreams(&[listener.local_addr().unwrap()]);
     let mut client = program.client();
@@ -288,15 +288,16 @@
 }
 
 /// Suspends the process while it receives requests and an endpoint list. The list drains the first
-/// upstream in its last entry, behind `others` other entries. The process is suspended `again` more
-/// times while it reads them.
-fn check_drain_while_suspended(round: usize, others: usize, again: usize) {
+/// upstream in its last entry, behind `other_entries` others. The process is suspended
+/// `extra_suspensions` more times while it reads them.
+fn check_drain_while_suspended(round: usize, other_entries: usize, extra_suspensions: usize) {
     let connections = [UpstreamConnections::Cached, UpstreamConnections::New][round % 2];
-    let (drains, stays) = (
+    let (draining_upstream, other_upstream) = (
         StubUpstream::start(StubResponse::Ok),
         StubUpstream::start(StubResponse::Ok),
     );
-    let (program, discovery) = Program::with_admin(&[drains.address, stays.address]);
+    let (program, discovery) =
+        Program::with_admin(&[draining_upstream.address, other_upstream.address]);
     let mut watch = discovery.next();
     let mut clients: Vec<_> = (0..4).map(|_| program.client()).collect();
     if connections == UpstreamConnections::Cached {
@@ -306,20 +307,22 @@
             }
         }
     }
-    drains.seen.try_iter().count();
+    draining_upstream.seen.try_iter().count();
     program.suspend();
     for client in &mut clients {
         client.send("/pay", REQUEST_ID, "coins").unwrap();
     }
-    let names: Vec<_> = (0..others).map(|number| format!("other{number}")).collect();
-    let mut list: Vec<_> = names
+    let names: Vec<_> = (0..other_entries)
+        .map(|number| format!("other{number}"))
+        .collect();
+    let mut entries: Vec<_> = names
         .iter()
-        .map(|name| (name.as_str(), stays.address, "terminating"))
+        .map(|name| (name.as_str(), other_upstream.address, "terminating"))
         .collect();
-    list.push(("u0", drains.address, "terminating"));
-    watch.line(&change(6, &list));
+    entries.push(("u0", draining_upstream.address, "terminating"));
+    watch.line(&change(6, &entries));
     program.resume();
-    for _ in 0..again {
+    for _ in 0..extra_suspensions {
         program.suspend();
         program.resume();
     }
@@ -330,13 +333,16 @@
             "{connections:?}"
         );
     }
-    assert!(drains.seen.try_recv().is_err(), "{connections:?}");
+    assert!(
+        draining_upstream.seen.try_recv().is_err(),
+        "{connections:?}"
+    );
 }
 
 /// A request that was received before the drain must not be sent to the draining upstream after it,
 /// on a cached connection or on a new one. The order of reads may vary, hence several rounds.
 #[test]
-fn requests_received_while_suspended_avoid_an_upstream_that_drains_since() {
+fn requests_received_while_suspended_avoid_a_draining_upstream() {
     for round in 0..16 {
         check_drain_while_suspended(round, 0, 0);
     }
@@ -344,7 +350,7 @@
 
 /// The drain is the last entry of a list that is read in many pieces.
 #[test]
-fn requests_received_while_suspended_wait_for_a_long_list_to_be_complete() {
+fn requests_received_while_suspended_wait_for_a_long_list() {
     for round in 0..4 {
         check_drain_while_suspended(round, 600, 0);
     }
--- a/tests/descriptor_limits.rs
+++ b/tests/descriptor_limits.rs
@@ -40,24 +40,24 @@
 /// replacing the oldest connection by a new one.
 struct IdleClients {
     stop: Arc<AtomicBool>,
-    clients: Option<JoinHandle<()>>,
+    reconnect_thread: Option<JoinHandle<()>>,
 }
 
 impl IdleClients {
-    fn at(address: SocketAddr, count: usize) -> Self {
-        let mut open: VecDeque<_> = open_idle(address, count).into();
+    fn start(address: SocketAddr, count: usize) -> Self {
+        let mut connections: VecDeque<_> = open_idle(address, count).into();
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
-        let clients = thread::spawn(move || {
+        let reconnect_thread = thread::spawn(move || {
             while !stopped.load(Ordering::SeqCst) {
-                open.pop_front();
-                open.extend(open_idle(address, 1));
+                connections.pop_front();
+                connections.extend(open_idle(address, 1));
                 sleep(Duration::from_millis(1));
             }
         });
         IdleClients {
             stop,
-            clients: Some(clients),
+            reconnect_thread: Some(reconnect_thread),
         }
     }
 }
@@ -66,7 +66,7 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         // A panic of the thread has been printed already.
-        let _ = self.clients.take().map(JoinHandle::join);
+        let _ = self.reconnect_thread.take().map(JoinHandle::join);
     }
 }
 
@@ -79,29 +79,29 @@
     for sockets in DESCRIPTOR_LIMITS {
         let upstream = StubUpstream::start(StubResponse::Ok);
         let (program, _discovery) = Program::with_descriptors(&[upstream.address], sockets);
-        let ended = open_idle(program.address, sockets * 2 / 3);
+        let closed_clients = open_idle(program.address, sockets * 2 / 3);
         wait_until("the capacity is used up", || {
             program.open_descriptors() > sockets / 3
         });
         program.suspend();
-        drop(ended);
-        let mut open = open_idle(program.address, sockets * 2 / 3);
+        drop(closed_clients);
+        let mut idle_clients = open_idle(program.address, sockets * 2 / 3);
         let mut requesting: Vec<_> = (0..4)
             .map(|_| {
                 let mut client = program.client();
                 client.send("/pay", REQUEST_ID, "coins").unwrap();
-                open.extend(open_idle(program.address, sockets / 32));
+                idle_clients.extend(open_idle(program.address, sockets / 32));
                 client
             })
             .collect();
-        open.extend(open_idle(program.address, sockets / 16));
+        idle_clients.extend(open_idle(program.address, sockets / 16));
         program.resume();
         for client in &mut requesting {
-            let response = client
+            let status = client
                 .receive()
                 .unwrap_or_default()
                 .map(|response| response.status());
-            assert_eq!(response, Some(200), "{sockets}");
+            assert_eq!(status, Some(200), "{sockets}");
         }
         assert!(program.open_descriptors() <= sockets);
     }
@@ -110,7 +110,7 @@
 /// Descriptors may be lacking when a connection is accepted, but be free again when its request is
 /// read. The request must not be rejected then.
 #[test]
-fn a_client_accepted_over_capacity_is_served_if_there_is_capacity_when_its_request_arrives() {
+fn client_accepted_over_capacity_is_served_if_its_request_finds_capacity() {
     let _exclusive = run_exclusively();
     let upstream = StubUpstream::start(StubResponse::Hold);
     let discovery = StubDiscovery::start();
@@ -139,7 +139,7 @@
 /// The connections are all accepted in one turn of the event loop, and the one with the complete
 /// request is the last of them.
 #[test]
-fn a_complete_request_has_capacity_behind_any_number_of_partial_ones() {
+fn complete_request_is_served_after_any_number_of_partial_ones() {
     let _exclusive = run_exclusively();
     for count in 18..36 {
         let upstream = StubUpstream::start(StubResponse::Ok);
@@ -175,7 +175,7 @@
 /// Connections with partial requests, and connections that stay open after a health check, are
 /// evicted before those with complete requests.
 #[test]
-fn a_complete_request_goes_before_partial_ones_and_before_health_checks() {
+fn partial_requests_and_health_checks_are_evicted_for_complete_requests() {
     let _exclusive = run_exclusively();
     for sockets in DESCRIPTOR_LIMITS {
         let upstream = StubUpstream::start(StubResponse::Ok);
@@ -207,9 +207,9 @@
 /// endpoint. Requests are served once discovery is back and has sent a list. The endpoint list at
 /// the start is empty, or holds only an upstream that is gone.
 #[test]
-fn behind_many_idle_clients_requests_are_served_once_discovery_has_responded() {
+fn requests_are_served_despite_idle_clients_once_discovery_has_responded() {
     let _exclusive = run_exclusively();
-    for (sockets, mode, empty) in [
+    for (sockets, mode, is_list_empty) in [
         (64, "ask", true),
         (128, "push", false),
         (256, "push", true),
@@ -221,18 +221,18 @@
             StubUpstream::start(StubResponse::Ok),
         ];
         let (gone, down) = (RefusingPort::new(), RefusingPort::new());
-        let old = if empty {
+        let old = if is_list_empty {
             vec![]
         } else {
             vec![endpoint("u0", gone.address, "in_service")]
         };
         let program = start(&list(5, true, &old), down.address, sockets, mode);
-        let idle_clients = IdleClients::at(program.address, sockets * 2 / 3);
+        let idle_clients = IdleClients::start(program.address, sockets * 2 / 3);
         let mut early = send_before_accept(&program, "/read");
         for _ in 0..10 {
             assert_eq!(
                 program.admin_call("GET /healthcheck").0,
-                if empty { 503 } else { 200 }
+                if is_list_empty { 503 } else { 200 }
             );
             assert_eq!(program.admin_call("GET /stats").0, 200);
             assert!(program.open_descriptors() <= sockets, "{sockets}");
@@ -240,7 +240,7 @@
         let discovery = down.start_discovery();
         let mut watch = discovery.next();
         // The watch is silent at first, so a second one is opened in push mode.
-        let other = (mode == "push").then(|| discovery.next());
+        let second_watch = (mode == "push").then(|| discovery.next());
         assert_eq!(program.admin_call("GET /stats").0, 200);
         let new =
             [1, 2].map(|n| endpoint(&format!("u{n}"), upstreams[n - 1].address, "in_service"));
@@ -250,21 +250,21 @@
         });
         for _ in 0..8 {
             let mut client = send_before_accept(&program, "/read");
-            let response = client
+            let status = client
                 .receive()
                 .unwrap_or_default()
                 .map(|response| response.status());
-            assert_eq!(response, Some(200), "{sockets} {mode}");
+            assert_eq!(status, Some(200), "{sockets} {mode}");
             assert!(program.open_descriptors() <= sockets, "{sockets}");
         }
-        if empty {
+        if is_list_empty {
             // This request was queued until the list was received.
             assert_eq!(
                 early.receive().unwrap().map(|response| response.status()),
                 Some(200)
             );
         }
-        drop((idle_clients, other));
+        drop((idle_clients, second_watch));
     }
 }
 
@@ -285,7 +285,7 @@
         true,
         &upstreams.iter().enumerate().map(entry).collect::<Vec<_>>(),
     );
-    let (folder, discovery, other) = (
+    let (folder, discovery, new_discovery) = (
         create_temp_folder(),
         StubDiscovery::start(),
         StubDiscovery::start(),
@@ -312,7 +312,11 @@
     wait_until("the requests are in flight", || {
         old.metric("in_flight") == 110
     });
-    let new = Program::start_with(&variables, &config(other.address), &old.address.to_string());
+    let new = Program::start_with(
+        &variables,
+        &config(new_discovery.address),
+        &old.address.to_string(),
+    );
     watch.reset();
     discovery.next();
     assert_eq!(old.metric("in_flight"), 110);
@@ -323,13 +327,13 @@
 /// The system's limit may be smaller than the configured one. Clients must then not take the
 /// descriptors of discovery and the admin endpoint.
 #[test]
-fn the_descriptor_limit_is_no_larger_than_that_of_the_system() {
+fn descriptor_limit_is_no_larger_than_that_of_the_system() {
     let _exclusive = run_exclusively();
     let upstream = StubUpstream::start(StubResponse::Ok);
     let down = RefusingPort::new();
     let config = config(&list(5, true, &[]), down.address, 1024);
     let program = Program::start_limited(128, &[("PROXY_CONSOLE", "127.0.0.1:0")], &config);
-    let idle_clients = IdleClients::at(program.address, 300);
+    let idle_clients = IdleClients::start(program.address, 300);
     for _ in 0..10 {
         assert_eq!(program.admin_call("GET /stats").0, 200);
         assert!(
--- a/tests/failing_system_calls.rs
+++ b/tests/failing_system_calls.rs
@@ -23,7 +23,7 @@
 const EHOSTUNREACH: i32 = 113;
 
 /// A number of failures that no test reaches: the faults last until the test ends.
-const ALWAYS: u32 = 1_000_000;
+const UNLIMITED: u32 = 1_000_000;
 
 /// Starts a program with these upstreams whose system calls fail as `faults` says, in the format of
 /// the variable `FAULTS` in `faults/faults.c`.
@@ -49,7 +49,7 @@
     for error in [ECONNABORTED, ENOBUFS, EINTR, ENFILE, EMFILE] {
         let upstream = StubUpstream::start(StubResponse::Ok);
         let (program, _discovery) = start(
-            &format!("accept4:{error}:1:3:{ALWAYS}"),
+            &format!("accept4:{error}:1:3:{UNLIMITED}"),
             &[upstream.address],
             256,
         );
@@ -113,10 +113,10 @@
 /// accept fail first.
 #[test]
 fn queued_connections_are_accepted_at_shutdown_after_transient_accept_errors() {
-    for (error, times) in [(ECONNABORTED, 300), (ENOBUFS, 95), (EMFILE, 95)] {
+    for (error, failures) in [(ECONNABORTED, 300), (ENOBUFS, 95), (EMFILE, 95)] {
         let upstream = StubUpstream::start(StubResponse::Ok);
         let (mut program, _discovery) = start(
-            &format!("accept4:{error}:1:1:{times}"),
+            &format!("accept4:{error}:1:1:{failures}"),
             &[upstream.address],
             256,
         );
@@ -140,7 +140,7 @@
 /// The listener closes 0.95 s after SIGTERM if the deadlines are 0.5 s. 200 queued connections must
 /// be accepted before that.
 #[test]
-fn many_connections_are_accepted_in_time_though_every_second_accept_fails() {
+fn queued_connections_are_accepted_in_time_though_every_second_accept_fails() {
     for error in [ENOBUFS, ENFILE, EMFILE] {
         let (upstream, discovery) = (
             StubUpstream::start(StubResponse::Ok),
@@ -150,7 +150,7 @@
             "\"aim\":5.0,\"hardLimit\":10.0",
             "\"aim\":0.5,\"hardLimit\":0.5",
         );
-        let faults = format!("accept4:{error}:1:2:{ALWAYS}");
+        let faults = format!("accept4:{error}:1:2:{UNLIMITED}");
         let variables = [
             ("LD_PRELOAD", fault_injection_library()),
             ("FAULTS", &faults),
@@ -173,7 +173,7 @@
 }
 
 /// Returns how long it takes to respond to 300 clients that connected before SIGTERM.
-fn time_to_answer_many(faults: &str) -> Duration {
+fn time_to_serve_queued_clients(faults: &str) -> Duration {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = start(faults, &[upstream.address], 1024);
     program.suspend();
@@ -197,9 +197,10 @@
 /// SIGKILL may follow soon.
 #[test]
 fn registration_errors_hardly_delay_other_connections() {
-    let without_faults = time_to_answer_many("");
+    let without_faults = time_to_serve_queued_clients("");
     for error in [ENOMEM, ENOSPC] {
-        let with_faults = time_to_answer_many(&format!("epoll_ctl_accepted:{error}:1:2:{ALWAYS}"));
+        let with_faults =
+            time_to_serve_queued_clients(&format!("epoll_ctl_accepted:{error}:1:2:{UNLIMITED}"));
         assert!(
             with_faults < 3 * without_faults + Duration::from_millis(500),
             "{with_faults:?}, without faults {without_faults:?}, error {error}"
@@ -226,7 +227,7 @@
             .collect();
         let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
         // From the fifth call on, two of three fail. The first calls are made at startup.
-        let faults = format!("{call}:{error}:5:3:{ALWAYS},{call}:{error}:6:3:{ALWAYS}");
+        let faults = format!("{call}:{error}:5:3:{UNLIMITED},{call}:{error}:6:3:{UNLIMITED}");
         let (program, _discovery) = start(&faults, &addresses, 256);
         let mut client = program.client();
         for _ in 0..60 {
@@ -290,9 +291,9 @@
         ("pthread_create", EAGAIN, 1),
         ("bind", ENOMEM, 1),
     ];
-    for (call, error, last) in calls {
-        let temporary = (1..=last).map(|first| format!("{call}:{error}:{first}:1:2"));
-        let every_second = (1..=2).map(|first| format!("{call}:{error}:{first}:2:{ALWAYS}"));
+    for (call, error, max_first) in calls {
+        let temporary = (1..=max_first).map(|first| format!("{call}:{error}:{first}:1:2"));
+        let every_second = (1..=2).map(|first| format!("{call}:{error}:{first}:2:{UNLIMITED}"));
         for faults in temporary.chain(every_second) {
             let upstream = StubUpstream::start(StubResponse::Ok);
             let discovery = StubDiscovery::start();
@@ -345,7 +346,8 @@
             .map(|_| StubUpstream::start(StubResponse::Ok))
             .collect();
         let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
-        let (program, _discovery) = start(&format!("{call}:{error}:7:5:{ALWAYS}"), &addresses, 256);
+        let (program, _discovery) =
+            start(&format!("{call}:{error}:7:5:{UNLIMITED}"), &addresses, 256);
         let mut client = program.client();
         for _ in 0..200 {
             client.send("/pay", REQUEST_ID, "coins").unwrap();
@@ -366,7 +368,7 @@
 /// of each request, even the one that reads the response after the request has run. Only one served
 /// request is required if every ninth call of recv fails.
 #[test]
-fn a_broken_connection_runs_no_request_twice_whatever_the_error() {
+fn request_runs_at_most_once_whichever_error_ends_its_connection() {
     for error in [ETIMEDOUT, EHOSTUNREACH, ECONNRESET] {
         let frequent =
             ["recv", "send", "writev"].map(|call| (call, 9, if call == "recv" { 0 } else { 40 }));
@@ -377,7 +379,7 @@
                 .collect();
             let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
             let (program, _discovery) = start(
-                &format!("{call}:{error}:7:{every}:{ALWAYS}"),
+                &format!("{call}:{error}:7:{every}:{UNLIMITED}"),
                 &addresses,
                 256,
             );
--- a/tests/faults/faults.c
+++ b/tests/faults/faults.c
@@ -84,12 +84,12 @@
     return fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-#define WRAP(type, name, parameters, arguments, counts)     \
+#define WRAP(type, name, parameters, arguments, is_counted) \
     type name parameters {                                  \
         static type(*real) parameters;                      \
         if (!real)                                          \
             real = (type(*) parameters)dlsym(RTLD_NEXT, #name); \
-        if ((counts) && must_fail(#name))                   \
+        if ((is_counted) && must_fail(#name))                   \
             return -1;                                      \
         return real arguments;                              \
     }
@@ -97,33 +97,33 @@
 WRAP(int, socketpair, (int domain, int type, int protocol, int pair[2]),
      (domain, type, protocol, pair), 1)
 WRAP(int, listen, (int fd, int backlog), (fd, backlog), 1)
-WRAP(int, getsockname, (int fd, struct sockaddr *at, socklen_t *size), (fd, at, size), 1)
+WRAP(int, getsockname, (int fd, struct sockaddr *address, socklen_t *size), (fd, address, size), 1)
 WRAP(int, setsockopt, (int fd, int level, int name, const void *value, socklen_t size),
      (fd, level, name, value, size), 1)
 WRAP(int, epoll_create1, (int flags), (flags), 1)
 WRAP(int, eventfd, (unsigned int value, int flags), (value, flags), 1)
-WRAP(int, bind, (int fd, const struct sockaddr *to, socklen_t size), (fd, to, size), 1)
-WRAP(int, poll, (struct pollfd *fds, nfds_t number, int timeout),
-     (fds, number, timeout), timeout == 0)
-WRAP(int, epoll_wait, (int fd, struct epoll_event *events, int most, int timeout),
-     (fd, events, most, timeout), 1)
+WRAP(int, bind, (int fd, const struct sockaddr *address, socklen_t size), (fd, address, size), 1)
+WRAP(int, poll, (struct pollfd *fds, nfds_t count, int timeout),
+     (fds, count, timeout), timeout == 0)
+WRAP(int, epoll_wait, (int fd, struct epoll_event *events, int max_events, int timeout),
+     (fd, events, max_events, timeout), 1)
 WRAP(ssize_t, recv, (int fd, void *bytes, size_t size, int flags), (fd, bytes, size, flags), 1)
 WRAP(ssize_t, send, (int fd, const void *bytes, size_t size, int flags),
      (fd, bytes, size, flags), 1)
-WRAP(ssize_t, writev, (int fd, const struct iovec *parts, int number), (fd, parts, number), 1)
+WRAP(ssize_t, writev, (int fd, const struct iovec *parts, int count), (fd, parts, count), 1)
 WRAP(ssize_t, write, (int fd, const void *bytes, size_t size),
      (fd, bytes, size), is_regular_file(fd))
 WRAP(int, rename, (const char *from, const char *to), (from, to), 1)
 
-int connect(int fd, const struct sockaddr *to, socklen_t size) {
+int connect(int fd, const struct sockaddr *address, socklen_t size) {
     static int (*real)(int, const struct sockaddr *, socklen_t);
     if (!real)
         real = (int (*)(int, const struct sockaddr *, socklen_t))dlsym(RTLD_NEXT, "connect");
-    if (must_fail(to->sa_family == AF_UNIX   ? "connect_unix"
-                  : to->sa_family == AF_INET ? "connect"
-                                             : ""))
+    if (must_fail(address->sa_family == AF_UNIX   ? "connect_unix"
+                  : address->sa_family == AF_INET ? "connect"
+                                                  : ""))
         return -1;
-    return real(fd, to, size);
+    return real(fd, address, size);
 }
 
 int socket(int domain, int type, int protocol) {
@@ -135,13 +135,13 @@
     return real(domain, type, protocol);
 }
 
-int pthread_create(pthread_t *thread, const pthread_attr_t *with, void *(*run)(void *),
-                   void *value) {
+int pthread_create(pthread_t *thread, const pthread_attr_t *attributes,
+                   void *(*start_routine)(void *), void *argument) {
     static int (*real)(pthread_t *, const pthread_attr_t *, void *(*)(void *), void *);
     if (!real)
         real = (int (*)(pthread_t *, const pthread_attr_t *, void *(*)(void *), void *))
             dlsym(RTLD_NEXT, "pthread_create");
-    return must_fail("pthread_create") ? errno : real(thread, with, run, value);
+    return must_fail("pthread_create") ? errno : real(thread, attributes, start_routine, argument);
 }
 
 /* Inodes of the sockets that were accepted last: a duplicated descriptor has the same inode. */
@@ -153,16 +153,16 @@
     return fstat(fd, &status) == 0 ? status.st_ino : 0;
 }
 
-int accept4(int fd, struct sockaddr *to, socklen_t *size, int flags) {
+int accept4(int fd, struct sockaddr *address, socklen_t *size, int flags) {
     static int (*real)(int, struct sockaddr *, socklen_t *, int);
     if (!real)
         real = (int (*)(int, struct sockaddr *, socklen_t *, int))dlsym(RTLD_NEXT, "accept4");
     if (must_fail("accept4"))
         return -1;
-    int stream = real(fd, to, size, flags);
-    if (stream >= 0)
-        accepted_inodes[accepted_count++ % MAX_ACCEPTED] = inode(stream);
-    return stream;
+    int accepted_fd = real(fd, address, size, flags);
+    if (accepted_fd >= 0)
+        accepted_inodes[accepted_count++ % MAX_ACCEPTED] = inode(accepted_fd);
+    return accepted_fd;
 }
 
 static int is_accepted(int fd) {
@@ -172,17 +172,17 @@
     return 0;
 }
 
-int epoll_ctl(int fd, int op, int on, struct epoll_event *event) {
+int epoll_ctl(int fd, int op, int target_fd, struct epoll_event *event) {
     static int (*real)(int, int, int, struct epoll_event *);
     if (!real)
         real = (int (*)(int, int, int, struct epoll_event *))dlsym(RTLD_NEXT, "epoll_ctl");
     if (op == EPOLL_CTL_ADD
-        && (must_fail("epoll_ctl") || (is_accepted(on) && must_fail("epoll_ctl_accepted"))))
+        && (must_fail("epoll_ctl") || (is_accepted(target_fd) && must_fail("epoll_ctl_accepted"))))
         return -1;
-    return real(fd, op, on, event);
+    return real(fd, op, target_fd, event);
 }
 
-static int is_path_of_test(const char *path) {
+static int is_test_path(const char *path) {
     const char *config = getenv("PROXY_CONFIG"), *folder = getenv("TMPDIR");
     return (config && strcmp(path, config) == 0)
         || (folder && strncmp(path, folder, strlen(folder)) == 0);
@@ -192,11 +192,11 @@
     static int (*real)(const char *, int, ...);
     if (!real)
         real = (int (*)(const char *, int, ...))dlsym(RTLD_NEXT, "open64");
-    va_list rest;
-    va_start(rest, flags);
-    mode_t mode = flags & O_CREAT ? va_arg(rest, mode_t) : 0;
-    va_end(rest);
-    if (is_path_of_test(path) && must_fail("open"))
+    va_list arguments;
+    va_start(arguments, flags);
+    mode_t mode = flags & O_CREAT ? va_arg(arguments, mode_t) : 0;
+    va_end(arguments);
+    if (is_test_path(path) && must_fail("open"))
         return -1;
     return real(path, flags, mode);
 }
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -30,7 +30,7 @@
 /// connection, whether no part, all or a part of the body has arrived, and whether or not it is
 /// already being streamed to the client.
 #[test]
-fn a_response_without_a_length_that_is_reset_is_incomplete() {
+fn reset_does_not_complete_a_response_without_a_length() {
     for (count, pause) in [
         (0, 0),
         (5, 0),
@@ -61,12 +61,15 @@
             .unwrap();
         let text = String::from_utf8(client.read_to_end_bytes()).unwrap();
         // The client gets either an error or a response without its last chunk.
-        let (failed, cut) = (
+        let (is_error, is_incomplete) = (
             text.starts_with("HTTP/1.1 502 "),
             !text.ends_with("0\r\n\r\n"),
         );
-        let chunked = text.to_lowercase().contains("transfer-encoding: chunked");
-        assert!(failed || chunked && cut, "{count} {pause}: {text:.99}");
+        let is_chunked = text.to_lowercase().contains("transfer-encoding: chunked");
+        assert!(
+            is_error || is_chunked && is_incomplete,
+            "{count} {pause}: {text:.99}"
+        );
         assert_eq!(
             (program.metric("failed.pay"), program.metric("served.pay")),
             (1, 0),
@@ -111,7 +114,7 @@
 /// The balancer must not read an endless chunk size until the request's deadline. The chunk size
 /// goes on after the balancer has read the head.
 #[test]
-fn a_chunk_size_that_never_ends_is_malformed() {
+fn endless_chunk_size_is_malformed() {
     let responses = [
         ("200 OK", "", "0"),
         ("200 OK", "5", " "),
@@ -119,7 +122,7 @@
         ("500 No", "5", " "),
         ("500 No", "2\r\nhi\r\n", "0"),
     ];
-    for (status, begin, again) in responses {
+    for (status, beginning, filler) in responses {
         let (listener, discovery) = (
             TcpListener::bind("127.0.0.1:0").unwrap(),
             StubDiscovery::start(),
@@ -137,7 +140,7 @@
         assert!(request.unwrap().is_some());
         write!(
             stream,
-            "HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n{begin}"
+            "HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n{beginning}"
         )
         .unwrap();
         // The responses to these requests show that the balancer has read what was written.
@@ -145,11 +148,11 @@
             assert_eq!(program.client().request("/healthz", "", "").status(), 200);
         }
         // More than the buffers between the upstream and the balancer hold.
-        let accepted_chunks =
-            (0..400).take_while(|_| stream.write_all(again.repeat(100_000).as_bytes()).is_ok());
+        let successful_writes =
+            (0..400).take_while(|_| stream.write_all(filler.repeat(100_000).as_bytes()).is_ok());
         assert!(
-            accepted_chunks.count() < 400,
-            "expected a failed write after the response is cancelled: {status} {begin:?}"
+            successful_writes.count() < 400,
+            "expected a failed write after the response is cancelled: {status} {beginning:?}"
         );
         assert_eq!(client.receive().unwrap().expect("a response").status(), 502);
     }
@@ -194,7 +197,7 @@
 
 /// The balancer stops reading an endless response and does not wait for the request's deadline.
 #[test]
-fn a_response_that_never_ends_is_malformed() {
+fn endless_response_is_malformed() {
     let forms = [
         ("HTTP/1.1 102 Processing\r\n\r\n", ""),
         ("", "HTTP/1.1 200 OK\r\nNews: 1\r\n"),
@@ -212,12 +215,12 @@
             "2\r\nhi\r\n",
         ),
     ];
-    for (begin, again) in forms {
-        let again = if again.is_empty() { begin } else { again };
+    for (beginning, filler) in forms {
+        let filler = if filler.is_empty() { beginning } else { filler };
         let address = upstream(move |stream| {
-            let _ = stream.write_all(begin.as_bytes());
+            let _ = stream.write_all(beginning.as_bytes());
             // Until the balancer closes the connection.
-            while stream.write_all(again.repeat(100).as_bytes()).is_ok() {}
+            while stream.write_all(filler.repeat(100).as_bytes()).is_ok() {}
         });
         let (program, _discovery) = Program::with_upstreams(&[address]);
         let begun = Instant::now();
@@ -227,7 +230,7 @@
                 .request("/pay", REQUEST_ID, "coins")
                 .status(),
             502,
-            "{begin}{again}"
+            "{beginning}{filler}"
         );
         assert!(
             begun.elapsed() < Duration::from_secs(9),
@@ -239,9 +242,9 @@
 /// A response that can't be proved complete is not forwarded. Its request may have run and is not
 /// retried, and the connection is not reused.
 #[test]
-fn a_malformed_response_is_a_failure_that_may_have_run() {
+fn malformed_response_fails_its_request_without_a_retry() {
     let endless = "HTTP/1.1 200 OK\r\nNews: ".to_string() + &"x".repeat(1 << 20);
-    let answers = [
+    let responses = [
         "what?\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n\
             0\r\n\r\n",
@@ -254,7 +257,7 @@
         "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n",
         &endless,
     ];
-    for text in answers {
+    for text in responses {
         let (one, two) = (StubUpstream::raw(text), StubUpstream::raw(text));
         let (program, _discovery) = Program::with_upstreams(&[one.address, two.address]);
         assert_eq!(
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -10,8 +10,8 @@
 
 /// A program whose endpoint list holds one upstream, and a second upstream that a change adds.
 struct WatchFixture {
-    old: StubUpstream,
-    new: StubUpstream,
+    old_upstream: StubUpstream,
+    new_upstream: StubUpstream,
     program: Program,
     discovery: StubDiscovery,
     known: String,
@@ -19,16 +19,20 @@
 
 impl WatchFixture {
     fn new(mode: &str) -> Self {
-        let (old, new) = (
+        let (old_upstream, new_upstream) = (
             StubUpstream::start(StubResponse::Ok),
             StubUpstream::start(StubResponse::Ok),
         );
         let discovery = StubDiscovery::start();
-        let known = list(5, true, &[endpoint("u0", old.address, "in_service")]);
+        let known = list(
+            5,
+            true,
+            &[endpoint("u0", old_upstream.address, "in_service")],
+        );
         let config = Self::config(&known, discovery.address, mode);
         WatchFixture {
-            old,
-            new,
+            old_upstream,
+            new_upstream,
             program: Program::start(&config, "127.0.0.1:0"),
             discovery,
             known,
@@ -45,8 +49,8 @@
     /// Returns the change that drains the old upstream and puts the new one into service.
     fn change(&self, version: u64) -> String {
         let changes = [
-            endpoint("u0", self.old.address, "terminating"),
-            endpoint("u1", self.new.address, "in_service"),
+            endpoint("u0", self.old_upstream.address, "terminating"),
+            endpoint("u1", self.new_upstream.address, "in_service"),
         ];
         list(version, false, &changes)
     }
@@ -61,13 +65,13 @@
                 .status(),
             200
         );
-        self.old.next();
+        self.old_upstream.next();
     }
 
     /// Waits until the change is in force: the connection that `leave_idle_connection` left is
     /// closed, and requests are sent to the new upstream only.
-    fn expect_changed(&self) {
-        self.old
+    fn expect_change_in_force(&self) {
+        self.old_upstream
             .closed
             .recv_timeout(TEST_TIMEOUT)
             .expect("the idle connection is closed");
@@ -78,8 +82,8 @@
                 .status(),
             200
         );
-        self.new.next();
-        assert!(self.old.seen.try_recv().is_err());
+        self.new_upstream.next();
+        assert!(self.old_upstream.seen.try_recv().is_err());
     }
 }
 
@@ -99,15 +103,15 @@
     let (head, tail) = text.split_at(text.len() / 2);
     watch.part(head);
     watch.part(tail);
-    fixture.expect_changed();
+    fixture.expect_change_in_force();
     assert!(watch.is_open() && fixture.discovery.watches.try_recv().is_err());
 }
 
 /// A change may be sent between the close of a silent watch and the opening of the next one, which
 /// may be silent as well. At least one watch is therefore open at any time.
 #[test]
-fn a_silent_watch_stays_open_until_another_has_received_data() {
-    for (mode, begin) in [
+fn silent_watch_stays_open_until_another_receives_data() {
+    for (mode, first_bytes) in [
         ("push", ""),
         ("push", "\n"),
         ("push", "\n{\"index\":6,"),
@@ -116,8 +120,8 @@
         let fixture = WatchFixture::new(mode);
         fixture.leave_idle_connection();
         let mut first = fixture.discovery.next();
-        if !begin.is_empty() {
-            first.part(begin);
+        if !first_bytes.is_empty() {
+            first.part(first_bytes);
         }
         let mut second = fixture.discovery.next();
         assert!(
@@ -125,7 +129,7 @@
             "{}",
             second.request_line
         );
-        assert!(first.is_open(), "{mode} {begin:?}");
+        assert!(first.is_open(), "{mode} {first_bytes:?}");
         if mode == "push" {
             // The second watch is silent as well.
             let mut third = fixture.discovery.next();
@@ -134,14 +138,14 @@
         } else {
             second.line(&fixture.change(6));
         }
-        fixture.expect_changed();
+        fixture.expect_change_in_force();
         first.wait_for_end();
     }
 }
 
 /// A watch that sends only empty lines behind an incomplete list is replaced like a silent one.
 #[test]
-fn empty_lines_inside_a_list_are_no_heartbeat() {
+fn empty_lines_inside_a_list_do_not_count_as_heartbeats() {
     let fixture = WatchFixture::new("push");
     fixture.leave_idle_connection();
     let mut first = fixture.discovery.next();
@@ -159,13 +163,13 @@
         );
     };
     second.line(&fixture.change(6));
-    fixture.expect_changed();
+    fixture.expect_change_in_force();
 }
 
 /// A watch that resumes after a silence may have missed a change and send only a later one. The
 /// balancer receives the missed change on the watch that it has opened in the meantime.
 #[test]
-fn changes_that_a_silent_watch_has_missed_come_from_the_next_one() {
+fn changes_missed_by_a_silent_watch_are_received_by_the_next_one() {
     let fixture = WatchFixture::new("push");
     fixture.leave_idle_connection();
     let mut first = fixture.discovery.next();
@@ -175,22 +179,22 @@
     first.line(&list(
         7,
         false,
-        &[endpoint("u7", fixture.new.address, "terminated")],
+        &[endpoint("u7", fixture.new_upstream.address, "terminated")],
     ));
     second.line(&fixture.change(6));
-    fixture.expect_changed();
+    fixture.expect_change_in_force();
     second.reset();
-    let again = fixture.discovery.next();
+    let reconnected = fixture.discovery.next();
     assert!(
-        again.request_line.contains("since=6"),
+        reconnected.request_line.contains("since=6"),
         "{}",
-        again.request_line
+        reconnected.request_line
     );
 }
 
 /// A complete list must not be discarded if the connection is reset directly after it.
 #[test]
-fn a_complete_list_is_used_though_its_connection_is_reset() {
+fn complete_list_is_applied_if_its_connection_is_reset() {
     for mode in ["push", "ask"] {
         for indented in [false, true] {
             let fixture = WatchFixture::new(mode);
@@ -203,12 +207,12 @@
                 text
             });
             watch.reset();
-            fixture.expect_changed();
-            let again = fixture.discovery.next();
+            fixture.expect_change_in_force();
+            let reconnected = fixture.discovery.next();
             assert!(
-                again.request_line.contains("since=6"),
+                reconnected.request_line.contains("since=6"),
                 "{}",
-                again.request_line
+                reconnected.request_line
             );
         }
     }
@@ -223,11 +227,11 @@
     let text = fixture.change(6);
     watch.part(&text[..text.len() - 1]);
     watch.reset();
-    let mut again = fixture.discovery.next();
+    let mut reconnected = fixture.discovery.next();
     assert!(
-        again.request_line.contains("since=5"),
+        reconnected.request_line.contains("since=5"),
         "{}",
-        again.request_line
+        reconnected.request_line
     );
     assert_eq!(
         fixture
@@ -237,14 +241,14 @@
             .status(),
         200
     );
-    fixture.old.next();
-    again.line(&text);
-    fixture.expect_changed();
+    fixture.old_upstream.next();
+    reconnected.line(&text);
+    fixture.expect_change_in_force();
 }
 
 /// A malformed list neither replaces nor empties the last valid one.
 #[test]
-fn a_malformed_list_leaves_the_last_good_one_in_use() {
+fn malformed_list_does_not_replace_the_last_valid_one() {
     let fixture = WatchFixture::new("push");
     let malformed = [
         "nonsense",
@@ -267,40 +271,40 @@
             .status(),
         200
     );
-    fixture.old.next();
+    fixture.old_upstream.next();
 }
 
 /// Discovery may go down and come back at another address. The watches on the old address are used
 /// until the watch on the new one has received a list.
 #[test]
-fn discovery_may_move_while_its_watch_is_silent() {
+fn discovery_address_may_change_while_a_watch_is_silent() {
     let fixture = WatchFixture::new("push");
     fixture.leave_idle_connection();
     let mut silent = fixture.discovery.next();
     silent.line("");
     let mut second = fixture.discovery.next();
-    let elsewhere = StubDiscovery::start();
+    let new_discovery = StubDiscovery::start();
     fixture.program.reload(&WatchFixture::config(
         &fixture.known,
-        elsewhere.address,
+        new_discovery.address,
         "push",
     ));
-    let mut moved = elsewhere.next();
+    let mut moved_watch = new_discovery.next();
     assert!(
-        moved.request_line.contains("since=0"),
+        moved_watch.request_line.contains("since=0"),
         "{}",
-        moved.request_line
+        moved_watch.request_line
     );
     assert!(silent.is_open() && second.is_open());
     // The old discovery resumes and sends a drain on its second watch.
     second.line(&fixture.change(6));
-    fixture.expect_changed();
+    fixture.expect_change_in_force();
     silent.wait_for_end();
-    assert!(moved.is_open());
-    moved.line(&list(
+    assert!(moved_watch.is_open());
+    moved_watch.line(&list(
         2,
         true,
-        &[endpoint("u1", fixture.new.address, "in_service")],
+        &[endpoint("u1", fixture.new_upstream.address, "in_service")],
     ));
     second.wait_for_end();
     assert_eq!(
@@ -311,13 +315,13 @@
             .status(),
         200
     );
-    fixture.new.next();
+    fixture.new_upstream.next();
 }
 
 /// A failed reconnect is retried before the notification deadline. The silent watch stays open
 /// meanwhile.
 #[test]
-fn a_failed_reconnect_is_retried_beside_the_silent_watch() {
+fn failed_reconnect_is_retried_while_the_silent_watch_stays_open() {
     for mode in ["push", "ask"] {
         let fixture = WatchFixture::new(mode);
         fixture.leave_idle_connection();
@@ -327,54 +331,54 @@
         let mut third = fixture.discovery.next();
         assert!(silent.is_open(), "{mode}");
         third.line(&fixture.change(6));
-        fixture.expect_changed();
+        fixture.expect_change_in_force();
         silent.wait_for_end();
     }
 }
 
 /// The response to a pending poll is used even if later polls have been sent in the meantime.
 #[test]
-fn a_queued_poll_is_used_though_others_were_made_beside_it() {
+fn response_to_a_pending_poll_is_used_after_later_polls() {
     let fixture = WatchFixture::new("ask");
     fixture.leave_idle_connection();
-    let mut waiting = fixture.discovery.next();
-    let mut beside: Vec<_> = (0..3).map(|_| fixture.discovery.next()).collect();
-    waiting.line(&fixture.change(6));
-    fixture.expect_changed();
-    for watch in &mut beside {
+    let mut pending_poll = fixture.discovery.next();
+    let mut later_polls: Vec<_> = (0..3).map(|_| fixture.discovery.next()).collect();
+    pending_poll.line(&fixture.change(6));
+    fixture.expect_change_in_force();
+    for watch in &mut later_polls {
         watch.wait_for_end();
     }
-    assert!(waiting.is_open());
+    assert!(pending_poll.is_open());
 }
 
 /// The backoff must not grow beyond the notification deadline of 6 s while discovery is down. When
 /// discovery is back, its first poll gets no response and its second one is reset.
 #[test]
-fn changes_after_an_outage_of_8_s_are_received_though_the_first_calls_fail() {
-    for moved in [false, true] {
+fn changes_after_an_outage_of_8_s_are_received_though_the_first_polls_fail() {
+    for is_moved in [false, true] {
         for mode in ["push", "ask"] {
             let mut fixture = WatchFixture::new(mode);
-            let (away, elsewhere) = (RefusingPort::new(), RefusingPort::new());
-            let at = |address| WatchFixture::config(&fixture.known, address, mode);
-            fixture.program = Program::start(&at(away.address), "127.0.0.1:0");
+            let (old_port, new_port) = (RefusingPort::new(), RefusingPort::new());
+            let config_at = |address| WatchFixture::config(&fixture.known, address, mode);
+            fixture.program = Program::start(&config_at(old_port.address), "127.0.0.1:0");
             fixture.leave_idle_connection();
             sleep(Duration::from_secs(8));
-            let back = if moved {
-                fixture.program.reload(&at(elsewhere.address));
-                elsewhere.start_discovery()
+            let discovery = if is_moved {
+                fixture.program.reload(&config_at(new_port.address));
+                new_port.start_discovery()
             } else {
-                away.start_discovery()
+                old_port.start_discovery()
             };
             // The first poll is sent within the notification deadline.
-            let mut unanswered = back
+            let mut unanswered = discovery
                 .watches
                 .recv_timeout(Duration::from_secs(6))
                 .expect("the first poll is sent within 6 s of the return");
-            back.next().reset();
-            let mut last = back.next();
+            discovery.next().reset();
+            let mut last = discovery.next();
             assert!(unanswered.is_open());
             last.line(&fixture.change(6));
-            fixture.expect_changed();
+            fixture.expect_change_in_force();
         }
     }
 }
@@ -390,14 +394,14 @@
         &[endpoint("u0", upstream.address, "in_service")],
     ));
     drop(watch);
-    let mut again = discovery.next();
+    let mut reconnected = discovery.next();
     assert!(
-        again.request_line.contains("since=9"),
+        reconnected.request_line.contains("since=9"),
         "{}",
-        again.request_line
+        reconnected.request_line
     );
     // A malformed line ends the watch as well; the known list stays in force.
-    again.line("nonsense");
+    reconnected.line("nonsense");
     assert!(discovery.next().request_line.contains("since=9"));
     assert_eq!(
         program.client().request("/read", REQUEST_ID, "").status(),
