--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint of the real program.
+//! The admin endpoint of the running program.
 
 mod support;
 use std::thread::sleep;
@@ -8,19 +8,19 @@
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
 #[test]
-fn admin_requests_are_answered_beside_callers_that_never_finish_theirs() {
+fn admin_requests_are_answered_despite_unfinished_ones() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
-    let half = "POST /healthcheck/fail HTTP/1.1\r\nHost: c";
-    let mut slow: Vec<_> = (0..60).map(|_| program.connect_admin()).collect();
-    for caller in slow.iter_mut().step_by(2) {
-        caller.write(half);
+    let partial_request = "POST /healthcheck/fail HTTP/1.1\r\nHost: c";
+    let mut unfinished: Vec<_> = (0..60).map(|_| program.connect_admin()).collect();
+    for admin_client in unfinished.iter_mut().step_by(2) {
+        admin_client.write(partial_request);
     }
     assert_eq!(program.admin_call("GET /healthcheck").0, 200);
     assert_eq!(program.admin_call("GET /stats").0, 200);
-    // They are closed in the end, without a response.
-    for caller in &mut slow {
-        assert!(caller.is_closed_by_peer());
+    // The balancer closes the connections of the unfinished requests without a response.
+    for admin_client in &mut unfinished {
+        assert!(admin_client.is_closed_by_peer());
     }
     assert_eq!(program.client().request("/healthz", "", "").status(), 200);
 }
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn figures_count_each_outcome_once_and_attempts_when_written() {
+fn metrics_count_each_outcome_once_and_attempts_when_written() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
@@ -93,17 +93,17 @@
     upstream.set_response(StubResponse::Rejected);
     assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 503);
     upstream.set_response(StubResponse::Never);
-    let mut leaving = program.client();
-    leaving.send("/pay", REQUEST_ID, "coins").unwrap();
+    let mut disconnecting = program.client();
+    disconnecting.send("/pay", REQUEST_ID, "coins").unwrap();
     wait_until("the last attempt is written", || {
         program.metric("attempts") == 6
     });
     assert_eq!(program.metric("in_flight"), 1);
-    drop(leaving);
-    wait_until("its client has disconnected", || {
+    drop(disconnecting);
+    wait_until("the disconnect is noticed", || {
         program.metric("in_flight") == 0
     });
-    // Without an id the request is malformed.
+    // A request without Request-Id is malformed.
     assert_eq!(client.request("/pay", "", "coins").status(), 400);
     let counts = [
         ("served.read", 3),
@@ -118,7 +118,7 @@
     }
 }
 
-/// Clients do not stay with a drained balancer, and lose no request.
+/// A client drain closes all client connections, and no request is lost.
 #[test]
 fn a_client_drain_closes_connections_after_a_response_and_can_be_ended() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -164,9 +164,9 @@
     );
 }
 
-/// Operators may be working on the upstream, whatever discovery lists.
+/// Operators may still be working on the upstream when discovery lists it again.
 #[test]
-fn maintenance_holds_against_the_endpoint_list_until_it_is_ended() {
+fn maintenance_outlasts_changes_of_the_endpoint_list() {
     let (one, two) = (
         StubUpstream::start(StubResponse::Ok),
         StubUpstream::start(StubResponse::Ok),
@@ -184,9 +184,9 @@
     one.closed
         .recv_timeout(TEST_TIMEOUT)
         .expect("the idle connection is closed");
-    // Discovery removes it and lists it again as in service.
+    // Discovery removes u0 and lists it again as in service.
     watch.line(&list(6, true, &[endpoint("u1", two.address, "in_service")]));
-    wait_until("it is removed from the list", || {
+    wait_until("u0 is removed from the list", || {
         program.metric("upstreams_known") == 1
     });
     let both = [
@@ -194,7 +194,7 @@
         endpoint("u1", two.address, "in_service"),
     ];
     watch.line(&list(7, true, &both));
-    wait_until("it is back on the list", || {
+    wait_until("u0 is on the list again", || {
         program.metric("upstreams_known") == 2
     });
     assert_eq!(program.metric("upstreams_excluded"), 1);
@@ -207,7 +207,7 @@
     );
     assert_eq!(program.admin_call("POST /upstreams/%750/ready").0, 200);
     assert_eq!(program.metric("upstreams_excluded"), 0);
-    wait_until("it is used again", || {
+    wait_until("u0 receives requests again", || {
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
         one.seen.try_iter().count() > 0
     });
@@ -237,32 +237,32 @@
 }
 
 #[test]
-fn connections_that_only_checked_health_are_evicted_for_requests() {
+fn connections_with_only_health_checks_are_evicted_for_requests() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let healthy: Vec<_> = (0..200)
         .map(|_| {
             let mut client = program.client();
-            // Without capacity for it, it gets an error.
+            // A client beyond the capacity gets an error response.
             client.request("/healthz", "", "");
             client
         })
         .collect();
-    // Long enough that each may be evicted; more does no harm.
+    // After this time each connection may be evicted; a longer pause does no harm.
     sleep(Duration::from_millis(60));
-    let ask = |mut client: Client| {
+    let send_request = |mut client: Client| {
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
         client
     };
-    let clients: Vec<_> = (0..40).map(|_| ask(program.client())).collect();
-    // None of these is evicted for another.
-    clients.into_iter().map(ask).for_each(drop);
+    let clients: Vec<_> = (0..40).map(|_| send_request(program.client())).collect();
+    // None of these connections is evicted for another one.
+    clients.into_iter().map(send_request).for_each(drop);
     drop(healthy);
 }
 
 #[test]
-fn a_request_rejected_for_want_of_capacity_is_counted() {
-    // So many that the decision module rejects nothing.
+fn request_rejected_for_lack_of_capacity_is_counted() {
+    // So many upstreams that the decision module rejects no request.
     let upstreams: Vec<_> = (0..12)
         .map(|_| StubUpstream::start(StubResponse::Never))
         .collect();
@@ -272,32 +272,32 @@
     for client in &mut busy {
         client.send("/pay", REQUEST_ID, "coins").unwrap();
     }
-    let mut refused = 0;
-    wait_until("one is rejected", || {
+    let mut rejected = 0;
+    wait_until("a request is rejected", || {
         let mut client = program.client();
-        // It may be closed at once, without capacity even for a response.
+        // The connection may be closed at once if there is no capacity even for a response.
         let response = client
             .send("/read", REQUEST_ID, "")
             .and_then(|()| client.receive());
-        refused += u64::from(
+        rejected += u64::from(
             response
                 .is_ok_and(|response| response.is_some_and(|response| response.status() == 503)),
         );
-        refused > 0
+        rejected > 0
     });
-    assert_eq!(program.metric("refused.read"), refused);
+    assert_eq!(program.metric("refused.read"), rejected);
 }
 
-/// At the end of the process, and in a client drain.
+/// A partial request may be completed during a graceful shutdown and during a client drain.
 #[test]
-fn a_request_that_has_arrived_in_part_is_served_before_its_connection_closes() {
-    for drain in [false, true] {
+fn partial_request_is_served_before_its_connection_closes() {
+    for is_client_drain in [false, true] {
         let upstream = StubUpstream::start(StubResponse::Ok);
         let (program, _discovery) = Program::with_admin(&[upstream.address]);
         let mut client = program.client();
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
         client.write("POST /pay HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: dd0");
-        if drain {
+        if is_client_drain {
             assert_eq!(program.admin_call("POST /healthcheck/fail").0, 200);
         } else {
             program.terminate();
@@ -305,22 +305,22 @@
         wait_until("the process is draining", || {
             program.admin_call("GET /healthcheck").0 == 503
         });
-        // Longer than the grace of an idle connection, and shorter than a head may take.
+        // Longer than an idle connection stays open, and shorter than the time limit for a head.
         sleep(Duration::from_millis(1000));
         client.write("1\r\nContent-Length: 5\r\n\r\ncoins");
         let response = client.receive().unwrap().expect("a response");
         assert_eq!(
             (response.status(), response.header("connection")),
             (200, Some("close")),
-            "{drain}"
+            "client drain: {is_client_drain}"
         );
         assert!(client.is_closed_by_peer());
     }
 }
 
-/// Otherwise it would be open when the process is killed.
+/// A request that is still being received would otherwise be open when SIGKILL ends the process.
 #[test]
-fn a_request_whose_body_still_arrives_is_rejected_before_sigkill() {
+fn request_with_an_incomplete_body_is_rejected_before_sigkill() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
@@ -332,7 +332,7 @@
         program.metric("in_flight") == 1
     });
     program.terminate();
-    // Sends for longer than the process may live, unless a response comes.
+    // Sends for 20 s, longer than the process may live, or until a write fails.
     let mut writer = client.writer();
     let sending = std::thread::spawn(move || {
         for _ in 0..400 {
@@ -344,6 +344,9 @@
         true
     });
     assert_eq!(client.receive().unwrap().expect("a response").status(), 503);
-    assert!(!sending.is_finished(), "it came while the body did");
+    assert!(
+        !sending.is_finished(),
+        "expected the response while the body was being sent"
+    );
     assert!(upstream.seen.try_recv().is_err());
 }
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect: their requests are not forwarded any more.
+//! Client disconnects: requests of disconnected clients are neither forwarded nor retried.
 
 mod support;
 use std::io::Read;
@@ -7,13 +7,14 @@
 use support::*;
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
-/// Bytes behind a request: none, few, and many more than are read ahead.
-const BYTES_BEHIND: [usize; 3] = [0, 20, 200_000];
-/// The same, limited to what the kernel buffers for a process that is stopped.
-const BYTES_BEHIND_WHILE_STOPPED: [usize; 3] = [0, 20, 30_000];
+/// How many bytes a client sends behind its request: none, few, and many more than the balancer
+/// reads ahead.
+const TRAILING_BYTES: [usize; 3] = [0, 20, 200_000];
+/// Like `TRAILING_BYTES`, but limited to what the kernel buffers for a process that is stopped.
+const TRAILING_BYTES_WHILE_STOPPED: [usize; 3] = [0, 20, 30_000];
 
-/// A balancer with deadlines beyond the time of any test, so that requests end early only with
-/// their clients.
+/// Starts a balancer whose deadlines are longer than any test, so that a request ends early only if
+/// its client disconnects.
 fn start(upstreams: &[SocketAddr], cancel: bool) -> (Program, StubDiscovery) {
     let discovery = StubDiscovery::start();
     let config = with_long_timeouts(&config_with_upstreams(upstreams, discovery.address, 256))
@@ -25,65 +26,76 @@
     )
 }
 
-/// Disconnects a client, with this many bytes behind its request, by a close or a reset.
-fn disconnect(mut client: Client, bytes_behind: usize, reset: bool) {
-    if bytes_behind > 0 {
+/// Sends `trailing_bytes` bytes behind a client's request, and closes or resets its connection.
+fn disconnect(mut client: Client, trailing_bytes: usize, by_reset: bool) {
+    if trailing_bytes > 0 {
         client.write("GET /read/behind HTTP/1.1\r\n");
-        client.write(&"x".repeat(bytes_behind));
+        client.write(&"x".repeat(trailing_bytes));
     }
-    if reset {
+    if by_reset {
         client.reset();
     }
 }
 
-/// The same, and waits until the kernel of the stopped process has received it.
-fn disconnect_while_stopped(program: &Program, client: Client, bytes_behind: usize, reset: bool) {
+/// Disconnects a client as `disconnect` does, and waits until the kernel has received the close or
+/// the reset, which the stopped process has not read.
+fn disconnect_while_stopped(
+    program: &Program,
+    client: Client,
+    trailing_bytes: usize,
+    by_reset: bool,
+) {
     let port = client.port();
-    disconnect(client, bytes_behind, reset);
-    wait_until("its close has arrived", || {
+    disconnect(client, trailing_bytes, by_reset);
+    wait_until("the kernel has received the close", || {
         program.has_received_close_from(port)
     });
 }
 
-/// Requests that fill an upstream's concurrency limit, two at the start, and one more that is
-/// queued.
-fn one_queued(program: &Program, upstream: &StubUpstream, path: &str) -> (Vec<Client>, Client) {
-    let next = |count, metric| {
+/// Sends as many requests as an upstream's concurrency limit admits, two at the start, and one more
+/// that is queued. Returns the clients of the running requests and the client of the queued one.
+fn queue_one_request(
+    program: &Program,
+    upstream: &StubUpstream,
+    path: &str,
+) -> (Vec<Client>, Client) {
+    let send_until = |count, metric| {
         let mut client = program.client();
         client.send(path, REQUEST_ID, "").unwrap();
         wait_until(metric, || program.metric(metric) == count);
         client
     };
-    let running = vec![next(1, "attempts"), next(2, "attempts")];
-    let waiting = next(3, "in_flight");
+    let running = vec![send_until(1, "attempts"), send_until(2, "attempts")];
+    let queued = send_until(3, "in_flight");
     for _ in &running {
         upstream.next();
     }
-    (running, waiting)
+    (running, queued)
 }
 
-/// The same with this many queued requests.
-fn many_queued(
+/// Fills an upstream's concurrency limit, and queues `count` requests. Returns the clients of the
+/// running requests and those of the queued ones.
+fn queue_many_requests(
     program: &Program,
     upstream: &StubUpstream,
     count: usize,
 ) -> (Vec<Client>, Vec<Client>) {
-    let (running, waiting) = one_queued(program, upstream, "/pay");
-    let mut all_waiting = vec![waiting];
-    while all_waiting.len() < count {
+    let (running, queued) = queue_one_request(program, upstream, "/pay");
+    let mut all_queued = vec![queued];
+    while all_queued.len() < count {
         let mut client = program.client();
         client.send("/pay", REQUEST_ID, "").unwrap();
-        all_waiting.push(client);
+        all_queued.push(client);
     }
-    let all = (running.len() + count) as u64;
+    let total = (running.len() + count) as u64;
     wait_until("all requests are accepted", || {
-        program.metric("in_flight") == all
+        program.metric("in_flight") == total
     });
-    (running, all_waiting)
+    (running, all_queued)
 }
 
-/// Four clients, whose requests to `/pay/0`, `/pay/1` and so on have all been forwarded.
-fn four_forwarded(program: &Program) -> Vec<Client> {
+/// Returns four clients whose requests to `/pay/0`, `/pay/1` and so on have all been forwarded.
+fn forward_four_requests(program: &Program) -> Vec<Client> {
     let mut clients: Vec<_> = (0..4).map(|_| program.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client
@@ -96,8 +108,8 @@
     clients
 }
 
-/// A client whose request waits for a connection to this upstream.
-fn connecting(program: &Program, upstream: SocketAddr) -> Client {
+/// Returns a client whose request waits until a connection to this upstream is established.
+fn send_until_connecting(program: &Program, upstream: SocketAddr) -> Client {
     let mut client = program.client();
     client.send("/pay", REQUEST_ID, "coins").unwrap();
     wait_until("a connection is being established", || {
@@ -106,87 +118,92 @@
     client
 }
 
-/// The next request to reach the upstream is a new one: none of the clients that have
-/// disconnected does.
-fn expect_only_new_requests(program: &Program, upstream: &StubUpstream, what: &str) {
+/// Sends a new request and expects the upstream to receive it next, not one of a client that has
+/// disconnected.
+fn expect_only_new_requests(program: &Program, upstream: &StubUpstream, context: &str) {
     assert_eq!(
         program
             .client()
             .request("/pay/last", REQUEST_ID, "")
             .status(),
         200,
-        "{what}"
+        "{context}"
     );
     assert_eq!(
         upstream.next().start_line,
         "POST /pay/last HTTP/1.1",
-        "{what}"
+        "{context}"
     );
 }
 
-/// Bytes bytes_behind a queued request must not hide that its client has disconnected.
+/// Bytes behind a queued request must not hide that its client has disconnected.
 #[test]
-fn a_queued_request_whose_client_has_disconnected_is_not_forwarded() {
-    for bytes_behind in BYTES_BEHIND {
-        for reset in [false, true] {
+fn queued_request_of_a_disconnected_client_is_not_forwarded() {
+    for trailing_bytes in TRAILING_BYTES {
+        for by_reset in [false, true] {
             let upstream = StubUpstream::start(StubResponse::Hold);
             let (program, _discovery) = start(&[upstream.address], true);
-            let (mut running, waiting) = one_queued(&program, &upstream, "/pay");
-            disconnect(waiting, bytes_behind, reset);
-            let left = running.len() as u64;
-            wait_until("its disconnect is noticed", || {
-                program.metric("in_flight") == left
+            let (mut running, queued) = queue_one_request(&program, &upstream, "/pay");
+            disconnect(queued, trailing_bytes, by_reset);
+            let remaining = running.len() as u64;
+            wait_until("the disconnect is noticed", || {
+                program.metric("in_flight") == remaining
             });
             upstream.release();
             for client in &mut running {
                 assert_eq!(
                     client.receive().unwrap().unwrap().status(),
                     200,
-                    "{bytes_behind} {reset}"
+                    "{trailing_bytes} {by_reset}"
                 );
             }
-            expect_only_new_requests(&program, &upstream, &format!("{bytes_behind} {reset}"));
+            expect_only_new_requests(&program, &upstream, &format!("{trailing_bytes} {by_reset}"));
         }
     }
 }
 
-/// The same for many clients that disconnect together, in different ways.
+/// Many clients disconnect at once, by close and by reset, with and without bytes behind their
+/// requests.
 #[test]
-fn queued_requests_whose_clients_disconnect_together_are_not_forwarded() {
+fn queued_requests_are_not_forwarded_after_simultaneous_disconnects() {
     let upstream = StubUpstream::start(StubResponse::Hold);
     let (program, _discovery) = start(&[upstream.address], true);
-    let (mut running, leaving) = many_queued(&program, &upstream, 12);
-    for (number, client) in leaving.into_iter().enumerate() {
-        disconnect(client, BYTES_BEHIND[number % 3], number % 2 == 0);
+    let (mut running, disconnecting) = queue_many_requests(&program, &upstream, 12);
+    for (number, client) in disconnecting.into_iter().enumerate() {
+        disconnect(client, TRAILING_BYTES[number % 3], number % 2 == 0);
     }
-    wait_until("their disconnects are noticed", || {
+    wait_until("all disconnects are noticed", || {
         program.metric("in_flight") == running.len() as u64
     });
     upstream.release();
     for client in &mut running {
         client.receive().unwrap().expect("a response");
     }
-    expect_only_new_requests(&program, &upstream, "they have left together");
+    expect_only_new_requests(&program, &upstream, "simultaneous disconnects");
 }
 
-/// The client disconnects between two attempts: one upstream has rejected its request, which is
-/// queued for the other.
+/// The client disconnects between two attempts: one upstream has rejected its request, and the
+/// retry is queued for the other.
 #[test]
-fn a_request_whose_client_has_disconnected_is_not_retried() {
-    for bytes_behind in BYTES_BEHIND {
-        let (full, busy) = (
+fn request_of_a_disconnected_client_is_not_retried() {
+    for trailing_bytes in TRAILING_BYTES {
+        let (rejecting, busy) = (
             StubUpstream::start(StubResponse::Hold),
             StubUpstream::start(StubResponse::Hold),
         );
-        let (program, _discovery) = start(&[full.address, busy.address], true);
-        let mut clients = four_forwarded(&program);
-        let leaving: usize = full.next().start_line["POST /pay/".len()..][..1]
+        let (program, _discovery) = start(&[rejecting.address, busy.address], true);
+        let mut clients = forward_four_requests(&program);
+        let disconnecting_number: usize = rejecting.next().start_line["POST /pay/".len()..][..1]
             .parse()
             .unwrap();
-        full.set_response(StubResponse::Rejected);
-        full.release();
-        disconnect(clients.remove(leaving), bytes_behind, bytes_behind > 0);
-        wait_until("its disconnect is noticed", || {
+        rejecting.set_response(StubResponse::Rejected);
+        rejecting.release();
+        disconnect(
+            clients.remove(disconnecting_number),
+            trailing_bytes,
+            trailing_bytes > 0,
+        );
+        wait_until("the disconnect is noticed", || {
             program.metric("in_flight") == 3
         });
         busy.release();
@@ -194,60 +211,60 @@
             assert_eq!(
                 client.receive().unwrap().unwrap().status(),
                 200,
-                "{bytes_behind}"
+                "{trailing_bytes}"
             );
         }
-        let left = format!("POST /pay/{leaving} HTTP/1.1");
+        let disconnected_start_line = format!("POST /pay/{disconnecting_number} HTTP/1.1");
         assert!(
             busy.seen
                 .try_iter()
-                .all(|message| message.start_line != left),
-            "{bytes_behind}"
+                .all(|message| message.start_line != disconnected_start_line),
+            "{trailing_bytes}"
         );
     }
 }
 
-/// A request must not be sent on a connection that comes up after its client has disconnected,
-/// also where requests in flight may not be cancelled.
+/// The connection that a request waits for must not be used after the client has disconnected, even
+/// where requests in flight may not be cancelled.
 #[test]
-fn a_request_whose_client_has_disconnected_waits_for_no_connection() {
+fn pending_connection_is_closed_when_its_client_disconnects() {
     for cancel in [true, false] {
-        for bytes_behind in BYTES_BEHIND {
+        for trailing_bytes in TRAILING_BYTES {
             let upstream = unreachable_address();
             let (program, _discovery) = start(&[upstream], cancel);
-            let client = connecting(&program, upstream);
+            let client = send_until_connecting(&program, upstream);
             let port = client.port();
-            disconnect(client, bytes_behind, false);
-            wait_until("its connections are closed", || {
+            disconnect(client, trailing_bytes, false);
+            wait_until("the connections of client and upstream are closed", || {
                 !has_pending_connect(upstream) && !program.has_connection_to(port)
             });
         }
     }
 }
 
-/// The client disconnects while its request is queued and a part of its body is still to come.
+/// The client disconnects while its request is queued and a part of its body has not been sent.
 #[test]
-fn a_queued_request_whose_client_disconnects_in_the_middle_of_its_body_is_not_forwarded() {
-    for reset in [false, true] {
+fn queued_request_with_a_partial_body_is_not_forwarded_after_a_disconnect() {
+    for by_reset in [false, true] {
         let upstream = StubUpstream::start(StubResponse::Hold);
         let (program, _discovery) = start(&[upstream.address], true);
-        let (mut running, waiting) = one_queued(&program, &upstream, "/pay");
+        let (mut running, queued) = queue_one_request(&program, &upstream, "/pay");
         let mut uploading = program.client();
         uploading.write(
             "POST /pay/half HTTP/1.1\r\nHost: b\r\nRequest-Id: c003\r\n\
                 Content-Length: 200000\r\n\r\n",
         );
         uploading.write(&"x".repeat(100_000));
-        let all = running.len() as u64 + 2;
+        let total = running.len() as u64 + 2;
         wait_until("the request is accepted", || {
-            program.metric("in_flight") == all
+            program.metric("in_flight") == total
         });
-        disconnect(uploading, 0, reset);
-        wait_until("its disconnect is noticed", || {
-            program.metric("in_flight") == all - 1
+        disconnect(uploading, 0, by_reset);
+        wait_until("the disconnect is noticed", || {
+            program.metric("in_flight") == total - 1
         });
         upstream.release();
-        for client in running.iter_mut().chain([waiting].iter_mut()) {
+        for client in running.iter_mut().chain([queued].iter_mut()) {
             assert_eq!(client.receive().unwrap().unwrap().status(), 200);
         }
         assert!(upstream
@@ -258,41 +275,46 @@
     }
 }
 
-/// A process that got no CPU time for a while may handle events in any order: clients have
-/// disconnected in different ways, and slots have become free, before or after that.
+/// A process that got no CPU time for a while handles the events of that time in any order: clients
+/// have closed or reset their connections, and slots have become free before or after that.
 #[test]
-fn queued_requests_whose_clients_disconnected_while_the_process_was_stopped_are_not_forwarded() {
-    for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
+fn queued_requests_are_not_forwarded_after_disconnects_while_stopped() {
+    for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
         for free_first in [false, true] {
             let upstream = StubUpstream::start(StubResponse::Hold);
             let (program, _discovery) = start(&[upstream.address], true);
-            let (mut running, leaving) = many_queued(&program, &upstream, 8);
+            let (mut running, disconnecting) = queue_many_requests(&program, &upstream, 8);
             program.suspend();
-            let free = || {
+            let free_slots = || {
                 upstream.release();
                 let count = running.len() as u64;
                 wait_until("all upstreams have responded", || {
                     upstream.responses.load(Ordering::SeqCst) == count
                 });
             };
-            free_first.then(free);
-            for (number, client) in leaving.into_iter().enumerate() {
-                disconnect_while_stopped(&program, client, bytes_behind, number % 2 == 1);
+            free_first.then(free_slots);
+            for (number, client) in disconnecting.into_iter().enumerate() {
+                disconnect_while_stopped(&program, client, trailing_bytes, number % 2 == 1);
             }
-            (!free_first).then(free);
+            (!free_first).then(free_slots);
             program.resume();
             for client in &mut running {
                 client.receive().unwrap().expect("a response");
             }
-            expect_only_new_requests(&program, &upstream, &format!("{bytes_behind} {free_first}"));
+            expect_only_new_requests(
+                &program,
+                &upstream,
+                &format!("{trailing_bytes} {free_first}"),
+            );
         }
     }
 }
 
-/// The same for a client that disconnected before its request was read.
+/// The request and the close of its connection are received while the process is stopped, so that
+/// it reads them together.
 #[test]
-fn a_request_whose_client_disconnected_before_it_was_read_is_not_forwarded() {
-    for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
+fn unread_request_of_a_disconnected_client_is_not_forwarded() {
+    for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
         let upstream = StubUpstream::start(StubResponse::Ok);
         let (program, _discovery) = start(&[upstream.address], true);
         for _ in 0..4 {
@@ -301,36 +323,36 @@
             upstream.next();
             program.suspend();
             client.send("/pay", REQUEST_ID, "coins").unwrap();
-            disconnect_while_stopped(&program, client, bytes_behind, false);
+            disconnect_while_stopped(&program, client, trailing_bytes, false);
             program.resume();
-            expect_only_new_requests(&program, &upstream, &bytes_behind.to_string());
+            expect_only_new_requests(&program, &upstream, &trailing_bytes.to_string());
         }
     }
 }
 
-/// The same for one whose first attempt was rejected meanwhile, while the other upstream's slots
-/// became free.
+/// While the process is stopped, one upstream rejects the first attempt, the other upstream's slots
+/// become free, and the client disconnects.
 #[test]
-fn a_request_whose_client_disconnected_while_the_process_was_stopped_is_not_retried() {
-    for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
-        let (full, busy) = (
+fn request_is_not_retried_after_a_disconnect_while_stopped() {
+    for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
+        let (rejecting, busy) = (
             StubUpstream::start(StubResponse::Hold),
             StubUpstream::start(StubResponse::Hold),
         );
-        let (program, _discovery) = start(&[full.address, busy.address], true);
-        let clients = four_forwarded(&program);
-        let gone = [full.next().start_line, full.next().start_line];
+        let (program, _discovery) = start(&[rejecting.address, busy.address], true);
+        let clients = forward_four_requests(&program);
+        let disconnected = [rejecting.next().start_line, rejecting.next().start_line];
         program.suspend();
-        full.set_response(StubResponse::Rejected);
-        for upstream in [&full, &busy] {
+        rejecting.set_response(StubResponse::Rejected);
+        for upstream in [&rejecting, &busy] {
             upstream.release();
             wait_until("the upstream has responded", || {
                 upstream.responses.load(Ordering::SeqCst) == 2
             });
         }
         for (number, client) in clients.into_iter().enumerate() {
-            if gone.contains(&format!("POST /pay/{number} HTTP/1.1")) {
-                disconnect_while_stopped(&program, client, bytes_behind, false);
+            if disconnected.contains(&format!("POST /pay/{number} HTTP/1.1")) {
+                disconnect_while_stopped(&program, client, trailing_bytes, false);
             }
         }
         program.resume();
@@ -340,41 +362,42 @@
         assert!(
             busy.seen
                 .try_iter()
-                .all(|message| !gone.contains(&message.start_line)),
-            "{bytes_behind}"
+                .all(|message| !disconnected.contains(&message.start_line)),
+            "{trailing_bytes}"
         );
     }
 }
 
-/// The same for one whose connection to its upstream was established meanwhile.
+/// While the process is stopped, the connection that a request waits for is established, and the
+/// client disconnects.
 #[test]
-fn a_request_is_not_sent_on_a_connection_that_came_up_after_its_client_disconnected() {
+fn established_connection_is_not_used_after_a_disconnect_while_stopped() {
     for cancel in [true, false] {
-        for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
+        for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
             let blocked = BlockedPort::new();
             let (program, discovery) = start(&[blocked.address], cancel);
             let _watch = discovery.next();
-            let client = connecting(&program, blocked.address);
+            let client = send_until_connecting(&program, blocked.address);
             program.suspend();
-            let all = blocked.waiting.len() as u64 + 1;
+            let total = blocked.waiting.len() as u64 + 1;
             let upstream = blocked.open(StubResponse::Ok);
             wait_until("the connection is established", || {
-                upstream.connections.load(Ordering::SeqCst) == all
+                upstream.connections.load(Ordering::SeqCst) == total
             });
-            disconnect_while_stopped(&program, client, bytes_behind, false);
+            disconnect_while_stopped(&program, client, trailing_bytes, false);
             program.resume();
-            wait_until("its disconnect is noticed", || {
+            wait_until("the disconnect is noticed", || {
                 program.metric("in_flight") == 0
             });
-            expect_only_new_requests(&program, &upstream, &format!("{cancel} {bytes_behind}"));
+            expect_only_new_requests(&program, &upstream, &format!("{cancel} {trailing_bytes}"));
         }
     }
 }
 
-/// The upstream begins with the last byte of a body, which must not be forwarded after the client
-/// has disconnected.
+/// An upstream starts to process a request when it has received the last byte of the body. That
+/// byte must not be forwarded after the client has disconnected.
 #[test]
-fn a_streamed_body_whose_client_disconnected_while_the_process_was_stopped_stays_incomplete() {
+fn streamed_body_stays_incomplete_after_a_disconnect_while_stopped() {
     for cancel in [true, false] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let (program, _discovery) = start(&[listener.local_addr().unwrap()], cancel);
@@ -386,7 +409,7 @@
             client.write("Content-Length: 150000\r\n\r\n");
             client.write(&"x".repeat(149_000));
             let (mut upstream, _) = listener.accept().unwrap();
-            // Together with the head this is nearly all that has been sent so far.
+            // The head and nearly all of the body that has been sent so far.
             upstream.read_exact(&mut [0; 149_000]).unwrap();
             program.suspend();
             client.write(&"x".repeat(1000));
@@ -403,20 +426,20 @@
     }
 }
 
-/// A half-close can't be told from a close, so such a client counts as disconnected: its request
-/// is not forwarded, and its connection closes without a response.
+/// The balancer can't distinguish a half-close from a close, so the client counts as disconnected:
+/// its request is not forwarded, and its connection is closed without a response.
 #[test]
-fn a_client_that_half_closes_counts_as_disconnected() {
-    for bytes_behind in BYTES_BEHIND_WHILE_STOPPED {
+fn half_close_counts_as_a_disconnect() {
+    for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
         let upstream = StubUpstream::start(StubResponse::Hold);
         let (program, _discovery) = start(&[upstream.address], true);
-        let (mut running, mut waiting) = one_queued(&program, &upstream, "/pay");
-        waiting.write(&"x".repeat(bytes_behind));
-        waiting.half_close();
-        assert!(waiting.is_closed_by_peer(), "{bytes_behind}");
-        let left = running.len() as u64;
-        wait_until("its disconnect is noticed", || {
-            program.metric("in_flight") == left
+        let (mut running, mut queued) = queue_one_request(&program, &upstream, "/pay");
+        queued.write(&"x".repeat(trailing_bytes));
+        queued.half_close();
+        assert!(queued.is_closed_by_peer(), "{trailing_bytes}");
+        let remaining = running.len() as u64;
+        wait_until("the disconnect is noticed", || {
+            program.metric("in_flight") == remaining
         });
         upstream.release();
         for client in &mut running {
@@ -426,7 +449,7 @@
         let mut early = program.client();
         early.send("/pay", REQUEST_ID, "coins").unwrap();
         early.half_close();
-        wait_until("its close has arrived", || {
+        wait_until("the kernel has received the close", || {
             program.has_received_close_from(early.port())
         });
         program.resume();
@@ -435,9 +458,9 @@
                 .receive()
                 .unwrap()
                 .is_none_or(|response| response.status() == 502),
-            "{bytes_behind}"
+            "{trailing_bytes}"
         );
-        expect_only_new_requests(&program, &upstream, &bytes_behind.to_string());
+        expect_only_new_requests(&program, &upstream, &trailing_bytes.to_string());
         assert_eq!(program.metric("failed.pay"), 0);
     }
 }
