--- a/src/decision/idle_timeout.rs
+++ b/src/decision/idle_timeout.rs
@@ -5,8 +5,8 @@
 use super::event::AttemptOutcome;
 
 /// Decrease of the drop score with a response on an old connection; a reset adds 1. A reset costs
-/// a request and a new connection a small part of one, so this is also the ratio of resets to
-/// responses that is tolerated.
+/// a request, whereas a new connection costs only a small part of one, so this is also the ratio of
+/// resets to responses that is tolerated.
 const RESPONSE_SCORE_DECREASE: f64 = 0.04;
 /// Drop score at which the timeout is lowered: two resets with few responses between them.
 const DROP_SCORE_THRESHOLD: f64 = 1.5;
@@ -59,9 +59,9 @@
         self.timeout
     }
 
-    /// Adds an attempt that has ended, and updates `suspect_idle_time` of its upstream: how long
-    /// the connection on which the last request was lost without notice had been idle, or 0 if the
-    /// last request was not lost in that way.
+    /// Adds an attempt that has ended, and updates `suspect_idle_time` of its upstream: the idle
+    /// time of the attempt's connection if the attempt was lost without notice on a connection that
+    /// had been idle, else 0.
     ///
     /// Returns whether the attempt's connection may have been dropped while idle. If so, a loss is
     /// no evidence against the upstream.
--- a/src/decision/latency.rs
+++ b/src/decision/latency.rs
@@ -8,7 +8,7 @@
 
 /// An attempt is overdue after this many times its expected latency.
 pub(super) const OVERDUE_FACTOR: f64 = 6.0;
-/// Upper bound of the work of a request beyond that of a mean request, in mean requests. It is
+/// Upper bound of the work by which a request exceeds a mean request, in mean requests. It is
 /// needed because work hints are rough.
 pub(super) const MAX_EXCESS_WORK: f64 = 4.0;
 
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -6,7 +6,7 @@
 //! | `settings`, `event`, `action`, `log_event` | the types that the embedder uses |
 //! | `balancer` | the state of all modules, and the dispatch of events |
 //! | `endpoint_list`, `poll_schedule` | the list of upstreams, and when it is polled |
-//! | `maintenance`, `draining`, `start_time` | which of them are in service, and since when |
+//! | `maintenance`, `draining`, `start_time` | the upstreams in service, and when they started |
 //! | `subset`, `rotation`, `selection` | the upstream for an attempt |
 //! | `concurrency_limit`, `slow_start` | how many requests an upstream gets |
 //! | `outlier`, `outlier_stats` | which upstreams are ejected |
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -178,9 +178,9 @@
     }))
 }
 
-/// Reschedules the trial requests of non-idempotent classes after a result of a class that may be
-/// repeated. A trial request may be lost, so classes that may be repeated make theirs first. Those
-/// of non-idempotent classes follow, and are delayed further if the first ones fail.
+/// Reschedules the trial requests of non-idempotent classes after a result of a class whose
+/// requests may be repeated. A trial request may be lost, so classes whose requests may be repeated
+/// go first. The non-idempotent classes follow, and wait longer if the first trial request fails.
 fn schedule_trials(stats: &mut [OutlierStats], classes: &[Class], change: &HealthChange, now: f64) {
     for (stats, class) in stats.iter_mut().zip(classes) {
         if class.idempotency == Idempotency::NonIdempotent {
--- a/src/decision/outlier_stats.rs
+++ b/src/decision/outlier_stats.rs
@@ -12,8 +12,8 @@
 const MAX_COUNTED_FAILURES: i32 = 4;
 /// An upstream is an outlier if its error rate exceeds the mean of its peers by more than this.
 const ERROR_RATE_MARGIN: f64 = 0.3;
-/// After a failed trial request of a class that may be repeated, non-idempotent classes wait for
-/// this many times its ejection duration before their own trial request.
+/// After a failed trial request of a class whose requests may be repeated, non-idempotent classes
+/// wait for this many times the ejection duration of that class before their own trial request.
 const TRIAL_DELAY_FACTOR: f64 = 2.0;
 /// Successful responses that the error rate presumes before the first actual response.
 const PRESUMED_SUCCESSES: f64 = 3.0;
@@ -230,13 +230,14 @@
         add_sample(&mut self.error_rate, error, weight);
     }
 
-    /// Returns whether an ended attempt counts as a failure. A loss does if the upstream has
+    /// Returns whether an ended attempt counts as a failure. A loss counts if the upstream has
     /// responded to nothing since the attempt was sent.
     ///
     /// For a class, two more kinds of results count. One is a silent loss, even if the upstream
-    /// responds to other requests. The other is an error that the peers do not have: an upstream
-    /// that fails fast always has free slots and would attract requests, and a rejected attempt
-    /// has occupied a slot until the rejection was received.
+    /// responds to other requests, unless the peers have such losses too. The other is an error
+    /// that the peers do not have: an upstream that fails fast always has free slots and would
+    /// attract requests, and a rejected attempt has occupied a slot until the rejection was
+    /// received.
     fn is_failure(&self, sample: &OutlierSample, scope: StatsScope, is_outlier: bool) -> bool {
         let ended = sample.ended;
         let is_unanswered = ended.is_lost && self.is_silent_since(ended.sent_at);
@@ -268,8 +269,8 @@
     }
 
     /// Reschedules the next trial request of a class that has failures. `change` was caused by a
-    /// class that may be repeated: its recovery allows the trial request now, its ejection delays
-    /// it.
+    /// class whose requests may be repeated: its recovery allows the trial request now, its
+    /// ejection delays it.
     pub(super) fn schedule_trial(&mut self, change: &HealthChange, now: f64) {
         if self.consecutive_failures == 0 {
             return;
--- a/src/decision/poll_schedule.rs
+++ b/src/decision/poll_schedule.rs
@@ -154,8 +154,8 @@
             _ => LARGE_FLEET_DEADLINE_SHARE * deadline - elapsed,
         };
         let max = fleet_delay.min(max_delay * self.backoff_factor());
-        // A single failure may be a broken watch. Discovery need not be queueing polls yet then,
-        // so a short delay is allowed.
+        // A single failure may be a broken watch. Discovery may not be queueing polls in that
+        // case, so a short delay is allowed.
         let min = if self.failures > 1 { max / 2.0 } else { 0.0 };
         DelayRange { min, max }
     }
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -9,10 +9,11 @@
 const RETRIES_PER_RESPONSE: f64 = 0.02;
 /// Largest budget, in retries.
 const MAX_BUDGET: f64 = 10.0;
-/// Cost of a retry after an invalid response or a broken connection. Retries after errors and
-/// time-outs add to an overload; these failures are rarely due to one, so their retries cost less.
+/// Budget cost of a retry after an invalid response or a broken connection. These failures are
+/// rarely due to an overload, so their retries cost less than those after errors and time-outs,
+/// which add to an overload.
 const BROKEN_CONNECTION_COST: f64 = 0.2;
-/// Cost of a hedged request, or of any other retry of an attempt that may have run.
+/// Budget cost of a hedged request, or of any other retry of an attempt that may have run.
 const FULL_COST: f64 = 1.0;
 
 /// The number of retries that the balancer may still make.
@@ -47,8 +48,9 @@
 }
 
 impl Balancer {
-    /// Retries a request whose last attempt ended without a final response, if the budget allows
-    /// it and a response can still be received in time; else gives the request up.
+    /// Retries a request whose last attempt ended without a final response, if the attempt was
+    /// sent, the budget allows a retry and a response can still be received in time; else gives the
+    /// request up.
     pub(super) fn retry(
         &mut self,
         id: RequestId,
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -313,8 +313,9 @@
     }
 }
 
-// Errors name a setting as the settings format does, because the author of the settings knows it
-// by that name.
+// Most settings are named in errors by the words of the settings format, because the author of the
+// settings knows these. The exceptions are `tick` (`resolution`), `class deadline` (`hardLimit`),
+// `limits retry after` (`maxRetryAfter`) and `prices cross zone` (`costs.crossZone`).
 
 fn check_index(name: &'static str, index: usize, count: usize) -> Result<(), SettingsError> {
     if index < count {
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,8 +1,9 @@
 //! Slow start: how many requests an upstream gets while it warms up.
 //!
-//! Each arriving request gives each upstream of the subset tokens for an even part of a request;
-//! an upstream in slow start gets only its present share of capacity of that part. An attempt
-//! takes a whole token, so a warming upstream is not overloaded even while all others are down.
+//! Each arriving request gives each upstream of the subset tokens for an even part of a request.
+//! For an upstream in slow start, that part is multiplied by its present share of capacity. An
+//! attempt takes a whole token, so a warming upstream is not overloaded even while all others are
+//! down.
 
 use super::balancer::Balancer;
 use super::event::UpstreamId;
@@ -33,8 +34,8 @@
 }
 
 impl SlowStart {
-    /// Adds the credit of a response: as many requests count as give a warming upstream half of
-    /// the load that the rules allow it.
+    /// Adds the credit of a response: the number of requests whose tokens give a warming upstream
+    /// half of the load that the rules allow it.
     pub(super) fn add_response(
         &mut self,
         rotation: &Rotation,
--- a/src/decision/start_time.rs
+++ b/src/decision/start_time.rs
@@ -14,8 +14,9 @@
 pub(super) struct StartTimeEstimator {
     /// Starts that are listed before this time may lie far in the past.
     initial_until: f64,
-    /// Smallest delay so far, by the wall clocks, between a start and its listing. A wall clock
-    /// that is ahead by more than this would have made every delay larger.
+    /// Smallest delay so far, by the wall clocks, between a start and its listing. If this
+    /// balancer's wall clock were further ahead of the other one than this, every delay would have
+    /// been larger.
     min_delay: f64,
 }
 
--- a/src/decision/upstream.rs
+++ b/src/decision/upstream.rs
@@ -158,7 +158,7 @@
     }
 
     /// Forgets all idle connections if the oldest one has been idle for longer than `timeout`
-    /// seconds. Returns whether it has.
+    /// seconds. Returns whether they were forgotten.
     pub(super) fn drop_possibly_closed_connections(&mut self, timeout: f64, now: f64) -> bool {
         let oldest = self.idle_connections.first();
         let may_be_closed = oldest.is_some_and(|since| now - since > timeout);
@@ -193,12 +193,12 @@
     /// Share of the upstream's requests that were lost silently, as a slow moving average.
     #[serde(rename = "losses")]
     pub(super) silent_loss_rate: f64,
-    /// Until then, in seconds, the upstream gets no requests: after a rejection, or between single
-    /// requests beyond the limit.
+    /// Time until which the upstream gets no requests, in seconds: after a rejection, or between
+    /// single requests beyond the limit.
     #[serde(rename = "full_until")]
     pub(super) paused_until: f64,
-    /// How long the connection on which the last request was lost silently had been idle, in
-    /// seconds; 0 if the last request was not lost silently.
+    /// Idle time of the last attempt's connection, in seconds, if the attempt was lost silently on
+    /// a connection that had been idle; else 0.
     #[serde(rename = "suspect")]
     pub(super) suspect_idle_time: f64,
     /// Number of requests that slow start currently allows the upstream; at most 1.
--- a/src/settings_format/deserializer.rs
+++ b/src/settings_format/deserializer.rs
@@ -7,7 +7,7 @@
 use serde::forward_to_deserialize_any;
 use std::fmt::Display;
 
-/// Stands for a list element without any settings, all of which then have their defaults.
+/// Stands for a list element that is absent from the tree; all its settings get their defaults.
 static EMPTY: SettingsTree = SettingsTree::empty();
 
 impl de::Error for InvalidSetting {
@@ -20,7 +20,8 @@
 }
 
 impl InvalidSetting {
-    /// Prepends a field name or list index to the path, once for each level on the way up.
+    /// Prepends a field name or list index to the path. Each level of the tree that an error passes
+    /// on its way up prepends its own.
     pub(super) fn with_path_prefix(mut self, name: &str) -> Self {
         self.path = if self.path.is_empty() {
             name.to_string()
--- a/src/settings_format/document.rs
+++ b/src/settings_format/document.rs
@@ -179,7 +179,7 @@
 /// Why a text is not a valid value of a setting.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(super) enum ValueError {
-    /// The text is not a number, or not one of the setting's type (a negative count).
+    /// The text is not a number, or not one of the setting's type, such as a negative count.
     #[error("invalid number '{0}'")]
     InvalidNumber(String),
     /// The text is not a boolean.
@@ -287,7 +287,7 @@
     }
 }
 
-/// The unit for which a class's priority weight counts once.
+/// What a class's priority weight applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WeightUnit {
     /// One request.
--- a/src/settings_format/tests.rs
+++ b/src/settings_format/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the settings' format.
+//! Unit tests of the settings format.
 
 use super::*;
 use crate::decision::{DeduplicationScope, DiscoveryMode, Idempotency};
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -137,7 +137,8 @@
     })
 }
 
-/// Writes an action as one line. `classes` are the request classes of the balancer that took it.
+/// Writes an action as one line. `classes` are the request classes of the balancer that returned
+/// the action.
 ///
 /// # Errors
 ///
