--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -13,7 +13,7 @@
 mod timers;
 mod upstream_directory;
 
-pub use request::{AcceptedRequest, DispatchedRequest, FinalResponse, RejectionReason};
+pub use request::{DispatchedRequest, FinalResponse, RejectionReason, ValidatedRequest};
 
 use crate::config::{Config, NameTables};
 use crate::discovery::{DiscoveryService, EndpointList, WatchSet};
--- a/src/bin/load-balancer/dispatch/request.rs
+++ b/src/bin/load-balancer/dispatch/request.rs
@@ -6,7 +6,7 @@
 use tokio::sync::oneshot;
 
 /// A valid client request that the dispatcher has not accepted yet.
-pub struct AcceptedRequest {
+pub struct ValidatedRequest {
     /// The id that the client gave the request. It must differ from those of recent requests.
     pub client_request_id: String,
     /// The index of its class in the settings.
--- a/src/bin/load-balancer/dispatch/request_lifecycle.rs
+++ b/src/bin/load-balancer/dispatch/request_lifecycle.rs
@@ -3,8 +3,8 @@
 use crate::dispatch::request_table::AttemptId;
 use crate::dispatch::timers::Timer;
 use crate::dispatch::{
-    duration_from_secs, AcceptedRequest, DispatchedRequest, Dispatcher, FinalResponse,
-    RejectionReason,
+    duration_from_secs, DispatchedRequest, Dispatcher, FinalResponse, RejectionReason,
+    ValidatedRequest,
 };
 use crate::log;
 use crate::upstream::{Attempt, AttemptError, ConnectionIdleTime, UpstreamResponse};
@@ -30,7 +30,7 @@
     /// same id.
     pub fn accept(
         &mut self,
-        request: AcceptedRequest,
+        request: ValidatedRequest,
     ) -> Result<DispatchedRequest, RejectionReason> {
         let id = self.requests.allocate_id(request.client_request_id)?;
         let forwarded_request = Rc::new(request.forwarded_request);
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -53,7 +53,7 @@
     Dispatcher::start(config, resources).expect("valid settings")
 }
 
-fn request_with_deadline(request_timeout: Duration) -> AcceptedRequest {
+fn request_with_deadline(request_timeout: Duration) -> ValidatedRequest {
     let (method, uri, headers) = (Method::GET, Uri::from_static("/call"), HeaderMap::new());
     let upload = Rc::new(Upload::empty());
     let forwarded_request = ForwardedRequest {
@@ -67,7 +67,7 @@
     };
     thread_local!(static LAST_ID: Cell<u64> = const { Cell::new(0) });
     let client_request_id = LAST_ID.with(|last| last.replace(last.get() + 1).to_string());
-    AcceptedRequest {
+    ValidatedRequest {
         client_request_id,
         class: 0,
         tenant: 0,
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -43,14 +43,14 @@
         if request.uri().path() == "/healthz" {
             return self.health_response();
         }
-        let accepted = match self.read_request(request, client).await {
-            Ok(accepted) => accepted,
+        let validated = match self.read_request(request, client).await {
+            Ok(validated) => validated,
             Err(error) => return error_response(&error),
         };
-        let upload = accepted.forwarded_request.upload.clone();
+        let upload = validated.forwarded_request.upload.clone();
         client.record_valid_request();
-        let in_flight = self.resources.metrics.begin_request(accepted.class);
-        let dispatched = self.dispatcher.borrow_mut().accept(accepted);
+        let in_flight = self.resources.metrics.begin_request(validated.class);
+        let dispatched = self.dispatcher.borrow_mut().accept(validated);
         let DispatchedRequest { id, response } = match dispatched {
             Ok(dispatched) => dispatched,
             Err(reason) => {
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -1,7 +1,7 @@
 //! Reads and validates requests: first the head, then the part of the body that is read ahead.
 
 use crate::body::{BodyError, Upload};
-use crate::dispatch::AcceptedRequest;
+use crate::dispatch::ValidatedRequest;
 use crate::server::connection::{ClientConnection, Phase};
 use crate::server::raw_head::RawHead;
 use crate::server::request_error::RequestError;
@@ -64,14 +64,14 @@
         &self,
         request: Request<Incoming>,
         client: &ClientConnection,
-    ) -> Result<AcceptedRequest, RequestError> {
+    ) -> Result<ValidatedRequest, RequestError> {
         let received_at = Instant::now();
         let (head, body) = request.into_parts();
         let validated = self.validate_head(&head, &client.socket)?;
         let upload = self.receive_body(body, client, received_at).await?;
         client.set_request_end(validated.framing.end_offset(&upload));
         let forwarded_request = self.forwarded_request(head, upload, validated.timeout, client)?;
-        Ok(AcceptedRequest {
+        Ok(ValidatedRequest {
             client_request_id: validated.request_id,
             class: validated.class,
             tenant: validated.tenant,
