--- a/src/bin/load-balancer/discovery/watch.rs
+++ b/src/bin/load-balancer/discovery/watch.rs
@@ -22,11 +22,11 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// In poll mode discovery may queue requests. If a request has no response after this time, another
-/// one is sent while it stays open. A change must be known within 6 s after discovery has it,
+/// In poll mode discovery may queue requests. If a request has no response after this time, it
+/// stays open and another one is sent. A change must be known within 6 s after discovery has it,
 /// whatever happened to the previous request. Those 6 s have to cover this timeout, a request that
 /// is queued for 2 s and then refused, and the backoff after it. They also have to cover two
-/// requests without a response.
+/// requests in a row that get no response.
 const POLL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2600);
 /// In push mode a local agent responds at once. In both modes this timeout also applies to a
 /// discovery address from which no list is known yet, because its list is needed soon.
--- a/src/bin/load-balancer/discovery/watch_set/mod.rs
+++ b/src/bin/load-balancer/discovery/watch_set/mod.rs
@@ -59,7 +59,7 @@
     pub version: u64,
 }
 
-/// When a watch is opened that replaces one that failed or is silent.
+/// When the replacement of a failed or silent watch is opened.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reconnect {
     /// No watch is opened, because a newer watch is open or is about to be opened.
--- a/src/bin/load-balancer/dispatch/recent_request_ids/mod.rs
+++ b/src/bin/load-balancer/dispatch/recent_request_ids/mod.rs
@@ -5,8 +5,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The ids of recent requests. Ids are dropped a generation at a time, so an id is retained for at
-/// least `retention` and at most twice as long.
+/// The ids of recent requests. Ids are dropped a generation at a time, and a generation ends only
+/// when an id is added. An id is therefore retained for at least `retention` and for less than
+/// three times as long, or for at most twice as long if ids are added continuously.
 pub struct RecentRequestIds {
     retention: Duration,
     generation_began_at: Instant,
--- a/src/bin/load-balancer/dispatch/request_lifecycle.rs
+++ b/src/bin/load-balancer/dispatch/request_lifecycle.rs
@@ -163,7 +163,7 @@
 
     /// Ends the attempts that have not written anything and whose upstream is no longer available
     /// at the address that they were sent to, as if the upstream had rejected them. They were
-    /// decided before the drain of the upstream was known, and would otherwise start after it.
+    /// decided before the drain of the upstream was known, and would otherwise start during it.
     pub(super) fn reject_misdirected_attempts(&mut self) {
         let address_of = |upstream| self.upstreams.available_address(upstream);
         for attempt in self.requests.misdirected_attempts(address_of) {
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -103,9 +103,9 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Upstreams that serve, fail, stay silent or send garbage, and clients that disconnect: each
-/// remaining request gets a final response, the decision module gets a result for each attempt, and
-/// no state is left at the end.
+/// Whether upstreams serve, fail, stay silent or send garbage, each request whose client stays
+/// connected gets one final response, the decision module gets a result for each attempt, and no
+/// state is left at the end.
 #[test]
 fn every_request_gets_one_final_response_and_is_removed() {
     run(async {
--- a/src/bin/load-balancer/dispatch/tests/notification/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/mod.rs
@@ -23,7 +23,7 @@
     Silent,
 ];
 
-/// Returns the outcomes of the requests after one that failed.
+/// Returns alternative scripts for the requests that follow a failed one.
 fn script_tails() -> Vec<Vec<RequestOutcome>> {
     let mut all = vec![vec![], vec![QueuedThenRefused], vec![Unanswered]];
     all.extend([Refused, Reset, ResetInList].map(|outcome| vec![outcome; 3]));
@@ -305,8 +305,8 @@
     });
 }
 
-/// A slow discovery service must not be flooded: no request is sent before the previous one has had
-/// its time, and at most `MAX_WATCHES` requests are open at once.
+/// A slow discovery service must not be flooded: no request is sent within 2.5 s of the previous
+/// one, and at most `MAX_WATCHES` requests are open at once.
 #[test]
 fn slow_discovery_is_not_flooded() {
     run(async {
--- a/src/bin/load-balancer/handover/mod.rs
+++ b/src/bin/load-balancer/handover/mod.rs
@@ -79,7 +79,8 @@
     }
 }
 
-/// The part of this process in an upgrade, as predecessor, as successor or both in turn.
+/// The role of this process in upgrades: it may be the successor of an earlier process, and later
+/// the predecessor of another one.
 pub struct Handover {
     folder: Rc<HandoverFolder>,
     store: StateStore,
--- a/src/bin/load-balancer/handover/retry_stream.rs
+++ b/src/bin/load-balancer/handover/retry_stream.rs
@@ -11,8 +11,8 @@
 /// the event loop.
 pub struct RetryStream<T>(pub T);
 
-/// Returns what the caller of a poll function gets, or `None` if the call has to be repeated at
-/// once.
+/// Returns the result that a poll function passes to its caller, or `None` if the call has to be
+/// repeated at once.
 fn final_result<T>(result: Poll<io::Result<T>>, context: &Context) -> Option<Poll<io::Result<T>>> {
     match result {
         Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::Interrupted => None,
--- a/src/bin/load-balancer/metrics/mod.rs
+++ b/src/bin/load-balancer/metrics/mod.rs
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Counts an accepted request of the class with index `class` as in flight until
+    /// Counts a request of the class with index `class` as in flight until
     /// [`InFlightRequest::end`] is called on the returned guard or the guard is dropped.
     pub fn begin_request(self: &Rc<Self>, class: usize) -> InFlightRequest {
         self.in_flight.set(self.in_flight.get() + 1);
--- a/src/bin/load-balancer/server/connection/mod.rs
+++ b/src/bin/load-balancer/server/connection/mod.rs
@@ -14,8 +14,8 @@
 /// The current activity of a connection.
 ///
 /// A connection starts in `AwaitingRequest` and returns there after each response. A connection
-/// over capacity passes through `AwaitingCapacity` after its request's head. `Lingering` is the
-/// last phase.
+/// over capacity enters `AwaitingCapacity` once the head of its request has been received.
+/// `Lingering` is the last phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// No request is in progress, or only a part of its head has been received.
@@ -208,9 +208,9 @@
     }
 
     /// Returns whether a requested close can begin now. If any byte of a request has been received,
-    /// read or unread, the close is left to the response to that request. A response that is
-    /// already being streamed may not announce the close; in that case the close can begin unless
-    /// bytes after its request have been received.
+    /// read or unread, the close is left to the response to that request. If a response is already
+    /// being streamed, its head may have been sent without an announcement of the close; in that
+    /// case the close can begin unless bytes after its request have been received.
     pub(super) fn can_close_now(&self) -> bool {
         let is_idle = self.socket.request_started_at().is_none() && self.socket.is_open_and_idle();
         self.phase() == Phase::StreamingResponse && !self.has_pipelined_bytes() || is_idle
--- a/src/bin/load-balancer/server/connection/signals.rs
+++ b/src/bin/load-balancer/server/connection/signals.rs
@@ -54,7 +54,7 @@
         self.decided.clone()
     }
 
-    /// Returns whether the connection's task has not yet acknowledged a requested eviction.
+    /// Returns whether an eviction is requested that the connection's task has yet to acknowledge.
     pub(in crate::server) fn is_pending(&self) -> bool {
         self.is_pending.get()
     }
--- a/src/bin/load-balancer/server/eviction.rs
+++ b/src/bin/load-balancer/server/eviction.rs
@@ -26,8 +26,8 @@
     Idle,
     /// The connection has carried no valid request, and none is arriving.
     NoValidRequest,
-    /// The first request is arriving. Connections on which a later request is arriving are not
-    /// evicted.
+    /// The first request is arriving. Connections on which a later request is arriving are evicted
+    /// only as [`Self::SlowRequest`].
     FirstRequestArriving,
 }
 
--- a/src/bin/load-balancer/server/request_error/tests.rs
+++ b/src/bin/load-balancer/server/request_error/tests.rs
@@ -1,4 +1,4 @@
-//! These statuses and texts are sent to clients.
+//! Unit tests of the statuses and texts that clients receive for requests that are not served.
 
 use super::*;
 
--- a/src/bin/load-balancer/shutdown/mod.rs
+++ b/src/bin/load-balancer/shutdown/mod.rs
@@ -13,8 +13,8 @@
 /// Maximum time after SIGTERM during which connections are accepted. The health checks of clients
 /// have to notice the shutdown before the listener closes.
 const ACCEPT_WINDOW: Duration = Duration::from_millis(800);
-/// SIGKILL follows SIGTERM after the longest deadline plus [`KILL_DELAY`]; the deadline counts for
-/// at most this time.
+/// Cap of the longest deadline: SIGKILL follows SIGTERM after the longest deadline, or this time if
+/// that is shorter, plus [`KILL_DELAY`].
 const LONGEST_DEADLINE_CAP: Duration = Duration::from_secs(3);
 /// Constant part of the time from SIGTERM to SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(700);
@@ -24,7 +24,8 @@
 /// Minimum time between the close of the listener and the moment at which all requests must have
 /// their responses.
 const LISTENER_CLOSE_MARGIN: Duration = Duration::from_millis(100);
-/// Connections may stay open after the listener has closed for the longest deadline plus this time.
+/// After the listener has closed and the accept window has passed, connections may stay open for
+/// the longest deadline plus this time.
 const CONNECTION_GRACE: Duration = Duration::from_secs(1);
 /// Interval at which the shutdown checks whether connections are still open.
 const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(5);
@@ -45,7 +46,8 @@
     pub accept_window: Duration,
     /// Time within which all requests must have their responses.
     pub response_timeout: Duration,
-    /// Time after the close of the listener within which all connections must have ended.
+    /// Time within which all connections must have ended. It starts when the listener has closed
+    /// and the accept window has passed.
     pub connection_timeout: Duration,
 }
 
--- a/src/bin/load-balancer/socket/connection.rs
+++ b/src/bin/load-balancer/socket/connection.rs
@@ -35,7 +35,8 @@
     _permit: DescriptorPermit,
 }
 
-/// The number of bytes transferred in one direction, and when the kernel last made progress.
+/// The number of bytes transferred in one direction, and the time of the last progress: see
+/// [`Socket::last_read`] and [`Socket::last_written`].
 #[derive(Debug)]
 pub(super) struct TrafficCounter {
     bytes: Cell<usize>,
--- a/src/bin/load-balancer/socket/exchange_limits.rs
+++ b/src/bin/load-balancer/socket/exchange_limits.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Returns an error if more bytes have been received than the exchange allows, as of an endless
-    /// response.
+    /// Returns an error if more bytes have been received than the exchange allows, for example
+    /// because the response is endless.
     pub(super) fn check_received(&self, position: usize) -> io::Result<()> {
         if position > self.max_received.get() {
             return Err(io::ErrorKind::InvalidData.into());
--- a/src/bin/load-balancer/socket/mod.rs
+++ b/src/bin/load-balancer/socket/mod.rs
@@ -4,7 +4,8 @@
 //!   and the admin endpoint.
 //! - [`Socket`] is a connection with counters, with hyper's I/O traits in `io`.
 //! - For connections of clients, `client_input` stores the recent input and when the current
-//!   request began, and `read_ahead` buffers bytes that are received before the server reads them.
+//!   request began, and `read_ahead` buffers bytes that are read from the kernel before the server
+//!   reads them.
 //! - For connections to upstreams, `exchange_limits` checks the reads and writes of an exchange.
 //! - `closing` detects disconnects and implements the lingering close.
 //! - [`system_errors`] classifies errors of system calls.
--- a/src/bin/load-balancer/socket/read_ahead.rs
+++ b/src/bin/load-balancer/socket/read_ahead.rs
@@ -12,8 +12,7 @@
 /// Maximum number of bytes that one connection may buffer while all connections together buffer
 /// [`READ_AHEAD_PRESSURE_BYTES`] or more.
 const MAX_READ_AHEAD_BYTES_UNDER_PRESSURE: usize = 16 << 10;
-/// Number of bytes buffered by all connections together from which on each connection has the
-/// lower limit.
+/// Once all connections together buffer this many bytes, the lower limit applies to each of them.
 const READ_AHEAD_PRESSURE_BYTES: usize = 2 << 20;
 
 /// The number of bytes that all connections together have read ahead and still buffer.
--- a/src/bin/load-balancer/upstream/response.rs
+++ b/src/bin/load-balancer/upstream/response.rs
@@ -151,7 +151,8 @@
 }
 
 /// Reads the body of a successful response. Of a large body only the first part is read, so that
-/// the client receives it without waiting for the rest.
+/// the client receives it without waiting for the rest. Every body counts as large while the memory
+/// for reading ahead is used up.
 async fn read_content(
     socket: &Socket,
     memory: &MemoryBudget,
@@ -193,10 +194,10 @@
     is_complete: bool,
 }
 
-/// Reads the part of a body that must be received before the response is passed on. That is the
-/// first part of a large body; of any other body it is everything up to the part that exceeds
-/// [`READ_AHEAD_BYTES`], and if its length is unknown, only as far as it is received within
-/// [`MAX_RESPONSE_DELAY`].
+/// Reads the part of a body that must be received before the response is passed on. Of a large
+/// body, only the first part is read. Any other body is read to its end, or until more than
+/// [`READ_AHEAD_BYTES`] have been read. If the length of the body is unknown, reading also ends
+/// after [`MAX_RESPONSE_DELAY`], but not before the first part has been read.
 async fn read_body_prefix(
     socket: &Socket,
     body: &mut Incoming,
