--- a/tests/decision/lifecycle.rs
+++ b/tests/decision/lifecycle.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn invalid_settings_are_rejected_by_name() {
+fn invalid_settings_are_rejected_with_a_specific_error() {
     let error_of = |change: fn(&mut Settings)| {
         let mut settings = Settings::simple();
         change(&mut settings);
--- a/tests/decision/outliers.rs
+++ b/tests/decision/outliers.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn panic_mode_uses_all_upstreams_when_most_are_silent() {
+fn panic_mode_dispatches_requests_while_all_upstreams_are_silent() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
     for id in 1..=4 {
         harness.handle(request(id, 0, 20.0));
--- a/tests/decision/poll_schedule.rs
+++ b/tests/decision/poll_schedule.rs
@@ -5,7 +5,7 @@
 use load_balancer::{Action, Balancer, DiscoveryMode, Event, ListScope, Settings};
 
 #[test]
-fn balancers_poll_at_random_moments() {
+fn balancers_poll_at_random_times() {
     let settings = Settings {
         discovery_mode: DiscoveryMode::Poll,
         ..Settings::simple()
