--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -128,7 +128,7 @@
 
 #[test]
 fn closing_an_idle_connection_writes_let_go() {
-    // Requests on connections idle for a second; two of them are reset.
+    // The requests arrive a second apart; two of them are reset, each on an idle connection.
     let mut input = FIRST_BATCH.to_string();
     for (n, time) in [(1, 6.0), (2, 7.0), (3, 8.0), (4, 9.0), (5, 10.0)] {
         let outcome = if n == 2 || n == 4 { "R" } else { "S\tended=1" };
@@ -145,8 +145,8 @@
             took = if outcome == "R" { 0.001 } else { 0.1 },
         );
     }
-    // The last of them is served and leaves an idle connection. It is no longer used for the
-    // request that arrives a second later.
+    // The last of them is served and leaves an idle connection, which is closed instead of being
+    // used for the request that arrives a second later.
     let last = "SYNC\ttime=11\tseq=20\nSWITCH_TO\ti=3\nARRIVAL\trid=9\tremaining=1.5\tcls=0\nEND\n";
     let output = String::from_utf8(run(&(input + last)).stdout).unwrap();
     assert!(
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! Stepped wall clocks: the slow-start window is a span of real time.
+//! Wrong or stepped wall clocks, on which the length of the slow-start window must not depend.
 
 mod support;
 use std::path::PathBuf;
@@ -75,7 +75,8 @@
     /// Reports a restart of the last upstream to the program.
     fn report_restart(&self, program: &Program, watch: &mut StubWatch, since_ms: u64) {
         let other = endpoint("other", self.upstreams[0].address, "terminating");
-        // No change precedes the restart.
+        // An empty list of changes ends the initial period, in which listed starts may lie far in
+        // the past.
         watch.line(&list(5, false, &[]));
         watch.line(&list(6, false, &[self.last_endpoint(since_ms), other]));
         wait_until("the restart has been received", || {
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -131,7 +131,8 @@
     );
 }
 
-/// The client sends such a request again elsewhere, so it would run twice if it were forwarded.
+/// When its connection is closed, the client sends the request again elsewhere, so the request
+/// would run twice if it were forwarded.
 #[test]
 fn request_on_a_closed_idle_connection_is_not_forwarded() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -192,10 +193,10 @@
             assert_eq!(program.admin_call("POST /healthcheck/fail").0, 200);
         }
         upstream.release();
-        expect_responses(&mut client, "requests in flight");
+        expect_responses(&mut client, "requests sent before the drain");
         let mut new = program.client();
         new.write(&pipelined("b", 6));
-        expect_responses(&mut new, "requests on a new connection");
+        expect_responses(&mut new, "requests on a new connection during the drain");
     }
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
--- a/tests/decision/concurrency_limit.rs
+++ b/tests/decision/concurrency_limit.rs
@@ -33,18 +33,20 @@
     harness.fill_slots(100, 0) - 100
 }
 
-/// A single connection breaks for many reasons, so it must not keep the limit low.
+/// A connection may break for many reasons, so a single broken one must not keep the limit low.
 #[test]
 fn single_broken_connection_lowers_the_limit_like_an_error() {
     for outcome in [AttemptOutcome::Reset, AttemptOutcome::ConnectFailed] {
         assert_eq!(slots_after_losses(&[(outcome, 0.0)]), 2, "{outcome:?}");
-        // Three losses without a response in between are the fault of the upstream.
+        // Three losses without a response between them count against the upstream.
         assert_eq!(slots_after_losses(&[(outcome, 0.0); 3]), 1, "{outcome:?}");
     }
-    // Connections that had been idle may have been dropped meanwhile.
+    // Connections may have been dropped while idle, which does not count against the upstream.
     assert_eq!(slots_after_losses(&[(AttemptOutcome::Reset, 0.5); 3]), 2);
 }
 
+/// The first tier bounds the requests that reach deeper tiers. If a deeper tier lowered its limit
+/// too, the requests queued there would hold slots in the first tier.
 #[test]
 fn limit_grows_in_deeper_tiers_despite_slow_responses() {
     let attempts_in_tier = |tier: usize| {
@@ -74,6 +76,8 @@
     );
 }
 
+/// If each of many balancers sent a single request beyond the limit, the limit would have no
+/// effect. Under congestion, they therefore pause between single requests.
 #[test]
 fn single_request_allowance_is_reduced_under_congestion_in_large_fleets() {
     let is_paused = |peer_count: usize| {
@@ -109,7 +113,7 @@
         assert_eq!(
             dispatched + started_attempts(&harness.fire_timer_after(0.2, *queued)).len(),
             1,
-            "one queued request is sent at once or after the pause"
+            "requests dispatched at once and after the pause"
         );
         dispatched == 0
     };
--- a/tests/decision/fleet_poll_schedule.rs
+++ b/tests/decision/fleet_poll_schedule.rs
@@ -22,7 +22,7 @@
 const RESTART_AT: f64 = OUTAGE_END + 3.0;
 const SIMULATION_END: f64 = 46.0;
 
-/// An event of one node, ordered by its time.
+/// An event with the time and the node for which it is scheduled, ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledStep {
     /// Time of the event in microseconds.
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Marks all lists as stale and reports a failure to the balancers that had one.
+    /// Marks all lists as stale and reports a failed poll to each balancer that had its list.
     fn begin_outage(&mut self) {
         self.busy_until = 0.0;
         for index in 0..self.nodes.len() {
@@ -243,8 +243,8 @@
     }
 }
 
-/// The polls of a small fleet do not overload discovery, so it need not delay them as a large one
-/// does.
+/// The polls of a small fleet do not overload discovery, so they need not be delayed like those of
+/// a large one.
 #[test]
 fn small_fleet_recovers_within_the_notification_deadline() {
     for seed in 0..20 {
--- a/tests/decision/fleet_slow_start/faults.rs
+++ b/tests/decision/fleet_slow_start/faults.rs
@@ -14,13 +14,14 @@
 /// A fault and the number of upstreams that it affects.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// The upstreams restart at once.
+    /// The upstreams restart at the same time.
     Restart(usize),
     /// The upstreams are replaced one after the other within seven seconds.
     RollingReplacement(usize),
-    /// The upstreams are replaced at once.
+    /// The upstreams are replaced at the same time.
     Replacement(usize),
-    /// The upstreams restart, and the network drops everything sent to them for two seconds.
+    /// The upstreams restart, and connections to them fail from the beginning of the simulation
+    /// until two seconds after their start.
     NetworkOutage(usize),
     /// The upstreams restart during maintenance and return to service together.
     Maintenance(usize),
--- a/tests/decision/fleet_slow_start/mod.rs
+++ b/tests/decision/fleet_slow_start/mod.rs
@@ -1,10 +1,11 @@
 //! Slow start of the fleet: what all balancers together send to upstreams that have just started.
 //!
 //! Each window of `BUDGET_WINDOW` seconds during slow start has a budget of N + 2 sqrt(N) + 2
-//! arrivals. N is the overload multiple x the least share of capacity that the upstream has at the
-//! start of the window x the requests that a warm upstream can take in a window. More arrivals than
-//! the budget, rejected or not, are an overload. An overload counts only if over two thirds of the
-//! arrivals came from balancers that had been notified of the upstream's start.
+//! arrivals. N is the overload multiple x the upstream's share of capacity at the start of the
+//! window, which is its least in the window, x the requests that a warm upstream can take in a
+//! window. More arrivals than the budget, rejected or not, are an overload. An overload counts only
+//! if over two thirds of the arrivals came from balancers that had been notified of the upstream's
+//! start.
 
 mod faults;
 mod scenario;
@@ -93,8 +94,9 @@
     check_all_faults(100);
 }
 
-/// An upstream returned from maintenance gets requests from balancers that have it in their
-/// subset, and a first one from each of the others.
+/// An upstream returned from maintenance gets requests from balancers that have it in their subset,
+/// and a first one from each of the others. Together these must not overload it more than a restart
+/// does.
 #[test]
 fn return_from_maintenance_brings_no_more_load_than_a_restart() {
     let sum_of_worst = |fault| {
--- a/tests/decision/harness.rs
+++ b/tests/decision/harness.rs
@@ -93,7 +93,7 @@
     })
 }
 
-/// Returns the event that operators take an upstream out of service or return it to service.
+/// Returns the event of an upstream that operators take out of service or return to service.
 pub fn maintenance(upstream: u64, change: Maintenance) -> Event {
     Event::Maintenance {
         upstream: UpstreamId(upstream),
@@ -101,7 +101,7 @@
     }
 }
 
-/// Returns the event of an endpoint list of this scope without entries.
+/// Returns the event of an empty endpoint list with this scope.
 pub fn empty_list(scope: ListScope) -> Event {
     Event::EndpointList {
         scope,
--- a/tests/decision/idempotency.rs
+++ b/tests/decision/idempotency.rs
@@ -57,7 +57,7 @@
         let actions = harness.handle(attempt_ended(1, 0, AttemptOutcome::Reset));
         assert!(
             started_attempts(&actions).is_empty(),
-            "the deduplication window is over"
+            "{idempotency:?}: retried after the deduplication window: {actions:?}"
         );
         assert_eq!(
             is_rejected(&actions, 1),
--- a/tests/decision/idle_connections.rs
+++ b/tests/decision/idle_connections.rs
@@ -3,8 +3,9 @@
 use crate::harness::{attempt_ended, attempt_lost, request, started_attempts, Harness};
 use load_balancer::{Action, AttemptOutcome, Idempotency};
 
-/// Sends 20 requests to one upstream, each a second after the previous one ended. Each ends with
-/// the `outcome` of its id after 50 ms. Returns how often idle connections are closed.
+/// Sends 20 requests to one upstream, each a second after the previous one ended. Each ends after
+/// 50 ms with the outcome that `outcome` returns for its id. Returns how often idle connections are
+/// closed.
 fn count_closes(outcome: impl Fn(u64) -> AttemptOutcome) -> usize {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
     let mut closes = 0;
@@ -37,7 +38,7 @@
             AttemptOutcome::Success
         }),
         0,
-        "one reset is not enough"
+        "idle connections were closed after a single reset"
     );
     let closes = count_closes(|id| {
         if id == 2 || id == 4 {
--- a/tests/decision/learned_state.rs
+++ b/tests/decision/learned_state.rs
@@ -126,7 +126,11 @@
     let recorded: Value = serde_json::from_str(RECORDED).unwrap();
     assert_eq!(paths_of(&written), paths_of(&recorded));
     let text = serde_json::to_string(&harness.balancer.learned_state()).unwrap();
-    assert_eq!(text, RECORDED.trim_end(), "order and values of the fields");
+    assert_eq!(
+        text,
+        RECORDED.trim_end(),
+        "the order or the values of the fields differ"
+    );
 }
 
 #[test]
@@ -189,7 +193,7 @@
     let mut old = Harness::new(settings_without_retries(), 4);
     assert!(
         count_lost(&mut old) >= 2,
-        "two requests are lost before the outlier is detected"
+        "fewer than two requests were lost before the outlier was detected"
     );
     let text = serde_json::to_string(&old.balancer.learned_state()).unwrap();
     let lost_after_restore = |clock_offset: f64, age: f64, upstream: FailingUpstream| {
--- a/tests/decision/lifecycle.rs
+++ b/tests/decision/lifecycle.rs
@@ -46,13 +46,13 @@
     assert_eq!(
         harness.open_and_in_flight(),
         (1, 1),
-        "the slot is taken until the attempt ends"
+        "open requests and attempts in flight before the attempt ends"
     );
     let actions = harness.handle(attempt_ended(1, 0, AttemptOutcome::TimedOut));
     let is_log = |a: &Action| matches!(a, Action::Log(_));
     assert!(
         actions.iter().all(is_log),
-        "no attempt and no response follow: {actions:?}"
+        "actions after the late result: {actions:?}"
     );
     assert_eq!(harness.open_and_in_flight(), (0, 0));
 }
@@ -91,12 +91,12 @@
         .is_empty());
     assert!(
         harness.fire_timer_after(30.0, 1).is_empty(),
-        "the timer of the request has no effect"
+        "the timer of the request caused actions"
     );
     assert_eq!(
         harness.open_and_in_flight(),
         (1, 1),
-        "the slot is taken while the response is streamed"
+        "open requests and attempts in flight while the response is streamed"
     );
     assert!(harness
         .handle(attempt_ended(1, 0, AttemptOutcome::Success))
--- a/tests/decision/maintenance.rs
+++ b/tests/decision/maintenance.rs
@@ -112,7 +112,7 @@
     let idle: Vec<_> = (1..=12).filter(|id| !used.contains(id)).collect();
     assert!(
         idle.len() > 5,
-        "the subset is small: unused upstreams {idle:?}"
+        "the subset is too large: unused upstreams {idle:?}, more than 5 are needed"
     );
     harness.handle(maintenance(idle[0], Maintenance::Begin));
     // The upstream is removed from the list while it restarts, and then listed again.
--- a/tests/decision/outlier_classes.rs
+++ b/tests/decision/outlier_classes.rs
@@ -54,7 +54,8 @@
     );
 }
 
-/// Each rejected request holds a slot until the rejection is received.
+/// Each rejected request holds a slot until the rejection is received, so the upstream must not
+/// keep getting the class that it rejects.
 #[test]
 fn upstream_that_alone_rejects_one_class_keeps_the_others() {
     let [served, rejected] = fail_one_class(AttemptOutcome::Rejected);
@@ -157,7 +158,7 @@
     );
     assert!(
         mixed[0] >= 4,
-        "{mixed:?} failures; the first class does the trials"
+        "{mixed:?} failures; at least 4 trials should be requests of the first class"
     );
     assert!(mixed[1] + mixed[2] <= 6, "{mixed:?} failures");
     // Without an idempotent class, the non-idempotent ones do the trials.
--- a/tests/decision/outliers.rs
+++ b/tests/decision/outliers.rs
@@ -64,7 +64,7 @@
     assert_eq!(
         started_attempts(&harness.handle(request(9, 0, 2.0))).len(),
         1,
-        "all are silent, so all are used"
+        "attempts started while all upstreams are silent"
     );
 }
 
@@ -83,7 +83,7 @@
     }
     assert_eq!(
         lines, 1,
-        "one line for the first ejection, none for failed trials"
+        "log lines for the first ejection and the failed trials"
     );
 }
 
@@ -114,8 +114,8 @@
 fn silent_losses_at_all_upstreams_eject_none() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
     let mut id = 0;
-    // Loses one request silently while 24 others succeed. Returns how many of them its upstream
-    // receives while the lost request is overdue.
+    // Loses one request silently while 24 others succeed. Returns how many of these are sent to the
+    // upstream of the lost request while that one is overdue.
     let mut lose_one = |harness: &mut Harness| {
         let lost = id;
         let upstream_of_lost = harness.send(request(lost, 0, 2.0));
@@ -135,7 +135,7 @@
     assert_eq!(
         lose_one(&mut harness),
         0,
-        "a loss at one upstream alone excludes this upstream"
+        "requests sent to the only upstream with a loss, while its attempt is overdue"
     );
     for _ in 0..8 {
         lose_one(&mut harness);
@@ -194,7 +194,11 @@
     };
     assert!(
         requests_to_upstream(false) > 0,
-        "the client is still uploading"
+        "the upstream got no request while the client was uploading"
+    );
+    assert_eq!(
+        requests_to_upstream(true),
+        0,
+        "requests sent to the upstream of the overdue request"
     );
-    assert_eq!(requests_to_upstream(true), 0, "the request is overdue");
 }
--- a/tests/decision/poll_schedule.rs
+++ b/tests/decision/poll_schedule.rs
@@ -4,6 +4,7 @@
 use crate::harness::empty_list;
 use load_balancer::{Action, Balancer, DiscoveryMode, Event, ListScope, Settings};
 
+/// Balancers that start together would overload discovery if they polled at the same time.
 #[test]
 fn balancers_poll_at_random_times() {
     let settings = Settings {
@@ -41,7 +42,7 @@
     );
 }
 
-/// The notification deadline also holds if a watch breaks and up to two polls after it fail at
+/// The notification deadline also holds if a watch breaks and up to three polls after it fail at
 /// once.
 #[test]
 fn polls_are_repeated_within_the_notification_deadline() {
@@ -77,14 +78,15 @@
             for _ in 0..3 {
                 sum += next_delay(&mut balancer, now + sum, ListScope::Failed);
             }
-            assert!(sum < 2.0, "three polls take {sum} s");
+            assert!(sum < 2.0, "three delays add up to {sum} s");
             now += sum;
         }
     }
 }
 
-/// A balancer misses the notification deadline only if its polls keep failing for longer than
-/// that.
+/// Each poll ends within the notification deadline after the previous one, even if discovery queues
+/// it until its timeout. A balancer therefore misses the deadline only if its polls keep failing
+/// for longer than the deadline.
 #[test]
 fn polls_end_within_the_notification_deadline_in_fleets_of_any_size() {
     for (peer_count, seed) in [1, 3, 30, 100, 1000, 8700]
--- a/tests/decision/queues.rs
+++ b/tests/decision/queues.rs
@@ -18,7 +18,7 @@
             upstream: 1
         }]
     );
-    // An error lowers the limit by up to one slot, so the second error frees a slot at the latest.
+    // An error may lower the limit by one slot, so a slot is free at the latest after two errors.
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
     let queued = harness.fill_slots(1, 0);
     let mut dispatched =
@@ -48,7 +48,7 @@
             .fire_timer_after(0.1, queued)
             .iter()
             .any(|a| matches!(a, Action::Reject { .. })),
-        "one final response only"
+        "the request was rejected a second time"
     );
 }
 
@@ -95,7 +95,7 @@
     assert_eq!(
         harness.balancer.load().open_requests,
         0,
-        "the only upstream has rejected the request, so the client gets a rejection"
+        "requests still open after their only upstream rejected them"
     );
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 2);
     let queued = harness.fill_slots(1, 0);
@@ -110,7 +110,8 @@
     );
 }
 
-/// A request that can't be retried gets its final response at once.
+/// A request that can't be retried is rejected at once. The rejection has a `Retry-After` only if
+/// the settings have a maximum for it, and does not exceed that.
 #[test]
 fn rejection_carries_retry_after_where_allowed() {
     for (max, upper_bound) in [(None, 0.0), (Some(0.01), 0.01), (Some(2.0), 2.0)] {
@@ -123,7 +124,7 @@
             Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         });
-        let retry_after = retry_after.expect("rejected at once");
+        let retry_after = retry_after.expect("the request was not rejected at once");
         assert_eq!(retry_after.is_some(), max.is_some());
         assert!(
             retry_after.is_none_or(|t| t > 0.0 && t <= upper_bound),
@@ -196,7 +197,7 @@
     }
     assert!(
         started_attempts(&harness.handle(request_from(200, 1))).is_empty(),
-        "the slots are taken"
+        "request 200 was dispatched though all slots are taken"
     );
     assert_eq!(
         started_attempts(&harness.handle(attempt_ended(95, 0, AttemptOutcome::Success))),
@@ -204,6 +205,6 @@
             request: 200,
             upstream: 1
         }],
-        "queued last, dispatched first"
+        "attempts started after the end of attempt 95"
     );
 }
--- a/tests/decision/retries.rs
+++ b/tests/decision/retries.rs
@@ -79,6 +79,6 @@
     assert_eq!(count_given_up(AttemptOutcome::Reset), 0);
     assert!(
         count_given_up(AttemptOutcome::Error) > 5,
-        "errors may be due to congestion"
+        "at most 5 requests were not retried, though errors may be due to congestion"
     );
 }
--- a/tests/decision/rotation.rs
+++ b/tests/decision/rotation.rs
@@ -80,7 +80,7 @@
         started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Rejected)));
     assert_ne!(
         started_next[0].upstream, rejecting,
-        "the retry is sent to another upstream"
+        "the retry was sent to the upstream that rejected the request"
     );
     for id in 2..=6 {
         started_next = started_attempts(&harness.handle(request(id, 0, 2.0)));
--- a/tests/decision/slow_start.rs
+++ b/tests/decision/slow_start.rs
@@ -75,10 +75,11 @@
     }
 }
 
-/// A start counts as older by as much as its delay exceeds the least delay so far.
+/// The delay from a start to its listing counts as age as far as it exceeds the smallest delay so
+/// far.
 #[test]
 fn start_listed_late_counts_as_older() {
-    // The second start is listed late because of a network fault.
+    // A network fault may delay the listing of the second start.
     for (delay, min, max) in [(0.5, 2, 5), (5.5, 9, 13), (10.5, 18, 22)] {
         let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 9);
         let now = harness.now;
--- a/tests/failed_attempts.rs
+++ b/tests/failed_attempts.rs
@@ -76,7 +76,7 @@
     assert_eq!(
         response.status(),
         502,
-        "a request that may have run fails with 502"
+        "status of a request that may have run"
     );
     assert!(
         begin.elapsed() > Duration::from_secs(1),
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -34,7 +34,7 @@
     program.terminate();
     program.resume();
     for client in new_connections.iter_mut().chain([&mut idle]) {
-        let response = client.receive().unwrap().expect("a response");
+        let response = client.receive().unwrap().expect("no response");
         assert_eq!(
             (response.status(), response.header("connection")),
             (200, Some("close"))
@@ -42,7 +42,7 @@
         assert!(client.is_closed_by_peer());
     }
     partial.write("Id: e001\r\nContent-Length: 5\r\n\r\ncoins");
-    let response = partial.receive().unwrap().expect("a response");
+    let response = partial.receive().unwrap().expect("no response");
     assert_eq!(
         (response.status(), response.header("connection")),
         (200, Some("close"))
@@ -68,7 +68,7 @@
     program.reload("no configuration");
     assert_eq!(program.admin_call("GET /healthcheck").0, 503);
     upstream.release();
-    let response = client.receive().unwrap().expect("a response");
+    let response = client.receive().unwrap().expect("no response");
     assert_eq!(
         (response.status(), response.header("connection")),
         (200, Some("close"))
@@ -95,7 +95,7 @@
     wait_until_draining(&program);
     upstream.release();
     for client in &mut clients {
-        let response = client.receive().unwrap().expect("a response");
+        let response = client.receive().unwrap().expect("no response");
         assert_eq!(
             (response.status(), response.header("connection")),
             (200, Some("close"))
@@ -141,7 +141,7 @@
     program.terminate();
     wait_until_draining(&program);
     assert_eq!(
-        client.receive().unwrap().expect("a response").body.len(),
+        client.receive().unwrap().expect("no response").body.len(),
         size
     );
     assert!(program.wait().success());
@@ -166,7 +166,10 @@
     }
     program.resume();
     for client in &mut idle {
-        assert_eq!(client.receive().unwrap().expect("a response").status(), 200);
+        assert_eq!(
+            client.receive().unwrap().expect("no response").status(),
+            200
+        );
     }
     drop(new_connections);
 }
--- a/tests/handover_failures.rs
+++ b/tests/handover_failures.rs
@@ -49,7 +49,7 @@
             .status(),
         200
     );
-    wait_until("a successor is awaited", || {
+    wait_until("the handover socket exists", || {
         fixture
             .state_file(predecessor.address)
             .with_extension("sock")
@@ -157,7 +157,7 @@
         ("FAULTS", "epoll_ctl_accepted:12:1:1:1"),
     ];
     let predecessor = fixture.start_with(&variables, "127.0.0.1:0");
-    wait_until("a successor is awaited", || {
+    wait_until("the handover socket exists", || {
         fixture
             .state_file(predecessor.address)
             .with_extension("sock")
--- a/tests/known_red/incomplete_output.rs
+++ b/tests/known_red/incomplete_output.rs
@@ -24,7 +24,7 @@
             "admin::hangs is listed and did not run",
         );
     }
-    // The tests ran and one failed, for which cargo's exit code is 101.
+    // The tests ran and one failed. Cargo's exit code would be 101, so each of these is a fault.
     for code in [0, 1, 137] {
         expect_fail(
             ENTRY,
--- a/tests/known_red/script.rs
+++ b/tests/known_red/script.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// Expects that the script exits with another code than 0 and prints `reason`.
+/// Expects that the script exits with a non-zero code and prints `reason`.
 #[track_caller]
 pub fn expect_fail(list: &str, output: &str, command_code: i32, reason: &str) {
     let (exit_code, printed) = run_with_list(list, output, command_code);
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -45,7 +45,7 @@
         sleep(Duration::from_millis(1700).saturating_sub(started.elapsed()));
         let late_upstream = blocked_port.open(StubResponse::Ok);
         assert_eq!(
-            client.receive().unwrap().expect("a response").status(),
+            client.receive().unwrap().expect("no response").status(),
             status,
             "{scope}"
         );
@@ -131,6 +131,9 @@
     assert!(next_remaining_time(&upstream) <= 4.5);
     assert!(next_remaining_time(&upstream) <= 4.5);
     for _ in 0..3 {
-        assert_eq!(client.receive().unwrap().expect("a response").status(), 200);
+        assert_eq!(
+            client.receive().unwrap().expect("no response").status(),
+            200
+        );
     }
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,8 +1,8 @@
 //! Soak test: runs the program from its start to SIGKILL, with load and faults drawn from a seed.
 //!
-//! Clients reuse their connections while these stay open, upstreams fail, and SIGHUP and SIGTERM
-//! are sent repeatedly. In some runs there are many idle clients, and in some system calls fail.
-//! SIGKILL is sent at the earliest time that the protocol allows.
+//! Clients reuse their connections as long as they stay open, upstreams fail, and SIGHUP and
+//! SIGTERM are sent repeatedly. Some runs have many idle clients, and some have failing system
+//! calls. SIGKILL is sent at the earliest time that the protocol allows.
 //!
 //! A few seeds run by default. `SOAK_SEEDS=FIRST..END` selects others; END itself is not run.
 
@@ -55,17 +55,18 @@
     duration: Duration,
 }
 
-/// The seeds of `SOAK_SEEDS`, or the default ones.
+/// Returns the seeds of `SOAK_SEEDS`, or the default ones.
 fn seeds() -> Range<u64> {
     let parse = |text: String| {
-        let (first, end) = text.split_once("..").expect("FIRST..END");
+        let (first, end) = text
+            .split_once("..")
+            .expect("SOAK_SEEDS is not of the form FIRST..END");
         first.parse().unwrap()..end.parse().unwrap()
     };
     std::env::var("SOAK_SEEDS").map_or(DEFAULT_SEEDS, parse)
 }
 
-/// A client that sends one request after the other and keeps its connection while this stays
-/// open.
+/// A client that sends one request after the other and keeps its connection as long as it is open.
 struct SoakClient {
     address: SocketAddr,
     rng: Pcg64Mcg,
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The next request ID, so that no two requests of a test process have the same one.
+/// Number of the next request ID, so that those of a test process differ.
 static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(0x1000);
 
 /// A client with one connection.
--- a/tests/support/program.rs
+++ b/tests/support/program.rs
@@ -93,7 +93,7 @@
         .env("PROXY_LISTEN", listen)
         .env_remove("PROXY_DISCOVERY")
         .env_remove("PROXY_NAME")
-        // Processes with the same TMPDIR treat each other as predecessor and successor.
+        // Processes with the same TMPDIR and address treat each other as predecessor and successor.
         .env_remove("TMPDIR")
         .envs(variables.iter().copied())
         .stderr(Stdio::piped())
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -204,7 +204,7 @@
         admin_client
             .receive()
             .unwrap()
-            .expect("a response")
+            .expect("no response")
             .status(),
         200
     );
@@ -215,7 +215,7 @@
     });
     let mut admin_client = Client::connect(admin).unwrap();
     admin_client.write("GET /stats HTTP/1.1\r\nHost: console\r\n\r\n");
-    let metrics = admin_client.receive().unwrap().expect("a response").body;
+    let metrics = admin_client.receive().unwrap().expect("no response").body;
     assert!(
         String::from_utf8(metrics)
             .unwrap()
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -88,6 +88,9 @@
     sleep(Duration::from_millis(1050));
     client.send("/pay", REQUEST_ID, "coins").unwrap();
     program.resume();
-    assert_eq!(client.receive().unwrap().expect("a response").status(), 200);
+    assert_eq!(
+        client.receive().unwrap().expect("no response").status(),
+        200
+    );
     assert_eq!(upstream.connections.load(Ordering::SeqCst), 2);
 }
