--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -16,8 +16,8 @@
     for admin_client in unfinished.iter_mut().step_by(2) {
         admin_client.write(partial_request);
     }
-    assert_eq!(program.admin_call("GET /healthcheck").0, 200);
-    assert_eq!(program.admin_call("GET /stats").0, 200);
+    assert_eq!(program.admin_request("GET /healthcheck").0, 200);
+    assert_eq!(program.admin_request("GET /stats").0, 200);
     // The balancer closes the connections of the unfinished requests without a response.
     for admin_client in &mut unfinished {
         assert!(admin_client.is_closed_by_peer());
@@ -27,10 +27,10 @@
 
 #[test]
 fn admin_requests_are_answered_when_clients_hold_every_descriptor() {
-    let upstream = StubUpstream::start(StubResponse::Never);
+    let upstream = StubUpstream::start(StubResponse::NoResponse);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let clients: Vec<_> = (0..300).map(|_| program.client()).collect();
-    assert_eq!(program.admin_call("GET /healthcheck").0, 200);
+    assert_eq!(program.admin_request("GET /healthcheck").0, 200);
     drop(clients);
 }
 
@@ -92,7 +92,7 @@
     assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 502);
     upstream.set_response(StubResponse::Rejected);
     assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 503);
-    upstream.set_response(StubResponse::Never);
+    upstream.set_response(StubResponse::NoResponse);
     let mut disconnecting = program.client();
     disconnecting.send("/pay", REQUEST_ID, "coins").unwrap();
     wait_until("the last attempt is written", || {
@@ -127,9 +127,9 @@
     assert_eq!(busy.request("/pay", REQUEST_ID, "coins").status(), 200);
     assert_eq!(idle.request("/pay", REQUEST_ID, "coins").status(), 200);
     for _ in 0..2 {
-        assert_eq!(program.admin_call("POST /healthcheck/fail").0, 200);
+        assert_eq!(program.admin_request("POST /healthcheck/fail").0, 200);
     }
-    assert_eq!(program.admin_call("GET /healthcheck").0, 503);
+    assert_eq!(program.admin_request("GET /healthcheck").0, 503);
     assert_eq!(program.client().request("/healthz", "", "").status(), 503);
     // Requests are still served; the response announces the close.
     let response = busy.request("/pay", REQUEST_ID, "coins");
@@ -141,8 +141,8 @@
     let mut late = program.client();
     assert_eq!(late.request("/pay", REQUEST_ID, "coins").status(), 200);
     assert!(late.is_closed_by_peer());
-    assert_eq!(program.admin_call("POST /healthcheck/ok").0, 200);
-    assert_eq!(program.admin_call("GET /healthcheck").0, 200);
+    assert_eq!(program.admin_request("POST /healthcheck/ok").0, 200);
+    assert_eq!(program.admin_request("GET /healthcheck").0, 200);
     let mut back = program.client();
     for _ in 0..2 {
         assert_eq!(back.request("/healthz", "", "").status(), 200);
@@ -179,13 +179,13 @@
     }
     assert!(one.seen.try_iter().count() > 0 && two.seen.try_iter().count() > 0);
     for _ in 0..2 {
-        assert_eq!(program.admin_call("POST /upstreams/u0/maint").0, 200);
+        assert_eq!(program.admin_request("POST /upstreams/u0/maint").0, 200);
     }
     one.closed
         .recv_timeout(TEST_TIMEOUT)
         .expect("the idle connection is closed");
     // Discovery removes u0 and lists it again as in service.
-    watch.line(&list(6, true, &[endpoint("u1", two.address, "in_service")]));
+    watch.send_line(&list(6, true, &[endpoint("u1", two.address, "in_service")]));
     wait_until("u0 is removed from the list", || {
         program.metric("upstreams_known") == 1
     });
@@ -193,7 +193,7 @@
         endpoint("u0", one.address, "in_service"),
         endpoint("u1", two.address, "in_service"),
     ];
-    watch.line(&list(7, true, &both));
+    watch.send_line(&list(7, true, &both));
     wait_until("u0 is on the list again", || {
         program.metric("upstreams_known") == 2
     });
@@ -205,7 +205,7 @@
         (one.seen.try_iter().count(), two.seen.try_iter().count()),
         (0, 10)
     );
-    assert_eq!(program.admin_call("POST /upstreams/%750/ready").0, 200);
+    assert_eq!(program.admin_request("POST /upstreams/%750/ready").0, 200);
     assert_eq!(program.metric("upstreams_excluded"), 0);
     wait_until("u0 receives requests again", || {
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
@@ -223,9 +223,13 @@
         "/upstreams//maint",
         "/upstreams/u%200/maint",
     ] {
-        assert_eq!(program.admin_call(&format!("POST {path}")).0, 404, "{path}");
+        assert_eq!(
+            program.admin_request(&format!("POST {path}")).0,
+            404,
+            "{path}"
+        );
     }
-    assert_eq!(program.admin_call("POST /upstreams/%ff/maint").0, 400);
+    assert_eq!(program.admin_request("POST /upstreams/%ff/maint").0, 400);
     assert_eq!(program.metric("upstreams_excluded"), 0);
     assert_eq!(
         program
@@ -264,7 +268,7 @@
 fn request_rejected_for_lack_of_capacity_is_counted() {
     // So many upstreams that the decision module rejects no request.
     let upstreams: Vec<_> = (0..12)
-        .map(|_| StubUpstream::start(StubResponse::Never))
+        .map(|_| StubUpstream::start(StubResponse::NoResponse))
         .collect();
     let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
     let (program, _discovery) = Program::with_admin(&addresses);
@@ -298,12 +302,12 @@
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
         client.write("POST /pay HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: dd0");
         if is_client_drain {
-            assert_eq!(program.admin_call("POST /healthcheck/fail").0, 200);
+            assert_eq!(program.admin_request("POST /healthcheck/fail").0, 200);
         } else {
             program.terminate();
         }
         wait_until("the process is draining", || {
-            program.admin_call("GET /healthcheck").0 == 503
+            program.admin_request("GET /healthcheck").0 == 503
         });
         // Longer than an idle connection stays open, and shorter than the time limit for a head.
         sleep(Duration::from_millis(1000));
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -53,7 +53,7 @@
             assert!(received.body == body.as_bytes());
         }
         let connections = upstream
-            .connections
+            .connection_count
             .load(std::sync::atomic::Ordering::SeqCst);
         assert_eq!(connections, 1);
         assert_eq!(program.metric("served.read"), 3);
@@ -88,7 +88,7 @@
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
     client.send("/pay", REQUEST_ID, "coins").unwrap();
-    let text = String::from_utf8(client.read_to_end_bytes()).unwrap();
+    let text = String::from_utf8(client.read_to_end()).unwrap();
     assert!(text.to_lowercase().contains("content-length: 1000000") && text.len() < 1_000_000);
     assert_eq!(
         (program.metric("failed.pay"), program.metric("served.pay")),
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -289,7 +289,7 @@
                 upstream.release();
                 let count = running.len() as u64;
                 wait_until("all upstreams have responded", || {
-                    upstream.responses.load(Ordering::SeqCst) == count
+                    upstream.response_count.load(Ordering::SeqCst) == count
                 });
             };
             free_first.then(free_slots);
@@ -347,7 +347,7 @@
         for upstream in [&rejecting, &busy] {
             upstream.release();
             wait_until("the upstream has responded", || {
-                upstream.responses.load(Ordering::SeqCst) == 2
+                upstream.response_count.load(Ordering::SeqCst) == 2
             });
         }
         for (number, client) in clients.into_iter().enumerate() {
@@ -382,7 +382,7 @@
             let total = blocked.waiting.len() as u64 + 1;
             let upstream = blocked.open(StubResponse::Ok);
             wait_until("the connection is established", || {
-                upstream.connections.load(Ordering::SeqCst) == total
+                upstream.connection_count.load(Ordering::SeqCst) == total
             });
             disconnect_while_stopped(&program, client, trailing_bytes, false);
             program.resume();
@@ -467,7 +467,7 @@
 
 #[test]
 fn an_attempt_is_cancelled_when_its_client_disconnects() {
-    let upstream = StubUpstream::start(StubResponse::Never);
+    let upstream = StubUpstream::start(StubResponse::NoResponse);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let mut client = program.client();
     client.send("/pay", REQUEST_ID, "coins").unwrap();
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -77,8 +77,8 @@
         let other = endpoint("other", self.upstreams[0].address, "terminating");
         // An empty list of changes ends the initial period, in which listed starts may lie far in
         // the past.
-        watch.line(&list(5, false, &[]));
-        watch.line(&list(6, false, &[self.last_endpoint(since_ms), other]));
+        watch.send_line(&list(5, false, &[]));
+        watch.send_line(&list(6, false, &[self.last_endpoint(since_ms), other]));
         wait_until("the restart has been received", || {
             program.metric("upstreams_known") == 5
         });
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -26,11 +26,11 @@
     upstream.next();
     program.terminate();
     wait_until("the process is draining", || {
-        program.admin_call("GET /healthcheck").0 == 503
+        program.admin_request("GET /healthcheck").0 == 503
     });
     upstream.set_response(StubResponse::Raw(text.leak()));
     upstream.release();
-    client.take(1);
+    client.discard(1);
     // More than the read-ahead buffer holds.
     let second_body = "x".repeat(200_000);
     client.write(&format!(
@@ -38,12 +38,12 @@
     ));
     // The client has not read the end of the response when the connection is closed.
     let unread = 2 << 20;
-    client.take(size - unread);
+    client.discard(size - unread);
     wait_until("the response is written", || {
         program.metric("served.pay") == 1
     });
     sleep(Duration::from_millis(100));
-    assert!((unread - 1..unread + 1000).contains(&client.read_to_end_bytes().len()));
+    assert!((unread - 1..unread + 1000).contains(&client.read_to_end().len()));
     assert!(
         upstream.seen.try_recv().is_err(),
         "the second request was forwarded"
@@ -55,11 +55,11 @@
 fn large_request_rejected_before_its_body_is_read_gets_a_response() {
     let body = "x".repeat(3 << 20);
     let upstreams: Vec<_> = (0..12)
-        .map(|_| StubUpstream::start(StubResponse::Never))
+        .map(|_| StubUpstream::start(StubResponse::NoResponse))
         .collect();
     let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
     let (program, _discovery) =
-        Program::with_admin_and_descriptors(&addresses, 64 + ADMIN_DESCRIPTORS);
+        Program::with_admin_and_descriptor_limit(&addresses, 64 + ADMIN_DESCRIPTORS);
     assert_eq!(
         program
             .client()
@@ -116,7 +116,7 @@
 /// large amounts would exhaust the memory.
 #[test]
 fn bytes_behind_requests_in_flight_use_little_memory() {
-    let upstream = StubUpstream::start(StubResponse::Never);
+    let upstream = StubUpstream::start(StubResponse::NoResponse);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut clients: Vec<_> = (0..60).map(|_| program.client()).collect();
     let flood = "x".repeat(4 << 20);
@@ -187,10 +187,10 @@
         if by_sigterm {
             program.terminate();
             wait_until("the process is draining", || {
-                program.admin_call("GET /healthcheck").0 == 503
+                program.admin_request("GET /healthcheck").0 == 503
             });
         } else {
-            assert_eq!(program.admin_call("POST /healthcheck/fail").0, 200);
+            assert_eq!(program.admin_request("POST /healthcheck/fail").0, 200);
         }
         upstream.release();
         expect_responses(&mut client, "requests sent before the drain");
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -98,13 +98,13 @@
     );
     client.write(&"x".repeat(150_000));
     wait_until("the connection is established", || {
-        old.connections.load(Ordering::SeqCst) == 1
+        old.connection_count.load(Ordering::SeqCst) == 1
     });
     // The response to a request that is sent now shows that the attempt has begun.
     assert_eq!(program.client().request("/healthz", "", "").status(), 200);
     let mut watch = discovery.next();
     let draining = ("u0", old.address, "terminating");
-    watch.line(&change(6, &[draining, ("u1", new.address, "in_service")]));
+    watch.send_line(&change(6, &[draining, ("u1", new.address, "in_service")]));
     assert_eq!(
         program
             .client()
@@ -144,7 +144,7 @@
     client.send("/pay", REQUEST_ID, "coins").unwrap();
     first.next();
     let mut watch = discovery.next();
-    watch.line(&change(6, &[("u1", draining.address, "in_service")]));
+    watch.send_line(&change(6, &[("u1", draining.address, "in_service")]));
     wait_until("both upstreams are known", || {
         program.metric("upstreams_known") == 2
     });
@@ -168,7 +168,7 @@
         .and_then(|other| other.receive().unwrap())
         .expect("a response");
     assert_eq!(response.status(), 200);
-    watch.line(&change(
+    watch.send_line(&change(
         7,
         &[
             ("u1", draining.address, "terminating"),
@@ -206,7 +206,7 @@
     );
     let restart = change(6, &[("u0", upstream.address, "in_service")])
         .replace("since_ms\":0", "since_ms\":5000");
-    discovery.next().line(&restart);
+    discovery.next().send_line(&restart);
     upstream
         .closed
         .recv_timeout(TEST_TIMEOUT)
@@ -218,7 +218,7 @@
             .status(),
         200
     );
-    assert_eq!(upstream.connections.load(Ordering::SeqCst), 2);
+    assert_eq!(upstream.connection_count.load(Ordering::SeqCst), 2);
 }
 
 /// Establishing a connection may take long, within the connect timeout. The request is then sent
@@ -320,7 +320,7 @@
         .map(|name| (name.as_str(), other_upstream.address, "terminating"))
         .collect();
     entries.push(("u0", draining_upstream.address, "terminating"));
-    watch.line(&change(6, &entries));
+    watch.send_line(&change(6, &entries));
     program.resume();
     for _ in 0..extra_suspensions {
         program.suspend();
--- a/tests/descriptor_limits.rs
+++ b/tests/descriptor_limits.rs
@@ -78,7 +78,7 @@
     let _exclusive = run_exclusively();
     for sockets in DESCRIPTOR_LIMITS {
         let upstream = StubUpstream::start(StubResponse::Ok);
-        let (program, _discovery) = Program::with_descriptors(&[upstream.address], sockets);
+        let (program, _discovery) = Program::with_descriptor_limit(&[upstream.address], sockets);
         let closed_clients = open_idle(program.address, sockets * 2 / 3);
         wait_until("the capacity is used up", || {
             program.open_descriptors() > sockets / 3
@@ -143,7 +143,7 @@
     let _exclusive = run_exclusively();
     for count in 18..36 {
         let upstream = StubUpstream::start(StubResponse::Ok);
-        let (program, _discovery) = Program::with_descriptors(&[upstream.address], 64);
+        let (program, _discovery) = Program::with_descriptor_limit(&[upstream.address], 64);
         program.suspend();
         let mut idle_clients = open_idle(program.address, count);
         for client in &mut idle_clients {
@@ -179,7 +179,7 @@
     let _exclusive = run_exclusively();
     for sockets in DESCRIPTOR_LIMITS {
         let upstream = StubUpstream::start(StubResponse::Ok);
-        let (program, _discovery) = Program::with_descriptors(&[upstream.address], sockets);
+        let (program, _discovery) = Program::with_descriptor_limit(&[upstream.address], sockets);
         for text in [
             "GET /read HTTP/1.1\r\nHost: b\r\nRequ",
             "GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n",
@@ -231,20 +231,20 @@
         let mut early = send_before_accept(&program, "/read");
         for _ in 0..10 {
             assert_eq!(
-                program.admin_call("GET /healthcheck").0,
+                program.admin_request("GET /healthcheck").0,
                 if is_list_empty { 503 } else { 200 }
             );
-            assert_eq!(program.admin_call("GET /stats").0, 200);
+            assert_eq!(program.admin_request("GET /stats").0, 200);
             assert!(program.open_descriptors() <= sockets, "{sockets}");
         }
         let discovery = down.start_discovery();
         let mut watch = discovery.next();
         // The watch is silent at first, so a second one is opened in push mode.
         let second_watch = (mode == "push").then(|| discovery.next());
-        assert_eq!(program.admin_call("GET /stats").0, 200);
+        assert_eq!(program.admin_request("GET /stats").0, 200);
         let new =
             [1, 2].map(|n| endpoint(&format!("u{n}"), upstreams[n - 1].address, "in_service"));
-        watch.line(&list(6, true, &new));
+        watch.send_line(&list(6, true, &new));
         wait_until("both upstreams are known", || {
             program.metric("upstreams_known") == 2
         });
@@ -304,7 +304,7 @@
     ];
     let old = Program::start_with(&variables, &config(discovery.address), "127.0.0.1:0");
     let mut watch = discovery.next();
-    watch.line("");
+    watch.send_line("");
     let mut busy: Vec<_> = (0..110).map(|_| old.client()).collect();
     for client in &mut busy {
         client.send("/read", REQUEST_ID, "").unwrap();
@@ -320,7 +320,7 @@
     watch.reset();
     discovery.next();
     assert_eq!(old.metric("in_flight"), 110);
-    assert_eq!(new.admin_call("GET /healthcheck").0, 200);
+    assert_eq!(new.admin_request("GET /healthcheck").0, 200);
     std::fs::remove_dir_all(folder).unwrap();
 }
 
@@ -332,23 +332,24 @@
     let upstream = StubUpstream::start(StubResponse::Ok);
     let down = RefusingPort::new();
     let config = config(&list(5, true, &[]), down.address, 1024);
-    let program = Program::start_limited(128, &[("PROXY_CONSOLE", "127.0.0.1:0")], &config);
+    let program =
+        Program::start_with_descriptor_limit(128, &[("PROXY_CONSOLE", "127.0.0.1:0")], &config);
     let idle_clients = IdleClients::start(program.address, 300);
     for _ in 0..10 {
-        assert_eq!(program.admin_call("GET /stats").0, 200);
+        assert_eq!(program.admin_request("GET /stats").0, 200);
         assert!(
             program.open_descriptors() < 128 - 8,
             "more than 8 of 128 descriptors stay free"
         );
     }
     let mut watch = down.start_discovery().next();
-    watch.line(&list(
+    watch.send_line(&list(
         6,
         true,
         &[endpoint("u0", upstream.address, "in_service")],
     ));
     wait_until("the health check succeeds", || {
-        program.admin_call("GET /healthcheck").0 == 200
+        program.admin_request("GET /healthcheck").0 == 200
     });
     for _ in 0..8 {
         assert_eq!(
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -20,8 +20,8 @@
         "{}",
         watch.request_line
     );
-    watch.line("");
-    watch.line(&list(
+    watch.send_line("");
+    watch.send_line(&list(
         6,
         false,
         &[
@@ -56,7 +56,7 @@
         endpoint("u0", old, "terminating"),
         endpoint("u9", new.address, "in_service"),
     ];
-    discovery.next().line(&list(6, false, &changes));
+    discovery.next().send_line(&list(6, false, &changes));
     assert_eq!(client.receive().unwrap().unwrap().status(), 200);
     assert_eq!(new.seen.try_iter().count(), 1);
 }
@@ -87,7 +87,9 @@
         );
     }
     assert!(unknown.seen.try_recv().is_err());
-    discovery.next().line(&list(6, true, &known("in_service")));
+    discovery
+        .next()
+        .send_line(&list(6, true, &known("in_service")));
     wait_until("the upstream gets requests once it is in service", || {
         assert_eq!(
             client
--- a/tests/failed_attempts.rs
+++ b/tests/failed_attempts.rs
@@ -65,7 +65,7 @@
 /// The attempt is cancelled before the client's deadline, so that the client gets a response.
 #[test]
 fn a_request_to_a_silent_upstream_fails_in_time_and_its_connection_is_closed() {
-    let upstream = StubUpstream::start(StubResponse::Never);
+    let upstream = StubUpstream::start(StubResponse::NoResponse);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let begin = Instant::now();
     let response = program.client().request(
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -10,7 +10,7 @@
 
 fn wait_until_draining(program: &Program) {
     wait_until("the process is draining", || {
-        program.admin_call("GET /healthcheck").0 == 503
+        program.admin_request("GET /healthcheck").0 == 503
     });
 }
 
@@ -66,7 +66,7 @@
     wait_until_draining(&program);
     program.terminate();
     program.reload("no configuration");
-    assert_eq!(program.admin_call("GET /healthcheck").0, 503);
+    assert_eq!(program.admin_request("GET /healthcheck").0, 503);
     upstream.release();
     let response = client.receive().unwrap().expect("no response");
     assert_eq!(
@@ -120,7 +120,7 @@
         endpoint("u0", new.address, "in_service"),
         endpoint("u9", new.address, "in_service"),
     ];
-    discovery.next().line(&list(6, false, &changes));
+    discovery.next().send_line(&list(6, false, &changes));
     assert_eq!(client.receive().unwrap().unwrap().status(), 200);
     assert_eq!(new.seen.try_iter().count(), 1);
 }
@@ -152,7 +152,7 @@
 #[test]
 fn request_racing_with_eviction_of_its_connection_gets_a_response() {
     let upstream = StubUpstream::start(StubResponse::Ok);
-    let (program, _discovery) = Program::with_descriptors(&[upstream.address], 64);
+    let (program, _discovery) = Program::with_descriptor_limit(&[upstream.address], 64);
     let mut idle: Vec<_> = (0..20).map(|_| program.client()).collect();
     for client in &mut idle {
         assert_eq!(client.request("/read", REQUEST_ID, "").status(), 200);
@@ -176,7 +176,7 @@
 
 #[test]
 fn process_answers_accepted_requests_after_sigterm_and_exits_successfully() {
-    let upstream = StubUpstream::start(StubResponse::Never);
+    let upstream = StubUpstream::start(StubResponse::NoResponse);
     let (mut program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let (mut busy, mut idle, mut fresh) = (program.client(), program.client(), program.client());
     assert_eq!(idle.request("/healthz", "", "").status(), 200);
@@ -218,7 +218,7 @@
 /// before it, whatever their deadline.
 #[test]
 fn requests_that_arrive_after_sigterm_get_responses_before_sigkill() {
-    let upstream = StubUpstream::start(StubResponse::Never);
+    let upstream = StubUpstream::start(StubResponse::NoResponse);
     loop {
         let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
         assert_eq!(program.client().request("/healthz", "", "").status(), 200);
--- a/tests/handover_failures.rs
+++ b/tests/handover_failures.rs
@@ -17,7 +17,7 @@
         ];
         let predecessor = fixture.start_with(&variables, "127.0.0.1:0");
         assert_eq!(
-            predecessor.admin_call("POST /upstreams/u0/maint").0,
+            predecessor.admin_request("POST /upstreams/u0/maint").0,
             500,
             "{faults}"
         );
@@ -57,8 +57,8 @@
     });
     let successor = fixture.start(&predecessor.address.to_string());
     wait_until("both processes are connected", || {
-        predecessor.admin_call("GET /healthcheck").0 == 200
-            && successor.admin_call("GET /healthcheck").0 == 200
+        predecessor.admin_request("GET /healthcheck").0 == 200
+            && successor.admin_request("GET /healthcheck").0 == 200
     });
     assert!(predecessor.open_descriptors() + successor.open_descriptors() <= 256);
 }
@@ -76,14 +76,14 @@
     ] {
         let fixture = UpgradeFixture::new();
         let predecessor = fixture.start("127.0.0.1:0");
-        assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
+        assert_eq!(predecessor.admin_request("POST /upstreams/u0/maint").0, 200);
         let variables = [
             ("LD_PRELOAD", fault_injection_library()),
             ("FAULTS", faults),
         ];
         let successor = fixture.start_with(&variables, &predecessor.address.to_string());
         assert_eq!(successor.metric("upstreams_excluded"), 1, "{faults}");
-        assert_eq!(predecessor.admin_call("POST /upstreams/u0/ready").0, 200);
+        assert_eq!(predecessor.admin_request("POST /upstreams/u0/ready").0, 200);
         wait_until("the change has arrived", || {
             successor.metric("upstreams_excluded") == 0
         });
@@ -111,7 +111,7 @@
                 (&successor, &predecessor)
             };
             assert_eq!(
-                sender.admin_call("POST /upstreams/u0/maint").0,
+                sender.admin_request("POST /upstreams/u0/maint").0,
                 200,
                 "{faults}"
             );
@@ -119,7 +119,7 @@
                 receiver.metric("upstreams_excluded") == 1
             });
             assert_eq!(
-                receiver.admin_call("POST /upstreams/u0/ready").0,
+                receiver.admin_request("POST /upstreams/u0/ready").0,
                 200,
                 "{faults}"
             );
@@ -142,7 +142,7 @@
     ];
     let predecessor = fixture.start_with(&variables, "127.0.0.1:0");
     let successor = fixture.start(&predecessor.address.to_string());
-    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(predecessor.admin_request("POST /upstreams/u0/maint").0, 200);
     wait_until("the change has arrived", || {
         successor.metric("upstreams_excluded") == 1
     });
@@ -164,7 +164,7 @@
             .exists()
     });
     let successor = fixture.start(&predecessor.address.to_string());
-    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(predecessor.admin_request("POST /upstreams/u0/maint").0, 200);
     wait_until("the change has arrived", || {
         successor.metric("upstreams_excluded") == 1
     });
@@ -181,7 +181,7 @@
     ];
     let mut predecessor = fixture.start_with(&variables, "127.0.0.1:0");
     let (address, state_file) = (predecessor.address, fixture.state_file(predecessor.address));
-    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(predecessor.admin_request("POST /upstreams/u0/maint").0, 200);
     let previous_state = std::fs::read(&state_file).unwrap();
     let mut admin_client = predecessor.connect_admin();
     admin_client.write("POST /upstreams/u0/ready HTTP/1.1\r\nHost: console\r\n\r\n");
--- a/tests/idle_clients.rs
+++ b/tests/idle_clients.rs
@@ -12,7 +12,7 @@
 #[test]
 fn idle_connections_are_evicted_when_descriptors_run_short() {
     let upstream = StubUpstream::start(StubResponse::Ok);
-    let (program, _discovery) = Program::with_descriptors(&[upstream.address], 64);
+    let (program, _discovery) = Program::with_descriptor_limit(&[upstream.address], 64);
     let mut idle = Vec::new();
     for _ in 0..100 {
         let mut client = program.client();
@@ -67,7 +67,7 @@
 #[test]
 fn a_client_that_stalls_in_its_first_request_is_closed() {
     let upstream = StubUpstream::start(StubResponse::Ok);
-    let (program, _discovery) = Program::with_descriptors(&[upstream.address], 64);
+    let (program, _discovery) = Program::with_descriptor_limit(&[upstream.address], 64);
     let partial_head = "POST /pay HTTP/1.1\r\nRequest-Id: ff01\r\n";
     let partial_body = "POST /pay HTTP/1.1\r\nRequest-Id: ff02\r\nContent-Length: 9\r\n\r\nhalf";
     let mut stalled: Vec<_> = ["", partial_head, partial_body]
--- a/tests/invalid_requests.rs
+++ b/tests/invalid_requests.rs
@@ -116,7 +116,7 @@
 /// A second request with the same id would run at the same time as the first.
 #[test]
 fn a_request_whose_id_is_in_flight_is_rejected() {
-    let upstream = StubUpstream::start(StubResponse::Never);
+    let upstream = StubUpstream::start(StubResponse::NoResponse);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let (mut one, mut two) = (program.client(), program.client());
     one.send(
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -59,7 +59,7 @@
                 "coins",
             )
             .unwrap();
-        let text = String::from_utf8(client.read_to_end_bytes()).unwrap();
+        let text = String::from_utf8(client.read_to_end()).unwrap();
         // The client gets either an error or a response without its last chunk.
         let (is_error, is_incomplete) = (
             text.starts_with("HTTP/1.1 502 "),
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -31,7 +31,7 @@
             200
         );
     }
-    upstream.set_response(StubResponse::Never);
+    upstream.set_response(StubResponse::NoResponse);
     assert_eq!(upstream.seen.try_iter().count(), 4);
     let (mut one, mut two) = (program.client(), program.client());
     one.send("/pay", REQUEST_ID, "coins").unwrap();
@@ -72,7 +72,7 @@
         send_cheap();
     }
     for upstream in [&lossy, &other] {
-        upstream.set_response(StubResponse::Never);
+        upstream.set_response(StubResponse::NoResponse);
     }
     let costly = format!("{REQUEST_ID}Work-Hint: 900000000\r\nRequest-Timeout: 0.6\r\n");
     assert_eq!(program.client().request("/pay", &costly, "").status(), 502);
@@ -98,7 +98,7 @@
 /// as usual, not rejected at once.
 #[test]
 fn request_is_queued_while_all_upstreams_are_ejected() {
-    let upstream = StubUpstream::start(StubResponse::Never);
+    let upstream = StubUpstream::start(StubResponse::NoResponse);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     let (mut one, mut two) = (program.client(), program.client());
     one.send("/pay", REQUEST_ID, "coins").unwrap();
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -90,7 +90,7 @@
         early.send("/read", REQUEST_ID, "").unwrap();
         let mut watch = down.start_discovery().next();
         assert_eq!(health_status(&program), 503);
-        watch.line(&list(
+        watch.send_line(&list(
             6,
             true,
             &[endpoint("u0", upstream.address, "in_service")],
@@ -116,7 +116,7 @@
     );
     let mut watches: Vec<_> = (0..6).map(|_| discovery.next()).collect();
     assert!(watches[0].is_open(), "the first watch was closed");
-    watches[0].line(&list(
+    watches[0].send_line(&list(
         6,
         true,
         &[endpoint("u0", upstream.address, "in_service")],
@@ -151,13 +151,13 @@
     let address = predecessor.address.to_string();
     predecessor.suspend();
     let successor = start(&folder, &address);
-    assert_eq!(successor.admin_call("GET /healthcheck").0, 200);
+    assert_eq!(successor.admin_request("GET /healthcheck").0, 200);
     drop((predecessor, successor));
     let state = folder.join(format!("magpiechute-{address}.state"));
     for text in ["", "{", "[]", "null", "{\"balancer\":7}"] {
         std::fs::write(&state, text).unwrap();
         assert_eq!(
-            start(&folder, &address).admin_call("GET /healthcheck").0,
+            start(&folder, &address).admin_request("GET /healthcheck").0,
             200,
             "state file {text:?}"
         );
@@ -165,13 +165,13 @@
     std::fs::remove_file(&state).unwrap();
     std::fs::create_dir(&state).unwrap();
     assert_eq!(
-        start(&folder, &address).admin_call("GET /healthcheck").0,
+        start(&folder, &address).admin_request("GET /healthcheck").0,
         200
     );
     std::fs::remove_dir_all(&folder).unwrap();
     // The folder does not exist any more.
     assert_eq!(
-        start(&folder, &address).admin_call("GET /healthcheck").0,
+        start(&folder, &address).admin_request("GET /healthcheck").0,
         200
     );
 }
@@ -192,7 +192,7 @@
         &config_with_mode(&known, silent.address, "push"),
         "127.0.0.1:0",
     );
-    let mut successor = spawn_in(
+    let mut successor = spawn_in_folder(
         &folder,
         &config_with_mode(&[], down.address, "push"),
         &predecessor.address.to_string(),
@@ -216,7 +216,9 @@
     if let Ok(client) = &mut client {
         client.send("/read", REQUEST_ID, "").unwrap();
         let new = [endpoint("u0", upstream.address, "in_service")];
-        down.start_discovery().next().line(&list(6, true, &new));
+        down.start_discovery()
+            .next()
+            .send_line(&list(6, true, &new));
         assert_eq!(
             client.receive().unwrap().map(|response| response.status()),
             Some(200)
@@ -236,7 +238,7 @@
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, discovery) = Program::with_upstreams(&[]);
     assert_eq!(program.client().request("/healthz", "", "").status(), 503);
-    discovery.next().line(&list(
+    discovery.next().send_line(&list(
         6,
         true,
         &[endpoint("u0", upstream.address, "in_service")],
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -29,7 +29,7 @@
         client.send("/hold", REQUEST_ID, "coins").unwrap();
         first.next();
         let started = Instant::now();
-        discovery.next().line(&list(
+        discovery.next().send_line(&list(
             6,
             false,
             &[endpoint("u1", blocked_port.address, "in_service")],
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -158,7 +158,7 @@
         StubResponse::Ok,
         StubResponse::Rejected,
         StubResponse::Close,
-        StubResponse::Never,
+        StubResponse::NoResponse,
         StubResponse::Status(500),
     ];
     for _ in 0..rng.random_range(1..6) {
@@ -318,7 +318,7 @@
             .upstreams
             .iter()
             .flat_map(|upstream| upstream.seen.try_iter());
-        for message in seen.filter(|message| !message.rejected) {
+        for message in seen.filter(|message| !message.is_rejected) {
             let path = message
                 .start_line
                 .split(' ')
--- a/tests/state_file.rs
+++ b/tests/state_file.rs
@@ -88,7 +88,7 @@
     std::fs::write(fixture.state_file(address), state).unwrap();
     let program = fixture.start(&address.to_string());
     assert_eq!(program.metric("upstreams_excluded"), 1);
-    assert_eq!(program.admin_call("POST /upstreams/u0/ready").0, 200);
+    assert_eq!(program.admin_request("POST /upstreams/u0/ready").0, 200);
     assert_eq!(program.metric("upstreams_excluded"), 0);
 
     let learned: LearnedState = serde_json::from_value(recorded["knowledge"].clone()).unwrap();
@@ -108,7 +108,7 @@
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
         assert_eq!(client.request("/read", REQUEST_ID, "").status(), 200);
     }
-    assert_eq!(program.admin_call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(program.admin_request("POST /upstreams/u0/maint").0, 200);
     let written = std::fs::read(fixture.state_file(program.address)).unwrap();
     let written = serde_json::from_slice(&written).unwrap();
     let recorded = serde_json::from_str(STATE_OF_47C951F).unwrap();
@@ -120,7 +120,7 @@
     let fixture = UpgradeFixture::new();
     let predecessor = fixture.start("127.0.0.1:0");
     let address = predecessor.address;
-    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(predecessor.admin_request("POST /upstreams/u0/maint").0, 200);
     drop(predecessor);
     let text = std::fs::read(fixture.state_file(address)).unwrap();
     let foreign = String::from_utf8(text.clone())
@@ -135,7 +135,7 @@
         std::fs::write(fixture.state_file(address), state).unwrap();
         let program = fixture.start(&address.to_string());
         assert_eq!(program.metric("upstreams_excluded"), excluded);
-        assert_eq!(program.admin_call("GET /healthcheck").0, 200);
+        assert_eq!(program.admin_request("GET /healthcheck").0, 200);
     }
 }
 
@@ -146,7 +146,7 @@
     let program = fixture.start("127.0.0.1:0");
     std::fs::create_dir(Path::new(&fixture.state_file(program.address)).with_extension("new"))
         .unwrap();
-    assert_eq!(program.admin_call("POST /upstreams/u0/maint").0, 500);
+    assert_eq!(program.admin_request("POST /upstreams/u0/maint").0, 500);
     assert_eq!(
         program
             .client()
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -79,12 +79,12 @@
     }
 
     /// Reads and discards `count` bytes.
-    pub fn take(&mut self, count: usize) {
+    pub fn discard(&mut self, count: usize) {
         self.input.read_exact(&mut vec![0; count]).unwrap();
     }
 
     /// Reads until the connection ends, and returns the bytes.
-    pub fn read_to_end_bytes(&mut self) -> Vec<u8> {
+    pub fn read_to_end(&mut self) -> Vec<u8> {
         let mut bytes = Vec::new();
         // The connection may end in a reset.
         let _ = self.input.read_to_end(&mut bytes);
--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -54,7 +54,7 @@
 
 impl StubWatch {
     /// Waits until the program closes the watch.
-    pub fn wait_for_end(&mut self) {
+    pub fn wait_for_close(&mut self) {
         self.stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         match self.stream.read(&mut [0]) {
             Ok(count) => assert_eq!(
@@ -68,12 +68,12 @@
     }
 
     /// Sends `text` and a line feed as one chunk.
-    pub fn line(&mut self, text: &str) {
-        self.part(&format!("{text}\n"));
+    pub fn send_line(&mut self, text: &str) {
+        self.send_chunk(&format!("{text}\n"));
     }
 
     /// Sends `text` as one chunk.
-    pub fn part(&mut self, text: &str) {
+    pub fn send_chunk(&mut self, text: &str) {
         write!(self.stream, "{:x}\r\n{text}\r\n", text.len()).unwrap();
     }
 
--- a/tests/support/message.rs
+++ b/tests/support/message.rs
@@ -9,7 +9,7 @@
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
     /// Whether the stub upstream rejects this request as not started.
-    pub rejected: bool,
+    pub is_rejected: bool,
 }
 
 impl Message {
--- a/tests/support/program.rs
+++ b/tests/support/program.rs
@@ -59,12 +59,12 @@
 }
 
 /// Does the same as [`spawn`], with a folder that the program shares with other processes.
-pub fn spawn_in(folder: &Path, config: &str, listen: &str) -> Child {
-    spawn_by_variables(&[("TMPDIR", folder.to_str().unwrap())], config, listen)
+pub fn spawn_in_folder(folder: &Path, config: &str, listen: &str) -> Child {
+    spawn_with_variables(&[("TMPDIR", folder.to_str().unwrap())], config, listen)
 }
 
 /// Does the same as [`spawn`], with additional environment variables.
-pub fn spawn_by_variables(variables: &[(&str, &str)], config: &str, listen: &str) -> Child {
+pub fn spawn_with_variables(variables: &[(&str, &str)], config: &str, listen: &str) -> Child {
     spawn_with(variables, &write_config(config), listen)
 }
 
@@ -115,7 +115,11 @@
     }
 
     /// Starts the program with this limit on open files (`ulimit -n`) and waits until it listens.
-    pub fn start_limited(descriptors: usize, variables: &[(&str, &str)], config: &str) -> Self {
+    pub fn start_with_descriptor_limit(
+        descriptors: usize,
+        variables: &[(&str, &str)],
+        config: &str,
+    ) -> Self {
         let config = write_config(config);
         let mut command = Command::new("sh");
         command.args([
@@ -155,11 +159,11 @@
     /// Starts the program with an admin endpoint, a discovery service and these upstreams, named
     /// `u0`, `u1` and so on.
     pub fn with_admin(upstreams: &[SocketAddr]) -> (Self, StubDiscovery) {
-        Self::with_admin_and_descriptors(upstreams, 256)
+        Self::with_admin_and_descriptor_limit(upstreams, 256)
     }
 
     /// Does the same as [`Self::with_admin`], with this descriptor limit in the configuration.
-    pub fn with_admin_and_descriptors(
+    pub fn with_admin_and_descriptor_limit(
         upstreams: &[SocketAddr],
         max_descriptors: usize,
     ) -> (Self, StubDiscovery) {
@@ -178,7 +182,7 @@
 
     /// Sends a request to the admin endpoint, such as `GET /stats`, and returns the status and the
     /// body of the response.
-    pub fn admin_call(&self, method_and_path: &str) -> (u16, String) {
+    pub fn admin_request(&self, method_and_path: &str) -> (u16, String) {
         let mut client = self.connect_admin();
         client.write(&format!(
             "{method_and_path} HTTP/1.1\r\nHost: console\r\n\r\n"
@@ -196,7 +200,7 @@
 
     /// Returns the value of this metric, read from the admin endpoint.
     pub fn metric(&self, name: &str) -> u64 {
-        let text = self.admin_call("GET /stats").1;
+        let text = self.admin_request("GET /stats").1;
         let line = text
             .lines()
             .find_map(|line| line.strip_prefix(&format!("balancer.{name}:")));
@@ -206,11 +210,11 @@
 
     /// Starts the program with a discovery service and these upstreams, named `u0`, `u1` and so on.
     pub fn with_upstreams(upstreams: &[SocketAddr]) -> (Self, StubDiscovery) {
-        Self::with_descriptors(upstreams, 1024)
+        Self::with_descriptor_limit(upstreams, 1024)
     }
 
     /// Does the same as [`Self::with_upstreams`], with this descriptor limit in the configuration.
-    pub fn with_descriptors(
+    pub fn with_descriptor_limit(
         upstreams: &[SocketAddr],
         max_descriptors: usize,
     ) -> (Self, StubDiscovery) {
--- a/tests/support/upstream.rs
+++ b/tests/support/upstream.rs
@@ -29,7 +29,7 @@
     /// Sends this text as the response and closes the connection.
     RawThenClose(&'static str),
     /// Sends nothing until the peer closes the connection.
-    Never,
+    NoResponse,
     /// Sends no response until `release` is called, and then the one that is configured by that
     /// time; `Hold` then means `Ok`.
     Hold,
@@ -42,9 +42,9 @@
     /// One message for each connection that has ended.
     pub closed: Receiver<()>,
     /// Number of connections that have been accepted.
-    pub connections: Arc<AtomicU64>,
+    pub connection_count: Arc<AtomicU64>,
     /// Number of responses that have been written, without those that close the connection.
-    pub responses: Arc<AtomicU64>,
+    pub response_count: Arc<AtomicU64>,
     response: Arc<Mutex<StubResponse>>,
     gate: Arc<Gate>,
 }
@@ -68,8 +68,8 @@
             address: listener.local_addr().unwrap(),
             seen,
             closed,
-            connections: connections.clone(),
-            responses: responses.clone(),
+            connection_count: connections.clone(),
+            response_count: responses.clone(),
             response: response.clone(),
             gate: gate.clone(),
         };
@@ -149,7 +149,7 @@
         let id = request.header("request-id").unwrap_or("").to_string();
         let configured = *response.lock().unwrap();
         let _ = seen.send(Message {
-            rejected: configured == StubResponse::Rejected,
+            is_rejected: configured == StubResponse::Rejected,
             ..request
         });
         let response = if configured == StubResponse::Hold {
@@ -186,7 +186,7 @@
                 write!(output, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")?;
                 return output.write_all(&[b'x'; 500_000]);
             }
-            StubResponse::Never => {
+            StubResponse::NoResponse => {
                 input.read_to_end(&mut Vec::new())?;
                 return Ok(());
             }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -47,7 +47,7 @@
     wait_for_responses(20);
     let successor = fixture.start(&address.to_string());
     assert_eq!(successor.address, address);
-    assert_eq!(successor.admin_call("GET /healthcheck").0, 200);
+    assert_eq!(successor.admin_request("GET /healthcheck").0, 200);
     wait_for_responses(20);
     predecessor.terminate();
     wait_for_responses(20);
@@ -66,7 +66,7 @@
 fn predecessor_stops_listening_and_completes_its_requests() {
     let fixture = UpgradeFixture::new();
     let mut predecessor = fixture.start("127.0.0.1:0");
-    fixture.upstream.set_response(StubResponse::Never);
+    fixture.upstream.set_response(StubResponse::NoResponse);
     let mut waiting = predecessor.client();
     waiting
         .send(
@@ -97,10 +97,10 @@
 fn maintenance_survives_an_upgrade_and_changes_reach_both_processes() {
     let fixture = UpgradeFixture::new();
     let predecessor = fixture.start("127.0.0.1:0");
-    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(predecessor.admin_request("POST /upstreams/u0/maint").0, 200);
     let successor = fixture.start(&predecessor.address.to_string());
     assert_eq!(successor.metric("upstreams_excluded"), 1);
-    assert_eq!(successor.admin_call("POST /upstreams/u0/ready").0, 200);
+    assert_eq!(successor.admin_request("POST /upstreams/u0/ready").0, 200);
     let wait_for_excluded_on_both = |count| {
         while [&predecessor, &successor]
             .iter()
@@ -110,7 +110,7 @@
         }
     };
     wait_for_excluded_on_both(0);
-    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(predecessor.admin_request("POST /upstreams/u0/maint").0, 200);
     wait_for_excluded_on_both(1);
     drop(predecessor);
     // A further successor restores the maintenance too.
@@ -124,7 +124,7 @@
     let predecessor = fixture.start("127.0.0.1:0");
     let address = predecessor.address.to_string();
     let mut watch = fixture.discovery.next();
-    watch.line("");
+    watch.send_line("");
     let (folder, empty) = (
         &fixture.folder,
         config(&list(0, true, &[]), fixture.discovery.address, 256),
@@ -145,13 +145,13 @@
             !successor.is_finished(),
             "the successor is listening for clients without a known upstream"
         );
-        watch.line(&list(
+        watch.send_line(&list(
             6,
             true,
             &[endpoint("u0", fixture.upstream.address, "in_service")],
         ));
         let successor = successor.join().unwrap();
-        assert_eq!(successor.admin_call("GET /healthcheck").0, 200);
+        assert_eq!(successor.admin_request("GET /healthcheck").0, 200);
     });
 }
 
@@ -160,11 +160,11 @@
     let fixture = UpgradeFixture::new();
     let predecessor = fixture.start("127.0.0.1:0");
     let idle: Vec<_> = (0..120).map(|_| predecessor.client()).collect();
-    assert_eq!(predecessor.admin_call("GET /healthcheck").0, 200);
+    assert_eq!(predecessor.admin_request("GET /healthcheck").0, 200);
     let successor = fixture.start(&predecessor.address.to_string());
     let later_clients: Vec<_> = (0..250).map(|_| successor.client()).collect();
     for program in [&predecessor, &successor] {
-        assert_eq!(program.admin_call("GET /healthcheck").0, 200);
+        assert_eq!(program.admin_request("GET /healthcheck").0, 200);
     }
     let open_descriptors_of_both = predecessor.open_descriptors() + successor.open_descriptors();
     assert!(
@@ -184,13 +184,13 @@
     let known = known.map(|(name, address)| endpoint(name, address, "in_service"));
     let config = config(&list(5, true, &known), fixture.discovery.address, 256);
     let predecessor = start_in_folder(&fixture.folder, &config, "127.0.0.1:0");
-    assert_eq!(predecessor.admin_call("POST /upstreams/u0/maint").0, 200);
+    assert_eq!(predecessor.admin_request("POST /upstreams/u0/maint").0, 200);
     predecessor.suspend();
     let variables = [
         ("TMPDIR", fixture.folder.to_str().unwrap()),
         ("PROXY_CONSOLE", "127.0.0.1:0"),
     ];
-    let mut successor = spawn_by_variables(&variables, &config, &predecessor.address.to_string());
+    let mut successor = spawn_with_variables(&variables, &config, &predecessor.address.to_string());
     let mut log = BufReader::new(successor.stderr.take().unwrap())
         .lines()
         .map(Result::unwrap);
@@ -234,7 +234,7 @@
     assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
     // The successor knows no upstream and discovery sends nothing, so it is not ready.
     let empty = config(&list(5, true, &[]), fixture.discovery.address, 256);
-    let mut successor = spawn_in(&fixture.folder, &empty, &predecessor.address.to_string());
+    let mut successor = spawn_in_folder(&fixture.folder, &empty, &predecessor.address.to_string());
     let mut log = BufReader::new(successor.stderr.take().unwrap()).lines();
     assert!(
         log.any(|line| line.unwrap().contains("peer process found")),
@@ -254,5 +254,5 @@
             .status(),
         200
     );
-    assert_eq!(predecessor.admin_call("GET /healthcheck").0, 200);
+    assert_eq!(predecessor.admin_request("GET /healthcheck").0, 200);
 }
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -36,7 +36,7 @@
             .unwrap();
         assert!(timeout > 0.0 && timeout < 5.5, "Request-Timeout: {timeout}");
     }
-    assert_eq!(upstream.connections.load(Ordering::SeqCst), 1);
+    assert_eq!(upstream.connection_count.load(Ordering::SeqCst), 1);
 }
 
 /// A request on a connection that the upstream closed while it was idle would be lost.
@@ -92,5 +92,5 @@
         client.receive().unwrap().expect("no response").status(),
         200
     );
-    assert_eq!(upstream.connections.load(Ordering::SeqCst), 2);
+    assert_eq!(upstream.connection_count.load(Ordering::SeqCst), 2);
 }
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -93,7 +93,7 @@
     let fixture = WatchFixture::new("push");
     fixture.leave_idle_connection();
     let mut watch = fixture.discovery.next();
-    watch.line("");
+    watch.send_line("");
     let text = fixture
         .change(6)
         .replace('{', "{\n  ")
@@ -101,8 +101,8 @@
         .replace('[', "[\n")
         .replace(']', "\n]\n");
     let (head, tail) = text.split_at(text.len() / 2);
-    watch.part(head);
-    watch.part(tail);
+    watch.send_chunk(head);
+    watch.send_chunk(tail);
     fixture.expect_change_in_force();
     assert!(watch.is_open() && fixture.discovery.watches.try_recv().is_err());
 }
@@ -121,7 +121,7 @@
         fixture.leave_idle_connection();
         let mut first = fixture.discovery.next();
         if !first_bytes.is_empty() {
-            first.part(first_bytes);
+            first.send_chunk(first_bytes);
         }
         let mut second = fixture.discovery.next();
         assert!(
@@ -134,12 +134,12 @@
             // The second watch is silent as well.
             let mut third = fixture.discovery.next();
             assert!(first.is_open() && second.is_open());
-            third.line(&fixture.change(6));
+            third.send_line(&fixture.change(6));
         } else {
-            second.line(&fixture.change(6));
+            second.send_line(&fixture.change(6));
         }
         fixture.expect_change_in_force();
-        first.wait_for_end();
+        first.wait_for_close();
     }
 }
 
@@ -149,10 +149,10 @@
     let fixture = WatchFixture::new("push");
     fixture.leave_idle_connection();
     let mut first = fixture.discovery.next();
-    first.part("\n{\"index\":6,\"snapshot\":false,");
+    first.send_chunk("\n{\"index\":6,\"snapshot\":false,");
     let begun = Instant::now();
     let mut second = loop {
-        first.part("\n");
+        first.send_chunk("\n");
         match fixture.discovery.watches.try_recv() {
             Ok(second) => break second,
             Err(_) => sleep(Duration::from_millis(20)),
@@ -162,7 +162,7 @@
             "no second watch within {TEST_TIMEOUT:?}, the empty lines keep the first alive"
         );
     };
-    second.line(&fixture.change(6));
+    second.send_line(&fixture.change(6));
     fixture.expect_change_in_force();
 }
 
@@ -173,15 +173,15 @@
     let fixture = WatchFixture::new("push");
     fixture.leave_idle_connection();
     let mut first = fixture.discovery.next();
-    first.line("");
+    first.send_line("");
     let mut second = fixture.discovery.next();
     // The first watch resumes with change 7 and has missed change 6.
-    first.line(&list(
+    first.send_line(&list(
         7,
         false,
         &[endpoint("u7", fixture.new_upstream.address, "terminated")],
     ));
-    second.line(&fixture.change(6));
+    second.send_line(&fixture.change(6));
     fixture.expect_change_in_force();
     second.reset();
     let reconnected = fixture.discovery.next();
@@ -201,7 +201,7 @@
             fixture.leave_idle_connection();
             let mut watch = fixture.discovery.next();
             let text = fixture.change(6);
-            watch.line(&if indented {
+            watch.send_line(&if indented {
                 text.replace(',', ",\n")
             } else {
                 text
@@ -225,7 +225,7 @@
     fixture.leave_idle_connection();
     let mut watch = fixture.discovery.next();
     let text = fixture.change(6);
-    watch.part(&text[..text.len() - 1]);
+    watch.send_chunk(&text[..text.len() - 1]);
     watch.reset();
     let mut reconnected = fixture.discovery.next();
     assert!(
@@ -242,7 +242,7 @@
         200
     );
     fixture.old_upstream.next();
-    reconnected.line(&text);
+    reconnected.send_line(&text);
     fixture.expect_change_in_force();
 }
 
@@ -259,8 +259,8 @@
     ];
     for text in malformed {
         let mut watch = fixture.discovery.next();
-        watch.line(text);
-        watch.wait_for_end();
+        watch.send_line(text);
+        watch.wait_for_close();
     }
     assert!(fixture.discovery.next().request_line.contains("since=5"));
     assert_eq!(
@@ -281,7 +281,7 @@
     let fixture = WatchFixture::new("push");
     fixture.leave_idle_connection();
     let mut silent = fixture.discovery.next();
-    silent.line("");
+    silent.send_line("");
     let mut second = fixture.discovery.next();
     let new_discovery = StubDiscovery::start();
     fixture.program.reload(&WatchFixture::config(
@@ -297,16 +297,16 @@
     );
     assert!(silent.is_open() && second.is_open());
     // The old discovery resumes and sends a drain on its second watch.
-    second.line(&fixture.change(6));
+    second.send_line(&fixture.change(6));
     fixture.expect_change_in_force();
-    silent.wait_for_end();
+    silent.wait_for_close();
     assert!(moved_watch.is_open());
-    moved_watch.line(&list(
+    moved_watch.send_line(&list(
         2,
         true,
         &[endpoint("u1", fixture.new_upstream.address, "in_service")],
     ));
-    second.wait_for_end();
+    second.wait_for_close();
     assert_eq!(
         fixture
             .program
@@ -326,13 +326,13 @@
         let fixture = WatchFixture::new(mode);
         fixture.leave_idle_connection();
         let mut silent = fixture.discovery.next();
-        silent.line("");
+        silent.send_line("");
         fixture.discovery.next().reset();
         let mut third = fixture.discovery.next();
         assert!(silent.is_open(), "{mode}");
-        third.line(&fixture.change(6));
+        third.send_line(&fixture.change(6));
         fixture.expect_change_in_force();
-        silent.wait_for_end();
+        silent.wait_for_close();
     }
 }
 
@@ -343,10 +343,10 @@
     fixture.leave_idle_connection();
     let mut pending_poll = fixture.discovery.next();
     let mut later_polls: Vec<_> = (0..3).map(|_| fixture.discovery.next()).collect();
-    pending_poll.line(&fixture.change(6));
+    pending_poll.send_line(&fixture.change(6));
     fixture.expect_change_in_force();
     for watch in &mut later_polls {
-        watch.wait_for_end();
+        watch.wait_for_close();
     }
     assert!(pending_poll.is_open());
 }
@@ -377,7 +377,7 @@
             discovery.next().reset();
             let mut last = discovery.next();
             assert!(unanswered.is_open());
-            last.line(&fixture.change(6));
+            last.send_line(&fixture.change(6));
             fixture.expect_change_in_force();
         }
     }
@@ -388,7 +388,7 @@
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, discovery) = Program::with_upstreams(&[upstream.address]);
     let mut watch = discovery.next();
-    watch.line(&list(
+    watch.send_line(&list(
         9,
         true,
         &[endpoint("u0", upstream.address, "in_service")],
@@ -401,7 +401,7 @@
         reconnected.request_line
     );
     // A malformed line ends the watch as well; the known list stays in force.
-    reconnected.line("nonsense");
+    reconnected.send_line("nonsense");
     assert!(discovery.next().request_line.contains("since=9"));
     assert_eq!(
         program.client().request("/read", REQUEST_ID, "").status(),
@@ -433,7 +433,7 @@
     let first = config(&known, old.address, 1024);
     let program = Program::start_with(&variables, &first, "127.0.0.1:0");
     let mut watch = old.next();
-    watch.line(&list(
+    watch.send_line(&list(
         90,
         true,
         &[endpoint("u0", one.address, "in_service")],
@@ -455,18 +455,18 @@
         "{}",
         next.request_line
     );
-    watch.line(&list(
+    watch.send_line(&list(
         91,
         false,
         &[endpoint("u0", one.address, "in_service")],
     ));
-    next.line(&list(3, true, &[endpoint("u0", one.address, "in_service")]));
-    watch.wait_for_end();
+    next.send_line(&list(3, true, &[endpoint("u0", one.address, "in_service")]));
+    watch.wait_for_close();
     let changes = [
         endpoint("u0", one.address, "terminating"),
         endpoint("u1", two.address, "in_service"),
     ];
-    next.line(&list(4, false, &changes));
+    next.send_line(&list(4, false, &changes));
     one.closed
         .recv_timeout(TEST_TIMEOUT)
         .expect("the idle connection is closed");
