--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -312,7 +312,7 @@
         // Longer than an idle connection stays open, and shorter than the time limit for a head.
         sleep(Duration::from_millis(1000));
         client.write("1\r\nContent-Length: 5\r\n\r\ncoins");
-        let response = client.receive().unwrap().expect("a response");
+        let response = client.receive().unwrap().expect("no response");
         assert_eq!(
             (response.status(), response.header("connection")),
             (200, Some("close")),
@@ -347,7 +347,10 @@
         }
         true
     });
-    assert_eq!(client.receive().unwrap().expect("a response").status(), 503);
+    assert_eq!(
+        client.receive().unwrap().expect("no response").status(),
+        503
+    );
     assert!(
         !sending.is_finished(),
         "expected the response while the body was being sent"
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -190,7 +190,7 @@
         stop.send(()).unwrap();
         // If the machine paused the client for too long, the balancer may close its connection.
         if sending.join().unwrap() < Duration::from_secs(2) {
-            assert_eq!(response.unwrap().expect("a response").status(), 503);
+            assert_eq!(response.unwrap().expect("no response").status(), 503);
             assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 503);
             return;
         }
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -177,7 +177,7 @@
     });
     upstream.release();
     for client in &mut running {
-        client.receive().unwrap().expect("a response");
+        client.receive().unwrap().expect("no response");
     }
     expect_only_new_requests(&program, &upstream, "simultaneous disconnects");
 }
@@ -299,7 +299,7 @@
             (!free_first).then(free_slots);
             program.resume();
             for client in &mut running {
-                client.receive().unwrap().expect("a response");
+                client.receive().unwrap().expect("no response");
             }
             expect_only_new_requests(
                 &program,
@@ -443,7 +443,7 @@
         });
         upstream.release();
         for client in &mut running {
-            client.receive().unwrap().expect("a response");
+            client.receive().unwrap().expect("no response");
         }
         program.suspend();
         let mut early = program.client();
--- a/tests/failing_system_calls.rs
+++ b/tests/failing_system_calls.rs
@@ -88,7 +88,7 @@
         let mut client = program.client();
         client.send("/pay", REQUEST_ID, "coins").unwrap();
         assert_eq!(
-            client.receive().unwrap().expect("a response").status(),
+            client.receive().unwrap().expect("no response").status(),
             200,
             "error {error}"
         );
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -154,7 +154,10 @@
             successful_writes.count() < 400,
             "expected a failed write after the response is cancelled: {status} {beginning:?}"
         );
-        assert_eq!(client.receive().unwrap().expect("a response").status(), 502);
+        assert_eq!(
+            client.receive().unwrap().expect("no response").status(),
+            502
+        );
     }
 }
 
@@ -179,7 +182,7 @@
             sleep(Duration::from_micros(300));
         }
         assert_eq!(
-            client.receive().unwrap().expect("a response").status(),
+            client.receive().unwrap().expect("no response").status(),
             200,
             "{form}"
         );
--- a/tests/crossings.rs
+++ b/tests/race_conditions.rs
@@ -43,7 +43,7 @@
         // The timeout expires while the response is in the receive buffer.
         sleep(Duration::from_millis(1100));
         program.resume();
-        let status = client.receive().unwrap().expect("a response").status();
+        let status = client.receive().unwrap().expect("no response").status();
         assert!(status == 200 || status == 502, "{status}");
         wait_until("no request is in flight", || {
             program.metric("in_flight") == 0
@@ -126,7 +126,10 @@
         is_change_known = new.seen.try_iter().count() == 1;
     }
     client.write(&"x".repeat(50_000));
-    assert_eq!(client.receive().unwrap().expect("a response").status(), 200);
+    assert_eq!(
+        client.receive().unwrap().expect("no response").status(),
+        200
+    );
     assert_eq!(old.next().body.len(), 200_000);
     assert!(new.seen.try_recv().is_err());
 }
@@ -166,7 +169,7 @@
     let response = others
         .last_mut()
         .and_then(|other| other.receive().unwrap())
-        .expect("a response");
+        .expect("no response");
     assert_eq!(response.status(), 200);
     watch.send_line(&change(
         7,
@@ -181,7 +184,10 @@
         .expect("the connection is closed");
     first.set_response(StubResponse::Rejected);
     first.release();
-    assert_eq!(client.receive().unwrap().expect("a response").status(), 200);
+    assert_eq!(
+        client.receive().unwrap().expect("no response").status(),
+        200
+    );
     assert!(draining.seen.try_recv().is_err());
 }
 
@@ -237,7 +243,10 @@
     client.send("/pay", REQUEST_ID, "coins").unwrap();
     assert_eq!(program.client().request("/healthz", "", "").status(), 200);
     let upstream = blocked.open(StubResponse::Ok);
-    assert_eq!(client.receive().unwrap().expect("a response").status(), 200);
+    assert_eq!(
+        client.receive().unwrap().expect("no response").status(),
+        200
+    );
     assert_eq!(upstream.seen.try_iter().count(), 1);
 }
 
@@ -258,7 +267,10 @@
         .set_linger(Some(Duration::ZERO))
         .unwrap();
     drop(stream);
-    assert_eq!(client.receive().unwrap().expect("a response").status(), 503);
+    assert_eq!(
+        client.receive().unwrap().expect("no response").status(),
+        503
+    );
 }
 
 /// An endless response must not keep its connection open after its client has disconnected.
@@ -328,7 +340,7 @@
     }
     for client in &mut clients {
         assert_eq!(
-            client.receive().unwrap().expect("a response").status(),
+            client.receive().unwrap().expect("no response").status(),
             200,
             "{connections:?}"
         );
@@ -405,7 +417,7 @@
         let program = Program::start(&config, "127.0.0.1:0");
         let mut client = program.client();
         client.send("/read", REQUEST_ID, "").unwrap();
-        client.receive().unwrap().expect("a response");
+        client.receive().unwrap().expect("no response");
         let observed = silent_upstreams
             .iter()
             .map(|(_, seen)| seen.try_iter().collect::<Vec<_>>())
