--- a/src/bin/load-balancer/dispatch/request_lifecycle.rs
+++ b/src/bin/load-balancer/dispatch/request_lifecycle.rs
@@ -118,8 +118,8 @@
         request.set_task(number, spawn_local(run).abort_handle());
     }
 
-    /// Handles the result of an attempt that has completed, or that is ended because it must no
-    /// longer be sent to its upstream.
+    /// Handles the result of an attempt that has completed or that
+    /// [`Self::reject_misdirected_attempts`] ends.
     pub(super) fn attempt_ended(
         &mut self,
         attempt: AttemptId,
@@ -162,8 +162,9 @@
     }
 
     /// Ends the attempts that have not written anything and whose upstream is no longer available
-    /// at the address that they were sent to, as if the upstream had rejected them. They were
-    /// decided before the drain of the upstream was known, and would otherwise start during it.
+    /// at the address that was chosen for them, as if the upstream had rejected them. They were
+    /// started before the change of the upstream, for example its drain, was known. Their requests
+    /// would otherwise be sent to an upstream that is already draining.
     pub(super) fn reject_misdirected_attempts(&mut self) {
         let address_of = |upstream| self.upstreams.available_address(upstream);
         for attempt in self.requests.misdirected_attempts(address_of) {
@@ -182,7 +183,8 @@
         self.requests.remove_if_finished(id);
     }
 
-    /// Concludes all open requests by `deadline`, before the process exits.
+    /// Sets timers that conclude all open requests by `deadline`, before the process exits. The
+    /// `ShutdownDeadline` that limits the deadlines of the requests must already be set.
     pub fn set_shutdown_deadline(&mut self, deadline: Instant) {
         for id in self.requests.ids() {
             self.timers
--- a/src/bin/load-balancer/dispatch/tests/notification/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/mod.rs
@@ -9,7 +9,8 @@
 use fake_discovery::{FakeDiscovery, RequestOutcome, RequestOutcome::*};
 use harness::{advance_seconds, advance_until, run, start, start_in_fleet, time_until_known};
 
-/// The time within which a change must be known. The rest of the 6 s is left for a busy process.
+/// The time within which a change must be known in these tests. The notification deadline is 6 s;
+/// the remaining 0.4 s allow for a busy process.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_millis(5600);
 
 const ALL_MODES: [DiscoveryMode; 2] = [DiscoveryMode::Push, DiscoveryMode::Poll];
@@ -58,9 +59,9 @@
     });
 }
 
-/// In push mode a change counts as known as soon as the local agent has it, even if no watch is
-/// open. A failed watch must be reopened soon enough that the grace period of a drain, 0.45 s on
-/// sockets, covers the gap and a stall of 0.15 s.
+/// In push mode watches connect to a local agent. A change counts as known as soon as this agent
+/// has it, even if no watch is open. On real sockets the grace period of a drain is 0.45 s. It has
+/// to cover the time until a failed watch is reopened and a stall of 0.15 s.
 #[test]
 fn failed_push_watch_is_reopened_at_once() {
     let reconnect_limit = Duration::from_millis(300);
@@ -119,8 +120,8 @@
     });
 }
 
-/// The backoff that has grown while discovery was down must be short enough, whichever address
-/// discovery comes up on.
+/// The backoff grows while discovery is down. It must stay so short that changes are known in time
+/// once discovery is up, even if the discovery address was changed during the outage.
 #[test]
 fn changes_are_known_in_time_after_discovery_was_down() {
     run(async {
@@ -147,8 +148,9 @@
                     let initial_address =
                         |moves| if moves == 0 { new.address } else { old.address };
                     let dispatcher = start(initial_address(moves), mode, seed);
-                    // The balancer switches to an address where discovery is not up yet: directly,
-                    // by way of another address, or away from it and back.
+                    // Discovery is not up yet at the address `new`. The balancer has this address
+                    // from the beginning, switches to it directly or by way of `other`, or switches
+                    // to it, then to `other` and back.
                     let routes = [
                         vec![],
                         vec![&new],
@@ -232,8 +234,9 @@
     });
 }
 
-/// A request that discovery queues for a long time must not be closed again and again for newer
-/// ones. Once it gets a response, the requests that were sent beside it must not be repeated.
+/// Requests that discovery queues for a long time must not be closed in favour of newer ones,
+/// because then none would get a response. Once one has a response, the others must be closed and
+/// not sent again.
 #[test]
 fn long_queued_request_is_answered() {
     run(async {
@@ -290,9 +293,10 @@
             let discovery = FakeDiscovery::listening(&[Unanswered]);
             let dispatcher = start(discovery.address, DiscoveryMode::Poll, seed);
             advance_until(|| discovery.request_count() > 0).await;
-            // Longer than the response timeout in push mode, and longer than a request is queued.
-            let waited = discovery.request_times.borrow()[0] + Duration::from_millis(2500);
-            advance_until(|| Instant::now() >= waited).await;
+            // 2.5 s exceed the response timeout in push mode and the time for which discovery
+            // queues a request.
+            let check_at = discovery.request_times.borrow()[0] + Duration::from_millis(2500);
+            advance_until(|| Instant::now() >= check_at).await;
             assert_eq!(
                 (discovery.request_count(), dispatcher.borrow().watches.len()),
                 (1, 1)
--- a/src/bin/load-balancer/socket/exchange_limits.rs
+++ b/src/bin/load-balancer/socket/exchange_limits.rs
@@ -55,7 +55,7 @@
         *self.attempt_metrics.borrow_mut() = Some(metrics);
     }
 
-    /// Counts the attempt, once, if the request has been written completely by `position`.
+    /// Counts the attempt, once, if the bytes written up to `position` complete the request.
     pub(super) fn record_sent(&self, position: usize) {
         let is_complete = position >= self.request_end.get();
         if let Some(metrics) = self.attempt_metrics.borrow_mut().take_if(|_| is_complete) {
@@ -74,10 +74,10 @@
 
     /// Returns an error if the next `length` bytes must not be written.
     ///
-    /// The first write requires an open and idle connection: on a connection that the upstream has
-    /// closed, the request would be lost, and late bytes of the previous exchange would be read as
-    /// the response. The first and the last write require that the client is still connected, as
-    /// the upstream may start the request after either of them.
+    /// The first write requires an open and idle connection. On a connection that the upstream has
+    /// closed, the request would be lost. On one with unread bytes of the previous exchange, these
+    /// would be read as the response. The first and the last write require that the client is still
+    /// connected, as the upstream may start the request after either of them.
     pub(super) fn check_write(&self, socket: &Socket, length: usize) -> io::Result<()> {
         let is_first = self.awaits_first_write.replace(false);
         if is_first && !socket.is_open_and_idle() {
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -75,8 +75,8 @@
     /// Reports a restart of the last upstream to the program.
     fn report_restart(&self, program: &Program, watch: &mut StubWatch, since_ms: u64) {
         let other = endpoint("other", self.upstreams[0].address, "terminating");
-        // An empty list of changes ends the initial period, in which listed starts may lie far in
-        // the past.
+        // In its initial period a balancer assumes that the start time of a listed upstream may lie
+        // far in the past. A list from discovery ends this period, even an empty list of changes.
         watch.send_line(&list(5, false, &[]));
         watch.send_line(&list(6, false, &[self.last_endpoint(since_ms), other]));
         wait_until("the restart has been received", || {
@@ -84,8 +84,8 @@
         });
     }
 
-    /// Sends `REQUEST_COUNT` requests and returns how many of them the last upstream gets.
-    fn share(&self, program: &Program) -> usize {
+    /// Sends `REQUEST_COUNT` requests and returns how many of them the last upstream receives.
+    fn count_requests_to_last_upstream(&self, program: &Program) -> usize {
         self.upstreams[3].seen.try_iter().count();
         let mut client = program.client();
         for _ in 0..REQUEST_COUNT {
@@ -102,24 +102,25 @@
     }
 }
 
-/// An upstream that has just restarted gets only its slow-start share. Measured by a wall clock
-/// that is ahead, its slow-start window would be over already.
+/// An upstream that has just restarted gets only its slow-start share. If its age were computed
+/// with a wall clock that is ahead, its slow-start window would be over already.
 #[test]
 fn restarted_upstream_is_in_slow_start_despite_a_wrong_wall_clock() {
     for ahead_seconds in [0, 100, 3600, -100, -3600] {
         let fixture = SlowStartFixture::new(60.0);
         let (program, mut watch) = fixture.start("127.0.0.1:0", ahead_seconds, 0);
         fixture.report_restart(&program, &mut watch, unix_now_ms());
-        let share = fixture.share(&program);
+        let received = fixture.count_requests_to_last_upstream(&program);
         assert!(
-            share < REQUEST_COUNT / 10,
-            "{share} requests of {REQUEST_COUNT}, {ahead_seconds} s ahead"
+            received < REQUEST_COUNT / 10,
+            "the last upstream received {received} of {REQUEST_COUNT} requests, expected less than \
+             a tenth; wall clock {ahead_seconds} s ahead"
         );
     }
 }
 
-/// Measured by a wall clock that is behind, the slow-start window would last until the clock has
-/// caught up.
+/// If the age of the upstream were computed with a wall clock that is behind, its slow-start window
+/// would not end before the clock reaches the time of the restart.
 #[test]
 fn slow_start_after_a_restart_ends_in_time_despite_a_wrong_wall_clock() {
     for ahead_seconds in [0, 3600, -100, -3600] {
@@ -127,10 +128,11 @@
         let (program, mut watch) = fixture.start("127.0.0.1:0", ahead_seconds, 0);
         fixture.report_restart(&program, &mut watch, unix_now_ms());
         sleep(Duration::from_millis(700));
-        let share = fixture.share(&program);
+        let received = fixture.count_requests_to_last_upstream(&program);
         assert!(
-            share > REQUEST_COUNT / 6,
-            "{share} requests of {REQUEST_COUNT}, {ahead_seconds} s ahead"
+            received > REQUEST_COUNT / 6,
+            "the last upstream received {received} of {REQUEST_COUNT} requests, expected more than \
+             a sixth; wall clock {ahead_seconds} s ahead"
         );
     }
 }
@@ -143,10 +145,11 @@
         let fixture = SlowStartFixture::new(0.5);
         let (program, _watch) = fixture.start("127.0.0.1:0", ahead_seconds, unix_now_ms() - 1000);
         sleep(Duration::from_millis(700));
-        let share = fixture.share(&program);
+        let received = fixture.count_requests_to_last_upstream(&program);
         assert!(
-            share > REQUEST_COUNT / 6,
-            "{share} requests of {REQUEST_COUNT}, {ahead_seconds} s ahead"
+            received > REQUEST_COUNT / 6,
+            "the last upstream received {received} of {REQUEST_COUNT} requests, expected more than \
+             a sixth; wall clock {ahead_seconds} s ahead"
         );
     }
 }
@@ -162,10 +165,11 @@
         let (successor, _watch) = fixture.start(&predecessor.address.to_string(), 0, since_ms);
         predecessor.terminate();
         assert!(predecessor.wait().success());
-        let share = fixture.share(&successor);
+        let received = fixture.count_requests_to_last_upstream(&successor);
         assert!(
-            share < REQUEST_COUNT / 10,
-            "{share} requests of {REQUEST_COUNT}, {ahead_seconds} s ahead"
+            received < REQUEST_COUNT / 10,
+            "the last upstream received {received} of {REQUEST_COUNT} requests, expected less than \
+             a tenth; wall clock {ahead_seconds} s ahead"
         );
     }
 }
--- a/tests/decision/harness.rs
+++ b/tests/decision/harness.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Returns the arrival of a request whose client waits for `remaining` seconds.
+/// Returns the event of a new request whose client waits for `remaining` seconds.
 pub fn request(id: u64, class: usize, remaining: f64) -> Event {
     Event::Request(Request {
         id: RequestId(id),
@@ -57,7 +57,7 @@
     })
 }
 
-/// Returns the end of an attempt after 0.1 s. A success concludes the request.
+/// Returns the event of an attempt that ends after 0.1 s. A success concludes the request.
 pub fn attempt_ended(id: u64, attempt: u32, outcome: AttemptOutcome) -> Event {
     Event::AttemptEnded(AttemptResult {
         id: RequestId(id),
@@ -69,7 +69,7 @@
     })
 }
 
-/// Returns the success of a first attempt after `elapsed` seconds.
+/// Returns the event of a first attempt that succeeds after `elapsed` seconds.
 pub fn attempt_succeeded(id: u64, elapsed: f64) -> Event {
     Event::AttemptEnded(AttemptResult {
         id: RequestId(id),
@@ -81,7 +81,8 @@
     })
 }
 
-/// Returns the end of a first attempt without a response, after `elapsed` seconds.
+/// Returns the event of a first attempt that ends after `elapsed` seconds without concluding its
+/// request.
 pub fn attempt_lost(id: u64, outcome: AttemptOutcome, elapsed: f64) -> Event {
     Event::AttemptEnded(AttemptResult {
         id: RequestId(id),
@@ -117,24 +118,24 @@
 }
 
 impl Harness {
-    /// Creates a balancer whose endpoint list has the upstreams 1 to `upstreams`.
-    pub fn new(settings: Settings, upstreams: u64) -> Self {
+    /// Creates a balancer whose endpoint list has the upstreams 1 to `upstream_count`.
+    pub fn new(settings: Settings, upstream_count: u64) -> Self {
         let mut harness = Harness {
             balancer: Balancer::new(settings, 7, 100.0).unwrap(),
             now: 100.0,
         };
-        harness.update_endpoints(ListScope::Full, (1..=upstreams).map(entry).collect());
+        harness.update_endpoints(ListScope::Full, (1..=upstream_count).map(entry).collect());
         harness
     }
 
     /// Creates a balancer with one class of each of these kinds of idempotency, and an endpoint
-    /// list with the upstreams 1 to `upstreams`.
-    pub fn with_classes(idempotency: &[Idempotency], upstreams: u64) -> Self {
+    /// list with the upstreams 1 to `upstream_count`.
+    pub fn with_classes(idempotency: &[Idempotency], upstream_count: u64) -> Self {
         let settings = Settings {
             classes: idempotency.iter().copied().map(class).collect(),
             ..Settings::simple()
         };
-        Harness::new(settings, upstreams)
+        Harness::new(settings, upstream_count)
     }
 
     /// Returns the number of open requests and the number of attempts in flight.
--- a/tests/decision/idle_connections.rs
+++ b/tests/decision/idle_connections.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn idle_connections_are_closed_before_use_after_two_resets() {
+fn idle_connections_are_closed_after_two_resets() {
     assert_eq!(count_closes(|_| AttemptOutcome::Success), 0);
     assert_eq!(
         count_closes(|id| if id == 2 {
@@ -47,9 +47,12 @@
             AttemptOutcome::Success
         }
     });
-    assert!(closes >= 12, "closed {closes} times");
-    // Each reset may cost a request that can't be repeated, so two are enough even if there are
-    // responses between them.
+    assert!(
+        closes >= 12,
+        "idle connections were closed {closes} times, expected at least 12"
+    );
+    // Each reset may fail a request that can't be retried, so two resets suffice for closing idle
+    // connections even if responses are received between them.
     assert!(
         count_closes(|id| if id == 2 || id == 11 {
             AttemptOutcome::Reset
@@ -82,10 +85,10 @@
     );
 }
 
-/// A connection is silent for 0.1 s during each request here, so a pause of 20 ms between requests
-/// does not count as idle time.
+/// A connection carries no bytes for 0.1 s during each request here. A pause of 20 ms between
+/// requests is shorter, so a reset after it does not show that idle connections are dropped.
 #[test]
-fn connections_idle_for_less_than_a_request_takes_are_kept() {
+fn connections_are_kept_if_idle_times_are_shorter_than_the_latency() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
     for id in 1..=40 {
         harness.now += 0.02;
--- a/tests/decision/log_event.rs
+++ b/tests/decision/log_event.rs
@@ -92,7 +92,7 @@
         duration,
     }] = events[..]
     else {
-        panic!("{events:?}");
+        panic!("expected one ejection, received {events:?}");
     };
     assert_eq!(Some(upstream.0), failing);
     assert_eq!(scope, EjectionScope::Class(1));
@@ -109,7 +109,7 @@
     let mut harness = Harness::new(settings, 1);
     let actions = harness.update_endpoints(ListScope::Failed, Vec::new());
     let [Action::SetTimer { after, .. }, Action::Log(event)] = actions[..] else {
-        panic!("{actions:?}");
+        panic!("expected a timer and a log event, received {actions:?}");
     };
     assert_eq!(event, LogEvent::PollFailed { retry_in: after });
 }
--- a/tests/known_red/script.rs
+++ b/tests/known_red/script.rs
@@ -39,7 +39,7 @@
     )
 }
 
-/// Does the same as [`run_with_list_file`], with the text of the list.
+/// Writes the list to a temporary file and calls [`run_with_list_file`] with it.
 pub fn run_with_list(list: &str, output: &str, command_code: i32) -> (i32, String) {
     let list = write_temp_file(list);
     let result = run_with_list_file(&list, output, command_code);
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -1,6 +1,7 @@
-//! Readiness of a newly started process, as reported by `GET /healthz`. The tests have no time
-//! limits other than `TEST_TIMEOUT`. In most of them discovery sends nothing, so a process that
-//! waited for discovery would never become ready.
+//! Readiness of a newly started process, as reported by `GET /healthz` or by `GET /healthcheck` of
+//! the admin endpoint. The tests have no time limits other than `TEST_TIMEOUT`. Where a process
+//! must not wait for discovery, discovery sends nothing, so a process that waited would never be
+//! ready.
 
 mod support;
 use std::io::{BufRead, BufReader};
@@ -23,10 +24,10 @@
     program.client().request("/healthz", "", "").status()
 }
 
-/// The process does not wait for discovery, even if all endpoints that it knows are gone.
+/// The process does not wait for discovery, even if all endpoints that it knows refuse connections.
 #[test]
 fn process_with_known_endpoints_is_ready_without_discovery() {
-    let (served, dead, silent) = (
+    let (upstream, refusing, silent) = (
         StubUpstream::start(StubResponse::Ok),
         RefusingPort::new(),
         StubDiscovery::start(),
@@ -34,20 +35,23 @@
     for discovery in [
         RefusingPort::new().address,
         unreachable_address(),
-        dead.address,
+        refusing.address,
         silent.address,
     ] {
         for mode in DISCOVERY_MODES {
-            let old = [endpoint("u0", dead.address, "in_service")];
+            let refusing_endpoints = [endpoint("u0", refusing.address, "in_service")];
             assert_eq!(
                 health_status(&Program::start(
-                    &config_with_mode(&old, discovery, mode),
+                    &config_with_mode(&refusing_endpoints, discovery, mode),
                     "127.0.0.1:0"
                 )),
                 200
             );
-            let good = [endpoint("u0", served.address, "in_service")];
-            let program = Program::start(&config_with_mode(&good, discovery, mode), "127.0.0.1:0");
+            let working_endpoints = [endpoint("u0", upstream.address, "in_service")];
+            let program = Program::start(
+                &config_with_mode(&working_endpoints, discovery, mode),
+                "127.0.0.1:0",
+            );
             assert_eq!(health_status(&program), 200);
             assert_eq!(
                 program
@@ -176,7 +180,8 @@
     );
 }
 
-/// If the successor waited until it is ready, no process would listen after its predecessor's end.
+/// If the successor listened only once it is ready, no process would listen after the predecessor
+/// has exited.
 #[test]
 fn unready_successor_accepts_clients_once_its_predecessor_is_gone() {
     let (upstream, silent, down) = (
@@ -228,13 +233,13 @@
     successor.wait().unwrap();
     assert!(
         log.is_ok() && client.is_ok(),
-        "no process listens after the kill of the predecessor"
+        "no process listens after the predecessor was killed"
     );
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
-fn readiness_follows_the_endpoint_list() {
+fn process_is_ready_after_the_first_endpoint_is_listed() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, discovery) = Program::with_upstreams(&[]);
     assert_eq!(program.client().request("/healthz", "", "").status(), 503);
