--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn metrics_count_each_outcome_once_and_attempts_when_written() {
+fn metrics_count_each_outcome_and_each_written_attempt_once() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut client = program.client();
@@ -143,10 +143,13 @@
     assert!(late.is_closed_by_peer());
     assert_eq!(program.admin_request("POST /healthcheck/ok").0, 200);
     assert_eq!(program.admin_request("GET /healthcheck").0, 200);
-    let mut back = program.client();
+    let mut after_drain = program.client();
     for _ in 0..2 {
-        assert_eq!(back.request("/healthz", "", "").status(), 200);
-        assert_eq!(back.request("/pay", REQUEST_ID, "coins").status(), 200);
+        assert_eq!(after_drain.request("/healthz", "", "").status(), 200);
+        assert_eq!(
+            after_drain.request("/pay", REQUEST_ID, "coins").status(),
+            200
+        );
     }
 }
 
@@ -244,7 +247,7 @@
 fn connections_with_only_health_checks_are_evicted_for_requests() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
-    let healthy: Vec<_> = (0..200)
+    let health_check_clients: Vec<_> = (0..200)
         .map(|_| {
             let mut client = program.client();
             // A client beyond the capacity gets an error response.
@@ -261,7 +264,7 @@
     let clients: Vec<_> = (0..40).map(|_| send_request(program.client())).collect();
     // None of these connections is evicted for another one.
     clients.into_iter().map(send_request).for_each(drop);
-    drop(healthy);
+    drop(health_check_clients);
 }
 
 #[test]
--- a/tests/decision/outlier_classes.rs
+++ b/tests/decision/outlier_classes.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn upstream_that_loses_one_class_keeps_the_others() {
+fn upstream_that_times_out_for_one_class_keeps_the_others() {
     let [served, failed] = fail_one_class(AttemptOutcome::TimedOut);
     assert!(
         served >= 6 && failed <= 2,
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -31,7 +31,7 @@
 /// already being streamed to the client.
 #[test]
 fn reset_does_not_complete_a_response_without_a_length() {
-    for (count, pause) in [
+    for (body_length, pause_ms) in [
         (0, 0),
         (5, 0),
         (5, 900),
@@ -40,12 +40,12 @@
         (300_000, 200),
     ] {
         let address = upstream(move |stream| {
-            let body = "x".repeat(count);
+            let body = "x".repeat(body_length);
             let head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
             stream
                 .write_all(format!("{head}{body}").as_bytes())
                 .unwrap();
-            sleep(Duration::from_millis(pause));
+            sleep(Duration::from_millis(pause_ms));
             SockRef::from(&*stream)
                 .set_linger(Some(Duration::ZERO))
                 .unwrap();
@@ -68,12 +68,12 @@
         let is_chunked = text.to_lowercase().contains("transfer-encoding: chunked");
         assert!(
             is_error || is_chunked && is_incomplete,
-            "{count} {pause}: {text:.99}"
+            "{body_length} {pause_ms}: {text:.99}"
         );
         assert_eq!(
             (program.metric("failed.pay"), program.metric("served.pay")),
             (1, 0),
-            "{count} {pause}"
+            "{body_length} {pause_ms}"
         );
     }
 }
