--- a/src/bin/load-balancer/discovery/watch_set/mod.rs
+++ b/src/bin/load-balancer/discovery/watch_set/mod.rs
@@ -15,9 +15,9 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// In push mode a failed watch is reopened after this time. A change counts as known as soon as the
-/// local agent has it, even if no watch is open, so the grace period of a drain has to cover the
-/// gap.
+/// In push mode a failed watch is reopened after this time. A change counts as known to the
+/// balancer as soon as the local discovery agent has it, even if no watch is open. The time without
+/// a watch therefore has to be within the grace period of a drain.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 /// In push mode a watch is reopened after this time, instead of `RECONNECT_DELAY`, once
 /// `FAILURES_UNTIL_SLOW_RECONNECT` watches in a row have failed.
@@ -73,7 +73,7 @@
 }
 
 impl Reconnect {
-    /// Returns the text that ends the log line about the replaced watch.
+    /// Returns the part of a log line that says when the replacement is opened.
     fn describe(self) -> String {
         match self {
             Reconnect::Superseded => "a newer watch replaces it".into(),
--- a/src/bin/load-balancer/upstream/attempt.rs
+++ b/src/bin/load-balancer/upstream/attempt.rs
@@ -73,12 +73,12 @@
 }
 
 impl ExchangeEnd {
-    /// Returns the error of an exchange without a valid response that is not repeated on another
-    /// connection. `is_sent` tells whether the complete request may have been written.
+    /// Returns the error with which the attempt fails if it is not continued on another connection.
+    /// `is_sent` tells whether the complete request may have been written.
     fn into_error(self, is_sent: bool, progress: &ExchangeProgress<'_>) -> AttemptError {
         match self {
-            // A response received before the request was sent completely is valid only if it is an
-            // error.
+            // The response was received before the request was sent completely. An error response
+            // is reported as it is; any other response is invalid.
             ExchangeEnd::Finished(exchange) => exchange
                 .response
                 .err()
@@ -149,7 +149,8 @@
         })
     }
 
-    /// Runs the exchange until it finishes or one of the two deadlines passes.
+    /// Runs the exchange until it finishes, or until the write deadline or the deadline of the
+    /// attempt passes.
     async fn exchange_until_deadline(
         &self,
         progress: &ExchangeProgress<'_>,
--- a/src/bin/load-balancer/upstream/exchange.rs
+++ b/src/bin/load-balancer/upstream/exchange.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// A response or the error that it is mapped to, and whether its connection is free.
+/// A response or the error that it is mapped to, and whether its connection can be reused.
 pub(super) struct FinishedExchange {
     pub(super) response: Result<UpstreamResponse, AttemptError>,
     /// Whether the connection can be put back into the pool at once.
@@ -135,7 +135,8 @@
                 completed = completed => completed.is_ok(),
                 _ = &mut connection => false,
             };
-            // Dropping the sender ends the connection.
+            // The sender is kept until here because hyper closes the connection after the response
+            // if the sender has been dropped.
             drop(sender);
             if is_complete && can_reuse && connection.into_parts().read_buf.is_empty() {
                 pool.put(upstream, address, socket);
--- a/src/decision/outlier_stats.rs
+++ b/src/decision/outlier_stats.rs
@@ -12,10 +12,10 @@
 const MAX_COUNTED_FAILURES: i32 = 4;
 /// An upstream is an outlier if its error rate exceeds the mean of its peers by more than this.
 const ERROR_RATE_MARGIN: f64 = 0.3;
-/// After a failed trial request of a class whose requests may be repeated, non-idempotent classes
-/// wait for this many times the ejection duration of that class before their own trial request.
+/// When a class whose requests may be repeated is ejected, the next trial requests of
+/// non-idempotent classes are delayed by at least this many times the duration of that ejection.
 const TRIAL_DELAY_FACTOR: f64 = 2.0;
-/// Successful responses that the error rate presumes before the first actual response.
+/// The error rate starts as if this many successful responses had been received.
 const PRESUMED_SUCCESSES: f64 = 3.0;
 
 /// Outlier statistics of an upstream: first those of all its requests, then those of each class.
@@ -73,13 +73,15 @@
 pub(super) enum HealthChange {
     /// The sample caused neither a recovery nor an ejection.
     Unchanged,
-    /// A success followed one or more failures.
+    /// A request of a class succeeded after one or more failures. This is not reported for the
+    /// scope of all requests.
     Recovered,
     /// The upstream gets no requests of this scope for some time.
     Ejected {
         /// Duration of the ejection, in seconds.
         duration: f64,
-        /// Whether this is the first ejection in a series of failures.
+        /// Whether this is the first ejection in a series of failures of one kind: the failure
+        /// count is exactly the number that leads to an ejection.
         is_first: bool,
     },
 }
@@ -268,9 +270,9 @@
         }
     }
 
-    /// Reschedules the next trial request of a class that has failures. `change` was caused by a
-    /// class whose requests may be repeated: its recovery allows the trial request now, its
-    /// ejection delays it.
+    /// Reschedules the next trial request of a class that has failures, after a `change` in a class
+    /// whose requests may be repeated: the recovery of that class allows the trial request now, and
+    /// the ejection of that class delays it.
     pub(super) fn schedule_trial(&mut self, change: &HealthChange, now: f64) {
         if self.consecutive_failures == 0 {
             return;
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -15,9 +15,9 @@
 }
 
 impl Balancer {
-    /// Returns the next upstream of the rotation that accepts this request. An upstream that
-    /// operators have put back takes precedence once, even outside the subset, so that they can
-    /// see it in use.
+    /// Returns the next upstream of the rotation that accepts this request. An upstream that has
+    /// returned from maintenance takes precedence once, even outside the subset, so that operators
+    /// can see it in use.
     pub(super) fn select_upstream(&self, request: &PendingRequest) -> Option<UpstreamId> {
         let policy = self.outlier_policy(request.class);
         let accepts = |upstream: &Upstream| self.accepts(upstream, request, policy);
@@ -26,8 +26,9 @@
         if let Some(upstream) = returned.find(|upstream| accepts(upstream)) {
             return Some(upstream.entry.id);
         }
-        // A large request is sent where it would end first rather than start first, so that it
-        // goes to a faster upstream.
+        // The work of a large request beyond that of a mean request counts as requests ahead of
+        // it. The rotation then selects the upstream at which it would end first instead of start
+        // first, so that it goes to a faster upstream.
         let excess_work = self
             .latency
             .of_class(request.class)
--- a/src/settings_format/document.rs
+++ b/src/settings_format/document.rs
@@ -1,8 +1,8 @@
 //! The settings format as serde types: `rename` attributes map the names of the format to the
 //! names in this crate.
 //!
-//! Units are those of [`crate::Settings`]. Fields are declared in the order in which their errors
-//! are reported.
+//! Units are those of [`crate::Settings`]. The order of the fields matters: if several values are
+//! invalid, the error of the field that is declared first is reported.
 
 use crate::decision::{DeduplicationScope, DiscoveryMode};
 use serde::de::{self, Deserializer, Visitor};
@@ -97,7 +97,7 @@
     pub(super) max_retry_after: Setting<String>,
 }
 
-/// Rules of the service on polling, slow start and overload.
+/// Rules on polling, slow start and overload that the balancer has to follow.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct RulesDocument {
@@ -179,7 +179,7 @@
 /// Why a text is not a valid value of a setting.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(super) enum ValueError {
-    /// The text is not a number, or not one of the setting's type, such as a negative count.
+    /// The text is not a number that the setting's type can hold, such as -1 or 1.5 for a count.
     #[error("invalid number '{0}'")]
     InvalidNumber(String),
     /// The text is not a boolean.
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -186,7 +186,7 @@
     }
     one.closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the idle connection is closed");
+        .expect("the idle connection is not closed");
     // Discovery removes u0 and lists it again as in service.
     watch.send_line(&list(6, true, &[endpoint("u1", two.address, "in_service")]));
     wait_until("u0 is removed from the list", || {
@@ -269,7 +269,7 @@
 
 #[test]
 fn request_rejected_for_lack_of_capacity_is_counted() {
-    // So many upstreams that the decision module rejects no request.
+    // With this many upstreams, the decision module rejects no request.
     let upstreams: Vec<_> = (0..12)
         .map(|_| StubUpstream::start(StubResponse::NoResponse))
         .collect();
@@ -312,7 +312,8 @@
         wait_until("the process is draining", || {
             program.admin_request("GET /healthcheck").0 == 503
         });
-        // Longer than an idle connection stays open, and shorter than the time limit for a head.
+        // This is longer than an idle connection stays open in a drain, and shorter than the time
+        // limit for a head.
         sleep(Duration::from_millis(1000));
         client.write("1\r\nContent-Length: 5\r\n\r\ncoins");
         let response = client.receive().unwrap().expect("no response");
@@ -325,7 +326,8 @@
     }
 }
 
-/// A request that is still being received would otherwise be open when SIGKILL ends the process.
+/// A graceful shutdown rejects a request whose body is still being received. The request would
+/// otherwise be open when SIGKILL ends the process.
 #[test]
 fn request_with_an_incomplete_body_is_rejected_before_sigkill() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -339,7 +341,7 @@
         program.metric("in_flight") == 1
     });
     program.terminate();
-    // Sends for 20 s, longer than the process may live, or until a write fails.
+    // Sends for 20 s, longer than the process may run after SIGTERM, or until a write fails.
     let mut writer = client.writer();
     let sending = std::thread::spawn(move || {
         for _ in 0..400 {
--- a/tests/decision/outlier_classes.rs
+++ b/tests/decision/outlier_classes.rs
@@ -70,7 +70,7 @@
     let mut harness = Harness::new(without_retries(Settings::simple()), 4);
     let mut counts = [0; 5];
     for id in 1..=200 {
-        // Longer than the pause that follows each rejection.
+        // This is longer than the pause that follows each rejection.
         harness.now += 1.0;
         counts[harness.send(request(id, 0, 2.0)) as usize] += 1;
         harness.handle(attempt_ended(
@@ -106,8 +106,8 @@
     assert!(counts[1..].iter().all(|n| *n > 20), "{counts:?}");
 }
 
-/// Sends requests of three classes in turn to four upstreams, of which upstream 1 fails all that it
-/// receives. Returns how many requests of each class it receives.
+/// Sends requests of three classes in turn to four upstreams. Upstream 1 responds to all of its
+/// requests with an error. Returns how many requests of each class it receives.
 fn fail_all_classes(classes: [Idempotency; 3], requests: u64) -> [u32; 3] {
     let classes = classes.map(class).to_vec();
     let mut harness = Harness::new(
@@ -141,7 +141,7 @@
     let failed = fail_all_classes([Idempotency::NonIdempotent; 3], 60);
     assert!(
         failed.iter().sum::<u32>() <= 5,
-        "{failed:?} failures; each class by itself would take two"
+        "{failed:?} failures, expected at most 5; classes that count alone would fail twice each"
     );
 }
 
@@ -161,7 +161,7 @@
         "{mixed:?} failures; at least 4 trials should be requests of the first class"
     );
     assert!(mixed[1] + mixed[2] <= 6, "{mixed:?} failures");
-    // Without an idempotent class, the non-idempotent ones do the trials.
+    // Without an idempotent class, requests of the non-idempotent ones are the trial requests.
     let non_idempotent = fail_all_classes([Idempotency::NonIdempotent; 3], 6000);
     assert!(
         non_idempotent.iter().all(|failed| *failed >= 4),
--- a/tests/idle_clients.rs
+++ b/tests/idle_clients.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// A client that stalls in the middle of a request gets an error or a close within 3 s, even if it
-/// has received a response on that connection before.
+/// A client that stalls in the middle of a request is sent an error response, or its connection is
+/// closed, within 3 s. This also holds if it has received a response on that connection before.
 #[test]
 fn a_client_that_stalls_in_a_later_request_is_rejected() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -53,7 +53,8 @@
     for (client, partial) in clients.iter_mut().zip(&partial_requests) {
         let response = client.receive().ok().flatten();
         assert!(response.is_none_or(|response| response.status() == 408));
-        // The timeout of idle connections is 10 s. A busy machine may take longer than 3 s.
+        // The bound is above 3 s because a busy machine may take longer, and below the timeout of
+        // idle connections, which is 10 s.
         assert!(
             begun.elapsed() < Duration::from_secs(6),
             "response or close after {:?}: {partial:.60}",
@@ -62,8 +63,8 @@
     }
 }
 
-/// Connections on which nothing or only a part of a request is sent are closed in time, and do not
-/// use up the capacity that other clients need.
+/// A connection on which nothing or only a part of a request is sent is closed after a time limit.
+/// It is evicted earlier if other clients need its capacity.
 #[test]
 fn a_client_that_stalls_in_its_first_request_is_closed() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -86,8 +87,8 @@
             client
         })
         .collect();
-    // There is capacity for less than half of these connections, so one of them must be evicted for
-    // a complete request.
+    // There is capacity for fewer than half of these connections, so a complete request is served
+    // only if one of them is evicted.
     while Client::connect(program.address)
         .ok()
         .and_then(|mut client| {
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -11,7 +11,7 @@
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
 
-/// Starts an upstream that responds to the first request on each connection by `response`.
+/// Starts an upstream that responds to the first request on each connection by calling `response`.
 fn upstream(response: impl Fn(&mut TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -68,12 +68,12 @@
         let is_chunked = text.to_lowercase().contains("transfer-encoding: chunked");
         assert!(
             is_error || is_chunked && is_incomplete,
-            "{body_length} {pause_ms}: {text:.99}"
+            "{body_length} bytes, reset after {pause_ms} ms: {text:.99}"
         );
         assert_eq!(
             (program.metric("failed.pay"), program.metric("served.pay")),
             (1, 0),
-            "{body_length} {pause_ms}"
+            "{body_length} bytes, reset after {pause_ms} ms"
         );
     }
 }
@@ -111,8 +111,8 @@
     }
 }
 
-/// The balancer must not read an endless chunk size until the request's deadline. The chunk size
-/// goes on after the balancer has read the head.
+/// The balancer must stop reading an endless chunk size before the request's deadline. The endless
+/// part is sent only after the balancer has read the head.
 #[test]
 fn endless_chunk_size_is_malformed() {
     let responses = [
@@ -143,16 +143,18 @@
             "HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n{beginning}"
         )
         .unwrap();
-        // The responses to these requests show that the balancer has read what was written.
+        // The balancer runs on one thread: once it has responded to these requests, it has also
+        // read what was written before.
         for _ in 0..2 {
             assert_eq!(program.client().request("/healthz", "", "").status(), 200);
         }
-        // More than the buffers between the upstream and the balancer hold.
+        // This is more than the buffers between the upstream and the balancer hold.
         let successful_writes =
             (0..400).take_while(|_| stream.write_all(filler.repeat(100_000).as_bytes()).is_ok());
         assert!(
             successful_writes.count() < 400,
-            "expected a failed write after the response is cancelled: {status} {beginning:?}"
+            "400 writes succeeded, expected one to fail when the connection is closed: \
+                {status} {beginning:?}"
         );
         assert_eq!(
             client.receive().unwrap().expect("no response").status(),
@@ -222,7 +224,7 @@
         let filler = if filler.is_empty() { beginning } else { filler };
         let address = upstream(move |stream| {
             let _ = stream.write_all(beginning.as_bytes());
-            // Until the balancer closes the connection.
+            // Writes fail once the balancer has closed the connection.
             while stream.write_all(filler.repeat(100).as_bytes()).is_ok() {}
         });
         let (program, _discovery) = Program::with_upstreams(&[address]);
