--- a/src/bin/load-balancer/handover/folder.rs
+++ b/src/bin/load-balancer/handover/folder.rs
@@ -65,9 +65,9 @@
 /// Connects to the predecessor that listens on `socket` and returns `None` if there is none.
 /// Transient errors are retried.
 pub async fn connect_to_predecessor(socket: &Path) -> Option<UnixStream> {
-    let is_transient = |result: &io::Result<UnixStream>| result.as_ref().is_err_and(is_transient);
+    let should_retry = |result: &io::Result<UnixStream>| result.as_ref().is_err_and(is_transient);
     let connect = || UnixStream::connect(socket);
-    FOLDER_RETRY_SCHEDULE.run(is_transient, connect).await.ok()
+    FOLDER_RETRY_SCHEDULE.run(should_retry, connect).await.ok()
 }
 
 /// Listens for a successor on `socket`. The new socket atomically replaces the one of the
--- a/tests/decision/outliers.rs
+++ b/tests/decision/outliers.rs
@@ -89,15 +89,15 @@
 
 /// An upstream may lose some requests of a class and respond to the others.
 #[test]
-fn overdue_attempt_excludes_its_class_despite_other_responses() {
+fn overdue_attempt_excludes_its_upstream_despite_other_responses() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
-    let upstream_of_lost = harness.send(request(1, 0, 20.0));
+    let upstream_of_lost_request = harness.send(request(1, 0, 20.0));
     let mut count = 0;
     for id in 2..60 {
         let upstream = harness.send(request(id, 0, 2.0));
         harness.now += 0.1;
         harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
-        count += u32::from(upstream == upstream_of_lost && harness.now > 103.0);
+        count += u32::from(upstream == upstream_of_lost_request && harness.now > 103.0);
     }
     assert_eq!(count, 0);
     // The ejection lasts as long as the silence did.
@@ -106,7 +106,10 @@
     let upstreams: Vec<_> = (60..64)
         .map(|id| harness.send(request(id, 0, 2.0)))
         .collect();
-    assert!(!upstreams.contains(&upstream_of_lost), "{upstreams:?}");
+    assert!(
+        !upstreams.contains(&upstream_of_lost_request),
+        "{upstreams:?}"
+    );
 }
 
 /// If all upstreams lose single requests, ejections would hit one upstream after the other.
@@ -118,7 +121,7 @@
     // upstream of the lost request while that one is overdue.
     let mut lose_one = |harness: &mut Harness| {
         let lost = id;
-        let upstream_of_lost = harness.send(request(lost, 0, 2.0));
+        let upstream_of_lost_request = harness.send(request(lost, 0, 2.0));
         let mut count = 0;
         for number in 1..=24 {
             id += 1;
@@ -126,7 +129,7 @@
             harness.now += 0.08;
             harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
             // The lost request is overdue in the second half.
-            count += u32::from(number > 12 && upstream == upstream_of_lost);
+            count += u32::from(number > 12 && upstream == upstream_of_lost_request);
         }
         harness.handle(attempt_lost(lost, AttemptOutcome::TimedOut, 1.92));
         id += 1;
@@ -157,12 +160,12 @@
         AttemptOutcome::ConnectFailed,
     ] {
         let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
-        let upstream_of_lost = harness.send(request(1, 0, 0.5));
+        let upstream_of_lost_request = harness.send(request(1, 0, 0.5));
         harness.now += 0.1;
         harness.handle(attempt_lost(1, outcome, 0.1));
         let upstreams: Vec<_> = (2..6).map(|id| harness.send(request(id, 0, 2.0))).collect();
         assert!(
-            upstreams.contains(&upstream_of_lost),
+            upstreams.contains(&upstream_of_lost_request),
             "{outcome:?} {upstreams:?}"
         );
     }
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -64,18 +64,22 @@
 /// A status that this version does not know must not be treated as `in_service`.
 #[test]
 fn an_upstream_whose_status_is_unknown_gets_no_request() {
-    let (unknown, known_good) = (
+    let (warming_up, in_service) = (
         StubUpstream::start(StubResponse::Ok),
         StubUpstream::start(StubResponse::Ok),
     );
     let discovery = StubDiscovery::start();
-    let known = |status: &str| {
+    let endpoints_with_status = |status: &str| {
         [
-            endpoint("u0", unknown.address, status),
-            endpoint("u1", known_good.address, "in_service"),
+            endpoint("u0", warming_up.address, status),
+            endpoint("u1", in_service.address, "in_service"),
         ]
     };
-    let config = config(&list(5, true, &known("warming_up")), discovery.address, 256);
+    let config = config(
+        &list(5, true, &endpoints_with_status("warming_up")),
+        discovery.address,
+        256,
+    );
     let program = Program::start(&config, "127.0.0.1:0");
     let mut client = program.client();
     for _ in 0..20 {
@@ -86,10 +90,10 @@
             200
         );
     }
-    assert!(unknown.seen.try_recv().is_err());
+    assert!(warming_up.seen.try_recv().is_err());
     discovery
         .next()
-        .send_line(&list(6, true, &known("in_service")));
+        .send_line(&list(6, true, &endpoints_with_status("in_service")));
     wait_until("the upstream gets requests once it is in service", || {
         assert_eq!(
             client
@@ -97,6 +101,6 @@
                 .status(),
             200
         );
-        unknown.seen.try_recv().is_ok()
+        warming_up.seen.try_recv().is_ok()
     });
 }
