--- a/src/bin/load-balancer/discovery/silence_timer/tests.rs
+++ b/src/bin/load-balancer/discovery/silence_timer/tests.rs
@@ -4,8 +4,8 @@
 use std::cell::Cell;
 use std::pin::pin;
 
-/// A chunk that is received in the turn in which the timer expires must not suppress the report of
-/// the silence after it.
+/// A chunk that is received in the same turn of the event loop in which the timer expires takes
+/// precedence over the report. It must not suppress the report if the silence continues afterwards.
 #[tokio::test(start_paused = true)]
 async fn silence_after_a_chunk_at_the_timeout_is_reported() {
     let reports = Cell::new(0);
@@ -16,7 +16,7 @@
     tokio::time::advance(2 * second).await;
     timer.wait(&mut std::future::ready(()), report).await;
     assert_eq!(reports.get(), 0);
-    // No data is received for a second.
+    // The timer has expired and was not restarted, so the next wait without data is a silence.
     timer.wait(&mut pin!(sleep(second)), report).await;
     assert_eq!(reports.get(), 1);
     timer.wait(&mut pin!(sleep(second)), report).await;
--- a/src/bin/load-balancer/dispatch/upstream_directory/mod.rs
+++ b/src/bin/load-balancer/dispatch/upstream_directory/mod.rs
@@ -21,7 +21,7 @@
 struct ListedUpstream {
     name: String,
     address: SocketAddr,
-    /// In seconds since the Unix epoch; 0 if it started long ago.
+    /// When the upstream last started, in seconds since the Unix epoch; 0 if it started long ago.
     started_at: f64,
     state: UpstreamState,
 }
@@ -63,7 +63,7 @@
     }
 
     /// Applies an endpoint list and returns its entries for the decision module. Removed upstreams
-    /// stay in the directory until `purge_removed`.
+    /// stay in the directory until [`Self::purge_removed`] deletes them.
     pub fn apply(&mut self, list: EndpointList, names: &NameTables) -> Vec<UpstreamEntry> {
         self.has_had_endpoints |= !list.endpoints.is_empty();
         if list.snapshot {
--- a/src/bin/load-balancer/handover/folder.rs
+++ b/src/bin/load-balancer/handover/folder.rs
@@ -9,10 +9,12 @@
 use std::time::Duration;
 use tokio::net::{UnixListener, UnixStream};
 
-/// Prefix of the file names. Versions up to 47c951f look for files with this prefix.
+/// Prefix of the file names. Versions up to 47c951f look for files with the same prefix, so it must
+/// not change.
 const FILE_NAME_PREFIX: &str = "magpiechute";
 
-/// Retries of a connect or a read in the folder that failed with a transient error.
+/// Schedule by which a connect to the handover socket or a read of the state file is retried after
+/// a transient error.
 pub const FOLDER_RETRY_SCHEDULE: RetrySchedule = RetrySchedule {
     interval: Duration::from_millis(20),
     timeout: Duration::from_secs(1),
@@ -62,8 +64,8 @@
     }
 }
 
-/// Connects to the predecessor that listens on `socket` and returns `None` if there is none.
-/// Transient errors are retried.
+/// Connects to the predecessor that listens on `socket`. Retries after transient errors, as
+/// scheduled by [`FOLDER_RETRY_SCHEDULE`]. Returns `None` if no connection is established.
 pub async fn connect_to_predecessor(socket: &Path) -> Option<UnixStream> {
     let should_retry = |result: &io::Result<UnixStream>| result.as_ref().is_err_and(is_transient);
     let connect = || UnixStream::connect(socket);
@@ -75,7 +77,7 @@
 ///
 /// # Errors
 ///
-/// Returns the error of socket(2) or bind(2), or of the rename to `socket`.
+/// Returns the error of socket(2), bind(2) or listen(2), or of the rename to `socket`.
 pub fn listen_for_successor(socket: &Path) -> io::Result<UnixListener> {
     let temporary = socket.with_extension(std::process::id().to_string());
     // A file with this name can only be left over from a dead process with the same process id.
--- a/src/bin/load-balancer/upstream/request.rs
+++ b/src/bin/load-balancer/upstream/request.rs
@@ -24,7 +24,7 @@
     pub client: PeerHandle,
     /// How long the client waits after it has sent the last byte of its body.
     pub timeout: Duration,
-    /// The end of a graceful shutdown, which limits the deadline of the request.
+    /// The deadline of a graceful shutdown. Once it is set, it limits the deadline of the request.
     pub shutdown_deadline: ShutdownDeadline,
 }
 
--- a/src/decision/conclusion.rs
+++ b/src/decision/conclusion.rs
@@ -5,17 +5,17 @@
 use super::event::RequestId;
 use super::request::PendingRequest;
 
-/// Retry-After of a rejection, as a share of the expected latency. If a few requests are in
-/// flight, one of them has ended by then.
+/// Retry-After of a rejection, as a share of the request's expected latency. While several requests
+/// are in flight, one of them usually ends and frees its slot within this time.
 const RETRY_AFTER_SHARE: f64 = 0.25;
 
 impl Balancer {
-    /// Ends a request that will get no response: rejects it if a repeat does no harm, else fails
-    /// it.
+    /// Ends a request without a final response from an upstream: rejects it if a repeat does no
+    /// harm, else fails it.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = &self.requests[&id];
-        // Clients that choose a delay themselves retry too soon and are rejected again, or so late
-        // that capacity is wasted.
+        // Without a Retry-After, clients retry too soon and are rejected again, or so late that
+        // capacity is wasted.
         let retry_after = self
             .settings
             .limits
@@ -31,8 +31,9 @@
         self.conclude(id, actions);
     }
 
-    /// Concludes a request that needs no response any more: removes it from its queue and cancels
-    /// its attempts.
+    /// Concludes a request that needs no further response: removes it from its queue, cancels its
+    /// attempts if the settings allow that, and removes it if no attempt is in flight. Does nothing
+    /// if the request is already concluded.
     pub(super) fn conclude(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get_mut(&id);
         let Some(request) = request.filter(|request| !request.is_concluded) else {
@@ -52,7 +53,7 @@
         self.release(id);
     }
 
-    /// Removes a request that is concluded and has no attempt in flight.
+    /// Removes the request if it is concluded and has no attempt in flight.
     pub(super) fn release(&mut self, id: RequestId) {
         let request = self.requests.get(&id);
         if request.is_some_and(PendingRequest::is_done) {
--- a/tests/decision/outliers.rs
+++ b/tests/decision/outliers.rs
@@ -50,7 +50,7 @@
             .filter(|upstream| **upstream == failing)
             .count(),
         1,
-        "one trial: {upstreams:?}"
+        "trial requests to upstream {failing}; upstreams of all requests: {upstreams:?}"
     );
 }
 
@@ -93,14 +93,18 @@
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
     let upstream_of_lost_request = harness.send(request(1, 0, 20.0));
     let mut count = 0;
+    // Request 1 is sent at 100 s and is overdue after 1 s.
     for id in 2..60 {
         let upstream = harness.send(request(id, 0, 2.0));
         harness.now += 0.1;
         harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
         count += u32::from(upstream == upstream_of_lost_request && harness.now > 103.0);
     }
-    assert_eq!(count, 0);
-    // The ejection lasts as long as the silence did.
+    assert_eq!(
+        count, 0,
+        "requests sent to the upstream of the overdue request"
+    );
+    // The ejection lasts at least as long as the lost attempt, which took 6 s.
     harness.handle(attempt_lost(1, AttemptOutcome::TimedOut, 6.0));
     harness.now += 5.0;
     let upstreams: Vec<_> = (60..64)
@@ -108,17 +112,18 @@
         .collect();
     assert!(
         !upstreams.contains(&upstream_of_lost_request),
-        "{upstreams:?}"
+        "upstream {upstream_of_lost_request} got a request during its ejection: {upstreams:?}"
     );
 }
 
-/// If all upstreams lose single requests, ejections would hit one upstream after the other.
+/// If every upstream loses single requests silently, the fault lies on the path to all of them.
+/// Ejecting an upstream after each loss would exclude one upstream after the other.
 #[test]
 fn silent_losses_at_all_upstreams_eject_none() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
     let mut id = 0;
-    // Loses one request silently while 24 others succeed. Returns how many of these are sent to the
-    // upstream of the lost request while that one is overdue.
+    // Loses one request silently while 24 others succeed. Returns how many of the last 12 are sent
+    // to the upstream of the lost request.
     let mut lose_one = |harness: &mut Harness| {
         let lost = id;
         let upstream_of_lost_request = harness.send(request(lost, 0, 2.0));
@@ -128,7 +133,7 @@
             let upstream = harness.send(request(id, 0, 2.0));
             harness.now += 0.08;
             harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
-            // The lost request is overdue in the second half.
+            // The lost request becomes overdue at the 14th request at the latest.
             count += u32::from(number > 12 && upstream == upstream_of_lost_request);
         }
         harness.handle(attempt_lost(lost, AttemptOutcome::TimedOut, 1.92));
@@ -146,11 +151,13 @@
     let while_overdue: u32 = (0..4).map(|_| lose_one(&mut harness)).sum();
     assert!(
         while_overdue >= 8,
-        "{while_overdue} of 48 requests; an even share is 12"
+        "{while_overdue} of 48 requests sent to the upstream of the overdue request; \
+         an even share is 12"
     );
 }
 
-/// The upstream is not to blame for a short client deadline, nor for a single broken connection.
+/// The upstream is not to blame for a short client deadline, an early cancellation or a single
+/// broken connection.
 #[test]
 fn short_client_deadline_or_single_broken_connection_ejects_none() {
     for outcome in [
@@ -166,7 +173,7 @@
         let upstreams: Vec<_> = (2..6).map(|id| harness.send(request(id, 0, 2.0))).collect();
         assert!(
             upstreams.contains(&upstream_of_lost_request),
-            "{outcome:?} {upstreams:?}"
+            "{outcome:?} at upstream {upstream_of_lost_request}; next requests: {upstreams:?}"
         );
     }
 }
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -17,7 +17,7 @@
     let mut watch = discovery.next();
     assert!(
         watch.request_line.contains("follow=1") && watch.request_line.contains("since=5"),
-        "{}",
+        "request line of the watch: {}",
         watch.request_line
     );
     watch.send_line("");
@@ -94,7 +94,7 @@
     discovery
         .next()
         .send_line(&list(6, true, &endpoints_with_status("in_service")));
-    wait_until("the upstream gets requests once it is in service", || {
+    wait_until("the upstream that is now in service gets a request", || {
         assert_eq!(
             client
                 .request("/pay", "Request-Id: {id}\r\n", "coins")
--- a/tests/handover_failures.rs
+++ b/tests/handover_failures.rs
@@ -1,4 +1,5 @@
-//! Failures of system calls during an upgrade, and a kill in the middle of one.
+//! Failures of system calls that a handover depends on, and a kill during a write of the state
+//! file.
 
 mod support;
 use support::*;
@@ -8,7 +9,8 @@
 /// Writes to the folder of the state file fail temporarily.
 #[test]
 fn a_failed_write_of_the_state_file_is_retried() {
-    // ENOSPC and EIO. More calls fail (8) than are made before the response.
+    // `write` fails with ENOSPC, `rename` with EIO. The first 8 calls fail, which is more than the
+    // process makes before it responds to the admin request.
     for faults in ["write:28:1:1:8", "rename:5:1:1:8"] {
         let fixture = UpgradeFixture::new();
         let variables = [
@@ -31,7 +33,7 @@
     }
 }
 
-/// The folder of the socket is full temporarily.
+/// The folder of the handover socket is temporarily full (ENOSPC).
 #[test]
 fn a_failed_creation_of_the_handover_socket_is_retried() {
     let fixture = UpgradeFixture::new();
@@ -56,15 +58,16 @@
             .exists()
     });
     let successor = fixture.start(&predecessor.address.to_string());
-    wait_until("both processes are connected", || {
+    wait_until("both processes are ready", || {
         predecessor.admin_request("GET /healthcheck").0 == 200
             && successor.admin_request("GET /healthcheck").0 == 200
     });
     assert!(predecessor.open_descriptors() + successor.open_descriptors() <= 256);
 }
 
-/// A successor that does not find its predecessor would act as the only process and miss the
-/// maintenance. The calls fail with EIO, ENFILE, EAGAIN or ENOMEM.
+/// Without a connection to its predecessor, a successor would act as the only process and miss
+/// changes of the maintenance. Without the state file, it would not know of the maintenance. The
+/// calls fail with EIO, ENFILE, EAGAIN or ENOMEM.
 #[test]
 fn successor_finds_its_predecessor_despite_transient_call_failures() {
     for faults in [
@@ -84,7 +87,7 @@
         let successor = fixture.start_with(&variables, &predecessor.address.to_string());
         assert_eq!(successor.metric("upstreams_excluded"), 1, "{faults}");
         assert_eq!(predecessor.admin_request("POST /upstreams/u0/ready").0, 200);
-        wait_until("the change has arrived", || {
+        wait_until("the successor has ended the maintenance", || {
             successor.metric("upstreams_excluded") == 0
         });
     }
@@ -92,6 +95,7 @@
 
 #[test]
 fn changes_reach_the_peer_despite_failing_recv_and_send() {
+    // Every second call fails, with EINTR, ENOBUFS or ENOMEM.
     for (call, error) in ["recv", "send"]
         .iter()
         .flat_map(|call| [4, 105, 12].map(|error| (*call, error)))
@@ -143,12 +147,13 @@
     let predecessor = fixture.start_with(&variables, "127.0.0.1:0");
     let successor = fixture.start(&predecessor.address.to_string());
     assert_eq!(predecessor.admin_request("POST /upstreams/u0/maint").0, 200);
-    wait_until("the change has arrived", || {
+    wait_until("the successor has begun the maintenance", || {
         successor.metric("upstreams_excluded") == 1
     });
 }
 
-/// The predecessor closes the first connection because it cannot register it (ENOMEM).
+/// The predecessor fails to register the successor's first connection with epoll (ENOMEM) and
+/// closes that connection.
 #[test]
 fn successor_reconnects_if_its_first_connection_ends_at_once() {
     let fixture = UpgradeFixture::new();
@@ -165,7 +170,7 @@
     });
     let successor = fixture.start(&predecessor.address.to_string());
     assert_eq!(predecessor.admin_request("POST /upstreams/u0/maint").0, 200);
-    wait_until("the change has arrived", || {
+    wait_until("the successor has begun the maintenance", || {
         successor.metric("upstreams_excluded") == 1
     });
 }
@@ -185,7 +190,7 @@
     let previous_state = std::fs::read(&state_file).unwrap();
     let mut admin_client = predecessor.connect_admin();
     admin_client.write("POST /upstreams/u0/ready HTTP/1.1\r\nHost: console\r\n\r\n");
-    wait_until("the new state is written", || {
+    wait_until("the temporary file of the new state exists", || {
         state_file.with_extension("new").exists()
     });
     predecessor.kill();
@@ -194,6 +199,6 @@
     assert_eq!(
         successor.metric("upstreams_excluded"),
         1,
-        "u0 is in service though its return was never confirmed"
+        "u0 is in service although the request to end its maintenance got no response"
     );
 }
--- a/tests/known_red/test_output.rs
+++ b/tests/known_red/test_output.rs
@@ -1,7 +1,8 @@
-//! Builds made-up output of the test command.
+//! Builds sample output of the test command, `cargo test`.
 
-/// Returns the output of one test binary. Each test is given by its name and the result that is
-/// printed after it.
+/// Returns the output of one test binary, or of the doc tests if `name` is `doc`. Each test is
+/// given by its name and the result that is printed after it. The captured output of a failed test
+/// is `CAPTURED`.
 pub fn binary_output(name: &str, tests: &[(&str, &str)]) -> String {
     let count = |ending| {
         tests
