--- a/src/decision/action.rs
+++ b/src/decision/action.rs
@@ -29,7 +29,7 @@
         /// The failed request.
         id: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight. The end of the attempt still has to be reported.
     CancelAttempt {
         /// The request that the attempt belongs to.
         id: RequestId,
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -8,9 +8,9 @@
 use super::settings::Class;
 use serde::{Deserialize, Serialize};
 
-/// Longest queue time of a request, as a share of its slack. The slack is the time that the
-/// latency objective leaves beyond the expected latency, or the expected latency if that is
-/// longer.
+/// Longest queue time of a request in the first tier, as a share of its slack. The slack is the
+/// time that the latency objective leaves beyond the expected latency, or the expected latency if
+/// that is longer.
 const QUEUE_TIME_SHARE: f64 = 0.4;
 /// Longest queue time, as a share of the slack, in classes whose late responses have a weight.
 const QUEUE_TIME_SHARE_LATE_WEIGHT: f64 = 2.0 * QUEUE_TIME_SHARE;
@@ -32,7 +32,7 @@
     }
 
     /// Counts a request, and returns the share of the rate that exceeds `quota` (requests per
-    /// second; 0: no quota). The average decays over `window` seconds.
+    /// second; 0: no quota). `window` is the time constant of the average, in seconds.
     fn add_request(&mut self, quota: f64, now: f64, window: f64) -> f64 {
         let decay = (-(now - self.updated_at) / window).exp();
         self.per_second = self.per_second * decay + 1.0 / window;
@@ -46,7 +46,8 @@
 }
 
 impl Balancer {
-    /// Admits a request. A request with an unknown class or with an id that is in use is ignored.
+    /// Handles an arriving request: sends it, queues it, or gives it up. A request with an unknown
+    /// class or with an id that is in use is ignored.
     pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         let class = self.settings.classes.get(request.class);
@@ -100,8 +101,8 @@
     }
 
     /// Returns the priority weight that a request earns per second of its expected latency. The
-    /// weight of requests beyond their tenant's quota is reduced, so that one tenant can't take
-    /// the capacity of the others.
+    /// weight is reduced if the tenant exceeded its quota when the request arrived, so that one
+    /// tenant can't take the capacity of the others.
     pub(super) fn weight_per_second(&self, id: RequestId) -> f64 {
         let request = &self.requests[&id];
         let work = if self.settings.weight_by_work {
--- a/src/decision/attempt_results.rs
+++ b/src/decision/attempt_results.rs
@@ -9,9 +9,9 @@
 use super::upstream::upstream_of_attempt;
 
 impl Balancer {
-    /// Handles the end of an attempt: updates the statistics, concludes or retries its request,
-    /// and gives the free slot to a queued request. A result that has been reported before is
-    /// ignored.
+    /// Handles the end of an attempt: updates the statistics, concludes or retries the request, and
+    /// gives free slots to queued requests. The result of an unknown attempt is ignored, as is a
+    /// second result of the same attempt.
     pub(super) fn on_attempt_ended(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
         let (id, outcome) = (result.id, result.outcome);
         let Some(request) = self.requests.get_mut(&id) else {
@@ -68,7 +68,7 @@
     }
 
     /// Adapts the upstream's concurrency limit and pause to the end of an attempt. A success also
-    /// updates the latency estimates and the size of the subset.
+    /// updates the latency estimates, the retry budget and the size of the subset.
     fn adapt_to_result(
         &mut self,
         id: UpstreamId,
@@ -95,8 +95,8 @@
                 self.rotation.resize_subset(load_level);
             }
             AttemptOutcome::Error => decrease_after_error(stats),
-            // An upstream that rejects requests has nothing in flight and would attract every
-            // request.
+            // Rejections end attempts early, so without a pause a rejecting upstream would have
+            // nothing in flight and attract every request.
             AttemptOutcome::Rejected => stats.paused_until = self.now + ended.expected_latency,
             AttemptOutcome::ConnectFailed | AttemptOutcome::Reset | AttemptOutcome::TimedOut
                 if stats.outliers.all_requests().is_silent_since(ended.sent_at)
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Handles the end of an upload: the upstream has received the whole request, so its attempt
-    /// can become overdue from now on.
+    /// Handles the end of an upload: the whole request has been sent to the upstream, so from now
+    /// on the attempt can become overdue.
     pub(super) fn on_upload_completed(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -1,9 +1,10 @@
 //! The balancer: owns the state of all modules and dispatches each event to the module that
 //! handles it.
 //!
-//! The balancer counts its attempts in flight at each upstream. A request goes to the next
-//! upstream of the rotation that is below its concurrency limit. If there is none, the request is
-//! queued until a slot becomes free or its queue deadline has passed.
+//! The balancer counts its attempts in flight at each upstream. A request goes to the next upstream
+//! of the rotation that accepts it; an upstream at its concurrency limit accepts none. If no
+//! upstream accepts the request, it is queued until a slot becomes free or its queue deadline has
+//! passed, or given up immediately if no queue has space.
 
 use super::action::Action;
 use super::admission::RequestRate;
@@ -24,14 +25,16 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The load of a balancer. A balancer without open requests and attempts in flight is idle.
+/// The load of a balancer. A balancer is idle if it has neither open requests nor attempts in
+/// flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
     /// Requests without a final response or with attempts in flight.
     pub open_requests: usize,
     /// Attempts in flight.
     pub attempts_in_flight: usize,
-    /// Upstreams that are listed or have attempts in flight.
+    /// Upstreams that are in service according to the endpoint list, and others that had attempts
+    /// in flight at the last change of the available upstreams.
     pub upstreams: usize,
 }
 
@@ -135,7 +138,8 @@
     }
 
     /// Returns the number of upstreams that are in service according to the endpoint list but
-    /// currently get no requests of any class.
+    /// unavailable or ineligible for every class, for example in maintenance or ejected. In panic
+    /// mode, ineligible upstreams are counted although they get requests.
     #[must_use]
     pub fn excluded_upstreams(&self) -> usize {
         let is_listed = |upstream: &&Upstream| upstream.entry.state == UpstreamState::Active;
--- a/src/decision/conclusion.rs
+++ b/src/decision/conclusion.rs
@@ -32,8 +32,8 @@
     }
 
     /// Concludes a request that needs no further response: removes it from its queue, cancels its
-    /// attempts if the settings allow that, and removes it if no attempt is in flight. Does nothing
-    /// if the request is already concluded.
+    /// attempts in flight if the settings allow cancellation, and discards it if no attempt is in
+    /// flight. Does nothing if the request is already concluded.
     pub(super) fn conclude(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get_mut(&id);
         let Some(request) = request.filter(|request| !request.is_concluded) else {
--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -1,15 +1,15 @@
 //! The concurrency limit: how many attempts this balancer may have in flight at one upstream.
 //!
-//! The limit is this balancer's even share of the upstream's slots, times a multiplier that is
-//! adapted to the results of the upstream. If nothing is in flight there, one request is allowed
-//! whatever the limit is.
+//! The limit is this balancer's even share of the upstream's slots, or one slot if the share is
+//! less, times a multiplier that is adapted to the results of the attempts there. If nothing is in
+//! flight at the upstream, one request is allowed whatever the limit is.
 
 use super::congestion::Congestion;
 use super::event::AttemptOutcome;
 use super::moving_average::{add_sample, SLOW_SMOOTHING, SMOOTHING};
 use super::upstream::{Upstream, UpstreamStats};
 
-/// Requests that may be queued per slot of an upstream.
+/// Requests that may be queued at an upstream per slot of its concurrency limit.
 const QUEUED_REQUESTS_PER_SLOT: f64 = 8.0;
 /// Slots by which each response raises a limit while requests are queued, before congestion has
 /// occurred.
@@ -19,12 +19,12 @@
 const GROWTH_SLOTS_AFTER_CONGESTION: f64 = 0.1;
 /// What each successful response adds to a multiplier below 1.
 const RECOVERY_STEP: f64 = 0.1;
-/// Under congestion, single requests beyond the limit are allowed for this share of the time if
-/// the even share of slots is less than that.
+/// Single-request allowance under congestion, unless the even share of slots is at least this
+/// value.
 const CONGESTED_ALLOWANCE: f64 = 0.5;
 /// Smallest limit, in slots, that the multiplier may lead to.
 const MIN_SLOTS: f64 = 0.5;
-/// Factor by which the multiplier is reduced after an error or a single broken connection.
+/// Factor by which the multiplier is reduced after an error or a single connection failure.
 const MILD_DECREASE_FACTOR: f64 = 0.9;
 /// Factor by which the multiplier is reduced after any other loss.
 const STRONG_DECREASE_FACTOR: f64 = 0.5;
@@ -48,7 +48,7 @@
     /// Slots at an upstream if the balancers share it evenly; may be less than 1.
     even_slots: f64,
     /// Share of the time in which a request may be sent to an upstream with nothing in flight,
-    /// whatever the limit is.
+    /// whatever the limit is: the single-request allowance.
     single_request_allowance: f64,
     /// Whether a request found no free slot since the last successful response.
     request_was_queued: bool,
@@ -90,7 +90,8 @@
     }
 
     /// Adapts the limit to a successful response of an upstream, and returns the load level. If
-    /// `subset_covers_all`, the subset can't grow any further, so the multiplier grows instead.
+    /// `subset_covers_all`, the subset can't grow any further, so the multiplier grows instead
+    /// while requests are queued.
     pub(super) fn on_success(
         &mut self,
         stats: &mut UpstreamStats,
@@ -189,8 +190,9 @@
     stats.limit_multiplier *= MILD_DECREASE_FACTOR;
 }
 
-/// Lowers an upstream's limit after a lost attempt. A single broken connection has a smaller
-/// effect: if the process is gone, the next connection fails too.
+/// Lowers an upstream's limit after a lost attempt. A single connection failure has a smaller
+/// effect: it does not show that the upstream's process is gone. If the process is gone, the next
+/// connection fails too and has the full effect.
 pub(super) fn decrease_after_loss(stats: &mut UpstreamStats, outcome: AttemptOutcome) {
     let is_single = outcome != AttemptOutcome::TimedOut
         && stats.outliers.all_requests().consecutive_failures() == 0;
--- a/src/decision/congestion.rs
+++ b/src/decision/congestion.rs
@@ -21,8 +21,9 @@
 }
 
 impl Congestion {
-    /// Adds a successful response. Only latency beyond the baseline counts, because large requests
-    /// and single slow responses are not congestion.
+    /// Adds a successful response. Latency counts relative to the baseline for the work of the
+    /// request, because a large request is not congestion. The effect of one response is bounded,
+    /// because a single slow response is not congestion either.
     pub(super) fn add(
         &mut self,
         latency: f64,
--- a/src/decision/draining.rs
+++ b/src/decision/draining.rs
@@ -10,8 +10,9 @@
 const MAX_SUSPECTED_SHARE: f64 = 0.5;
 
 impl Balancer {
-    /// Leaves out an upstream that rejects all requests while the endpoint list is stale, because
-    /// it may be draining. If many upstreams reject requests, they are overloaded instead.
+    /// Leaves out an upstream after several consecutive rejections if the endpoint list is stale,
+    /// because the upstream may be draining. If many upstreams reject requests, they are probably
+    /// overloaded instead, and no further one is left out.
     pub(super) fn detect_draining(
         &mut self,
         id: UpstreamId,
--- a/src/decision/ended_attempt.rs
+++ b/src/decision/ended_attempt.rs
@@ -16,7 +16,7 @@
     pub(super) expected_latency: f64,
     /// How long the connection had been idle when the attempt started; 0 for a new connection.
     pub(super) connection_idle: f64,
-    /// Whether the upstream responded, possibly with an error or a rejection.
+    /// Whether the upstream responded, possibly with an error, a rejection or an invalid response.
     pub(super) is_response: bool,
     /// Whether the upstream is to blame for the missing response.
     pub(super) is_lost: bool,
@@ -33,7 +33,8 @@
         let is_overdue = result.elapsed > OVERDUE_FACTOR * attempt.expected_latency;
         let is_lost = match outcome {
             AttemptOutcome::Cancelled => is_overdue,
-            // The upstream is not to blame if the client gives up before the latency objective.
+            // The upstream is not to blame if the client gives up before the latency objective and
+            // the attempt is not overdue.
             AttemptOutcome::TimedOut => is_overdue || !has_short_deadline,
             AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => true,
             _ => false,
@@ -44,8 +45,8 @@
             sent_at: attempt.sent_at,
             elapsed: result.elapsed,
             expected_latency: attempt.expected_latency,
-            // The embedder's value takes precedence: the connection may have been closed since the
-            // idle time was estimated.
+            // The embedder's value takes precedence: the connection that was expected to carry the
+            // attempt may have been closed, so that a different one was used.
             connection_idle: result.connection_idle.unwrap_or(attempt.connection_idle),
             is_response: is_reusable(outcome) || outcome == AttemptOutcome::InvalidResponse,
             is_lost,
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -72,7 +72,8 @@
     }
 
     /// Selects the subset again after an upstream has become available or unavailable. Reassigns
-    /// the requests that wait for an unavailable upstream or for any upstream.
+    /// the requests that wait for an unavailable upstream or for any upstream. Then removes the
+    /// upstreams that are not in service according to the list and have no attempt in flight.
     pub(super) fn on_endpoints_changed(&mut self, actions: &mut Vec<Action>) {
         let subset = subset::choose(&self.settings, &self.upstreams);
         self.limit.set_even_slots(subset.even_slots);
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -2,7 +2,7 @@
 //!
 //! Times are seconds as `f64` on a clock of the embedder's choice; durations are in seconds too.
 
-/// Identifies a request. The embedder assigns the numbers and never uses one twice.
+/// Identifies a request. The embedder assigns the numbers and never uses a number twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -16,8 +16,8 @@
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
 impl UpstreamId {
-    /// Returns the id of the upstream with this name, an FNV-1a hash. It depends neither on the
-    /// process nor on the order in which names are seen.
+    /// Returns the id of the upstream with this name: an FNV-1a hash of the name. It depends
+    /// neither on the process nor on the order in which names are seen.
     #[must_use]
     pub fn from_name(name: &str) -> Self {
         let add_byte = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
@@ -101,7 +101,8 @@
     }
 }
 
-/// A request that has arrived. The balancer gives it exactly one final response.
+/// A request that has arrived. Unless its client disconnects first, it gets exactly one final
+/// response: that of an upstream, or a rejection or failure by the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Id of the request.
@@ -149,26 +150,27 @@
 /// An event that the embedder reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list or a change of it was received from discovery, or a poll failed.
+    /// The endpoint list or a change of it was received from discovery, a poll failed, or a watch
+    /// broke.
     EndpointList {
         /// Which upstreams `endpoints` covers.
         scope: ListScope,
         /// The listed upstreams.
         endpoints: Vec<UpstreamEntry>,
     },
-    /// Operators take an upstream out of service or put it back. Their order holds until they give
-    /// another, whatever the endpoint list contains. The upstream may be restarted while it is out
-    /// of service.
+    /// Operators take an upstream out of service or return it to service. An order holds until the
+    /// next order for the same upstream, whatever the endpoint list contains. The upstream may be
+    /// restarted while it is out of service.
     Maintenance {
         /// The upstream; it need not be listed now.
         upstream: UpstreamId,
-        /// Whether the upstream is taken out of service or put back.
+        /// Whether the upstream is taken out of service or returned to service.
         change: Maintenance,
     },
     /// A request has arrived.
     Request(Request),
-    /// The last byte of this streamed request has been sent to its upstream. The expected latency
-    /// of its attempt counts from now on.
+    /// The last byte of this streamed request has been sent to its upstream. The time after which
+    /// the attempt is overdue counts from now on.
     UploadCompleted(RequestId),
     /// The response to this request is being streamed to its client, so it is the final response.
     ResponseStarted(RequestId),
--- a/src/decision/idle_timeout.rs
+++ b/src/decision/idle_timeout.rs
@@ -4,11 +4,13 @@
 use super::ended_attempt::EndedAttempt;
 use super::event::AttemptOutcome;
 
-/// Decrease of the drop score with a response on an old connection; a reset adds 1. A reset costs
-/// a request, whereas a new connection costs only a small part of one, so this is also the ratio of
-/// resets to responses that is tolerated.
+/// Decrease of the drop score with a response on a connection that was idle for longer than the
+/// suggested timeout; a sign of a dropped connection adds 1. A dropped connection costs a request,
+/// whereas a new connection costs only a small part of a request, so this is also the tolerated
+/// ratio of drops to such responses.
 const RESPONSE_SCORE_DECREASE: f64 = 0.04;
-/// Drop score at which the timeout is lowered: two resets with few responses between them.
+/// Drop score at which the timeout is lowered: reached by two drops with few responses between
+/// them.
 const DROP_SCORE_THRESHOLD: f64 = 1.5;
 /// A reset is immediate if it occurs within this share of the expected latency: no work can have
 /// been done by then.
@@ -21,9 +23,9 @@
     timeout: f64,
     /// When `timeout` was last raised.
     updated_at: f64,
-    /// How strongly recent resets suggest a shorter timeout.
+    /// How strongly recent drops suggest a shorter timeout.
     drop_score: f64,
-    /// The timeout that recent resets suggest.
+    /// The timeout that recent drops suggest.
     suggested_timeout: f64,
 }
 
@@ -50,8 +52,8 @@
         }
     }
 
-    /// Raises the estimate for the time since it was last raised, up to `max_timeout`, and returns
-    /// it.
+    /// Raises the estimate according to the time since it was last raised, up to `max_timeout`, and
+    /// returns the estimate.
     pub(super) fn raise(&mut self, now: f64, max_timeout: f64) -> f64 {
         let doublings = (now - self.updated_at) / TIMEOUT_DOUBLING_SECONDS;
         self.timeout = (self.timeout * doublings.exp2()).min(max_timeout);
@@ -107,15 +109,17 @@
 }
 
 /// Returns whether the connection had been idle for longer than the expected latency. Shorter
-/// pauses do not count, because connections are quiet during a request too.
+/// pauses do not count: a connection is quiet for about that long while it waits for a response,
+/// and is not dropped then.
 fn was_idle(ended: &EndedAttempt) -> bool {
     ended.connection_idle > ended.expected_latency
 }
 
-/// Classifies an ended attempt. It indicates that connections are dropped while idle if an idle
-/// one was reset immediately, or if a silent loss on an idle one was followed by a response on a
-/// newer one. A response on a connection as old, or an immediate reset on a new one, indicates the
-/// opposite.
+/// Classifies an ended attempt. Two results indicate that idle connections are dropped: an
+/// immediate reset of a connection that had been idle, and a silent loss on an idle connection that
+/// is followed by a response on a connection idle for less than half as long. Two results indicate
+/// the opposite: a response on a connection that had been idle for long, and an immediate reset of
+/// a connection that had not been idle.
 fn observation(ended: &EndedAttempt, suspect_idle_time: f64) -> Observation {
     let idle = ended.connection_idle;
     let is_immediate_reset = ended.outcome == AttemptOutcome::Reset
--- a/src/decision/latency.rs
+++ b/src/decision/latency.rs
@@ -45,8 +45,8 @@
         let weight = weight_after(self.samples);
         add_sample(&mut self.mean_latency, latency, weight);
         add_sample(&mut self.mean_work, work, weight);
-        // The baseline follows the mean down at once, but up so slowly that a few seconds of
-        // congestion do not raise it.
+        // The baseline falls with the mean immediately, but rises so slowly that a few seconds of
+        // congestion hardly raise it.
         let per_work = self.mean_latency / self.mean_work;
         let is_initial = weight > SMOOTHING;
         let baseline_weight = if per_work < self.baseline_per_work || is_initial {
@@ -77,12 +77,14 @@
         self.mean_latency
     }
 
-    /// Returns the ratio of a latency to the expected latency for this much work.
+    /// Returns the ratio of a latency to the expected latency for this much work, bounded by
+    /// `OVERDUE_FACTOR` and its reciprocal.
     fn relative(&self, latency: f64, work: f64) -> f64 {
         (latency / self.expected(work)).clamp(1.0 / OVERDUE_FACTOR, OVERDUE_FACTOR)
     }
 
-    /// Returns by how many mean requests this work exceeds that of one mean request.
+    /// Returns by how many mean requests this work exceeds the work of one mean request, at most
+    /// `MAX_EXCESS_WORK`.
     pub(super) fn excess_work(&self, work: f64) -> f64 {
         if self.samples > 0.0 {
             (work / self.mean_work - 1.0).clamp(0.0, MAX_EXCESS_WORK)
--- a/src/decision/learned_state.rs
+++ b/src/decision/learned_state.rs
@@ -51,8 +51,8 @@
 struct StoredUpstream {
     /// Start of the upstream according to the endpoint list.
     listed_start: f64,
-    /// When the upstream returned from maintenance, if it may have been restarted meanwhile; else
-    /// 0.
+    /// When the upstream returned from maintenance, if it may have been restarted during the
+    /// maintenance; else 0.
     returned_at: f64,
     stats: UpstreamStats,
 }
@@ -122,8 +122,9 @@
     }
 
     /// Restores what another balancer with these settings learned and saved `age` seconds ago. A
-    /// state that is older than the slow-start window or belongs to other settings is ignored.
-    /// What was learned of an upstream that has been restarted since is ignored too.
+    /// state that is at least as old as the slow-start window, or has a different number of classes
+    /// or tenants, is ignored. What was learned of an upstream that has been restarted since then
+    /// is ignored too.
     pub fn restore(&mut self, now: f64, age: f64, state: LearnedState) {
         self.now = self.now.max(now);
         let has_same_shape = state.latency.len() == self.settings.classes.len()
--- a/src/decision/log_event.rs
+++ b/src/decision/log_event.rs
@@ -9,7 +9,7 @@
 /// An event that operators should find in the log. Durations are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LogEvent {
-    /// An upstream was ejected for the first time since its last success.
+    /// An upstream was ejected for the first time in a series of failures.
     Ejected {
         /// The ejected upstream.
         upstream: UpstreamId,
@@ -20,12 +20,13 @@
         /// How long the ejection lasts.
         duration: f64,
     },
-    /// An upstream rejects all requests while the endpoint list is stale, so it may be draining.
+    /// An upstream has rejected several requests in a row and the endpoint list is stale, so the
+    /// upstream may be draining.
     SuspectedDraining {
         /// The suspected upstream.
         upstream: UpstreamId,
     },
-    /// Discovery did not respond to a poll, or a watch broke.
+    /// A poll of discovery failed, or a watch broke.
     PollFailed {
         /// Time until the next poll.
         retry_in: f64,
--- a/src/decision/maintenance.rs
+++ b/src/decision/maintenance.rs
@@ -1,18 +1,18 @@
-//! Maintenance: upstreams that operators take out of service and put back.
+//! Maintenance: upstreams that operators take out of service and return to service.
 
 use super::action::Action;
 use super::balancer::Balancer;
 use super::event::{Maintenance, UpstreamId};
 use std::collections::BTreeMap;
 
-/// The return of an upstream that operators have put back into service.
+/// The return of an upstream to service after maintenance.
 struct ReturnToService {
     returned_at: f64,
     awaits_request: bool,
 }
 
-/// The orders of the operators. They hold whether or not the upstream is listed. Times are in
-/// seconds.
+/// The operators' orders to take upstreams out of service and to return them. An order holds
+/// whether or not its upstream is listed. Times are in seconds.
 #[derive(Default)]
 pub(super) struct MaintenanceRegister {
     /// Upstreams out of service, with the time at which each was taken out.
@@ -26,20 +26,20 @@
         self.out_since.contains_key(&upstream)
     }
 
-    /// Returns the upstreams that were put back and have had no request since.
+    /// Returns the upstreams that were returned to service and have had no request since.
     pub(super) fn awaiting_request(&self) -> impl Iterator<Item = &UpstreamId> {
         let returned = self.returned.iter();
         let awaiting = returned.filter(|(_, returned)| returned.awaits_request);
         awaiting.map(|(id, _)| id)
     }
 
-    /// Returns whether this upstream was put back and has had no request since.
+    /// Returns whether this upstream was returned to service and has had no request since.
     pub(super) fn awaits_request(&self, upstream: UpstreamId) -> bool {
         let returned = self.returned.get(&upstream);
         returned.is_some_and(|returned| returned.awaits_request)
     }
 
-    /// Returns whether this upstream was put back less than `window` seconds ago.
+    /// Returns whether this upstream was returned to service less than `window` seconds ago.
     pub(super) fn returned_within(&self, upstream: UpstreamId, window: f64, now: f64) -> bool {
         let returned = self.returned.get(&upstream);
         returned.is_some_and(|returned| now - returned.returned_at < window)
@@ -57,8 +57,8 @@
         self.returned.remove(&upstream);
     }
 
-    /// Ends the maintenance of an upstream. Returns the time at which it was taken out of service,
-    /// or `None` if it was not.
+    /// Ends the maintenance of an upstream. Returns the time at which the upstream was taken out of
+    /// service, or `None` if it was in service.
     fn end(&mut self, upstream: UpstreamId, now: f64) -> Option<f64> {
         let out_since = self.out_since.remove(&upstream)?;
         let returned = ReturnToService {
@@ -71,8 +71,8 @@
 }
 
 impl Balancer {
-    /// Takes an upstream out of service or puts it back. The operators' orders take precedence
-    /// over the endpoint list.
+    /// Takes an upstream out of service or returns it to service. The operators' orders take
+    /// precedence over the endpoint list.
     pub(super) fn on_maintenance(
         &mut self,
         id: UpstreamId,
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -1,8 +1,8 @@
 //! Outlier detection: ejects upstreams that fail or do not respond while their peers do.
 //!
-//! An upstream is ejected for all requests or for the requests of one class. It gets none of them
+//! An upstream is ejected for all requests or for the requests of one class. It gets none of these
 //! until the ejection is over, then one trial request at a time until one succeeds. If more than
-//! half of the subset would be excluded, no upstream is (panic mode).
+//! half of the subset would be excluded, no upstream is excluded (panic mode).
 
 use super::action::Action;
 use super::balancer::Balancer;
@@ -66,8 +66,8 @@
                 .allows_request(in_flight_of_class, self.now)
     }
 
-    /// Returns whether the peers lose requests silently about as often. If so, the losses happen
-    /// on the path to all of them.
+    /// Returns whether the peers lose requests silently about as often as this upstream. If so, the
+    /// losses probably happen on a network path that all of them share.
     fn has_common_losses(&self, upstream: &Upstream) -> bool {
         let (mut sum, mut peers) = (0.0, 0.0);
         for peer in self.rotation.peers_of(upstream.entry.id, &self.upstreams) {
@@ -77,7 +77,8 @@
         sum > 0.0 && upstream.stats.silent_loss_rate <= COMMON_LOSS_FACTOR * sum / peers
     }
 
-    /// Returns whether the upstream currently gets no requests of any class.
+    /// Returns whether the upstream is unavailable, or ineligible for every class. In panic mode,
+    /// an ineligible upstream gets requests all the same.
     pub(super) fn is_excluded(&self, upstream: &Upstream) -> bool {
         let mut classes = 0..self.settings.classes.len();
         !upstream.is_available() || classes.all(|class| !self.is_eligible(upstream, class))
@@ -150,8 +151,9 @@
     }
 }
 
-/// Returns the log line for the first ejection in a series of failures. An ejection for all
-/// requests includes the one for the class.
+/// Returns the log line for the first ejection in a series of failures. If one attempt leads to
+/// ejections for all requests and for its class, only the ejection for all requests is logged,
+/// because it includes the class.
 fn ejection_log(
     upstream: UpstreamId,
     all_requests_update: &StatsUpdate,
--- a/src/decision/outlier_stats.rs
+++ b/src/decision/outlier_stats.rs
@@ -6,14 +6,15 @@
 use super::moving_average::{add_sample, weight_after};
 use serde::{Deserialize, Serialize};
 
-/// Base of the ejection duration, in expected latencies; each consecutive failure doubles it.
+/// Base of the ejection duration, in expected latencies; each consecutive failure, from the first
+/// on, doubles the duration.
 const EJECTION_FACTOR: f64 = 4.0;
 /// Consecutive failures beyond which the ejection duration no longer grows.
 const MAX_COUNTED_FAILURES: i32 = 4;
 /// An upstream is an outlier if its error rate exceeds the mean of its peers by more than this.
 const ERROR_RATE_MARGIN: f64 = 0.3;
-/// When a class whose requests may be repeated is ejected, the next trial requests of
-/// non-idempotent classes are delayed by at least this many times the duration of that ejection.
+/// When an upstream is ejected for a class whose requests may be repeated, its next trial requests
+/// of non-idempotent classes are delayed by at least this many times the duration of that ejection.
 const TRIAL_DELAY_FACTOR: f64 = 2.0;
 /// The error rate starts as if this many successful responses had been received.
 const PRESUMED_SUCCESSES: f64 = 3.0;
@@ -87,9 +88,10 @@
 }
 
 impl OutlierSample<'_> {
-    /// Returns the number of consecutive failures that lead to an ejection. A single broken
-    /// connection is not enough, because the next one fails too if the process is gone. Nor is a
-    /// single silent loss if the peers have such losses too.
+    /// Returns the number of consecutive failures that lead to an ejection. A single connection
+    /// failure is not enough: if the upstream's process is gone, the next connection fails too and
+    /// leads to the ejection. A single silent loss is not enough either if the peers have such
+    /// losses too.
     fn failures_to_eject(&self) -> i32 {
         if self.is_common_loss || self.ended.is_connection_failure() {
             2
@@ -235,11 +237,11 @@
     /// Returns whether an ended attempt counts as a failure. A loss counts if the upstream has
     /// responded to nothing since the attempt was sent.
     ///
-    /// For a class, two more kinds of results count. One is a silent loss, even if the upstream
-    /// responds to other requests, unless the peers have such losses too. The other is an error
-    /// that the peers do not have: an upstream that fails fast always has free slots and would
-    /// attract requests, and a rejected attempt has occupied a slot until the rejection was
-    /// received.
+    /// For a class, two more kinds of results count. The first is a silent loss, even if the
+    /// upstream responds to other requests, unless the peers have such losses too. The second is an
+    /// error or a rejection while the upstream is an outlier and not ejected. Errors count because
+    /// an upstream that fails fast always has free slots and would attract requests; rejections
+    /// count because a rejected attempt has occupied a slot until the rejection was received.
     fn is_failure(&self, sample: &OutlierSample, scope: StatsScope, is_outlier: bool) -> bool {
         let ended = sample.ended;
         let is_unanswered = ended.is_lost && self.is_silent_since(ended.sent_at);
--- a/src/decision/poll_schedule.rs
+++ b/src/decision/poll_schedule.rs
@@ -1,8 +1,8 @@
 //! When a balancer in poll mode polls discovery for the endpoint list.
 //!
-//! A poll that discovery queues and then refuses costs it as much as one that succeeds, so a large
-//! fleet could overload discovery permanently. Each balancer therefore polls after a random delay
-//! that grows with the number of its peers.
+//! A poll that discovery queues and then refuses costs discovery as much as a successful poll, so
+//! the repeated polls of a large fleet could overload discovery permanently. Each balancer
+//! therefore polls after a random delay that grows with the number of its peers.
 
 use super::action::Action;
 use super::event::ListScope;
@@ -13,28 +13,28 @@
 /// Token of the poll timer. All other timers have request ids as tokens, which are smaller.
 pub(super) const POLL_TIMER: u64 = u64::MAX >> 1;
 
-// Upper bounds of the delays before polls, as shares of the notification deadline. Two consecutive
-// delays and the polls that follow them fit within the deadline.
+// Upper bounds of the delays before polls, as shares of the notification deadline. Except in large
+// fleets, two consecutive delays and the polls that follow them fit within the deadline.
 
 /// Longest delay before the first poll, as a share of the notification deadline.
 const FIRST_DELAY_DEADLINE_SHARE: f64 = 0.25;
-/// Longest delay after a poll that failed at once, as a share of the notification deadline. A poll
-/// that took longer than this was queued by discovery.
+/// Longest delay after a poll that failed immediately, as a share of the notification deadline. A
+/// poll that took longer than this counts as queued by discovery.
 const FAST_FAILURE_DEADLINE_SHARE: f64 = 0.1;
 /// Longest delay after a queued poll that failed, as a share of the notification deadline.
 const QUEUED_FAILURE_DEADLINE_SHARE: f64 = 0.12;
-/// Longest delay after a failure in a large fleet, as a share of the notification deadline. A poll
-/// that is queued after this delay still ends before the deadline.
+/// Longest delay after a failure in a large fleet, as a share of the notification deadline, before
+/// backoff increases it. A poll that is queued after this delay still ends before the deadline.
 const LARGE_FLEET_DEADLINE_SHARE: f64 = 0.6;
 
 /// Mean time between successive polls of the fleet as a whole after failures.
 const FLEET_POLL_INTERVAL_SECONDS: f64 = 0.04;
-/// The initial delay is the poll interval divided by this number.
+/// The longest initial delay is the poll interval divided by this number.
 const POLLS_PER_INTERVAL: f64 = 4.0;
-/// Consecutive failures up to which the initial delay doubles.
+/// Consecutive failures up to which each failure doubles the longest initial delay.
 const MAX_SHORT_DOUBLINGS: i32 = 3;
 /// Consecutive failures of queued polls after which discovery counts as overloaded and delays may
-/// exceed the bound for large fleets. Polls that fail at once cost discovery nothing and are
+/// exceed the bound for large fleets. Polls that fail immediately cost discovery nothing and are
 /// counted only up to this number.
 const FAILURES_BEFORE_BACKOFF: i32 = 4;
 /// Number of times that the bound for large fleets may double.
@@ -45,7 +45,7 @@
 enum PollResult {
     /// A list was received.
     ListReceived,
-    /// The poll failed at once, or a watch broke.
+    /// The poll failed immediately, or a watch broke.
     FailedFast,
     /// The poll failed after discovery had queued it.
     FailedQueued,
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -73,8 +73,9 @@
         Some(first.sent_at + class.idempotency_window - now)
     }
 
-    /// Returns whether the endpoint list, the limits and the class's idempotency allow an attempt
-    /// at this upstream.
+    /// Returns whether the request may have an attempt at this upstream: the upstream is available
+    /// and was not tried before, and the deadline, the limits and the class's idempotency allow the
+    /// attempt.
     pub(super) fn may_be_sent_to(
         &self,
         upstream: &Upstream,
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -5,18 +5,18 @@
 use super::event::{AttemptOutcome, RequestId};
 use super::request::PendingRequest;
 
-/// Retries of attempts that may have run, per successful response.
+/// Budget that each successful response adds, in retries.
 const RETRIES_PER_RESPONSE: f64 = 0.02;
 /// Largest budget, in retries.
 const MAX_BUDGET: f64 = 10.0;
-/// Budget cost of a retry after an invalid response or a broken connection. These failures are
-/// rarely due to an overload, so their retries cost less than those after errors and time-outs,
-/// which add to an overload.
+/// Budget cost of a retry after an invalid response or a broken connection. An overload rarely
+/// causes these failures, so their retries cost less. Errors and time-outs are often due to an
+/// overload, which retries increase.
 const BROKEN_CONNECTION_COST: f64 = 0.2;
 /// Budget cost of a hedged request, or of any other retry of an attempt that may have run.
 const FULL_COST: f64 = 1.0;
 
-/// The number of retries that the balancer may still make.
+/// The budget for hedged requests and for retries of attempts that may have run, in retries.
 pub(super) struct RetryBudget(f64);
 
 impl RetryBudget {
@@ -68,8 +68,8 @@
         self.assign(id, actions);
     }
 
-    /// Handles a timer of this request: its queue deadline has passed, a pause has ended, or its
-    /// only attempt is overdue.
+    /// Handles a timer of this request: its queue deadline may have passed, the pause of an
+    /// upstream may have ended, or its only attempt may be overdue.
     pub(super) fn on_request_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get(&id);
         let Some(request) = request.filter(|request| !request.is_concluded) else {
@@ -100,8 +100,9 @@
         })
     }
 
-    /// Sends a hedged request. If a request may not have two attempts in flight, cancels the
-    /// overdue one instead; its end leads to a retry.
+    /// Sends a hedged request if an upstream accepts it. If the limits allow cancellation but not
+    /// two attempts in flight, cancels the overdue attempt instead; the end of that attempt leads
+    /// to a retry.
     fn replace_overdue_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let limits = &self.settings.limits;
         let request = &self.requests[&id];
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,8 +1,8 @@
 //! The settings of one balancer: request classes, tenants, its place in the fleet, limits and
 //! rules.
 //!
-//! Durations are seconds as `f64`. [`Settings::validate`] checks every number that the decisions
-//! rely on.
+//! Durations are seconds as `f64`. [`Settings::validate`] checks every index and every `f64` except
+//! [`Rules::notification_deadline`].
 
 use thiserror::Error;
 
@@ -32,7 +32,7 @@
     },
 }
 
-/// Whether an upstream may run a request more than once.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Running a request again does no harm.
@@ -133,7 +133,7 @@
     /// Length of slow start, in seconds: an upstream that started longer ago has its full
     /// capacity.
     pub slow_start_window: f64,
-    /// Multiple of its present capacity above which an upstream in slow start fails.
+    /// Load above which an upstream in slow start fails, as a multiple of its present capacity.
     pub overload_multiple: f64,
 }
 
@@ -165,9 +165,9 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Index of this balancer among its `peer_count` peers.
+    /// Index of this balancer among the `peer_count` balancers.
     pub peer_index: usize,
-    /// Number of balancers that send to this tier.
+    /// Number of balancers that send to the tier with index `tier`, including this one.
     pub peer_count: usize,
     /// Index of the tier that this balancer sends to; clients send to tier 0.
     pub tier: usize,
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -14,7 +14,8 @@
 /// Smallest share of a request that counts. It applies when responses do not keep up with
 /// requests, so that slow start continues while all upstreams warm up and none has responded yet.
 const MIN_COUNTED_SHARE: f64 = 0.1;
-/// Credit that responses can accumulate beyond the attempts in flight, in requests.
+/// Largest credit that can accumulate in addition to one request for each attempt in flight, in
+/// requests.
 const MAX_UNUSED_CREDIT: f64 = 3.0;
 
 /// An upstream that gets tokens for a request.
@@ -64,10 +65,10 @@
 
 impl Balancer {
     /// Gives the slow-start tokens of one more request to the upstreams of the subset. Upstreams
-    /// outside the subset get none: otherwise many balancers whose subsets grow at the same time
-    /// would spend saved tokens at once. The exception is an upstream that has returned from
-    /// maintenance and has had no request since: for it, requests are divided among all available
-    /// upstreams.
+    /// outside the subset get none: otherwise, if the subsets of many balancers grow to include an
+    /// upstream, all of them would spend their saved tokens on it at the same time. The exception
+    /// is an upstream that has returned from maintenance and has had no request since: for it,
+    /// requests are divided among all available upstreams.
     pub(super) fn add_slow_start_tokens(&mut self) {
         let counted_share = self.slow_start.take_credit();
         let maintenance = &self.maintenance;
--- a/src/decision/start_time.rs
+++ b/src/decision/start_time.rs
@@ -1,8 +1,9 @@
 //! Estimates when upstreams started, on this balancer's clock.
 //!
-//! A list gives the start of an upstream in another machine's wall-clock time, and either wall
-//! clock may be wrong by an hour. Durations on this balancer's monotonic clock can be trusted: an
-//! upstream is at least as old as the time since its start was first listed.
+//! A list gives the start of an upstream in another machine's wall-clock time, and the wall clock
+//! of that machine or of this one may be wrong by an hour. Durations on this balancer's monotonic
+//! clock can be trusted: an upstream is at least as old as the time since its start was first
+//! listed.
 
 use super::event::ListScope;
 
@@ -33,8 +34,8 @@
     /// means long ago. No estimate lies in the future.
     ///
     /// A start that is listed while the balancer starts may lie far in the past, and only the wall
-    /// clocks show how far. A start that is listed later is recent: its age counts only as far as
-    /// its delay exceeds the smallest delay so far.
+    /// clocks show how far. A start that is listed later is recent: its estimated age is the excess
+    /// of its delay over the smallest delay so far.
     pub(super) fn estimate(&mut self, listed_start: f64, now: f64) -> f64 {
         if listed_start <= 0.0 {
             return 0.0;
--- a/src/decision/upstream.rs
+++ b/src/decision/upstream.rs
@@ -12,7 +12,8 @@
 /// Consecutive rejections after which an upstream may be draining.
 const MIN_DRAINING_REJECTIONS: u32 = 3;
 
-/// All upstreams that are listed or have attempts in flight.
+/// The upstreams that are in service according to the endpoint list, and others that had attempts
+/// in flight at the last change of the available upstreams.
 pub(super) type Upstreams = BTreeMap<UpstreamId, Upstream>;
 
 /// Returns the upstream of an attempt that has just ended.
@@ -30,7 +31,7 @@
     pub(super) class: usize,
     /// When the attempt started.
     pub(super) sent_at: f64,
-    /// When the upstream had received the whole request; infinite while the client is still
+    /// When the whole request had been sent to the upstream; infinite while the client is still
     /// sending the body.
     pub(super) upload_completed_at: f64,
     /// Expected latency of the attempt.
@@ -48,7 +49,7 @@
 
 /// The state of an upstream.
 pub(super) struct Upstream {
-    /// Its entry in the endpoint list.
+    /// The upstream's entry in the endpoint list.
     pub(super) entry: UpstreamEntry,
     /// Whether operators have taken the upstream out of service.
     pub(super) is_in_maintenance: bool,
@@ -59,7 +60,7 @@
     /// Estimated start, in seconds; 0 means long ago.
     pub(super) started_at: f64,
     /// When the upstream returned from maintenance, in seconds, if it may have been restarted
-    /// meanwhile; else 0.
+    /// during the maintenance; else 0.
     pub(super) returned_at: f64,
     /// Attempts in flight at the upstream.
     pub(super) in_flight: Vec<InFlightAttempt>,
@@ -67,7 +68,7 @@
     pub(super) queue: VecDeque<RequestId>,
     /// Virtual time at which the rotation would start the next request to the upstream.
     pub(super) virtual_start: f64,
-    /// When each idle connection became idle, as far as is known; the oldest comes first.
+    /// When each connection that is presumed idle became idle; the oldest comes first.
     idle_connections: Vec<f64>,
     /// What has been learned of the upstream.
     pub(super) stats: UpstreamStats,
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Discards what was learned of the upstream's former process. Attempts in flight there still
-    /// free their slots when they end.
+    /// Discards what was learned of the upstream's former process. Attempts that are in flight at
+    /// that process still free their slots when they end.
     pub(super) fn reset_after_restart(&mut self, started_at: f64, stats: UpstreamStats) {
         self.started_at = started_at;
         self.returned_at = 0.0;
@@ -175,7 +176,8 @@
     }
 }
 
-/// What a balancer has learned of an upstream. It is discarded when the upstream restarts.
+/// What a balancer has learned of an upstream. It is discarded when the upstream restarts or
+/// returns from maintenance.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct UpstreamStats {
     /// Multiplier of the concurrency limit.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,14 @@
-//! Load balancing for services that call services: which upstream a request is sent to, how long
-//! it may be queued, and when it is retried, rejected or given up. The library does no I/O and
-//! reads no clock.
+//! Load balancing for services that call services: which upstream a request is sent to, how long it
+//! may be queued, and when it is retried, rejected or failed. The decisions do no I/O and read no
+//! clock.
 //!
-//! The embedder's event loop owns a [`Balancer`], reports each [`Event`] to it, and carries out
-//! the returned [`Action`]s in order. With each event the embedder passes the time, in seconds on
-//! a clock of its choice; the balancer's time never goes back. The balancer releases the state of
-//! a request when the request has its final response and its last attempt has ended, so the
-//! embedder has to report the end of each attempt. The time to handle a request grows with the
-//! size of the subset that a balancer uses, not with the number of upstreams.
+//! The embedder's event loop owns a [`Balancer`], reports each [`Event`] to it, and carries out the
+//! returned [`Action`]s in order. With each event the embedder passes the time, in seconds on a
+//! clock of its choice; the balancer's time never goes back. The embedder has to report the end of
+//! each attempt, because the balancer keeps the state of a request until its last attempt has ended
+//! and the request has its final response or its client has disconnected. The time to select an
+//! upstream grows with the size of the subset that a balancer uses, not with the number of
+//! upstreams.
 //!
 //! ```
 //! use load_balancer::{
@@ -67,7 +68,8 @@
 //! let actions = handle(0.3, success(1));
 //! assert!(starts(&actions, 2));
 //!
-//! // A draining upstream gets no new requests, so the third request waits until its deadline.
+//! // A draining upstream gets no new requests, so the third request, which arrives at 0.6, waits
+//! // until its deadline at 2.6.
 //! let endpoints = vec![UpstreamEntry { state: UpstreamState::Draining, ..entry }];
 //! handle(0.4, Event::EndpointList { scope: ListScope::Delta, endpoints });
 //! handle(0.5, success(2));
