--- a/src/settings_format/conversion.rs
+++ b/src/settings_format/conversion.rs
@@ -16,7 +16,7 @@
     /// # Errors
     ///
     /// Returns an error if `limits.maxRetryAfter` is not a number while `limits.retryAfter` is
-    /// true. Without `limits.retryAfter` it is unused and not parsed.
+    /// true. If `limits.retryAfter` is false or absent, `limits.maxRetryAfter` is not parsed.
     pub(super) fn into_settings(self) -> Result<Settings, InvalidSetting> {
         let defaults = Settings::simple();
         Ok(Settings {
--- a/src/settings_format/deserializer.rs
+++ b/src/settings_format/deserializer.rs
@@ -20,8 +20,8 @@
 }
 
 impl InvalidSetting {
-    /// Prepends a field name or list index to the path. Each level of the tree that an error passes
-    /// on its way up prepends its own.
+    /// Prepends a field name or list index to the path. An error passes each level of the tree on
+    /// its way up, and each level prepends its own name or index.
     pub(super) fn with_path_prefix(mut self, name: &str) -> Self {
         self.path = if self.path.is_empty() {
             name.to_string()
@@ -76,7 +76,8 @@
 }
 
 /// Iterates over the fields of a struct that are present in the tree, in the order of declaration.
-/// The first error ends the deserialization, so this order decides which of several is reported.
+/// The first error ends the deserialization, so this order decides which of several errors is
+/// reported.
 struct Fields<'de> {
     tree: &'de SettingsTree,
     names: std::slice::Iter<'static, &'static str>,
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -18,8 +18,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error for the first malformed line, or if reading or writing fails. A batch with a
-/// malformed line gets no reply.
+/// Returns an error for the first malformed or unexpected line, if the input ends inside a batch,
+/// or if reading or writing fails. A batch with such a line gets no reply.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
     let mut reader = LineReader::new(input);
     let mut adapter = Adapter::default();
--- a/src/simulator/line.rs
+++ b/src/simulator/line.rs
@@ -13,9 +13,9 @@
     Malformed {
         /// Number of the line, from 1.
         line: u64,
-        /// Name of the field, or of the message if the error is not about one field.
+        /// Name of the field or setting, or of the message if the error is not about one field.
         field: String,
-        /// Why it is not accepted.
+        /// Why the field or message is not accepted.
         problem: String,
     },
     /// Reading or writing failed.
