--- a/src/settings_format/tests.rs
+++ b/src/settings_format/tests.rs
@@ -4,7 +4,7 @@
 use crate::decision::{DeduplicationScope, DiscoveryMode, Idempotency};
 use serde_json::json;
 
-fn pairs(text: &str) -> Result<Settings, InvalidSetting> {
+fn settings_from_text(text: &str) -> Result<Settings, InvalidSetting> {
     settings_from_pairs(
         text.split_whitespace()
             .filter_map(|pair| pair.split_once('=')),
@@ -40,10 +40,10 @@
         limits.maxRetryAfter=1.5 rules.askWithin=4.0 rules.startCapacity=0.31 rules.cold=8.8
         rules.fallMultiple=2.5 costs.crossZone=0.015";
     let settings = settings_from_json(&file).unwrap();
-    assert_eq!(pairs(line).unwrap(), settings);
+    assert_eq!(settings_from_text(line).unwrap(), settings);
 
     let [view, pay] = &settings.classes[..] else {
-        panic!("{settings:?}");
+        panic!("expected the classes view and pay, got {settings:?}");
     };
     assert_eq!((&view.name[..], view.latency_objective), ("view", 0.5));
     assert_eq!((view.deadline, view.priority_weight), (2.5, 3.0));
@@ -79,7 +79,7 @@
 fn absent_settings_keep_a_default_and_unknown_ones_are_skipped() {
     let simple = Settings::simple();
     for settings in [
-        pairs("news=1 limits=7 limits.news=x classes=a,b").unwrap(),
+        settings_from_text("news=1 limits=7 limits.news=x classes=a,b").unwrap(),
         settings_from_json(&json!({"me": null, "limits": 7, "classes": [], "rules": {"cold": {}}}))
             .unwrap(),
     ] {
@@ -91,14 +91,14 @@
         assert!(!settings.limits.cancellation_allowed);
         assert_eq!(settings.limits.max_retry_after, None);
     }
-    let class = &pairs("classes.count=1").unwrap().classes[0];
+    let class = &settings_from_text("classes.count=1").unwrap().classes[0];
     assert_eq!((class.deadline, class.latency_objective), (1.0, 1.0));
     assert_eq!(class.idempotency, Idempotency::NonIdempotent);
 }
 
 #[test]
 fn error_names_the_path_of_the_first_invalid_setting() {
-    for (text, error) in [
+    for (text, expected) in [
         (
             "limits.cancel=x",
             "setting limits.cancel: expected true, false, 1 or 0, got 'x'",
@@ -122,8 +122,9 @@
             "setting limits.maxRetryAfter: invalid number 'x'",
         ),
     ] {
-        assert_eq!(pairs(text).unwrap_err().to_string(), error);
+        assert_eq!(settings_from_text(text).unwrap_err().to_string(), expected);
     }
-    let unused = pairs("limits.retryAfter=0 limits.maxRetryAfter=x").unwrap();
-    assert_eq!(unused.limits.max_retry_after, None);
+    let without_retry_after =
+        settings_from_text("limits.retryAfter=0 limits.maxRetryAfter=x").unwrap();
+    assert_eq!(without_retry_after.limits.max_retry_after, None);
 }
