--- a/src/bin/load-balancer/discovery/message/tests.rs
+++ b/src/bin/load-balancer/discovery/message/tests.rs
@@ -54,7 +54,7 @@
         ("\n\n", false),
         ("\"endpoints\":[]}", true),
     ];
-    for (text, alive) in cases {
-        assert_eq!(is_alive(text).ok(), Some(alive), "{text}");
+    for (text, expected) in cases {
+        assert_eq!(is_alive(text).ok(), Some(expected), "{text}");
     }
 }
--- a/src/bin/load-balancer/discovery/watch_set/tests.rs
+++ b/src/bin/load-balancer/discovery/watch_set/tests.rs
@@ -173,8 +173,8 @@
 fn failed_poll_watch_is_reopened_by_the_poll_schedule() {
     let mut watches = watch_set(DiscoveryMode::Poll);
     let watch = open(&mut watches).id;
-    let jitter = watches.mark_silent(watch);
-    assert!(matches!(jitter, Reconnect::After(delay) if delay < MAX_POLL_JITTER));
+    let reconnect = watches.mark_silent(watch);
+    assert!(matches!(reconnect, Reconnect::After(delay) if delay < MAX_POLL_JITTER));
     assert_eq!(
         watches.remove_failed(watch, &WatchError::Ended),
         Reconnect::ByPollSchedule
@@ -191,11 +191,11 @@
             watches.remove_failed(old, &WatchError::Ended),
             Reconnect::Superseded
         );
-        let delay = watches.remove_failed(new, &WatchError::Ended);
+        let reconnect = watches.remove_failed(new, &WatchError::Ended);
         assert!(
-            matches!(delay, Reconnect::After(delay)
+            matches!(reconnect, Reconnect::After(delay)
                 if (MAX_MOVE_DELAY / 4..MAX_MOVE_DELAY).contains(&delay)),
-            "{delay:?}"
+            "{reconnect:?}"
         );
     }
 }
--- a/src/bin/load-balancer/dispatch/request_table/tests.rs
+++ b/src/bin/load-balancer/dispatch/request_table/tests.rs
@@ -133,10 +133,10 @@
         let (_, idle) = add_running_attempt(&mut table, id);
         idle.set(Duration::ZERO);
         let at = |address| move |_| address;
-        let same = table.misdirected_attempts(at(Some(address(1))));
-        let moved = table.misdirected_attempts(at(Some(address(2))));
-        let removed = table.misdirected_attempts(at(None));
-        assert_eq!((same, moved), (vec![], vec![unwritten]));
-        assert_eq!(removed, [unwritten]);
+        let if_unchanged = table.misdirected_attempts(at(Some(address(1))));
+        let if_moved = table.misdirected_attempts(at(Some(address(2))));
+        let if_removed = table.misdirected_attempts(at(None));
+        assert_eq!((if_unchanged, if_moved), (vec![], vec![unwritten]));
+        assert_eq!(if_removed, [unwritten]);
     });
 }
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -109,9 +109,10 @@
 #[test]
 fn every_request_gets_one_final_response_and_is_removed() {
     run(async {
-        let served = spawn_upstream(Some("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")).await;
+        let serving_address =
+            spawn_upstream(Some("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")).await;
         let endpoints = vec![
-            endpoint("served", served),
+            endpoint("served", serving_address),
             endpoint(
                 "failing",
                 spawn_upstream(Some("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")).await,
--- a/src/bin/load-balancer/dispatch/tests/notification/fake_discovery.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/fake_discovery.rs
@@ -78,10 +78,10 @@
     /// Fills the backlog, so that no more connections are established until `listen` is called.
     pub(super) fn fill_backlog(&self) {
         self.socket.listen(0).unwrap();
-        let wait = Duration::from_millis(100);
-        let waiting =
-            std::iter::from_fn(|| std::net::TcpStream::connect_timeout(&self.address, wait).ok());
-        self.backlog.borrow_mut().extend(waiting);
+        let limit = Duration::from_millis(100);
+        let connections =
+            std::iter::from_fn(|| std::net::TcpStream::connect_timeout(&self.address, limit).ok());
+        self.backlog.borrow_mut().extend(connections);
     }
 
     pub(super) fn listen(self: &Rc<Self>) {
--- a/src/bin/load-balancer/dispatch/tests/notification/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/mod.rs
@@ -63,7 +63,7 @@
 /// has it, even if no watch is open. On real sockets the grace period of a drain is 0.45 s. It has
 /// to cover the time until a failed watch is reopened and a stall of 0.15 s.
 #[test]
-fn failed_push_watch_is_reopened_at_once() {
+fn failed_push_watch_is_reopened_within_the_grace_period() {
     let reconnect_limit = Duration::from_millis(300);
     run(async {
         for first in [Refused, Reset, ResetInList, ResetAfterList] {
@@ -136,13 +136,13 @@
                 (7, 2),
                 (8, 3),
             ] {
-                for backlog_full in [false, true] {
+                for is_backlog_full in [false, true] {
                     let (old, other, new) = (
                         FakeDiscovery::listening(&[Silent]),
                         FakeDiscovery::listening(&[Unanswered]),
                         FakeDiscovery::not_listening(&[]),
                     );
-                    if backlog_full {
+                    if is_backlog_full {
                         new.fill_backlog();
                     }
                     let initial_address =
@@ -166,7 +166,7 @@
                     let time = time_until_known(&dispatcher, &new).await;
                     assert!(
                         time <= NOTIFICATION_DEADLINE,
-                        "{mode:?}, {moves} moves, full backlog {backlog_full}: known after {time:?}"
+                        "{mode:?}, {moves} moves, full backlog {is_backlog_full}: known after {time:?}"
                     );
                 }
             }
@@ -181,13 +181,13 @@
 fn changes_are_known_in_time_after_a_long_outage_in_a_fleet_of_any_size() {
     run(async {
         let mut late_changes = Vec::new();
-        for (peer_count, backlog_full) in [30, 300, 8700]
+        for (peer_count, is_backlog_full) in [30, 300, 8700]
             .iter()
             .flat_map(|peer_count| [(*peer_count, false), (*peer_count, true)])
         {
             for (seed, outage_seconds) in (0..8).flat_map(|seed| [(seed, 20), (seed, 60)]) {
                 let discovery = FakeDiscovery::not_listening(&[]);
-                if backlog_full {
+                if is_backlog_full {
                     discovery.fill_backlog();
                 }
                 let dispatcher =
@@ -196,8 +196,9 @@
                 discovery.listen();
                 let time = time_until_known(&dispatcher, &discovery).await;
                 late_changes.extend(
-                    (time > NOTIFICATION_DEADLINE)
-                        .then(|| format!("{peer_count} {backlog_full} {outage_seconds} {time:?}")),
+                    (time > NOTIFICATION_DEADLINE).then(|| {
+                        format!("{peer_count} {is_backlog_full} {outage_seconds} {time:?}")
+                    }),
                 );
             }
         }
@@ -240,7 +241,7 @@
 #[test]
 fn long_queued_request_is_answered() {
     run(async {
-        for (mode, moved) in ALL_MODES
+        for (mode, is_address_changed) in ALL_MODES
             .iter()
             .flat_map(|mode| [(*mode, false), (*mode, true)])
         {
@@ -250,7 +251,7 @@
             );
             let discovery = FakeDiscovery::listening(&[AnsweredAfter(30); 60]);
             let dispatcher = start(
-                if moved {
+                if is_address_changed {
                     old.address
                 } else {
                     discovery.address
@@ -258,7 +259,7 @@
                 mode,
                 1,
             );
-            if moved {
+            if is_address_changed {
                 advance_until(|| old.request_count() > 0).await;
                 dispatcher.borrow_mut().set_discovery_address(other.address);
                 dispatcher
@@ -269,7 +270,7 @@
             let time = time_until_known(&dispatcher, &discovery).await;
             assert!(
                 time < Duration::from_secs(31),
-                "{mode:?}, moved: {moved}: known after {time:?}"
+                "{mode:?}, moved: {is_address_changed}: known after {time:?}"
             );
             assert_eq!(
                 (
