--- a/src/bin/load-balancer/dispatch/clock/tests.rs
+++ b/src/bin/load-balancer/dispatch/clock/tests.rs
@@ -7,7 +7,7 @@
     let clock = MonotonicUnixClock::new();
     let unix = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
-        .expect("after 1970")
+        .expect("the system clock shows a time before 1970")
         .as_secs_f64();
     let (first, second) = (
         clock.seconds_at(Instant::now()),
--- a/src/bin/load-balancer/dispatch/endpoint_updates.rs
+++ b/src/bin/load-balancer/dispatch/endpoint_updates.rs
@@ -45,14 +45,15 @@
 }
 
 impl Dispatcher {
-    /// Switches to another discovery address. The endpoint list and the watch of the old address
-    /// stay in use until the watch on the new address is alive.
+    /// Switches to another discovery address. The watch on the old address stays in use until the
+    /// watch on the new address is alive, and the endpoint list until a list is received on the new
+    /// watch.
     pub fn set_discovery_address(&mut self, address: SocketAddr) {
         let request = self.watches.set_address(address);
         self.open_watch(request);
     }
 
-    /// Opens a watch, unless the newest open watch is usable.
+    /// Opens a watch, unless the newest one uses the current discovery address and is not broken.
     pub(super) fn ensure_watch(&mut self) {
         let request = self.watches.ensure_watch();
         self.open_watch(request);
--- a/src/bin/load-balancer/dispatch/mod.rs
+++ b/src/bin/load-balancer/dispatch/mod.rs
@@ -1,8 +1,8 @@
 //! Runs the decision module: passes events to it, performs its actions, and provides its clock and
 //! timers.
 //!
-//! Each accepted request gets one final response, and the decision module gets one result for each
-//! attempt that it starts. No load-balancing decision is made here.
+//! Each accepted request whose client stays connected gets one final response, and the decision
+//! module gets one result for each attempt that it starts. No load-balancing decision is made here.
 
 mod clock;
 mod endpoint_updates;
@@ -37,7 +37,7 @@
 /// Owns the decision module and the state that its events and actions refer to: requests and their
 /// attempts, upstreams, timers and the watches on discovery.
 pub struct Dispatcher {
-    /// Upgraded for the spawned tasks that report to the dispatcher.
+    /// A reference to this dispatcher. Spawned tasks that report to it get an upgraded copy.
     weak_self: Weak<RefCell<Dispatcher>>,
     balancer: Balancer,
     clock: MonotonicUnixClock,
@@ -58,7 +58,7 @@
 impl Dispatcher {
     /// Starts a dispatcher whose decision module knows the endpoint list of the configuration. The
     /// attempts and watches of the dispatcher use `resources`. In push mode a watch on discovery is
-    /// opened at once.
+    /// opened immediately.
     ///
     /// # Errors
     ///
@@ -153,8 +153,8 @@
             .restore(self.clock.seconds_now(), age.as_secs_f64(), learned);
     }
 
-    /// Passes an event to the decision module and performs the resulting actions, then does the
-    /// same for each event that these actions cause.
+    /// Handles an event and all events that it causes: passes each one to the decision module and
+    /// performs the resulting actions.
     fn handle(&mut self, event: Event) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
@@ -198,7 +198,8 @@
         log::line(event.text(upstream_name, &self.classes));
     }
 
-    /// Fires the timers that are due. Returns when the next timer is due.
+    /// Fires the timers that are due. Returns the time at which the next timer is due, or `None` if
+    /// no timer is set.
     fn fire_due_timers(&mut self) -> Option<Instant> {
         while let Some(timer) = self.timers.pop_due() {
             match timer {
--- a/src/bin/load-balancer/dispatch/recent_request_ids/mod.rs
+++ b/src/bin/load-balancer/dispatch/recent_request_ids/mod.rs
@@ -16,8 +16,8 @@
 }
 
 impl RecentRequestIds {
-    /// Creates an empty set. If `retention` is the longest deadline, an id is retained for as long
-    /// as an attempt of its request can run.
+    /// Creates an empty set. If `retention` is the longest deadline, an id is retained at least
+    /// until its request times out, unless a streamed body extends the deadline of the request.
     pub fn new(retention: Duration) -> Self {
         RecentRequestIds {
             retention,
--- a/src/bin/load-balancer/dispatch/request.rs
+++ b/src/bin/load-balancer/dispatch/request.rs
@@ -9,10 +9,10 @@
 pub struct ValidatedRequest {
     /// The id that the client gave the request. It must differ from those of recent requests.
     pub client_request_id: String,
-    /// The index of its class in the settings.
+    /// The index of the request's class in the settings.
     pub class: usize,
-    /// The index of its tenant in the settings. For a tenant that the settings don't name it is the
-    /// number of named tenants.
+    /// The index of the request's tenant in the settings, or the number of tenants in the settings
+    /// if they don't name this tenant.
     pub tenant: usize,
     /// The expected work, in seconds on a standard core.
     pub cost_hint: Option<f64>,
@@ -24,7 +24,7 @@
 pub struct DispatchedRequest {
     /// The dispatcher's id of the request.
     pub id: RequestId,
-    /// Receives the final response, or an error if the request is cancelled before.
+    /// Receives the final response, or an error if the client disconnects before there is one.
     pub response: oneshot::Receiver<FinalResponse>,
 }
 
@@ -43,7 +43,8 @@
 pub enum FinalResponse {
     /// An upstream served the request with this response.
     Served(UpstreamResponse),
-    /// The request was not served. It never ran or is idempotent, so the client may retry it.
+    /// The request was not served. It never ran or may run more than once, so the client may retry
+    /// it.
     Rejected {
         /// How long the client should wait before a retry, in seconds.
         retry_after: Option<f64>,
--- a/src/bin/load-balancer/dispatch/request_lifecycle.rs
+++ b/src/bin/load-balancer/dispatch/request_lifecycle.rs
@@ -14,8 +14,8 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// The decision module and the attempts get a deadline that is earlier than the request's by this
-/// time, so that the response reaches the client in time.
+/// The decision module and the attempts get a deadline that is this much earlier than the deadline
+/// of the request, so that the response reaches the client in time.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(12);
 /// A request that still has no final response this long before its deadline is concluded without
 /// the decision module.
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Starts an attempt. If it can't be sent, its result is queued as an event at once.
+    /// Starts an attempt. If it can't be sent, its result is queued as an event immediately.
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
@@ -161,8 +161,8 @@
         self.events.extend(result.map(Event::AttemptEnded));
     }
 
-    /// Ends the attempts that have not written anything and whose upstream is no longer available
-    /// at the address that was chosen for them, as if the upstream had rejected them. They were
+    /// Ends attempts as if the upstream had rejected them: those that have not written anything and
+    /// whose upstream is no longer available at the address that was chosen for them. They were
     /// started before the change of the upstream, for example its drain, was known. Their requests
     /// would otherwise be sent to an upstream that is already draining.
     pub(super) fn reject_misdirected_attempts(&mut self) {
@@ -184,7 +184,8 @@
     }
 
     /// Sets timers that conclude all open requests by `deadline`, before the process exits. The
-    /// `ShutdownDeadline` that limits the deadlines of the requests must already be set.
+    /// `ShutdownDeadline` that limits the deadlines of the requests must already be set: otherwise
+    /// a timer that fires finds a later deadline and is only set again.
     pub fn set_shutdown_deadline(&mut self, deadline: Instant) {
         for id in self.requests.ids() {
             self.timers
--- a/src/bin/load-balancer/dispatch/request_table/mod.rs
+++ b/src/bin/load-balancer/dispatch/request_table/mod.rs
@@ -33,13 +33,13 @@
 /// An attempt of a request.
 struct AttemptRecord {
     upstream: UpstreamId,
-    /// The address that it was sent to; `None` if the upstream was not available.
+    /// The address chosen for the attempt; `None` if the upstream was not available.
     address: Option<SocketAddr>,
-    /// The start of its measured duration: the time of the decision to start it or, for a streamed
-    /// body, the time of the last byte.
+    /// The time from which the duration of the attempt is measured: its start or, once a streamed
+    /// body has been received completely, the time of the last byte.
     measured_from: Instant,
     connection_idle_time: ConnectionIdleTime,
-    /// The task that runs it; `None` if it never ran or has ended.
+    /// The task that runs the attempt; `None` while the attempt is not running.
     task: Option<AbortHandle>,
 }
 
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Allocates the id of a new request, to which its client gave the id `client_request_id`.
+    /// Allocates an id for a new request. `client_request_id` is the id that its client gave it.
     ///
     /// # Errors
     ///
@@ -165,7 +165,7 @@
         Ok(RequestId(self.last_id))
     }
 
-    /// Adds a request. Returns the channel on which its final response is sent.
+    /// Adds a request. Returns the receiver of its final response.
     pub fn insert(
         &mut self,
         id: RequestId,
@@ -202,9 +202,9 @@
         request.is_some_and(|request| request.is_running(attempt.number))
     }
 
-    /// Records that the body of a request is complete. The duration of its attempt is measured from
-    /// now, because an upstream starts work only when it has received the last byte. Returns false
-    /// if the last attempt of the request is not running.
+    /// Records that the body of a request is complete. The duration of its last attempt is measured
+    /// from now, because an upstream starts work only when it has received the last byte. Returns
+    /// false if that attempt is not running.
     #[must_use]
     pub fn upload_completed(&mut self, id: RequestId) -> bool {
         let request = self.requests.get_mut(&id);
@@ -230,10 +230,10 @@
         Some(result)
     }
 
-    /// Concludes a request. Returns the channel for its final response, or `None` if it is already
-    /// concluded. Its attempts that have not written anything are ended even where running attempts
-    /// must not be cancelled, because no client waits for them any longer. Their results are
-    /// appended to `events`.
+    /// Concludes a request. Returns the sender for its final response, or `None` if it is already
+    /// concluded. Its attempts that have not written anything are ended even if the settings forbid
+    /// cancelling running attempts, because no client waits for them any longer. The results of the
+    /// ended attempts are appended to `events`.
     pub fn conclude(
         &mut self,
         id: RequestId,
@@ -266,7 +266,7 @@
     }
 
     /// Returns, ordered by id, the running attempts that have not written anything and whose
-    /// upstream is no longer available at the address that they were sent to.
+    /// upstream is no longer available at the address that was chosen for them.
     pub fn misdirected_attempts(
         &self,
         address_of: impl Fn(UpstreamId) -> Option<SocketAddr>,
--- a/src/bin/load-balancer/dispatch/request_table/tests.rs
+++ b/src/bin/load-balancer/dispatch/request_table/tests.rs
@@ -48,7 +48,9 @@
 /// Returns a table with one open request, its id, and the receiver of its final response.
 fn table_with_a_request() -> (RequestTable, RequestId, oneshot::Receiver<FinalResponse>) {
     let mut table = RequestTable::new(1, Duration::from_secs(1));
-    let id = table.allocate_id("a".into()).expect("accepted");
+    let id = table
+        .allocate_id("a".into())
+        .expect("the request is rejected");
     let response = table.insert(id, forwarded_request());
     (table, id, response)
 }
@@ -56,7 +58,7 @@
 /// Adds an attempt that runs until it is aborted.
 fn add_running_attempt(table: &mut RequestTable, id: RequestId) -> (AttemptId, ConnectionIdleTime) {
     let idle = ConnectionIdleTime::default();
-    let request = table.get_mut(id).expect("open");
+    let request = table.get_mut(id).expect("the request is not open");
     let number = request.add_attempt(UPSTREAM, Some(address(1)), Instant::now(), idle.clone());
     request.set_task(number, spawn_local(pending::<()>()).abort_handle());
     let attempt = AttemptId {
@@ -69,7 +71,7 @@
 fn run(test: impl FnOnce()) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
-        .expect("a runtime");
+        .expect("the runtime can't be built");
     LocalSet::new().block_on(&runtime, async { test() });
 }
 
--- a/src/bin/load-balancer/dispatch/tests/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/mod.rs
@@ -50,7 +50,7 @@
         names: NameTables::default(),
     };
     let resources = Resources::new(&config);
-    Dispatcher::start(config, resources).expect("valid settings")
+    Dispatcher::start(config, resources).expect("the settings are invalid")
 }
 
 fn request_with_deadline(request_timeout: Duration) -> ValidatedRequest {
@@ -78,8 +78,10 @@
 
 /// Starts an upstream that responds to each request with `response`, or never if it is `None`.
 async fn spawn_upstream(response: Option<&'static str>) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("no port can be bound");
+    let address = listener.local_addr().expect("the listener is not bound");
     spawn_local(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             spawn_local(async move {
@@ -99,7 +101,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("the runtime can't be built");
     LocalSet::new().block_on(&runtime, test);
 }
 
@@ -126,7 +128,7 @@
             let DispatchedRequest { id, response } = dispatcher
                 .borrow_mut()
                 .accept(request_with_deadline(Duration::from_secs(1)))
-                .expect("accepted");
+                .expect("the request is rejected");
             match number % 5 {
                 0 => dispatcher.borrow_mut().client_disconnected(id),
                 _ => pending.push((id, response)),
@@ -135,7 +137,9 @@
         }
         let mut served_count = 0;
         for (id, response) in pending {
-            if let FinalResponse::Served(served) = response.await.expect("a final response") {
+            if let FinalResponse::Served(served) =
+                response.await.expect("the response channel was closed")
+            {
                 assert!(matches!(served.body, ResponseContent::Complete(body) if body == "hi"));
                 served_count += 1;
             }
@@ -168,8 +172,9 @@
         let DispatchedRequest { response, .. } = dispatcher
             .borrow_mut()
             .accept(request_with_deadline(deadline))
-            .expect("accepted");
-        // Without the timers of the decision module and the attempts, only the backstop is left.
+            .expect("the request is rejected");
+        // The timers of the decision module are dropped and the attempts are aborted, so that only
+        // the backstop can conclude the request.
         dispatcher
             .borrow_mut()
             .timers
--- a/src/bin/load-balancer/dispatch/tests/notification/fake_discovery.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/fake_discovery.rs
@@ -20,7 +20,7 @@
 pub(super) enum RequestOutcome {
     /// The request gets no response.
     Unanswered,
-    /// The request is refused at once.
+    /// The request is refused immediately.
     Refused,
     /// The request is refused after `QUEUE_TIMEOUT`.
     QueuedThenRefused,
@@ -34,7 +34,8 @@
     Silent,
     /// The response starts after this many seconds, with the change.
     AnsweredAfter(u64),
-    /// The response starts at once, and the change follows after this many seconds.
+    /// The response starts immediately, and the change follows after this many seconds. The number
+    /// must be even, because a line is sent every 2 s.
     ChangesAfter(u64),
 }
 pub(super) use RequestOutcome::*;
@@ -52,7 +53,7 @@
 
 impl FakeDiscovery {
     /// Creates a service that refuses connections until `listen` is called. Requests beyond the
-    /// script get a response with the change at once.
+    /// script immediately get a response with the change.
     pub(super) fn not_listening(script: &[RequestOutcome]) -> Rc<Self> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
--- a/src/bin/load-balancer/dispatch/tests/notification/harness.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/harness.rs
@@ -77,7 +77,7 @@
         names: NameTables::default(),
     };
     let resources = Resources::new(&config);
-    Dispatcher::start(config, resources).expect("valid settings")
+    Dispatcher::start(config, resources).expect("the settings are invalid")
 }
 
 /// Advances the clock until the dispatcher knows the change of `discovery`, version 6. Returns the
@@ -102,6 +102,6 @@
         .enable_all()
         .start_paused(true)
         .build()
-        .expect("a runtime");
+        .expect("the runtime can't be built");
     LocalSet::new().block_on(&runtime, test);
 }
--- a/src/bin/load-balancer/dispatch/tests/notification/mod.rs
+++ b/src/bin/load-balancer/dispatch/tests/notification/mod.rs
@@ -31,8 +31,8 @@
     all
 }
 
-/// If discovery has a change when a request fails, the change must be known in time: the next
-/// request has to be sent soon enough, whatever its outcome is.
+/// If discovery has a change when a request fails, the change must be known in time. The next
+/// requests therefore have to be sent soon enough, even if some of them fail too.
 #[test]
 fn changes_are_known_in_time_after_failed_requests() {
     run(async {
@@ -55,13 +55,16 @@
                 }
             }
         }
-        assert!(late_changes.is_empty(), "{late_changes:#?}");
+        assert!(
+            late_changes.is_empty(),
+            "known after more than {NOTIFICATION_DEADLINE:?}: {late_changes:#?}"
+        );
     });
 }
 
 /// In push mode watches connect to a local agent. A change counts as known as soon as this agent
-/// has it, even if no watch is open. On real sockets the grace period of a drain is 0.45 s. It has
-/// to cover the time until a failed watch is reopened and a stall of 0.15 s.
+/// has it, even if no watch is open. On real sockets the grace period of a drain is 0.45 s. This
+/// period has to cover a stall of 0.15 s, which leaves 0.3 s until a failed watch is reopened.
 #[test]
 fn failed_push_watch_is_reopened_within_the_grace_period() {
     let reconnect_limit = Duration::from_millis(300);
@@ -83,7 +86,10 @@
         advance_seconds(8).await;
         discovery.listen();
         let time = time_until_known(&dispatcher, &discovery).await;
-        assert!(time <= reconnect_limit, "outage: known after {time:?}");
+        assert!(
+            time <= reconnect_limit,
+            "outage: known after {time:?}, limit {reconnect_limit:?}"
+        );
     });
 }
 
@@ -116,7 +122,10 @@
                 );
             }
         }
-        assert!(late_changes.is_empty(), "{late_changes:#?}");
+        assert!(
+            late_changes.is_empty(),
+            "known after more than {NOTIFICATION_DEADLINE:?}: {late_changes:#?}"
+        );
     });
 }
 
@@ -150,7 +159,7 @@
                     let dispatcher = start(initial_address(moves), mode, seed);
                     // Discovery is not up yet at the address `new`. The balancer has this address
                     // from the beginning, switches to it directly or by way of `other`, or switches
-                    // to it, then to `other` and back.
+                    // to it, then to `other` and back to `new`.
                     let routes = [
                         vec![],
                         vec![&new],
@@ -166,7 +175,8 @@
                     let time = time_until_known(&dispatcher, &new).await;
                     assert!(
                         time <= NOTIFICATION_DEADLINE,
-                        "{mode:?}, {moves} moves, full backlog {is_backlog_full}: known after {time:?}"
+                        "{mode:?}, {moves} moves, full backlog {is_backlog_full}: \
+                        known after {time:?}, limit {NOTIFICATION_DEADLINE:?}"
                     );
                 }
             }
@@ -195,16 +205,17 @@
                 advance_seconds(outage_seconds).await;
                 discovery.listen();
                 let time = time_until_known(&dispatcher, &discovery).await;
-                late_changes.extend(
-                    (time > NOTIFICATION_DEADLINE).then(|| {
-                        format!("{peer_count} {is_backlog_full} {outage_seconds} {time:?}")
-                    }),
-                );
+                late_changes.extend((time > NOTIFICATION_DEADLINE).then(|| {
+                    format!(
+                        "{peer_count} peers, full backlog {is_backlog_full}, \
+                        outage of {outage_seconds} s: known after {time:?}"
+                    )
+                }));
             }
         }
         assert!(
             late_changes.is_empty(),
-            "peers, is backlog full, outage in s, time until known: {late_changes:#?}"
+            "known after more than {NOTIFICATION_DEADLINE:?}: {late_changes:#?}"
         );
     });
 }
@@ -231,13 +242,16 @@
                 );
             }
         }
-        assert!(late_changes.is_empty(), "{late_changes:#?}");
+        assert!(
+            late_changes.is_empty(),
+            "known after more than {NOTIFICATION_DEADLINE:?}: {late_changes:#?}"
+        );
     });
 }
 
 /// Requests that discovery queues for a long time must not be closed in favour of newer ones,
-/// because then none would get a response. Once one has a response, the others must be closed and
-/// not sent again.
+/// because then no request would get a response. Once a request has a response, all other requests
+/// must be closed and not sent again.
 #[test]
 fn long_queued_request_is_answered() {
     run(async {
@@ -270,7 +284,7 @@
             let time = time_until_known(&dispatcher, &discovery).await;
             assert!(
                 time < Duration::from_secs(31),
-                "{mode:?}, moved: {is_address_changed}: known after {time:?}"
+                "{mode:?}, address changed {is_address_changed}: known after {time:?}, limit 31 s"
             );
             assert_eq!(
                 (
@@ -286,7 +300,8 @@
     });
 }
 
-/// A queued request must be neither closed nor sent a second time before its timeout.
+/// A queued request must be neither closed nor sent a second time before the response timeout of
+/// poll mode.
 #[test]
 fn queued_request_is_not_repeated() {
     run(async {
@@ -295,7 +310,7 @@
             let dispatcher = start(discovery.address, DiscoveryMode::Poll, seed);
             advance_until(|| discovery.request_count() > 0).await;
             // 2.5 s exceed the response timeout in push mode and the time for which discovery
-            // queues a request.
+            // queues a request, but not the response timeout in poll mode.
             let check_at = discovery.request_times.borrow()[0] + Duration::from_millis(2500);
             advance_until(|| Instant::now() >= check_at).await;
             assert_eq!(
@@ -311,7 +326,7 @@
 }
 
 /// A slow discovery service must not be flooded: no request is sent within 2.5 s of the previous
-/// one, and at most `MAX_WATCHES` requests are open at once.
+/// one, and at most `MAX_WATCHES` requests are open at the same time.
 #[test]
 fn slow_discovery_is_not_flooded() {
     run(async {
@@ -371,7 +386,7 @@
             let time = time_until_known(&dispatcher, &discovery).await;
             assert!(
                 time <= Duration::from_secs(6),
-                "{mode:?}: known after {time:?}"
+                "{mode:?}: known after {time:?}, limit 6 s"
             );
         }
     });
--- a/src/bin/load-balancer/dispatch/timers/mod.rs
+++ b/src/bin/load-balancer/dispatch/timers/mod.rs
@@ -14,7 +14,8 @@
     Decision(u64),
     /// Concludes the request if it has no final response yet.
     DeadlineBackstop(RequestId),
-    /// Reopens the watch on discovery.
+    /// Opens a watch on discovery, unless the newest one uses the current address and is not
+    /// broken.
     ReopenWatch,
 }
 
@@ -35,7 +36,7 @@
         self.heap.push(Reverse((at, timer)));
     }
 
-    /// Returns when the earliest timer is due, or `None` if no timer is set.
+    /// Returns the time at which the earliest timer is due, or `None` if no timer is set.
     pub fn next_at(&self) -> Option<Instant> {
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
@@ -48,7 +49,7 @@
         self.heap.pop().map(|Reverse((_, timer))| timer)
     }
 
-    /// Returns the notification for a new timer that is due before all others.
+    /// Returns the `Notify` that is notified whenever a new timer becomes the earliest one.
     pub fn earliest_changed(&self) -> Rc<Notify> {
         self.earliest_changed.clone()
     }
