--- a/src/bin/load-balancer/discovery/endpoint.rs
+++ b/src/bin/load-balancer/discovery/endpoint.rs
@@ -21,20 +21,21 @@
 pub struct Endpoint {
     /// The name, which identifies the upstream whatever its address is.
     pub name: String,
-    /// The address on which it listens.
+    /// The address on which the upstream listens.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// The name of the upstream's zone.
     #[serde(default)]
     pub zone: String,
-    /// The name of its machine kind.
+    /// The name of the upstream's machine kind.
     #[serde(default, rename = "type")]
     pub machine_kind: String,
-    /// Its cell.
+    /// The upstream's cell.
     #[serde(default, rename = "group")]
     pub cell: usize,
-    /// Whether it accepts requests.
+    /// Whether the upstream accepts requests.
     pub status: EndpointStatus,
-    /// When it last started, in milliseconds since the Unix epoch; 0 if it started long ago.
+    /// When the upstream last started, in milliseconds since the Unix epoch; 0 if it started long
+    /// ago.
     #[serde(default, rename = "since_ms")]
     pub started_at_ms: f64,
 }
@@ -45,7 +46,7 @@
 pub enum EndpointStatus {
     /// The endpoint accepts requests.
     InService,
-    /// The endpoint accepts no new requests. An unknown status is read as this one.
+    /// The endpoint accepts no new requests. An unknown status is read as `Draining`.
     Draining,
     /// The endpoint no longer exists.
     Terminated,
--- a/src/bin/load-balancer/discovery/message/mod.rs
+++ b/src/bin/load-balancer/discovery/message/mod.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Messages longer than this are rejected as malformed.
+/// A message is rejected as malformed if it is longer than this and still incomplete after a chunk.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// Why the body of a watch can't be decoded.
@@ -16,7 +16,7 @@
     /// A string is not closed on its line, so the end of the message can't be determined.
     #[error("malformed endpoint list: a string continues past the end of its line")]
     UnterminatedString,
-    /// A message is longer than `MAX_MESSAGE_BYTES`.
+    /// An incomplete message is longer than `MAX_MESSAGE_BYTES`.
     #[error("malformed endpoint list: it is longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
 }
--- a/src/bin/load-balancer/discovery/message/tests.rs
+++ b/src/bin/load-balancer/discovery/message/tests.rs
@@ -37,7 +37,7 @@
     ] {
         assert!(
             versions(text, 3).is_err_and(|error| error.to_string().starts_with("malformed")),
-            "{text}"
+            "{text:?} is not reported as malformed"
         );
     }
 }
@@ -55,6 +55,6 @@
         ("\"endpoints\":[]}", true),
     ];
     for (text, expected) in cases {
-        assert_eq!(is_alive(text).ok(), Some(expected), "{text}");
+        assert_eq!(is_alive(text).ok(), Some(expected), "after {text:?}");
     }
 }
--- a/src/bin/load-balancer/discovery/silence_timer/mod.rs
+++ b/src/bin/load-balancer/discovery/silence_timer/mod.rs
@@ -33,9 +33,10 @@
         future: &mut (impl Future<Output = T> + Unpin),
         on_silence: impl FnOnce(),
     ) -> T {
-        // Received data takes precedence over a timer that expires in the same turn. The timer
-        // branch checks `is_reported` rather than `Sleep::is_elapsed`, so that a silence that
-        // continues after that data is still reported.
+        // Received data takes precedence over a timer that expires in the same event loop turn. If
+        // the data completes no message, the expired timer is not restarted. The timer branch
+        // therefore checks `is_reported` rather than `Sleep::is_elapsed`, so that a silence that
+        // continues after the data is still reported.
         tokio::select! {
             biased;
             output = &mut *future => return output,
--- a/src/bin/load-balancer/discovery/silence_timer/tests.rs
+++ b/src/bin/load-balancer/discovery/silence_timer/tests.rs
@@ -4,8 +4,8 @@
 use std::cell::Cell;
 use std::pin::pin;
 
-/// A chunk that is received in the same turn of the event loop in which the timer expires takes
-/// precedence over the report. It must not suppress the report if the silence continues afterwards.
+/// A chunk takes precedence over the report of silence if it is received in the event loop turn in
+/// which the timer expires. It must not suppress the report if the silence continues afterwards.
 #[tokio::test(start_paused = true)]
 async fn silence_after_a_chunk_at_the_timeout_is_reported() {
     let reports = Cell::new(0);
@@ -20,7 +20,7 @@
     timer.wait(&mut pin!(sleep(second)), report).await;
     assert_eq!(reports.get(), 1);
     timer.wait(&mut pin!(sleep(second)), report).await;
-    assert_eq!(reports.get(), 1, "one report per silence");
+    assert_eq!(reports.get(), 1, "the silence was reported again");
     timer.restart(2 * second);
     timer.wait(&mut pin!(sleep(3 * second)), report).await;
     assert_eq!(reports.get(), 2);
--- a/src/bin/load-balancer/discovery/watch.rs
+++ b/src/bin/load-balancer/discovery/watch.rs
@@ -28,12 +28,12 @@
 /// is queued for 2 s and then refused, and the backoff after it. They also have to cover two
 /// requests in a row that get no response.
 const POLL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2600);
-/// In push mode a local agent responds at once. In both modes this timeout also applies to a
+/// In push mode a local agent responds immediately. In both modes this timeout also applies to a
 /// discovery address from which no list is known yet, because its list is needed soon.
 const PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Discovery sends a line every 2 s, an empty one if nothing has changed. A change that a broken
-/// watch misses must be known within 6 s after its last line, so this timeout has to leave enough
-/// time for the next watch and for one more.
+/// watch misses must be known within 6 s after the last line of that watch. This timeout therefore
+/// has to leave enough time for the next watch and, if that watch fails too, for one more.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -72,7 +72,7 @@
     /// The request can't be built.
     #[error("invalid request: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
-    /// Discovery responded with another status than 200.
+    /// Discovery responded with a status other than 200.
     #[error("response status {0}")]
     Status(StatusCode),
     /// Discovery ended the response.
--- a/src/bin/load-balancer/discovery/watch_set/mod.rs
+++ b/src/bin/load-balancer/discovery/watch_set/mod.rs
@@ -1,8 +1,8 @@
 //! The set of open watches, and which of them is authoritative.
 //!
-//! A silent watch stays open until a newer watch is alive, so several watches can be open at once.
-//! The oldest one is authoritative: endpoint lists are accepted only from it. As soon as a newer
-//! watch is alive, all older watches are closed.
+//! A silent watch stays open until a newer watch is alive, so several watches can be open at the
+//! same time. The oldest one is authoritative: endpoint lists are accepted only from it. As soon as
+//! a newer watch is alive, all older watches are closed.
 
 use crate::discovery::endpoint::EndpointList;
 use crate::discovery::watch::{WatchError, WatchId, WatchRequest};
@@ -22,19 +22,20 @@
 /// In push mode a watch is reopened after this time, instead of `RECONNECT_DELAY`, once
 /// `FAILURES_UNTIL_SLOW_RECONNECT` watches in a row have failed.
 const SLOW_RECONNECT_DELAY: Duration = Duration::from_millis(250);
-/// From this many failures in a row, reconnects are slow and only one failure in this many is
-/// logged.
+/// From this many failures in a row on, reconnects in push mode are slow, and a failure is logged
+/// only if the number of failures in a row is a multiple of this.
 const FAILURES_UNTIL_SLOW_RECONNECT: u32 = 10;
 /// A watch that ends before this age counts as one more failure in a row, even if it has received a
 /// complete list.
 const MIN_HEALTHY_WATCH_AGE: Duration = Duration::from_secs(1);
-/// In poll mode another watch is opened beside a silent one after a random delay of at most this
-/// time, so that balancers whose watches fall silent together do not poll in step.
+/// In poll mode another watch is opened in addition to a silent one after a random delay of at most
+/// this time, so that balancers whose watches fall silent together do not poll in step.
 const MAX_POLL_JITTER: Duration = Duration::from_millis(150);
 /// A failed watch on a new discovery address is reopened after a random delay of at most this time.
-/// All balancers switch to a new address at once and would otherwise reconnect in step.
+/// All balancers switch to a new address at the same time and would otherwise reconnect in step.
 const MAX_MOVE_DELAY: Duration = Duration::from_millis(400);
-/// The minimum of this random delay, as a share of `MAX_MOVE_DELAY`.
+/// The minimum delay before a failed watch on a new discovery address is reopened, as a share of
+/// `MAX_MOVE_DELAY`.
 const MIN_MOVE_DELAY_SHARE: f64 = 0.25;
 /// The maximum number of watches that are open at a time. One more descriptor than this is reserved
 /// for discovery.
@@ -64,7 +65,7 @@
 pub enum Reconnect {
     /// No watch is opened, because a newer watch is open or is about to be opened.
     Superseded,
-    /// The watch is opened at once.
+    /// The watch is opened immediately.
     Now,
     /// The watch is opened after this time, by a call of `WatchSet::ensure_watch`.
     After(Duration),
@@ -149,15 +150,15 @@
     }
 
     /// Switches to another discovery address. Returns the request to open a watch on it, or `None`
-    /// if the address is unchanged. The endpoint list and the watch of the old address stay in use
-    /// until the new watch is alive.
+    /// if the address is unchanged. The watch on the old address stays in use until the new watch
+    /// is alive, and the known version of its endpoint list until the new watch receives a list.
     #[must_use]
     pub fn set_address(&mut self, address: SocketAddr) -> Option<WatchRequest> {
         if address == self.discovery.address {
             return None;
         }
         self.discovery.address = address;
-        // Watches on intermediate addresses, from which nothing was received, are not needed.
+        // Watches on intermediate addresses, from which no list was accepted, are not needed.
         let source = self.known.source;
         self.watches
             .retain(|watch| [source, address].contains(&watch.address));
@@ -180,8 +181,8 @@
         });
         if self.watches.len() > MAX_WATCHES {
             // The first watch stays open because it is authoritative, possibly on the old address.
-            // The second one has waited longest where discovery queues requests, and would lose
-            // its place in the queue if it were closed.
+            // If discovery queues requests, the second one has waited longest and would lose its
+            // place in the queue if it were closed.
             self.watches.remove(2);
         }
         WatchRequest {
@@ -214,7 +215,7 @@
     }
 
     /// Records that a list was received on a watch. Returns true if the list is accepted, or false
-    /// if it is out of date.
+    /// if the watch has been closed or the list is out of date.
     #[must_use]
     pub fn accept_list(&mut self, id: WatchId, list: &EndpointList) -> bool {
         let is_first_message = self
@@ -300,7 +301,7 @@
         reconnect
     }
 
-    /// Returns when the failed watch on `address` is reopened.
+    /// Determines when the failed watch on `address` is reopened.
     fn reconnect_after_failure(&mut self, address: SocketAddr, is_newest: bool) -> Reconnect {
         // After a switch of the discovery address, watches on the old address are expected to fail,
         // and the watch on the new address is open or about to be opened.
--- a/src/bin/load-balancer/discovery/watch_set/tests.rs
+++ b/src/bin/load-balancer/discovery/watch_set/tests.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Opens a watch, which must be needed.
+/// Opens a watch. Panics if the newest open watch is still usable.
 fn open(watches: &mut WatchSet) -> WatchRequest {
     watches
         .ensure_watch()
@@ -70,7 +70,7 @@
     let new = open(&mut watches).id;
     assert!(
         watches.accept_list(old, &list(6, true)),
-        "old watch stays open"
+        "the list of the silent old watch was not accepted"
     );
     watches.mark_alive(new);
     assert_eq!(watches.ids(), [new.0]);
@@ -100,7 +100,7 @@
     assert_eq!(watches.known().version, 7);
     assert!(
         watches.accept_list(watch, &list(6, true)),
-        "full list is accepted"
+        "the full list was not accepted"
     );
     assert_eq!(watches.known().version, 6);
 }
@@ -133,13 +133,13 @@
     let mut watches = watch_set(DiscoveryMode::Push);
     let old = open(&mut watches).id;
     assert_eq!(watches.set_address(address(1)), None, "unchanged address");
-    let between = watches.set_address(address(2)).expect("new address");
-    let new = watches.set_address(address(3)).expect("new address");
+    let between = watches.set_address(address(2)).expect("no watch to open");
+    let new = watches.set_address(address(3)).expect("no watch to open");
     assert_eq!((between.since, new.since), (None, None));
     assert_eq!(watches.ids(), [old.0, new.id.0]);
     assert!(
         watches.accept_list(old, &list(6, false)),
-        "old watch stays open"
+        "the list of the old watch was not accepted"
     );
     assert!(watches.accept_list(new.id, &list(1, false)));
     assert_eq!(watches.ids(), [new.id.0]);
@@ -186,7 +186,10 @@
     for mode in [DiscoveryMode::Push, DiscoveryMode::Poll] {
         let mut watches = watch_set(mode);
         let old = open(&mut watches).id;
-        let new = watches.set_address(address(2)).expect("new address").id;
+        let new = watches
+            .set_address(address(2))
+            .expect("no watch to open")
+            .id;
         assert_eq!(
             watches.remove_failed(old, &WatchError::Ended),
             Reconnect::Superseded
@@ -195,7 +198,7 @@
         assert!(
             matches!(reconnect, Reconnect::After(delay)
                 if (MAX_MOVE_DELAY / 4..MAX_MOVE_DELAY).contains(&delay)),
-            "{reconnect:?}"
+            "{reconnect:?}, expected between a quarter and all of {MAX_MOVE_DELAY:?}"
         );
     }
 }
