--- a/src/bin/load-balancer/server/accept.rs
+++ b/src/bin/load-balancer/server/accept.rs
@@ -16,7 +16,7 @@
 
 /// Delay before the next accept from the second consecutive failure on.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// A resource shortage is persistent once this many more accepts have failed than succeeded.
+/// A resource shortage is persistent once `ResourceShortage::excess_failures` reaches this value.
 const PERSISTENT_SHORTAGE_FAILURES: u32 = 10;
 /// Minimum interval between two log lines about failed accepts.
 const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(10);
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Starts serving a connection, or closes it if no descriptor is available.
+    /// Starts serving a connection, or closes it if it can't be registered with the event loop or
+    /// no descriptor is available.
     async fn admit_connection(self: &Rc<Self>, accepted: PendingConnection) {
         let stream = match accepted.register().await {
             Ok(stream) => stream,
--- a/src/bin/load-balancer/server/capacity.rs
+++ b/src/bin/load-balancer/server/capacity.rs
@@ -5,9 +5,9 @@
 use crate::socket::{DescriptorPermit, Purpose};
 use tokio::task::yield_now;
 
-/// Number of times that a new connection tries to obtain a descriptor, yielding to other tasks in
-/// between. Connections with unread input are not evicted, and their input may be unread only
-/// because their tasks have not run yet.
+/// Maximum number of times that a new connection tries to obtain a descriptor, yielding to other
+/// tasks in between. Connections with unread input are not evicted, and their input may be unread
+/// only because their tasks have not run yet.
 const MAX_PERMIT_ATTEMPTS: usize = 16;
 
 /// Whether a connection was accepted within or over capacity.
@@ -16,7 +16,8 @@
     /// The connection uses a descriptor from the budget for clients.
     WithinCapacity,
     /// The connection uses a descriptor reserved for rejections. Its request is served only if
-    /// there is capacity when it arrives, and the connection closes after the response.
+    /// there is capacity when it arrives or eviction makes room for it. The connection closes after
+    /// the response.
     OverCapacity,
 }
 
--- a/src/bin/load-balancer/server/connection/mod.rs
+++ b/src/bin/load-balancer/server/connection/mod.rs
@@ -18,8 +18,8 @@
 /// `Lingering` is the last phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// No request is in progress, or only a part of its head has been received.
-    /// `Socket::request_started_at` distinguishes the two.
+    /// No request is in progress, or only a part of the next request's head has been received.
+    /// `Socket::request_started_at` distinguishes the two cases.
     AwaitingRequest {
         /// When the last response ended or the last head was received, whichever is later; until
         /// the first response, the time at which the connection was opened.
@@ -28,14 +28,14 @@
     /// The connection was accepted over capacity, and its request waits while idle connections are
     /// evicted.
     AwaitingCapacity,
-    /// The body of a valid request is being read ahead.
+    /// The head of the request is valid, and its body is being read ahead.
     ReceivingBody,
     /// The request was accepted and has no final response yet.
     AwaitingResponse,
     /// The response is being streamed.
     StreamingResponse,
-    /// Serving has ended; the connection stays open until the client has received the last
-    /// response.
+    /// Serving has ended; the connection stays open for a limited time so that the client can
+    /// receive the last response.
     Lingering {
         /// When the connection became idle; `None` if serving ended during a request, in which case
         /// the connection is not evicted.
@@ -62,21 +62,22 @@
 pub(super) enum RequestHistory {
     /// No request has been answered or has passed validation.
     Empty,
-    /// Only health checks, and requests that were invalid or rejected for lack of capacity.
+    /// The connection has carried only health checks, and requests that were invalid or were
+    /// rejected for lack of capacity.
     NoneValid,
-    /// At least one request that passed validation.
+    /// At least one request has passed validation.
     SomeValid,
 }
 
-/// How far the current request, or the last one, has been received and read.
+/// The progress of receiving the current request, or the last one if no request is in progress.
 #[derive(Default)]
 struct CurrentRequest {
     /// Offset of the request's end in the bytes received on the connection; `None` if unknown.
     end_offset: Cell<Option<usize>>,
-    /// The rest of the body is being read and discarded, because the response was known before the
-    /// body was complete.
+    /// Whether the rest of the body is being read and discarded, because the response was known
+    /// before the body was complete.
     is_discarding_body: Cell<bool>,
-    /// The request was rejected before it was completely received.
+    /// Whether the request was rejected before it was completely received.
     is_rejected_incomplete: Cell<bool>,
 }
 
--- a/src/bin/load-balancer/server/connection/stall.rs
+++ b/src/bin/load-balancer/server/connection/stall.rs
@@ -10,7 +10,8 @@
 
 /// A connection is closed if its client accepts no byte of a response for this time. The kernel
 /// buffers megabytes for the client, and reports the socket as writable only once a large part of
-/// them has been sent, which takes half a minute at 64 kB/s.
+/// them has been sent, which takes half a minute at 64 kB/s. A much shorter timeout would therefore
+/// close connections whose clients are still receiving.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(60);
 /// Replaces [`IDLE_TIMEOUT`] on a connection that is to close after its current request.
 const CLOSING_IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -27,8 +28,8 @@
             let deadline = self.stall_deadline(now);
             if deadline <= now && self.request.is_discarding_body.get() && self.socket.has_unread()
             {
-                // The rest of the body has arrived; it is unread only because this process has had
-                // no time to read it.
+                // More of the body has arrived; it is unread only because this process has had no
+                // time to read it.
                 sleep(DISCONNECT_CHECK_INTERVAL).await;
             } else if deadline <= now {
                 return;
@@ -84,7 +85,7 @@
     }
 
     /// Waits until the client has disconnected while its request awaits a response. Hyper doesn't
-    /// detect that if there are unread bytes before the end of the stream.
+    /// detect the disconnect if there are unread bytes before the end of the stream.
     pub(in crate::server) async fn disconnected(&self) {
         loop {
             self.socket.readable().await;
--- a/src/bin/load-balancer/server/connection_table.rs
+++ b/src/bin/load-balancer/server/connection_table.rs
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Closes the first connection in eviction order. Returns false if none can be evicted.
+    /// Closes the first connection in eviction order on which no request has arrived in the
+    /// meantime. Returns false if no connection can be evicted.
     pub(super) async fn evict_one(&self) -> bool {
         while let Some(id) = self.eviction_candidate() {
             let decided = self.connections.borrow()[&id].eviction.request();
--- a/src/bin/load-balancer/server/drain.rs
+++ b/src/bin/load-balancer/server/drain.rs
@@ -12,8 +12,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// Time within which load balancers in front of this one detect that it is no longer ready. Idle
-/// connections are closed only after that.
+/// Time within which load balancers in front of this one detect that it is no longer ready. A
+/// client drain closes idle connections only after this time.
 const DRAIN_NOTICE_PERIOD: Duration = Duration::from_millis(700);
 /// Requests that arrive later than this after the start of a shutdown may be unfinished when the
 /// process is killed.
@@ -54,8 +54,8 @@
         self.shutdown_deadline.is_set() || self.client_drain.get().is_some()
     }
 
-    /// Returns whether this request arrived so late in a shutdown that a streamed response might be
-    /// incomplete when the process is killed.
+    /// Returns whether the request with the body `upload` arrived so late in a shutdown that a
+    /// streamed response might be incomplete when the process is killed.
     pub(super) fn arrived_late(&self, upload: &Upload) -> bool {
         self.late_request_cutoff
             .get()
@@ -96,10 +96,10 @@
 }
 
 impl Server {
-    /// Begins a graceful shutdown: from now on responses close their connections, and idle
-    /// connections, including those to upstreams, are closed. Client connections that have not
-    /// carried a request yet stay open, as their first request is expected. All requests get their
-    /// responses by `deadline`.
+    /// Begins a graceful shutdown: from now on responses close their connections, unless pipelined
+    /// requests follow that are still served. Idle connections, including those to upstreams, are
+    /// closed. Client connections that have not carried a request yet stay open, as their first
+    /// request is expected. All requests get their responses by `deadline`.
     pub fn begin_shutdown(&self, deadline: Instant) {
         self.drain_state.begin_shutdown(deadline);
         self.dispatcher.borrow_mut().set_shutdown_deadline(deadline);
@@ -114,9 +114,10 @@
         self.connections.request_close_where(|_| true);
     }
 
-    /// Starts or stops draining clients. While draining, responses close their connections
-    /// immediately; idle connections are closed only after [`DRAIN_NOTICE_PERIOD`], because a
-    /// request sent just before the close would be lost.
+    /// Starts or stops draining clients. From the start of the drain responses close their
+    /// connections, unless pipelined requests follow that are still served. Idle connections are
+    /// closed only after [`DRAIN_NOTICE_PERIOD`]: until then load balancers in front of this one
+    /// may still send requests on them, and a request sent just before the close would be lost.
     pub fn drain_clients(self: &Rc<Self>, client_drain: ClientDrain) {
         match client_drain {
             ClientDrain::Begin => self.start_client_drain(),
--- a/src/bin/load-balancer/server/handler.rs
+++ b/src/bin/load-balancer/server/handler.rs
@@ -67,7 +67,7 @@
         };
         client.enter(Phase::AwaitingResponse);
         // While a complete request awaits its response, nothing else reads the bytes that follow
-        // it.
+        // it. They are read ahead, as unread bytes can hide that the client has disconnected.
         client.socket.set_read_ahead(!upload.is_streamed());
         let final_response = response.await;
         client.socket.set_read_ahead(false);
--- a/src/bin/load-balancer/server/raw_head/mod.rs
+++ b/src/bin/load-balancer/server/raw_head/mod.rs
@@ -1,7 +1,8 @@
 //! Request heads as they were received.
 //!
 //! Hyper drops a Content-Length header next to Transfer-Encoding, and doesn't report where a head
-//! ends. Both are therefore determined from the bytes received on the connection.
+//! ends. Whether a head has a Content-Length, and where it ends, is therefore determined from the
+//! bytes received on the connection.
 
 /// Properties of a request head that hyper doesn't report.
 pub(super) struct RawHead {
--- a/src/bin/load-balancer/server/request.rs
+++ b/src/bin/load-balancer/server/request.rs
@@ -171,8 +171,8 @@
         })
     }
 
-    /// Returns the offset of the body's end in the bytes received on the connection, if known. That
-    /// of a chunked body is unknown, as its length doesn't include the chunk headers.
+    /// Returns the offset of the body's end in the bytes received on the connection, if known. The
+    /// end of a chunked body is unknown, as the body's length doesn't include the chunk headers.
     fn end_offset(&self, upload: &Upload) -> Option<usize> {
         let length = upload.length().filter(|_| !self.is_chunked);
         self.start_offset
@@ -261,7 +261,7 @@
     let seconds = numeric_header(headers, "request-timeout")?
         .unwrap_or(class_deadline)
         .min(class_deadline);
-    // Fails only for a class deadline beyond the range of `Duration`.
+    // The conversion fails only for a class deadline beyond the range of `Duration`.
     Ok(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::ZERO))
 }
 
--- a/src/bin/load-balancer/server/serve.rs
+++ b/src/bin/load-balancer/server/serve.rs
@@ -65,8 +65,8 @@
             self.handle_request(request, client).await
         };
         client.record_response();
-        // The bytes after an invalid request may not begin another request, so the connection is
-        // closed.
+        // The bytes after an invalid request are not necessarily the beginning of another request,
+        // so the connection is closed.
         let is_rejected = is_over_capacity || response.status().is_client_error();
         client.set_rejected_incomplete(is_rejected && is_incomplete);
         if is_rejected || self.drain_state.closes_after_response(client) {
--- a/src/bin/load-balancer/server/timeouts.rs
+++ b/src/bin/load-balancer/server/timeouts.rs
@@ -4,7 +4,7 @@
 
 /// Time limit for receiving a request, counted from the opening of the connection for the first
 /// request and from the first byte for later ones. For a streamed body it covers only the part that
-/// is read ahead.
+/// is read ahead. A body that arrives at the minimum rate of `Upload::read` may take longer.
 pub const REQUEST_ARRIVAL_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time after [`REQUEST_ARRIVAL_TIMEOUT`] in which the client can be sent an error response before
 /// its connection is closed.
