--- a/src/bin/load-balancer/body/download.rs
+++ b/src/bin/load-balancer/body/download.rs
@@ -29,9 +29,9 @@
 }
 
 impl Download {
-    /// Creates a body of which `read_ahead` has been read. `completion` is notified once the
-    /// complete body has been read, so that the upstream connection can be reused; `memory` is held
-    /// as long as the body.
+    /// Creates a body whose beginning, `read_ahead`, has been read. `completion` is notified once
+    /// the complete body has been read, so that the upstream connection can be reused; `memory` is
+    /// held as long as the body.
     #[must_use]
     pub fn new(
         read_ahead: VecDeque<Bytes>,
--- a/src/bin/load-balancer/body/memory_budget.rs
+++ b/src/bin/load-balancer/body/memory_budget.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Divisor of the process's memory that gives the memory for reading ahead. During an upgrade a
-/// second process runs next to this one and uses the same amount.
+/// The memory for reading ahead is the memory of the process divided by this number. During an
+/// upgrade a second process runs next to this one and uses as much memory for reading ahead.
 const MEMORY_DIVISOR: usize = 8;
 
 /// The memory that all bodies together may use for reading ahead.
--- a/src/bin/load-balancer/body/upload.rs
+++ b/src/bin/load-balancer/body/upload.rs
@@ -64,8 +64,9 @@
         }
     }
 
-    /// Reads up to [`READ_AHEAD_BYTES`]. The client has to keep up the minimum mean rate, but is
-    /// given at least until `earliest_deadline`, and never longer than until `shutdown_deadline`.
+    /// Reads a body until its end or until at least [`READ_AHEAD_BYTES`] have been received. The
+    /// client has to keep up the minimum mean rate, but is given at least until
+    /// `earliest_deadline`, and never longer than until `shutdown_deadline`.
     ///
     /// # Errors
     ///
