--- a/src/bin/load-balancer/dispatch/request_table/tests.rs
+++ b/src/bin/load-balancer/dispatch/request_table/tests.rs
@@ -48,7 +48,9 @@
 /// Returns a table with one open request, its id, and the receiver of its final response.
 fn table_with_a_request() -> (RequestTable, RequestId, oneshot::Receiver<FinalResponse>) {
     let mut table = RequestTable::new(1, Duration::from_secs(1));
-    let id = table.allocate_id("a".into()).expect("accepted");
+    let id = table
+        .allocate_id("a".into())
+        .expect("the request is rejected");
     let response = table.insert(id, forwarded_request());
     (table, id, response)
 }
@@ -56,7 +58,7 @@
 /// Adds an attempt that runs until it is aborted.
 fn add_running_attempt(table: &mut RequestTable, id: RequestId) -> (AttemptId, ConnectionIdleTime) {
     let idle = ConnectionIdleTime::default();
-    let request = table.get_mut(id).expect("open");
+    let request = table.get_mut(id).expect("the request is not open");
     let number = request.add_attempt(UPSTREAM, Some(address(1)), Instant::now(), idle.clone());
     request.set_task(number, spawn_local(pending::<()>()).abort_handle());
     let attempt = AttemptId {
@@ -69,7 +71,7 @@
 fn run(test: impl FnOnce()) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
-        .expect("a runtime");
+        .expect("the runtime can't be built");
     LocalSet::new().block_on(&runtime, async { test() });
 }
 
@@ -133,10 +135,10 @@
         let (_, idle) = add_running_attempt(&mut table, id);
         idle.set(Duration::ZERO);
         let at = |address| move |_| address;
-        let same = table.misdirected_attempts(at(Some(address(1))));
-        let moved = table.misdirected_attempts(at(Some(address(2))));
-        let removed = table.misdirected_attempts(at(None));
-        assert_eq!((same, moved), (vec![], vec![unwritten]));
-        assert_eq!(removed, [unwritten]);
+        let if_unchanged = table.misdirected_attempts(at(Some(address(1))));
+        let if_moved = table.misdirected_attempts(at(Some(address(2))));
+        let if_removed = table.misdirected_attempts(at(None));
+        assert_eq!((if_unchanged, if_moved), (vec![], vec![unwritten]));
+        assert_eq!(if_removed, [unwritten]);
     });
 }
