--- a/src/bin/load-balancer/socket/tests.rs
+++ b/src/bin/load-balancer/socket/tests.rs
@@ -60,18 +60,18 @@
             .expect("a connection");
         let (peer, _) = listener.accept().await.expect("the peer");
         let bytes = [0; 1 << 16];
-        let mut write =
+        let mut is_write_pending =
             |cx: &mut Context<'_>| Pin::new(&mut socket).poll_write(cx, &bytes).is_pending();
         std::future::poll_fn(|cx| {
-            while !write(cx) {}
+            while !is_write_pending(cx) {}
             Poll::Ready(())
         })
         .await;
         assert!(socket.is_write_blocked());
-        let mut read = vec![0; 1 << 20];
+        let mut buffer = vec![0; 1 << 20];
         while socket.is_write_blocked() {
             peer.readable().await.expect("open");
-            let _ = peer.try_read(&mut read);
+            let _ = peer.try_read(&mut buffer);
             tokio::task::yield_now().await;
             std::future::poll_fn(|cx| {
                 Poll::Ready(Pin::new(&mut socket).poll_write(cx, &[0]).is_ready())
