--- a/src/bin/load-balancer/upstream/attempt.rs
+++ b/src/bin/load-balancer/upstream/attempt.rs
@@ -35,8 +35,9 @@
     }
 }
 
-/// One attempt to have an upstream serve a request. It ends `deadline_margin` before the request's
-/// deadline at the latest; dropping the future of [`Attempt::run`] closes the connection.
+/// One attempt to have an upstream serve a request. [`Attempt::run`] returns `deadline_margin`
+/// before the request's deadline at the latest; the rest of a large response is streamed after its
+/// return. Dropping the future of `run` closes the connection.
 pub struct Attempt {
     /// The pool that provides the connection and takes it back.
     pub pool: Rc<ConnectionPool>,
@@ -66,7 +67,8 @@
 /// How an exchange on one connection ended.
 enum ExchangeEnd {
     Finished(FinishedExchange),
-    /// The connection failed, or the received bytes are not valid HTTP.
+    /// The exchange failed, for example because the connection was reset, the received bytes are
+    /// not valid HTTP, or the client's body could not be read.
     Broken,
     /// The deadline of the attempt passed before the exchange finished.
     DeadlinePassed,
@@ -77,8 +79,9 @@
     /// `is_sent` tells whether the complete request may have been written.
     fn into_error(self, is_sent: bool, progress: &ExchangeProgress<'_>) -> AttemptError {
         match self {
-            // The response was received before the request was sent completely. An error response
-            // is reported as it is; any other response is invalid.
+            // A response was received before the request was sent completely. An error response is
+            // reported as it is. A successful one is reported as `ConnectFailed`, because an
+            // upstream starts work only after it has received the last byte.
             ExchangeEnd::Finished(exchange) => exchange
                 .response
                 .err()
@@ -167,8 +170,8 @@
         }
     }
 
-    /// Returns the response to a request that was sent completely, and puts a reusable connection
-    /// back into the pool.
+    /// Returns the response to a request that was sent completely, and adds a reusable connection
+    /// to the pool.
     fn finish(
         &self,
         socket: Socket,
--- a/src/bin/load-balancer/upstream/error.rs
+++ b/src/bin/load-balancer/upstream/error.rs
@@ -6,17 +6,17 @@
 /// Why an attempt has no successful response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum AttemptError {
-    /// The request was not sent, for a reason that says nothing about the upstream.
+    /// The request was not sent completely, for a reason that says nothing about the upstream.
     #[error("the request was not sent")]
     NotSent,
-    /// No connection was established, or the connection failed or the deadline passed before the
-    /// request was sent completely.
+    /// No connection was established; or the connection failed, the deadline passed or a successful
+    /// response was received before the request was sent completely.
     #[error("the upstream could not be reached")]
     ConnectFailed,
     /// The upstream rejected the request without starting it.
     #[error("the upstream rejected the request")]
     Rejected,
-    /// The upstream responded with an error status.
+    /// The response has a status other than 200 and does not count as [`Self::Rejected`].
     #[error("the upstream responded with an error status")]
     ErrorStatus,
     /// The response is malformed, too large or truncated.
--- a/src/bin/load-balancer/upstream/exchange.rs
+++ b/src/bin/load-balancer/upstream/exchange.rs
@@ -57,7 +57,7 @@
 /// A response or the error that it is mapped to, and whether its connection can be reused.
 pub(super) struct FinishedExchange {
     pub(super) response: Result<UpstreamResponse, AttemptError>,
-    /// Whether the connection can be put back into the pool at once.
+    /// Whether the connection can be returned to the pool immediately.
     pub(super) is_reusable: bool,
 }
 
@@ -65,8 +65,9 @@
     /// Sends the request and reads its response, or the first part of a large one.
     ///
     /// Each exchange creates a new hyper connection on the socket and disassembles it at the end.
-    /// The socket is reused only if hyper's read buffer is empty then: bytes after the response
-    /// would be read as the start of the next response.
+    /// The socket is reused only if hyper's read buffer is empty then: otherwise the upstream has
+    /// sent bytes after the response, and further ones could be read as the start of the next
+    /// response.
     ///
     /// # Errors
     ///
@@ -115,8 +116,9 @@
         })
     }
 
-    /// Drives the connection of a streamed response until `completed` is notified, then puts the
-    /// socket back into the pool if `can_reuse` is set.
+    /// Drives the connection of a streamed response until `completed` is notified, its sender is
+    /// dropped or the connection ends. After a notification, returns the socket to the pool if
+    /// `can_reuse` is set and the upstream has sent no bytes after the response.
     fn finish_in_background(
         &self,
         exchange: StreamedExchange,
@@ -145,8 +147,9 @@
     }
 
     /// Builds the request to send, with the remaining time in its Request-Timeout header. Once the
-    /// length of the body is known, the request's length is stored in `progress`, and its end is
-    /// declared to the socket.
+    /// client's body has been received completely, a lower bound of the request's length is stored
+    /// in `progress`, and the position of the request's end that follows from it is declared to the
+    /// socket.
     fn build_request(&self, progress: &ExchangeProgress<'_>) -> Request<UploadBody> {
         let (method, uri) = (self.request.method.clone(), self.request.uri.clone());
         let mut headers = self.request.headers.clone();
--- a/src/bin/load-balancer/upstream/headers.rs
+++ b/src/bin/load-balancer/upstream/headers.rs
@@ -2,8 +2,8 @@
 
 use hyper::header::{HeaderMap, HeaderName, CONNECTION};
 
-/// Returns the headers that a proxy forwards. Hop-by-hop headers are dropped, and so are headers
-/// that describe the body, which are set again for the forwarded message.
+/// Returns the headers that a proxy forwards. Hop-by-hop headers are dropped, and so is
+/// Content-Length, which is set again for the forwarded message if the length of its body is known.
 #[must_use]
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     const HOP_BY_HOP: [&str; 10] = [
--- a/src/bin/load-balancer/upstream/mod.rs
+++ b/src/bin/load-balancer/upstream/mod.rs
@@ -1,8 +1,9 @@
 //! Attempts at upstreams, and the pool of idle connections to them.
 //!
-//! An [`Attempt`] takes a connection from the [`ConnectionPool`] or opens one, runs one `exchange`
-//! of a [`ForwardedRequest`] and its response on it, and returns an [`UpstreamResponse`] or an
-//! [`AttemptError`]. `response` classifies responses by status and reads their bodies.
+//! An [`Attempt`] takes a connection from the [`ConnectionPool`] or opens one, transfers a
+//! [`ForwardedRequest`] and its response over the connection (`exchange`), and returns an
+//! [`UpstreamResponse`] or an [`AttemptError`]. `response` classifies responses by status and reads
+//! their bodies.
 
 mod attempt;
 mod error;
--- a/src/bin/load-balancer/upstream/pool.rs
+++ b/src/bin/load-balancer/upstream/pool.rs
@@ -13,11 +13,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Share of the upstream's idle timeout by which the pool closes an idle connection earlier than
-/// the upstream does.
+/// Share of the upstream's idle timeout by which an idle connection expires in the pool before the
+/// upstream closes it.
 const IDLE_TIMEOUT_MARGIN_SHARE: f64 = 0.1;
-/// Maximum number of idle connections that are kept to one upstream. It bounds the connections
-/// that all balancers together hold to the upstream.
+/// Maximum number of idle connections that are kept to one upstream. It keeps the idle connections
+/// of all balancers together from using up the limited number that the upstream accepts.
 pub(super) const MAX_IDLE_PER_UPSTREAM: usize = 8;
 /// Upper bound of the configured connect timeout, in seconds.
 const MAX_CONNECT_TIMEOUT_SECONDS: f64 = 60.0;
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Closes the idle connections to `upstream`; none are pooled until it is allowed again.
+    /// Closes the idle connections to `upstream`; none are pooled until [`Self::allow_pooling`] is
+    /// called for it again.
     pub fn remove(&self, upstream: UpstreamId) {
         self.upstreams.borrow_mut().remove(&upstream);
     }
@@ -109,7 +110,8 @@
         }
     }
 
-    /// Closes all idle connections; none are pooled until their upstreams are allowed again.
+    /// Closes all idle connections; none are pooled to an upstream until [`Self::allow_pooling`] is
+    /// called for it again.
     pub fn close_all(&self) {
         self.upstreams.borrow_mut().clear();
     }
@@ -158,8 +160,9 @@
         None
     }
 
-    /// Returns false if the upstream has closed the connection or is about to. A request sent on
-    /// such a connection could be reset, and it would be unknown whether the request has run.
+    /// Returns false if the upstream has closed the connection or is about to, or has sent unread
+    /// bytes. A connection that the upstream closes while a request is sent could be reset, and it
+    /// would be unknown whether the request has run.
     fn is_usable(&self, idle: &IdleConnection) -> bool {
         idle.idle_since.elapsed() < self.idle_timeout && idle.socket.is_open_and_idle()
     }
--- a/src/bin/load-balancer/upstream/response.rs
+++ b/src/bin/load-balancer/upstream/response.rs
@@ -32,7 +32,7 @@
 pub enum ResponseContent {
     /// A body that has been read completely.
     Complete(Bytes),
-    /// A body of which a first part has been read and the rest is streamed.
+    /// A body whose first part has been read and whose rest is streamed.
     Streamed(Box<Download>),
 }
 
@@ -150,9 +150,9 @@
     disposition: Disposition,
 }
 
-/// Reads the body of a successful response. Of a large body only the first part is read, so that
-/// the client receives it without waiting for the rest. Every body counts as large while the memory
-/// for reading ahead is used up.
+/// Reads the body of a successful response. Only the first part of a large body is read, so that
+/// the client receives this part without waiting for the rest. Every body counts as large while the
+/// memory for reading ahead is used up.
 async fn read_content(
     socket: &Socket,
     memory: &MemoryBudget,
@@ -175,7 +175,8 @@
             disposition: Disposition::Reuse,
         });
     }
-    // From here on the stall timer of the download limits the rest of the body.
+    // From here on the download limits the rest of the body: its total size, and the pauses between
+    // its parts.
     socket.clear_read_limit();
     let (completion, completed) = oneshot::channel();
     let download = Download::new(prefix.parts, body, length, completion, permit);
@@ -194,8 +195,8 @@
     is_complete: bool,
 }
 
-/// Reads the part of a body that must be received before the response is passed on. Of a large
-/// body, only the first part is read. Any other body is read to its end, or until more than
+/// Reads the part of a body that must be received before the response is passed on. Only the first
+/// part of a large body is read. Any other body is read to its end, or until more than
 /// [`READ_AHEAD_BYTES`] have been read. If the length of the body is unknown, reading also ends
 /// after [`MAX_RESPONSE_DELAY`], but not before the first part has been read.
 async fn read_body_prefix(
--- a/src/bin/load-balancer/upstream/tests.rs
+++ b/src/bin/load-balancer/upstream/tests.rs
@@ -15,10 +15,12 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("no runtime");
     runtime.block_on(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("no free port");
+        let address = listener.local_addr().expect("listener has no address");
         let budget = DescriptorBudget::new(256, AdminEndpoint::Absent);
         let classes = ["read".to_string()];
         let pool = ConnectionPool::new(
@@ -32,8 +34,8 @@
         pool.allow_pooling(upstream, address);
         let mut peers = Vec::new();
         for _ in 0..3 * MAX_IDLE_PER_UPSTREAM {
-            let socket = pool.connect(address).await.expect("a connection");
-            peers.push(listener.accept().await.expect("the peer"));
+            let socket = pool.connect(address).await.expect("not connected");
+            peers.push(listener.accept().await.expect("no connection accepted"));
             pool.put(upstream, address, socket);
         }
         assert_eq!(
@@ -45,7 +47,7 @@
         assert_eq!(
             used_before - budget.in_use(),
             MAX_IDLE_PER_UPSTREAM,
-            "the connections beyond the limit were closed before the removal"
+            "descriptors freed by the removal; the other connections should have been closed before"
         );
     });
 }
