--- a/src/bin/load-balancer/socket/client_input.rs
+++ b/src/bin/load-balancer/socket/client_input.rs
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Records the start of a request if `count` bytes are its first ones. A `count` of 0, the end
-    /// of the input, has no effect.
+    /// Records the current time as the start of a request, unless a start is already recorded. A
+    /// `count` of 0 means the end of the input and has no effect.
     pub(super) fn record_read(&self, count: usize) {
         if count > 0 && self.request_started_at.get().is_none() {
             self.request_started_at.set(Some(Instant::now()));
--- a/src/bin/load-balancer/socket/closing.rs
+++ b/src/bin/load-balancer/socket/closing.rs
@@ -23,16 +23,18 @@
 /// The treatment of unread input of the peer when a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreadInput {
-    /// Unread input stays in the kernel: a request in it was not read, and its client may retry it.
+    /// Unread input stays in the kernel. A request in this input was not read, so the client may
+    /// retry the request.
     Keep,
-    /// Unread input, such as the rest of a rejected request, is read and dropped without limit.
+    /// Unread input, such as the rest of a rejected request, is read without limit and not
+    /// processed.
     Discard,
 }
 
 impl Socket {
     /// Waits until input, the end of input or an error can be read.
     pub async fn readable(&self) {
-        // If waiting for readiness fails, the caller's next check returns the error.
+        // If waiting for readiness fails, the caller's next check detects the failure.
         let _ = self
             .0
             .stream
@@ -84,8 +86,8 @@
         }
     }
 
-    /// Performs a lingering close: shuts down the sending half, then waits until the peer has
-    /// closed too if input is unread or is to be discarded. Closing a connection with unread input
+    /// Performs a lingering close: shuts down the sending half and then, if input is unread or is
+    /// to be discarded, waits until the peer has closed too. Closing a connection with unread input
     /// would reset it, and the peer could lose a response that it has not read yet. With
     /// [`UnreadInput::Keep`] the peer is checked once per `check_interval`.
     pub async fn linger(&self, unread: UnreadInput, check_interval: Duration) {
--- a/src/bin/load-balancer/socket/connection.rs
+++ b/src/bin/load-balancer/socket/connection.rs
@@ -66,8 +66,8 @@
     ///
     /// # Errors
     ///
-    /// Returns `TimedOut` if the connection isn't established within `timeout`, otherwise the error
-    /// of the last connect.
+    /// Returns the error of the last connect, or `TimedOut` if that connect is still pending after
+    /// `timeout`.
     pub async fn connect(
         address: SocketAddr,
         permit: DescriptorPermit,
@@ -161,7 +161,8 @@
     }
 
     /// Begins an exchange with an upstream on behalf of `client`. The first write of the exchange
-    /// fails unless the connection is idle, and reading more than `max_received` bytes fails.
+    /// fails unless the connection is open and idle, the first and the last write fail if the
+    /// client has disconnected, and reading more than `max_received` bytes fails.
     pub fn begin_exchange(&self, client: PeerHandle, max_received: usize) {
         let max_received = self.bytes_read().saturating_add(max_received);
         self.0.exchange.begin(client, max_received);
@@ -178,8 +179,9 @@
         self.0.exchange.set_max_received(usize::MAX);
     }
 
-    /// Declares where the request of the exchange ends, as a value of [`Self::bytes_written`]. The
-    /// attempt is counted in `metrics` once the request is written up to that position.
+    /// Declares where the request of the exchange ends at the earliest, as a value of
+    /// [`Self::bytes_written`]. The attempt is counted in `metrics` once bytes are written up to
+    /// that position.
     pub fn set_request_end(&self, position: usize, metrics: Rc<Metrics>) {
         self.0.exchange.set_request_end(position, metrics);
         self.0.exchange.record_sent(self.bytes_written());
--- a/src/bin/load-balancer/socket/descriptor_budget.rs
+++ b/src/bin/load-balancer/socket/descriptor_budget.rs
@@ -44,8 +44,8 @@
 
 /// Counts the open sockets against the descriptor limit of the process.
 ///
-/// Each purpose has its own quota: if clients could use every descriptor, none would be left for
-/// the connections to upstreams that their requests need.
+/// Each purpose except [`Purpose::Upstream`] has its own quota. If clients could use every
+/// descriptor, none would be left for the connections to upstreams that their requests need.
 #[derive(Debug)]
 pub struct DescriptorBudget {
     /// Number of open connections of clients, including those beyond the clients' quota.
@@ -108,7 +108,7 @@
         self.clients.get() + self.upstreams.get()
     }
 
-    /// Reserves one descriptor. Returns `None` if the quota of `purpose` is used up.
+    /// Reserves one descriptor. Returns `None` if none is available for `purpose`.
     #[must_use]
     pub fn acquire(self: &Rc<Self>, purpose: Purpose) -> Option<DescriptorPermit> {
         if !self.is_available(purpose) {
@@ -133,15 +133,16 @@
             Purpose::Rejection => {
                 clients < client_limit + RESERVED_FOR_REJECTIONS && open < shared_limit
             }
-            // Independent of the shared limit: after it has been lowered, clients and upstreams
-            // exceed it until enough of their connections are closed.
+            // Discovery and the admin endpoint don't depend on the shared limit: after this limit
+            // has been lowered, clients and upstreams may exceed it until enough of their
+            // connections are closed.
             Purpose::Discovery => self.discovery.get() < RESERVED_FOR_DISCOVERY,
             Purpose::Admin => self.admin.get() < self.admin_limit,
         }
     }
 
     /// Returns whether descriptors reserved for rejections are in use: clients exceed their quota,
-    /// or clients and upstreams together exceed their unreserved descriptors.
+    /// or clients and upstreams together exceed the shared limit minus the reserve.
     #[must_use]
     pub fn is_rejection_reserve_in_use(&self) -> bool {
         self.clients.get() > self.client_limit.get()
@@ -159,7 +160,7 @@
     }
 }
 
-/// A permit to use one descriptor, which returns it to the budget when dropped.
+/// A permit to use one descriptor. Dropping the permit returns the descriptor to the budget.
 #[derive(Debug)]
 pub struct DescriptorPermit {
     budget: Rc<DescriptorBudget>,
--- a/src/bin/load-balancer/socket/exchange_limits.rs
+++ b/src/bin/load-balancer/socket/exchange_limits.rs
@@ -16,10 +16,11 @@
     client: RefCell<PeerHandle>,
     /// Position up to which input may be received; reading beyond it fails.
     max_received: Cell<usize>,
-    /// Position after the last byte of the request; `usize::MAX` while it is unknown.
+    /// Lower bound of the position after the last byte of the request; `usize::MAX` while it is
+    /// unknown.
     request_end: Cell<usize>,
-    /// The metrics that count the attempt once its request is written completely. `None` while the
-    /// end of the request is unknown, and after the attempt has been counted.
+    /// The metrics that count the attempt once its request is written up to `request_end`. `None`
+    /// while that position is unknown, and after the attempt has been counted.
     attempt_metrics: RefCell<Option<Rc<Metrics>>>,
 }
 
@@ -48,14 +49,15 @@
         self.max_received.set(position);
     }
 
-    /// Sets the position after the last byte of the request, and the metrics that count the
-    /// attempt.
+    /// Sets the lower bound of the position after the last byte of the request, and the metrics
+    /// that count the attempt.
     pub(super) fn set_request_end(&self, position: usize, metrics: Rc<Metrics>) {
         self.request_end.set(position);
         *self.attempt_metrics.borrow_mut() = Some(metrics);
     }
 
-    /// Counts the attempt, once, if the bytes written up to `position` complete the request.
+    /// Counts the attempt, once, if `position`, the number of bytes written, has reached
+    /// `request_end`.
     pub(super) fn record_sent(&self, position: usize) {
         let is_complete = position >= self.request_end.get();
         if let Some(metrics) = self.attempt_metrics.borrow_mut().take_if(|_| is_complete) {
@@ -76,8 +78,10 @@
     ///
     /// The first write requires an open and idle connection. On a connection that the upstream has
     /// closed, the request would be lost. On one with unread bytes of the previous exchange, these
-    /// would be read as the response. The first and the last write require that the client is still
-    /// connected, as the upstream may start the request after either of them.
+    /// would be read as the response. The first write and a write that may complete the request
+    /// require that the client is still connected: an attempt begins with the first byte of its
+    /// request, the upstream starts work only after the last byte, and neither must happen for a
+    /// client that has disconnected.
     pub(super) fn check_write(&self, socket: &Socket, length: usize) -> io::Result<()> {
         let is_first = self.awaits_first_write.replace(false);
         if is_first && !socket.is_open_and_idle() {
--- a/src/bin/load-balancer/socket/mod.rs
+++ b/src/bin/load-balancer/socket/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`DescriptorBudget`] divides the process's descriptors among clients, upstreams, discovery
 //!   and the admin endpoint.
-//! - [`Socket`] is a connection with counters, with hyper's I/O traits in `io`.
+//! - [`Socket`] is a connection that counts its traffic; `io` implements hyper's I/O traits for it.
 //! - For connections of clients, `client_input` stores the recent input and when the current
 //!   request began, and `read_ahead` buffers bytes that are read from the kernel before the server
 //!   reads them.
--- a/src/bin/load-balancer/socket/read_ahead.rs
+++ b/src/bin/load-balancer/socket/read_ahead.rs
@@ -7,7 +7,8 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Maximum number of bytes that one connection may buffer, as clients may pipeline many requests.
+/// Maximum number of bytes that one connection may buffer. It leaves room for many pipelined
+/// requests, because requests beyond the limit are lost.
 const MAX_READ_AHEAD_BYTES: usize = 512 << 10;
 /// Maximum number of bytes that one connection may buffer while all connections together buffer
 /// [`READ_AHEAD_PRESSURE_BYTES`] or more.
--- a/src/bin/load-balancer/socket/tests.rs
+++ b/src/bin/load-balancer/socket/tests.rs
@@ -7,21 +7,30 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Clients and upstreams must not use up each other's descriptors, and neither may use those that
-/// are reserved for discovery and the admin endpoint.
+/// Clients must not use up the descriptors that upstreams need, and neither clients nor upstreams
+/// may use those that are reserved for discovery and the admin endpoint.
 #[test]
 fn descriptor_quotas_prevent_starvation() {
     let budget = DescriptorBudget::new(256, AdminEndpoint::Present);
     let acquire_all = |purpose| std::iter::from_fn(|| budget.acquire(purpose)).collect::<Vec<_>>();
     let clients = acquire_all(Purpose::ClientConnection);
     let upstreams = acquire_all(Purpose::Upstream);
-    assert!(upstreams.len() > 256 / 3 && clients.len() > 256 / 3);
+    assert!(
+        upstreams.len() > 256 / 3 && clients.len() > 256 / 3,
+        "descriptors out of 256: {} for clients, {} for upstreams",
+        clients.len(),
+        upstreams.len()
+    );
     assert!(budget.acquire(Purpose::ClientConnection).is_none());
     assert!(
         !acquire_all(Purpose::Rejection).is_empty() && budget.acquire(Purpose::Discovery).is_some()
     );
     assert_eq!(acquire_all(Purpose::Admin).len(), RESERVED_FOR_ADMIN);
-    assert!(budget.in_use() > 200);
+    assert!(
+        budget.in_use() > 200,
+        "expected more than 200 descriptors in use, got {}",
+        budget.in_use()
+    );
     // During an upgrade a second process gets half of the descriptors. A watch must not have to
     // wait until clients have closed enough connections.
     budget.set_limit(128);
@@ -34,7 +43,13 @@
         acquire_all(Purpose::ClientConnection),
         acquire_all(Purpose::Upstream),
     );
-    assert!(clients.len() > 30 && upstreams.len() > 30 && budget.in_use() <= 128);
+    assert!(
+        clients.len() > 30 && upstreams.len() > 30 && budget.in_use() <= 128,
+        "descriptors out of 128: {} for clients, {} for upstreams, {} in use",
+        clients.len(),
+        upstreams.len(),
+        budget.in_use()
+    );
     drop(clients);
     assert!(!acquire_all(Purpose::Upstream).is_empty());
 }
@@ -46,19 +61,19 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("no runtime");
     runtime.block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
-            .expect("a free port");
-        let address = listener.local_addr().expect("bound");
+            .expect("no free port");
+        let address = listener.local_addr().expect("listener has no address");
         let permit = DescriptorBudget::new(64, AdminEndpoint::Absent)
             .acquire(Purpose::Upstream)
-            .expect("a free descriptor");
+            .expect("no free descriptor");
         let mut socket = Socket::connect(address, permit, Duration::from_secs(60))
             .await
-            .expect("a connection");
-        let (peer, _) = listener.accept().await.expect("the peer");
+            .expect("not connected");
+        let (peer, _) = listener.accept().await.expect("no connection accepted");
         let bytes = [0; 1 << 16];
         let mut is_write_pending =
             |cx: &mut Context<'_>| Pin::new(&mut socket).poll_write(cx, &bytes).is_pending();
@@ -70,7 +85,7 @@
         assert!(socket.is_write_blocked());
         let mut buffer = vec![0; 1 << 20];
         while socket.is_write_blocked() {
-            peer.readable().await.expect("open");
+            peer.readable().await.expect("connection failed");
             let _ = peer.try_read(&mut buffer);
             tokio::task::yield_now().await;
             std::future::poll_fn(|cx| {
