--- a/src/bin/load-balancer/handover/folder.rs
+++ b/src/bin/load-balancer/handover/folder.rs
@@ -72,8 +72,8 @@
     FOLDER_RETRY_SCHEDULE.run(should_retry, connect).await.ok()
 }
 
-/// Listens for a successor on `socket`. The new socket atomically replaces the one of the
-/// predecessor, so that a process that starts at the same time finds one of the two.
+/// Listens for a successor on `socket`. The new socket file atomically replaces the predecessor's,
+/// so that a process that starts at the same time finds either of them.
 ///
 /// # Errors
 ///
--- a/src/bin/load-balancer/handover/mod.rs
+++ b/src/bin/load-balancer/handover/mod.rs
@@ -35,13 +35,15 @@
 /// Time within which a predecessor has to report how many descriptors it uses. Without a report it
 /// is assumed to use half of the limit.
 const DESCRIPTOR_REPORT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Maximum number of connections to the predecessor. A connection may end before the report because
-/// the predecessor briefly lacks a resource; a new one is opened then.
+/// Maximum number of connections that are opened to the predecessor, one after the other. A
+/// connection may end before the report because the predecessor briefly lacks a resource; a new one
+/// is opened then.
 const MAX_HANDSHAKE_ATTEMPTS: usize = 3;
 /// Pause after a failed accept(2) on the handover socket.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval of the attempts to create the handover socket. It is longer than
-/// [`STATE_WRITE_RETRY_INTERVAL`], because on some file systems a socket can never be created.
+/// Interval at which the creation of the handover socket is retried. It is longer than
+/// [`STATE_WRITE_RETRY_INTERVAL`], because on some file systems a socket can never be created, and
+/// the retries then never end.
 const SUCCESSOR_SOCKET_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The reason why a maintenance change was rejected, or is in force but not stored.
@@ -51,7 +53,7 @@
     #[error("unknown upstream")]
     UnknownUpstream,
     /// The state file can't be read at the moment. It may contain changes that a write would
-    /// overwrite, so nothing has changed.
+    /// overwrite, so the maintenance was not changed.
     #[error("state file not read: {0}")]
     StateUnreadable(#[source] StateError),
     /// The change is in force, but the state file could not be written. A successor does not know
@@ -134,8 +136,8 @@
         upstream: &str,
         change: Maintenance,
     ) -> Result<(), MaintenanceError> {
-        // The peer or the predecessor may have stored a change of which this process has not been
-        // notified yet. Without reading it, the write below would undo that change.
+        // The peer or the predecessor may have stored a change that this process has not been
+        // notified of yet. If the file were not read first, the write below would undo that change.
         match self.store.reload_maintenance() {
             Some(Err(error)) if error.is_transient() => {
                 return Err(MaintenanceError::StateUnreadable(error));
@@ -281,8 +283,8 @@
         });
     }
 
-    /// Restores the full descriptor limit after the peer has disconnected. If that was a successor
-    /// that had taken over, the handover socket is created again.
+    /// Restores the full descriptor limit after the peer has disconnected. If the peer was a
+    /// successor that had taken over, the handover socket is created again.
     fn handle_peer_disconnect(self: &Rc<Self>) {
         let address = self.folder.address();
         let limit = self.max_descriptors;
--- a/src/bin/load-balancer/handover/retry_stream.rs
+++ b/src/bin/load-balancer/handover/retry_stream.rs
@@ -6,13 +6,13 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A wrapper of a stream that hides transient errors. A call that was interrupted is repeated at
-/// once; a call that failed because a resource was exhausted is repeated in a later iteration of
-/// the event loop.
+/// A wrapper of a stream that hides transient errors. A call that was interrupted is repeated
+/// immediately; a call that failed because a resource was exhausted is repeated in a later
+/// iteration of the event loop.
 pub struct RetryStream<T>(pub T);
 
 /// Returns the result that a poll function passes to its caller, or `None` if the call has to be
-/// repeated at once.
+/// repeated immediately.
 fn final_result<T>(result: Poll<io::Result<T>>, context: &Context) -> Option<Poll<io::Result<T>>> {
     match result {
         Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::Interrupted => None,
--- a/src/bin/load-balancer/handover/state_file.rs
+++ b/src/bin/load-balancer/handover/state_file.rs
@@ -24,8 +24,9 @@
     /// The learned state of the decision module.
     #[serde(default, rename = "knowledge")]
     pub learned_state: LearnedState,
-    /// Age of the file when it was read, if known. It is computed from the file's modification
-    /// time, because the wall clocks that two processes read at their starts may differ.
+    /// Age of the file when it was read, if known. It is computed from the file's modification time
+    /// and not from the times in the learned state: each process derives those from the wall clock
+    /// at its own start, so the times of two processes may not be comparable.
     #[serde(skip)]
     pub age: Option<Duration>,
 }
@@ -75,7 +76,7 @@
 }
 
 impl StoredState {
-    /// Replaces the state file atomically, so that it is complete for any reader, also after the
+    /// Replaces the state file atomically, so that any reader finds a complete file, even if the
     /// process was killed during the write.
     ///
     /// # Errors
@@ -123,8 +124,8 @@
     }
 }
 
-/// Returns the time since the file's last modification, or `None` if it is unknown or lies in the
-/// future by the wall clock.
+/// Returns the time since the file's last modification, or `None` if the modification time is
+/// unknown or later than the wall clock's current time.
 fn file_age(path: &Path) -> Option<Duration> {
     let written_at = std::fs::metadata(path).and_then(|file| file.modified());
     SystemTime::now().duration_since(written_at.ok()?).ok()
--- a/src/bin/load-balancer/handover/tests.rs
+++ b/src/bin/load-balancer/handover/tests.rs
@@ -52,8 +52,12 @@
         serde_json::from_slice(&std::fs::read(path).unwrap()).unwrap();
     let address = recorded["balancer"].as_str().unwrap().parse().unwrap();
     let state = StoredState::read(path.as_ref(), address).unwrap();
-    assert!(state.upstreams_in_maintenance.iter().eq(["u0"]));
-    assert!(state.age.is_some());
+    assert!(
+        state.upstreams_in_maintenance.iter().eq(["u0"]),
+        "upstreams in maintenance: expected u0 only, got {:?}",
+        state.upstreams_in_maintenance
+    );
+    assert!(state.age.is_some(), "the age of {path} is unknown");
     assert_eq!(serde_json::to_value(&state).unwrap(), recorded);
     let foreign = StoredState::read(path.as_ref(), "127.0.0.9:1".parse().unwrap());
     assert!(
