--- a/src/bin/load-balancer/config/tests.rs
+++ b/src/bin/load-balancer/config/tests.rs
@@ -16,7 +16,7 @@
     });
     change(&mut file);
     Config::from_file(
-        serde_json::from_value(file).expect("well-formed"),
+        serde_json::from_value(file).expect("malformed configuration file"),
         LoadMode::Start,
         |_| None,
     )
@@ -36,7 +36,7 @@
     let discovery = |mode, in_file| {
         let file = json!({"listen": "127.0.0.1:9", "discovery": in_file,
             "settings": {"classes": [{"name": "call", "hardLimit": 2.0, "effect": "read_like"}]}});
-        let file = serde_json::from_value(file).expect("well-formed");
+        let file = serde_json::from_value(file).expect("malformed configuration file");
         let variable = |name: &str| (name == "PROXY_DISCOVERY").then(|| "127.0.0.1:7".to_string());
         let config =
             Config::from_file(file, mode, variable).unwrap_or_else(|error| panic!("{error}"));
@@ -85,7 +85,7 @@
             .unwrap_or_default();
         assert!(
             error.contains(field) && error.lines().count() == 1,
-            "{field}: '{error}'"
+            "expected a one-line error that names {field}, got '{error}'"
         );
     }
 }
--- a/src/bin/load-balancer/metrics/mod.rs
+++ b/src/bin/load-balancer/metrics/mod.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Counts an attempt. Called once the last byte of its request has been written.
+    /// Counts an attempt. Called once its complete request may have been written.
     pub fn count_attempt(&self) {
         self.attempts.set(self.attempts.get() + 1);
     }
--- a/src/bin/load-balancer/process.rs
+++ b/src/bin/load-balancer/process.rs
@@ -24,7 +24,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Interval at which a successor checks whether it has received its first endpoint list.
+/// Interval at which a successor checks whether it has an endpoint list and can serve clients.
 const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Interval at which expired idle connections to upstreams are closed.
 const EXPIRED_CONNECTION_CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -32,7 +32,7 @@
 /// The reason why the process ended without having served clients.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A system call failed, and retries of it failed too.
+    /// A system call failed, possibly after retries.
     #[error("{0}")]
     System(#[from] io::Error),
     /// The configuration is invalid.
--- a/src/bin/load-balancer/reload.rs
+++ b/src/bin/load-balancer/reload.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Retries of reading a configuration file that can't be opened, as it may be about to be
-/// replaced.
+/// Schedule by which reading the configuration file is retried if the file can't be read, because
+/// it may be about to be replaced.
 const CONFIG_READ_RETRY_SCHEDULE: RetrySchedule = RetrySchedule {
     interval: Duration::from_millis(50),
     timeout: Duration::from_secs(2),
--- a/src/bin/load-balancer/shutdown/mod.rs
+++ b/src/bin/load-balancer/shutdown/mod.rs
@@ -21,7 +21,7 @@
 /// Time before SIGKILL at which all requests must have their responses. It covers a pause of the
 /// process of 0.15 s at that moment.
 const RESPONSE_MARGIN_BEFORE_KILL: Duration = Duration::from_millis(250);
-/// Minimum time between the close of the listener and the moment at which all requests must have
+/// Minimum time between the end of the accept window and the moment at which all requests must have
 /// their responses.
 const LISTENER_CLOSE_MARGIN: Duration = Duration::from_millis(100);
 /// After the listener has closed and the accept window has passed, connections may stay open for
--- a/src/bin/load-balancer/shutdown/tests.rs
+++ b/src/bin/load-balancer/shutdown/tests.rs
@@ -22,12 +22,14 @@
     }
     assert_eq!(
         ShutdownSchedule::new(millis(6000)).response_timeout,
-        millis(3450)
+        millis(3450),
+        "response timeout for a longest deadline of 6000 ms, which exceeds the cap of 3 s"
     );
 }
 
 /// SIGKILL follows SIGTERM after the longest deadline (at most 3 s) plus 0.7 s. A process that is
-/// paused for 0.15 s when the last responses are due must still write them before SIGKILL.
+/// paused for 0.15 s when the last responses are due must still have more than 0.05 s left to write
+/// them before SIGKILL.
 #[test]
 fn responses_are_due_early_enough_before_sigkill_to_cover_a_pause() {
     for longest in [0, 300, 500, 2500, 3000, 9000].map(Duration::from_millis) {
