--- a/tests/decision/concurrency_limit.rs
+++ b/tests/decision/concurrency_limit.rs
@@ -35,7 +35,7 @@
 
 /// A connection may break for many reasons, so a single broken one must not keep the limit low.
 #[test]
-fn single_broken_connection_lowers_the_limit_like_an_error() {
+fn single_broken_connection_does_not_keep_the_limit_low() {
     for outcome in [AttemptOutcome::Reset, AttemptOutcome::ConnectFailed] {
         assert_eq!(slots_after_losses(&[(outcome, 0.0)]), 2, "{outcome:?}");
         // Three losses without a response between them count against the upstream.
@@ -203,11 +203,11 @@
 #[test]
 fn tail_latency_is_not_congestion() {
     let late =
-        |share: u64, of: u64| move |id: u64| if id > 40 && id % of < share { 1.5 } else { 0.1 };
+        |count: u64, of: u64| move |id: u64| if id > 40 && id % of < count { 1.5 } else { 0.1 };
     let at_baseline = slots_after_responses(400, late(0, 1));
-    for (share, of) in [(1, 4), (1, 3), (2, 5)] {
-        let tail = slots_after_responses(400, late(share, of));
-        assert_eq!(tail, at_baseline, "{share} of {of} responses are late");
+    for (count, of) in [(1, 4), (1, 3), (2, 5)] {
+        let tail = slots_after_responses(400, late(count, of));
+        assert_eq!(tail, at_baseline, "{count} of {of} responses are late");
     }
     let congested = slots_after_responses(400, late(3, 4));
     assert!(congested <= 2, "{congested} slots; an even share is two");
--- a/tests/decision/endpoint_list.rs
+++ b/tests/decision/endpoint_list.rs
@@ -108,26 +108,26 @@
     Stale,
 }
 
-/// Sends requests through a balancer whose list is stale or current. The first `rejecting` of its
-/// `upstreams` upstreams reject all requests. Returns the balancer and, by upstream id, how many
+/// Sends requests through a balancer whose list is stale or current. Upstreams with ids up to
+/// `rejecting_count` reject all requests. Returns the balancer and, by upstream id, how many
 /// attempts each upstream received.
 fn send_with_rejections(
     list: ListAge,
-    upstreams: u64,
-    rejecting: u64,
-    requests: u64,
+    upstream_count: u64,
+    rejecting_count: u64,
+    request_count: u64,
 ) -> (Harness, Vec<usize>) {
     let mut settings = Settings {
         discovery_mode: DiscoveryMode::Poll,
         ..Settings::simple()
     };
     settings.classes[0].deadline = 60.0;
-    let mut harness = Harness::new(settings, upstreams);
+    let mut harness = Harness::new(settings, upstream_count);
     if list == ListAge::Stale {
         harness.update_endpoints(ListScope::Failed, vec![]);
     }
-    let mut counts = vec![0; upstreams as usize + 1];
-    send_requests(&mut harness, 1, rejecting, requests, &mut counts);
+    let mut counts = vec![0; upstream_count as usize + 1];
+    send_requests(&mut harness, 1, rejecting_count, request_count, &mut counts);
     (harness, counts)
 }
 
@@ -136,11 +136,11 @@
 fn send_requests(
     harness: &mut Harness,
     first: u64,
-    rejecting: u64,
-    requests: u64,
+    rejecting_count: u64,
+    request_count: u64,
     counts: &mut [usize],
 ) {
-    for id in first..first + requests {
+    for id in first..first + request_count {
         harness.now += 0.5;
         let mut actions = harness.handle(request(id, 0, 60.0));
         let mut attempt = 0;
@@ -149,7 +149,7 @@
             .find(|started| started.request == id)
         {
             counts[upstream as usize] += 1;
-            let outcome = if upstream <= rejecting {
+            let outcome = if upstream <= rejecting_count {
                 AttemptOutcome::Rejected
             } else {
                 AttemptOutcome::Success
--- a/tests/decision/fleet_slow_start/mod.rs
+++ b/tests/decision/fleet_slow_start/mod.rs
@@ -112,10 +112,11 @@
         };
         (1..=3).map(worst).sum::<f64>()
     };
-    let returned = sum_of_worst(Fault::Maintenance(3));
-    let restarted = sum_of_worst(Fault::Restart(3));
+    let sum_after_maintenance = sum_of_worst(Fault::Maintenance(3));
+    let sum_after_restart = sum_of_worst(Fault::Restart(3));
     assert!(
-        returned <= 1.1 * restarted,
-        "{returned:.2} budgets after maintenance, {restarted:.2} after a restart (sums of 3 seeds)"
+        sum_after_maintenance <= 1.1 * sum_after_restart,
+        "{sum_after_maintenance:.2} budgets after maintenance, {sum_after_restart:.2} after a \
+         restart (sums of 3 seeds)"
     );
 }
--- a/tests/decision/harness.rs
+++ b/tests/decision/harness.rs
@@ -83,7 +83,7 @@
 
 /// Returns the event of a first attempt that ends after `elapsed` seconds without concluding its
 /// request.
-pub fn attempt_lost(id: u64, outcome: AttemptOutcome, elapsed: f64) -> Event {
+pub fn first_attempt_failed(id: u64, outcome: AttemptOutcome, elapsed: f64) -> Event {
     Event::AttemptEnded(AttemptResult {
         id: RequestId(id),
         attempt: 0,
--- a/tests/decision/idempotency.rs
+++ b/tests/decision/idempotency.rs
@@ -43,9 +43,9 @@
         let first = harness.send(request(1, 0, 5.0));
         let retry = started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Reset)));
         assert_eq!(retry.len(), 1, "{idempotency:?}");
-        let same_cell = retry[0].upstream % 2 == first % 2;
+        let is_same_cell = retry[0].upstream % 2 == first % 2;
         assert!(
-            same_cell
+            is_same_cell
                 || idempotency
                     != Idempotency::IdempotencyKey {
                         scope: DeduplicationScope::Cell
--- a/tests/decision/idle_connections.rs
+++ b/tests/decision/idle_connections.rs
@@ -1,6 +1,6 @@
 //! Idle connections: how long they may be reused.
 
-use crate::harness::{attempt_ended, attempt_lost, request, started_attempts, Harness};
+use crate::harness::{attempt_ended, first_attempt_failed, request, started_attempts, Harness};
 use load_balancer::{Action, AttemptOutcome, Idempotency};
 
 /// Sends 20 requests to one upstream, each a second after the previous one ended. Each ends after
@@ -22,7 +22,7 @@
             AttemptOutcome::Success => {
                 harness.handle(attempt_ended(id, 0, AttemptOutcome::Success))
             }
-            outcome => harness.handle(attempt_lost(id, outcome, 0.001)),
+            outcome => harness.handle(first_attempt_failed(id, outcome, 0.001)),
         };
     }
     closes
@@ -101,7 +101,7 @@
         );
         harness.now += 0.1;
         match id % 4 {
-            0 => harness.handle(attempt_lost(id, AttemptOutcome::Reset, 0.001)),
+            0 => harness.handle(first_attempt_failed(id, AttemptOutcome::Reset, 0.001)),
             _ => harness.handle(attempt_ended(id, 0, AttemptOutcome::Success)),
         };
     }
--- a/tests/decision/maintenance.rs
+++ b/tests/decision/maintenance.rs
@@ -109,38 +109,38 @@
         upstream
     };
     let used: Vec<_> = (1..60).map(|id| send(&mut harness, id)).collect();
-    let idle: Vec<_> = (1..=12).filter(|id| !used.contains(id)).collect();
+    let unused: Vec<_> = (1..=12).filter(|id| !used.contains(id)).collect();
     assert!(
-        idle.len() > 5,
-        "the subset is too large: unused upstreams {idle:?}, more than 5 are needed"
+        unused.len() > 5,
+        "the subset is too large: unused upstreams {unused:?}, more than 5 are needed"
     );
-    harness.handle(maintenance(idle[0], Maintenance::Begin));
+    harness.handle(maintenance(unused[0], Maintenance::Begin));
     // The upstream is removed from the list while it restarts, and then listed again.
     harness.update_endpoints(
         ListScope::Delta,
         vec![UpstreamEntry {
             state: UpstreamState::Removed,
-            ..entry(idle[0])
+            ..entry(unused[0])
         }],
     );
     harness.update_endpoints(
         ListScope::Delta,
         vec![UpstreamEntry {
             started_at: harness.now,
-            ..entry(idle[0])
+            ..entry(unused[0])
         }],
     );
     // Ending maintenance a second time has no effect.
-    harness.handle(maintenance(idle[0], Maintenance::End));
-    harness.handle(maintenance(idle[0], Maintenance::End));
+    harness.handle(maintenance(unused[0], Maintenance::End));
+    harness.handle(maintenance(unused[0], Maintenance::End));
     let after_return: Vec<_> = (100..200).map(|id| send(&mut harness, id)).collect();
     assert_eq!(
-        after_return.iter().filter(|id| **id == idle[0]).count(),
+        after_return.iter().filter(|id| **id == unused[0]).count(),
         1,
         "{after_return:?}"
     );
     assert!(
-        !after_return.iter().any(|id| idle[1..].contains(id)),
+        !after_return.iter().any(|id| unused[1..].contains(id)),
         "{after_return:?}"
     );
 }
--- a/tests/decision/outlier_classes.rs
+++ b/tests/decision/outlier_classes.rs
@@ -41,23 +41,23 @@
 }
 
 #[test]
-fn upstream_that_times_out_for_one_class_keeps_the_others() {
+fn upstream_that_times_out_for_one_class_still_gets_the_other() {
     let [served, failed] = fail_one_class(AttemptOutcome::TimedOut);
     assert!(
         served >= 6 && failed <= 2,
         "{served} requests of the served class, {failed} of the other"
     );
-    let [served, served_too] = fail_one_class(AttemptOutcome::Success);
+    let [first_class, second_class] = fail_one_class(AttemptOutcome::Success);
     assert!(
-        served >= 15 && served_too >= 12,
-        "{served} and {served_too} requests of two served classes"
+        first_class >= 15 && second_class >= 12,
+        "{first_class} and {second_class} requests of two served classes"
     );
 }
 
 /// Each rejected request holds a slot until the rejection is received, so the upstream must not
 /// keep getting the class that it rejects.
 #[test]
-fn upstream_that_alone_rejects_one_class_keeps_the_others() {
+fn upstream_that_alone_rejects_one_class_still_gets_the_other() {
     let [served, rejected] = fail_one_class(AttemptOutcome::Rejected);
     assert!(
         served >= 15 && rejected <= 4,
--- a/tests/decision/outliers.rs
+++ b/tests/decision/outliers.rs
@@ -1,6 +1,6 @@
 //! Outlier detection of silent upstreams, and panic mode.
 
-use crate::harness::{attempt_ended, attempt_lost, request, started_attempts, Harness};
+use crate::harness::{attempt_ended, first_attempt_failed, request, started_attempts, Harness};
 use load_balancer::{Action, AttemptOutcome, Event, Idempotency, Request, RequestId};
 
 #[test]
@@ -105,7 +105,7 @@
         "requests sent to the upstream of the overdue request"
     );
     // The ejection lasts at least as long as the lost attempt, which took 6 s.
-    harness.handle(attempt_lost(1, AttemptOutcome::TimedOut, 6.0));
+    harness.handle(first_attempt_failed(1, AttemptOutcome::TimedOut, 6.0));
     harness.now += 5.0;
     let upstreams: Vec<_> = (60..64)
         .map(|id| harness.send(request(id, 0, 2.0)))
@@ -136,7 +136,7 @@
             // The lost request becomes overdue at the 14th request at the latest.
             count += u32::from(number > 12 && upstream == upstream_of_lost_request);
         }
-        harness.handle(attempt_lost(lost, AttemptOutcome::TimedOut, 1.92));
+        harness.handle(first_attempt_failed(lost, AttemptOutcome::TimedOut, 1.92));
         id += 1;
         count
     };
@@ -169,7 +169,7 @@
         let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
         let upstream_of_lost_request = harness.send(request(1, 0, 0.5));
         harness.now += 0.1;
-        harness.handle(attempt_lost(1, outcome, 0.1));
+        harness.handle(first_attempt_failed(1, outcome, 0.1));
         let upstreams: Vec<_> = (2..6).map(|id| harness.send(request(id, 0, 2.0))).collect();
         assert!(
             upstreams.contains(&upstream_of_lost_request),
--- a/tests/decision/queues.rs
+++ b/tests/decision/queues.rs
@@ -75,13 +75,13 @@
     }
     // All three queues are used, so more requests are queued than one queue holds.
     let mut one_upstream = Harness::with_classes(&[Idempotency::Idempotent], 1);
-    let one_queue = (1..200)
+    let queued_at_one = (1..200)
         .filter(|id| !is_rejected(&one_upstream.handle(request(*id, 0, 2.0)), *id))
         .count()
         - one_upstream.balancer.load().attempts_in_flight;
     assert!(
-        queued as usize >= 3 * one_queue / 2,
-        "{queued} in three queues, {one_queue} in one"
+        queued as usize >= 3 * queued_at_one / 2,
+        "{queued} in three queues, {queued_at_one} in one"
     );
 }
 
--- a/tests/decision/retries.rs
+++ b/tests/decision/retries.rs
@@ -1,7 +1,7 @@
 //! Retries and hedged requests.
 
 use crate::harness::{
-    attempt_ended, attempt_lost, class, is_rejected, request, started_attempts, Harness,
+    attempt_ended, class, first_attempt_failed, is_rejected, request, started_attempts, Harness,
 };
 use load_balancer::{Action, AttemptOutcome, Idempotency, RequestId, Settings};
 
@@ -67,7 +67,7 @@
             harness.now += 0.1;
             // One attempt in twenty is lost, and its retry succeeds.
             if id % 20 == 0 {
-                let actions = harness.handle(attempt_lost(id, outcome, 0.001));
+                let actions = harness.handle(first_attempt_failed(id, outcome, 0.001));
                 given_up += u32::from(started_attempts(&actions).is_empty());
                 harness.handle(attempt_ended(id, 1, AttemptOutcome::Success));
             } else {
