--- a/tests/decision/concurrency_limit.rs
+++ b/tests/decision/concurrency_limit.rs
@@ -8,8 +8,9 @@
     Action, AttemptOutcome, AttemptResult, Event, Idempotency, RequestId, Settings,
 };
 
-/// Returns how many slots the only upstream has after attempts with these outcomes, each on a
-/// connection that had been idle for the given seconds, and one success. An even share is two.
+/// Returns how many slots the only upstream has after one attempt with each of these outcomes and a
+/// final success. The number next to an outcome is how long the attempt's connection had been idle,
+/// in seconds. The balancer's even share of the upstream is two slots.
 fn slots_after_losses(outcomes: &[(AttemptOutcome, f64)]) -> u64 {
     let mut harness = Harness::new(without_retries(Settings::simple()), 1);
     harness.handle(request(1, 0, 2.0));
@@ -26,7 +27,7 @@
             is_request_concluded: false,
         }));
     }
-    // Longer than a possible ejection lasts.
+    // The losses may eject the upstream; such an ejection lasts less than 20 s.
     harness.now += 20.0;
     harness.handle(request(50, 0, 2.0));
     harness.handle(attempt_ended(50, 0, AttemptOutcome::Success));
@@ -37,11 +38,20 @@
 #[test]
 fn single_broken_connection_does_not_keep_the_limit_low() {
     for outcome in [AttemptOutcome::Reset, AttemptOutcome::ConnectFailed] {
-        assert_eq!(slots_after_losses(&[(outcome, 0.0)]), 2, "{outcome:?}");
+        assert_eq!(
+            slots_after_losses(&[(outcome, 0.0)]),
+            2,
+            "slots after one loss: {outcome:?}"
+        );
         // Three losses without a response between them count against the upstream.
-        assert_eq!(slots_after_losses(&[(outcome, 0.0); 3]), 1, "{outcome:?}");
+        assert_eq!(
+            slots_after_losses(&[(outcome, 0.0); 3]),
+            1,
+            "slots after three losses: {outcome:?}"
+        );
     }
-    // Connections may have been dropped while idle, which does not count against the upstream.
+    // An idle connection may have been dropped on the path, so its reset does not count against
+    // the upstream.
     assert_eq!(slots_after_losses(&[(AttemptOutcome::Reset, 0.5); 3]), 2);
 }
 
@@ -76,8 +86,9 @@
     );
 }
 
-/// If each of many balancers sent a single request beyond the limit, the limit would have no
-/// effect. Under congestion, they therefore pause between single requests.
+/// Whatever the limit is, a balancer may send a single request to an upstream with nothing in
+/// flight. If each of many balancers always did so, the limit would have no effect. Under
+/// congestion, they therefore pause after each single request.
 #[test]
 fn single_request_allowance_is_reduced_under_congestion_in_large_fleets() {
     let is_paused = |peer_count: usize| {
@@ -109,11 +120,14 @@
             .unwrap();
         let dispatched = started_attempts(&actions).len();
         let timer = |a: &Action| matches!(a, Action::SetTimer { .. });
-        assert!(dispatched > 0 || actions.iter().any(timer), "{actions:?}");
+        assert!(
+            dispatched > 0 || actions.iter().any(timer),
+            "expected a dispatched request or a timer, received {actions:?}"
+        );
         assert_eq!(
             dispatched + started_attempts(&harness.fire_timer_after(0.2, *queued)).len(),
             1,
-            "requests dispatched at once and after the pause"
+            "requests dispatched immediately or after the pause"
         );
         dispatched == 0
     };
@@ -122,8 +136,8 @@
 
 #[test]
 fn raised_limit_decays_slowly() {
-    // The limit grows because requests are queued and responses are fast. Then twenty requests
-    // arrive one at a time, which need no more than one slot.
+    // The limit grows because requests are queued and responses are fast. Each of the twenty
+    // requests that follow arrives after the end of the previous one, so one slot would be enough.
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 1);
     let mut started = Vec::new();
     for id in 1..=200 {
@@ -141,7 +155,7 @@
     let raised = harness.balancer.load().attempts_in_flight;
     assert!(
         raised > 3,
-        "{raised} attempts in flight; an even share is two"
+        "{raised} attempts in flight, expected more than 3; an even share is two"
     );
     while let Some(StartedAttempt { request: id, .. }) = started.pop() {
         started.extend(started_attempts(&harness.handle(attempt_ended(
@@ -157,7 +171,7 @@
     let queued = harness.fill_slots(400, 0);
     assert!(
         queued - 400 >= 4,
-        "{} slots, reduced from {raised}; an even share is two",
+        "{} slots, reduced from {raised}, expected at least 4; an even share is two",
         queued - 400
     );
 }
@@ -182,24 +196,31 @@
     harness.balancer.load().attempts_in_flight
 }
 
-/// The work alone may take much of the latency objective, which is one second. Only latency above
-/// the baseline counts as congestion.
+/// Processing alone may take a large part of the latency objective, which is one second. Only
+/// latency above the baseline therefore counts as congestion.
 #[test]
 fn limit_grows_while_latency_is_at_its_baseline() {
     let at_baseline = slots_after_responses(400, |_| 0.35);
     let above_baseline = slots_after_responses(400, |id| if id < 100 { 0.35 } else { 0.7 });
-    assert!(at_baseline > 4, "{at_baseline} slots; an even share is two");
+    assert!(
+        at_baseline > 4,
+        "{at_baseline} slots, expected more than 4; an even share is two"
+    );
     assert!(
         above_baseline <= 2,
-        "{above_baseline} slots; an even share is two"
+        "{above_baseline} slots, expected at most the even share of two"
     );
-    // A balancer that starts under congestion has never observed the baseline.
+    // A balancer that starts under congestion observes no lower latency, and must not take the
+    // latency under congestion for the baseline.
     let congested = slots_after_responses(400, |_| 0.9);
-    assert!(congested <= 2, "{congested} slots; an even share is two");
+    assert!(
+        congested <= 2,
+        "{congested} slots, expected at most the even share of two"
+    );
 }
 
-/// Some responses are late for other reasons than congestion, such as a slow connection setup
-/// behind the upstream. Congestion delays most responses.
+/// Some responses are late for reasons other than congestion, such as slow connection setup in a
+/// service that the upstream calls. Congestion delays most responses.
 #[test]
 fn tail_latency_is_not_congestion() {
     let late =
@@ -210,16 +231,22 @@
         assert_eq!(tail, at_baseline, "{count} of {of} responses are late");
     }
     let congested = slots_after_responses(400, late(3, 4));
-    assert!(congested <= 2, "{congested} slots; an even share is two");
+    assert!(
+        congested <= 2,
+        "{congested} slots, expected at most the even share of two"
+    );
 }
 
-/// If the limit of a restarted balancer grew slowly, the balancer would reject requests for long
-/// although its upstreams have capacity.
+/// If the limit of a restarted balancer grew slowly, the balancer would reject requests for a long
+/// time although its upstreams have capacity.
 #[test]
 fn limit_of_a_new_balancer_grows_fast_until_congestion() {
     let fresh = slots_after_responses(24, |_| 0.2);
-    assert!(fresh >= 8, "{fresh} slots after 24 responses");
-    // Late responses lower the limit; after them it grows slowly.
+    assert!(
+        fresh >= 8,
+        "{fresh} slots after 24 responses, expected at least 8"
+    );
+    // Late responses lower the limit, which grows slowly once they have ended.
     let before = slots_after_responses(80, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
     let after = slots_after_responses(100, |id| if (24..56).contains(&id) { 0.9 } else { 0.2 });
     assert!(
--- a/tests/decision/endpoint_list.rs
+++ b/tests/decision/endpoint_list.rs
@@ -131,8 +131,8 @@
     (harness, counts)
 }
 
-/// Sends requests with ids from `first` on, and adds the attempts that each upstream receives to
-/// `counts`.
+/// Sends requests with ids from `first` on. The upstreams with ids up to `rejecting_count` reject
+/// all of them. Adds the number of attempts that each upstream receives to `counts`.
 fn send_requests(
     harness: &mut Harness,
     first: u64,
@@ -161,11 +161,14 @@
 }
 
 /// While the list is stale, the balancer does not learn which upstreams drain. A draining upstream
-/// rejects all requests.
+/// rejects all requests, so an upstream that does so is assumed to be draining.
 #[test]
 fn upstreams_that_reject_everything_are_left_out_while_the_list_is_stale() {
     let (mut harness, mut counts) = send_with_rejections(ListAge::Stale, 6, 2, 300);
-    assert!(counts[1] <= 3 && counts[2] <= 3, "{counts:?}");
+    assert!(
+        counts[1] <= 3 && counts[2] <= 3,
+        "attempts by upstream {counts:?}, expected at most 3 at upstreams 1 and 2"
+    );
     assert_eq!(
         harness.balancer.excluded_upstreams(),
         2,
@@ -175,18 +178,24 @@
     harness.update_endpoints(ListScope::Delta, vec![]);
     let before = counts.clone();
     send_requests(&mut harness, 1000, 0, 300, &mut counts);
-    assert!(counts[1] > before[1] && counts[2] > before[2], "{counts:?}");
+    assert!(
+        counts[1] > before[1] && counts[2] > before[2],
+        "attempts by upstream {counts:?}, expected more than {before:?} at upstreams 1 and 2"
+    );
 }
 
 /// A current list takes precedence over rejections. If most upstreams reject requests, they are
-/// overloaded, not draining.
+/// probably overloaded rather than draining, so at least three of six stay in use.
 #[test]
 fn rejecting_upstreams_stay_in_use_while_the_list_is_current_or_most_reject() {
     let (_, counts) = send_with_rejections(ListAge::Current, 6, 2, 300);
-    assert!(counts[1] > 3 && counts[2] > 3, "{counts:?}");
+    assert!(
+        counts[1] > 3 && counts[2] > 3,
+        "attempts by upstream {counts:?}, expected more than 3 at upstreams 1 and 2"
+    );
     let (_, counts) = send_with_rejections(ListAge::Stale, 6, 6, 300);
     assert!(
         counts[1..].iter().filter(|count| **count > 3).count() >= 3,
-        "{counts:?}"
+        "attempts by upstream {counts:?}, expected more than 3 at three or more upstreams"
     );
 }
--- a/tests/decision/fleet_poll_schedule.rs
+++ b/tests/decision/fleet_poll_schedule.rs
@@ -1,7 +1,7 @@
 //! Simulates a fleet of balancers that poll the same discovery.
 //!
-//! Discovery handles polls one at a time. A poll that it refuses after a timeout in its queue costs
-//! it as much as any other, so a fleet that polls too often would be refused forever.
+//! Discovery handles polls one at a time. A poll that times out in the queue is refused but costs
+//! discovery as much as any other, so a fleet that polls too often would be refused forever.
 //! All times are seconds.
 
 use crate::harness::entry;
@@ -12,10 +12,11 @@
 pub const NOTIFICATION_DEADLINE: f64 = 6.0;
 /// Discovery refuses a poll that has been queued for this long.
 pub const QUEUE_TIMEOUT: f64 = 2.0;
-/// If the polls in its queue take longer than this, discovery refuses a poll at once, at no cost.
+/// If handling the polls in the queue takes longer than this, discovery refuses a new poll
+/// immediately and at no cost.
 const MAX_QUEUED_WORK: f64 = 4.0;
-/// Discovery is down from this time until `OUTAGE_END`. The fleet starts at 0 and has received
-/// its lists by then.
+/// Discovery is down from this time until `OUTAGE_END`. The fleet starts at 0, so it has time to
+/// receive its lists before the outage.
 const OUTAGE_START: f64 = 8.0;
 const OUTAGE_END: f64 = 16.0;
 /// A third of the fleet restarts at this time, as in a release.
@@ -48,7 +49,7 @@
     balancer: Balancer,
     /// Number of restarts. Events that were scheduled before a restart are dropped.
     incarnation: u32,
-    /// When the list was received; `None` while it is stale.
+    /// When the list was received; `None` until then, and while it is stale.
     list_since: Option<f64>,
 }
 
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Passes a list, or a failed poll, to a balancer and schedules its next poll.
+    /// Passes a list, or a failed poll, to a balancer and schedules the timer that it sets, if any.
     fn pass_list(&mut self, index: usize, now: f64, scope: ListScope) {
         let mut actions = Vec::new();
         let endpoints = if scope == ListScope::Failed {
@@ -156,7 +157,8 @@
         }
     }
 
-    /// Marks all lists as stale and reports a failed poll to each balancer that had its list.
+    /// Marks all lists as stale, and reports a failed poll to each balancer that had received its
+    /// list.
     fn begin_outage(&mut self) {
         self.busy_until = 0.0;
         for index in 0..self.nodes.len() {
@@ -192,8 +194,9 @@
         }
     }
 
-    /// Runs the simulation. Returns in ascending order how long after the outage, or after its own
-    /// restart, each balancer received its list; infinity if it received none.
+    /// Runs the simulation. Returns how long each balancer waited for its list, in ascending order:
+    /// from the end of the outage, or from its restart if it was restarted. The wait of a balancer
+    /// that received no list is infinite.
     fn run(mut self) -> Vec<f64> {
         let count = self.nodes.len();
         let mut waiting_since = vec![OUTAGE_END; count];
@@ -237,7 +240,8 @@
             let (median, longest) = (waits[waits.len() / 2], waits[waits.len() - 1]);
             assert!(
                 median < NOTIFICATION_DEADLINE && longest < 4.0 * NOTIFICATION_DEADLINE,
-                "services {services:?}, seed {seed}: median {median} s, longest {longest} s"
+                "services {services:?}, seed {seed}: median {median} s, longest {longest} s; \
+                 limits: {NOTIFICATION_DEADLINE} s and 4 times {NOTIFICATION_DEADLINE} s"
             );
         }
     }
@@ -252,7 +256,8 @@
             let waits = Fleet::new(&[size], 20.0, seed).run();
             assert!(
                 waits.iter().all(|wait| *wait < NOTIFICATION_DEADLINE - 0.4),
-                "{size} balancers, seed {seed}: {waits:?}"
+                "{size} balancers, seed {seed}: waits {waits:?} s, expected less than \
+                 {NOTIFICATION_DEADLINE} s - 0.4 s"
             );
         }
     }
--- a/tests/decision/fleet_slow_start/faults.rs
+++ b/tests/decision/fleet_slow_start/faults.rs
@@ -1,14 +1,14 @@
-//! The faults of a simulation. Each schedules events of upstreams and notifications of balancers.
+//! The faults of a simulation, which schedule events of upstreams and of balancers.
 
 use super::simulation::{ScheduledEvent, Simulation};
 use crate::harness::entry;
 use load_balancer::{Maintenance, UpstreamEntry, UpstreamState};
 use rand::Rng;
 
-/// When the affected upstreams start, in seconds. The load is higher by half for some seconds from
-/// then on.
+/// When the affected upstreams start, in seconds; in a rolling replacement, when the first of them
+/// starts. From this time on, the load is 50 % higher for some seconds.
 pub const UPSTREAM_START: f64 = 4.0;
-/// How long a restarting upstream is down, in seconds.
+/// How long an upstream is down during a restart outside maintenance, in seconds.
 const DOWNTIME: f64 = 0.5;
 
 /// A fault and the number of upstreams that it affects.
@@ -23,9 +23,10 @@
     /// The upstreams restart, and connections to them fail from the beginning of the simulation
     /// until two seconds after their start.
     NetworkOutage(usize),
-    /// The upstreams restart during maintenance and return to service together.
+    /// The upstreams restart during maintenance and return to service within 0.2 s of each other.
     Maintenance(usize),
-    /// The upstreams restart, and so do seven in ten balancers, which lose their learned state.
+    /// The upstreams restart. Each balancer restarts with a probability of 0.7, and then loses its
+    /// learned state.
     NewBalancers(usize),
 }
 
--- a/tests/decision/fleet_slow_start/mod.rs
+++ b/tests/decision/fleet_slow_start/mod.rs
@@ -1,11 +1,11 @@
 //! Slow start of the fleet: what all balancers together send to upstreams that have just started.
 //!
 //! Each window of `BUDGET_WINDOW` seconds during slow start has a budget of N + 2 sqrt(N) + 2
-//! arrivals. N is the overload multiple x the upstream's share of capacity at the start of the
-//! window, which is its least in the window, x the requests that a warm upstream can take in a
-//! window. More arrivals than the budget, rejected or not, are an overload. An overload counts only
-//! if over two thirds of the arrivals came from balancers that had been notified of the upstream's
-//! start.
+//! arrivals. N is the product of the overload multiple, the upstream's share of capacity, and the
+//! requests that a warm upstream can process in a window. The share is that at the start of the
+//! window, where it is smallest. More arrivals than the budget, rejected or not, are an overload.
+//! An overload counts only if more than two thirds of the arrivals came from balancers that had
+//! been notified of the upstream's start.
 
 mod faults;
 mod scenario;
@@ -43,7 +43,8 @@
     }
 }
 
-/// Simulates each fault, with a load within the capacity of the upstreams and with twice as much.
+/// Simulates each fault with a mean load of 0.7 and of 1.4 of the upstreams' capacity, and checks
+/// that no upstream receives more than its budget in slow start.
 fn check_all_faults(balancers: usize) {
     for fault in [
         Fault::Restart(1),
@@ -68,8 +69,11 @@
                 served += result.served_share / SEED_COUNT as f64;
             }
             let case = format!("{balancers} balancers, {fault:?}, load {load}");
-            println!("{case}: {worst:.2} of the budget, served {served:.2}");
-            assert!(worst <= 1.0, "{case}: {worst:.2} of the budget");
+            println!("{case}: {worst:.2} times the budget, served share {served:.2}");
+            assert!(
+                worst <= 1.0,
+                "{case}: {worst:.2} times the budget in the worst window, expected at most 1"
+            );
         }
     }
 }
@@ -95,8 +99,8 @@
 }
 
 /// An upstream returned from maintenance gets requests from balancers that have it in their subset,
-/// and a first one from each of the others. Together these must not overload it more than a restart
-/// does.
+/// and one request from each of the others. All these requests together must not overload it more
+/// than a restart does.
 #[test]
 fn return_from_maintenance_brings_no_more_load_than_a_restart() {
     let sum_of_worst = |fault| {
@@ -116,7 +120,7 @@
     let sum_after_restart = sum_of_worst(Fault::Restart(3));
     assert!(
         sum_after_maintenance <= 1.1 * sum_after_restart,
-        "{sum_after_maintenance:.2} budgets after maintenance, {sum_after_restart:.2} after a \
-         restart (sums of 3 seeds)"
+        "sums of 3 seeds: {sum_after_maintenance:.2} times the budget after maintenance, \
+         {sum_after_restart:.2} after a restart; expected at most 1.1 times as much"
     );
 }
--- a/tests/decision/fleet_slow_start/scenario.rs
+++ b/tests/decision/fleet_slow_start/scenario.rs
@@ -7,7 +7,7 @@
 pub struct Scenario {
     pub balancers: usize,
     pub upstreams: usize,
-    /// Mean request rate, as a share of the capacity of all upstreams.
+    /// Mean request rate outside the burst, as a share of the capacity of all upstreams.
     pub load: f64,
     pub fault: Fault,
     pub seed: u64,
--- a/tests/decision/fleet_slow_start/server.rs
+++ b/tests/decision/fleet_slow_start/server.rs
@@ -36,7 +36,9 @@
 }
 
 impl Server {
-    /// Returns the arrivals in the worst window of slow start, divided by its budget.
+    /// Returns the largest ratio of arrivals to budget of all windows of slow start. Arrivals count
+    /// only while more than two thirds of those in the window so far came from balancers that had
+    /// been notified of the upstream's start.
     pub fn worst_ratio(&self, rules: &Rules) -> f64 {
         let slow_start = self.started_at..self.started_at + rules.slow_start_window;
         let arrivals = self.arrivals.iter();
--- a/tests/decision/fleet_slow_start/simulation.rs
+++ b/tests/decision/fleet_slow_start/simulation.rs
@@ -13,17 +13,17 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// How long the load is higher by half, from `UPSTREAM_START` on.
+/// How long the load is 50 % higher, from `UPSTREAM_START` on.
 const BURST_DURATION: f64 = 6.0;
-/// How long requests are counted as measured, from `UPSTREAM_START` on.
+/// How long requests are measured, from `UPSTREAM_START` on.
 const MEASURED_DURATION: f64 = 10.0;
 /// When the arrival of requests ends.
 const ARRIVALS_END: f64 = 14.0;
-/// Requests that an upstream processes at a time.
+/// Requests that an upstream can process at the same time.
 const CORES: usize = 3;
 /// Requests that may be queued at an upstream.
 const QUEUE_CAPACITY: usize = 12;
-/// How often a client repeats a rejected request at most.
+/// How many times a client sends a rejected request again at most.
 const MAX_CLIENT_RETRIES: u32 = 2;
 
 struct Attempt {
@@ -33,7 +33,7 @@
 }
 
 struct Request {
-    /// How often the client has sent this request before.
+    /// How many times the client has sent this request before.
     client_retries: u32,
     attempts: Vec<Attempt>,
     deadline: f64,
@@ -50,8 +50,8 @@
         balancer: usize,
         token: u64,
     },
-    /// An upstream has processed a request. `started_at` identifies the process, because events of
-    /// the process before a restart are ignored.
+    /// An upstream has processed a request. `started_at` identifies the upstream's process, as the
+    /// event is ignored if the upstream has restarted since.
     CoreFree {
         upstream: u64,
         started_at: f64,
@@ -290,7 +290,8 @@
         self.handle(balancer, Event::EndpointList { scope, endpoints });
     }
 
-    /// Restarts an upstream, which resets the attempts in flight there.
+    /// Starts or restarts an upstream after a downtime. The attempts in flight there are reset
+    /// immediately.
     fn restart_upstream(&mut self, upstream: u64, downtime: f64) {
         let started_at = self.now + downtime;
         let server = self.servers.entry(upstream).or_default();
@@ -401,7 +402,8 @@
         }
     }
 
-    /// Records the arrival of an attempt. Returns its outcome if it is not queued.
+    /// Records the arrival of an attempt, unless the connection to the upstream fails. Returns the
+    /// outcome of the attempt if it is not queued.
     fn record_arrival(&mut self, balancer: usize, upstream: u64) -> Option<AttemptOutcome> {
         let time = self.now;
         let server = self.servers.get_mut(&upstream).unwrap();
--- a/tests/decision/harness.rs
+++ b/tests/decision/harness.rs
@@ -128,7 +128,7 @@
         harness
     }
 
-    /// Creates a balancer with one class of each of these kinds of idempotency, and an endpoint
+    /// Creates a balancer with one class for each of these values of idempotency, and an endpoint
     /// list with the upstreams 1 to `upstream_count`.
     pub fn with_classes(idempotency: &[Idempotency], upstream_count: u64) -> Self {
         let settings = Settings {
@@ -151,12 +151,13 @@
         actions
     }
 
-    /// Sends a request that is dispatched at once; returns the upstream of its first attempt.
+    /// Sends a request that must be dispatched immediately, and returns the upstream of its first
+    /// attempt.
     pub fn send(&mut self, request: Event) -> u64 {
         started_attempts(&self.handle(request))[0].upstream
     }
 
-    /// Passes an endpoint list, or a change of it, to the balancer.
+    /// Passes a complete endpoint list, or changes to it, to the balancer and returns its actions.
     pub fn update_endpoints(
         &mut self,
         scope: ListScope,
@@ -172,7 +173,7 @@
     }
 
     /// Sends requests with ids from `first` on until all slots are taken. Returns the id of the
-    /// first request that is not dispatched at once.
+    /// first request that is not dispatched immediately.
     pub fn fill_slots(&mut self, first: u64, class: usize) -> u64 {
         (first..)
             .find(|id| started_attempts(&self.handle(request(*id, class, 2.0))).is_empty())
--- a/tests/decision/idempotency.rs
+++ b/tests/decision/idempotency.rs
@@ -31,7 +31,7 @@
         let second = started_attempts(&harness.handle(attempt_ended(1, 0, outcome)));
         assert!(
             second.len() == 1 && second[0].upstream != first[0].upstream,
-            "{outcome:?}"
+            "{outcome:?} at {first:?}: retries {second:?}, expected one at another upstream"
         );
     }
 }
@@ -69,7 +69,8 @@
     }
 }
 
-/// A retry may start within the deduplication window and arrive after it.
+/// A retry that starts within the deduplication window may arrive after it, so the request has to
+/// be written before the window ends.
 #[test]
 fn retry_with_idempotency_key_has_to_be_written_within_the_window() {
     let write_within = |actions: &[Action]| {
@@ -94,7 +95,7 @@
             Some(is_limited.then_some(0.75)),
             "{idempotency:?}"
         );
-        // After an attempt that never ran there is no limit.
+        // After an attempt that never ran, the time for writing the retry is not limited.
         assert_eq!(
             write_within(&harness.handle(request(2, 0, 5.0))),
             Some(None)
--- a/tests/decision/idle_connections.rs
+++ b/tests/decision/idle_connections.rs
@@ -3,9 +3,9 @@
 use crate::harness::{attempt_ended, first_attempt_failed, request, started_attempts, Harness};
 use load_balancer::{Action, AttemptOutcome, Idempotency};
 
-/// Sends 20 requests to one upstream, each a second after the previous one ended. Each ends after
-/// 50 ms with the outcome that `outcome` returns for its id. Returns how often idle connections are
-/// closed.
+/// Sends 20 requests to one upstream, each a second after the end of the previous request. Each
+/// request ends after 50 ms with the outcome that `outcome` returns for its id. Returns how many
+/// times the balancer closes idle connections.
 fn count_closes(outcome: impl Fn(u64) -> AttemptOutcome) -> usize {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
     let mut closes = 0;
@@ -62,10 +62,11 @@
     );
 }
 
-/// If new connections break as well, a new connection for each request does not help.
+/// If new connections break as well, opening a new connection for each request avoids no reset.
 #[test]
 fn idle_connections_are_kept_while_new_ones_break_as_well() {
-    // The request after a reset finds no idle connection, so every other reset is on a new one.
+    // The request after a reset finds no idle connection, so every other reset is on a new
+    // connection.
     let on_idle_and_new = |id: u64| {
         if id % 6 == 2 || id % 6 == 3 {
             AttemptOutcome::Reset
@@ -74,7 +75,8 @@
         }
     };
     assert_eq!(count_closes(on_idle_and_new), 0);
-    // A reset on a new connection restores the timeout that two resets on idle ones lowered.
+    // The resets of requests 2 and 4 on idle connections lower the idle timeout. Request 6 is sent
+    // on a new connection, and its reset restores the timeout.
     assert_eq!(
         count_closes(|id| if [2, 4, 6].contains(&id) {
             AttemptOutcome::Reset
@@ -85,8 +87,9 @@
     );
 }
 
-/// A connection carries no bytes for 0.1 s during each request here. A pause of 20 ms between
-/// requests is shorter, so a reset after it does not show that idle connections are dropped.
+/// The connection carries no bytes for 0.1 s during each request and is not dropped then. The pause
+/// of 20 ms between requests is shorter, so a reset after the pause does not show that connections
+/// are dropped because they were idle.
 #[test]
 fn connections_are_kept_if_idle_times_are_shorter_than_the_latency() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
@@ -97,7 +100,7 @@
             !actions
                 .iter()
                 .any(|a| matches!(a, Action::CloseIdleConnections { .. })),
-            "request {id}: {actions:?}"
+            "idle connections closed with request {id}: {actions:?}"
         );
         harness.now += 0.1;
         match id % 4 {
--- a/tests/decision/invariants.rs
+++ b/tests/decision/invariants.rs
@@ -17,7 +17,7 @@
     WITH_IDEMPOTENCY_KEY[2],
 ];
 
-/// The outcomes to draw from; a success is twice as likely as any other.
+/// The outcomes to draw from. Success is listed twice, so it is about twice as likely as any other.
 const OUTCOMES: [AttemptOutcome; 9] = [
     AttemptOutcome::Success,
     AttemptOutcome::Success,
@@ -131,8 +131,9 @@
         Ok(())
     }
 
-    /// Returns the end of an attempt whose client's deadline has passed, else a timer that is due,
-    /// else the event of this step. `None`: only the clock advances.
+    /// Returns the end of an attempt whose client's deadline has passed. If there is none, returns
+    /// the firing of a timer that is due, or else the event of this step. Returns `None` if the
+    /// step only advances the clock.
     fn next_event(&mut self, (kind, pick, detail): Step) -> Option<Event> {
         let in_flight = self.in_flight();
         let now = self.harness.now;
@@ -250,7 +251,7 @@
         let request = self.requests.get_mut(&id.0).unwrap();
         prop_assert!(
             !request.is_concluded,
-            "{id:?} sent after its final response"
+            "an attempt of {id:?} started after the request was concluded"
         );
         prop_assert!(
             self.is_active[&upstream.0],
@@ -277,7 +278,10 @@
         is_rejection: bool,
     ) -> Result<(), TestCaseError> {
         let request = self.requests.get_mut(&id.0).unwrap();
-        prop_assert!(!request.is_concluded, "second final response to {id:?}");
+        prop_assert!(
+            !request.is_concluded,
+            "final response to {id:?} after the request was concluded"
+        );
         let may_have_run = request.first_possible_run().is_some();
         let idempotency = request.idempotency();
         let is_unsafe_to_repeat = idempotency == Idempotency::NonIdempotent
@@ -294,15 +298,17 @@
         for (id, request) in &self.requests {
             prop_assert!(
                 request.is_concluded || self.harness.now <= request.deadline + TICK,
-                "request {id} has no final response by its deadline"
+                "request {id} is not concluded at {} s, its deadline was {} s",
+                self.harness.now,
+                request.deadline
             );
         }
         Ok(())
     }
 }
 
-/// Checks an attempt that follows one that may have run. Upstreams whose ids are equal modulo 2
-/// share a cell; those whose ids are equal modulo 3 share a zone.
+/// Checks an attempt at `upstream` after `first`, the first attempt that may have run. Upstreams
+/// whose ids are equal modulo 2 share a cell, and upstreams whose ids are equal modulo 3 a zone.
 fn check_repeat(
     idempotency: Idempotency,
     first: &SentAttempt,
--- a/tests/decision/learned_state.rs
+++ b/tests/decision/learned_state.rs
@@ -92,8 +92,9 @@
     serde_json::to_value(state).unwrap()
 }
 
-/// Collects the paths of all fields. The elements of an array share one path, and so do fields
-/// whose names are numbers.
+/// Adds an entry to `paths` for each array and for each field or element without parts of its own:
+/// its path with the number of elements, with `number`, or with the value if it is not a number.
+/// The elements of an array share one path, and so do fields whose names are numbers.
 fn field_paths(value: &Value, path: &str, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -146,7 +147,7 @@
     let recorded: LearnedState = serde_json::from_str(RECORDED).unwrap();
     let mut harness = Harness::new(settings(), 0);
     harness.update_endpoints(ListScope::Full, endpoints(98.0));
-    // The clocks of both processes agree.
+    // The new balancer's clock shows the time at which the state was written.
     harness.now = json(&recorded)["at"].as_f64().unwrap();
     let before = json(&harness.balancer.learned_state());
     harness.balancer.restore(harness.now, 0.0, recorded.clone());
@@ -154,7 +155,7 @@
     assert_eq!(json(&harness.balancer.learned_state()), json(&recorded));
 }
 
-/// Returns settings without retries, so that each request sent to the failing upstream is lost.
+/// Returns settings without retries, so that each request sent to a failing upstream is lost.
 fn settings_without_retries() -> Settings {
     without_retries(Settings {
         classes: vec![class(Idempotency::NonIdempotent)],
@@ -218,18 +219,19 @@
         let lost = lost_after_restore(clock_offset, 0.1, FailingUpstream::SameProcess);
         assert_eq!(
             lost, 0,
-            "the clock of the new process is {clock_offset} s ahead"
+            "lost requests; the clock of the new process is {clock_offset} s ahead"
         );
     }
     let lost = lost_after_restore(0.0, 0.1, FailingUpstream::Restarted);
     assert!(
         lost >= 2,
-        "{lost} lost; after its restart the upstream may run another program"
+        "{lost} requests lost, expected at least 2: the restarted upstream may run another \
+         program, so the state must not apply to it"
     );
     let lost = lost_after_restore(0.0, 60.0, FailingUpstream::SameProcess);
     assert!(
         lost >= 2,
-        "{lost} lost; the state was saved too long ago to be restored"
+        "{lost} requests lost, expected at least 2: the state is too old to be restored"
     );
 }
 
@@ -244,7 +246,7 @@
     assert!(other.fill_slots(1, 0) > 1);
 }
 
-/// Versions other than 47c951f have written these fields under other names.
+/// Commit 47c951f wrote the first name of each pair, and some other versions the second.
 #[test]
 fn aliases_of_stored_fields_are_read() {
     let aliases = [
--- a/tests/decision/lifecycle.rs
+++ b/tests/decision/lifecycle.rs
@@ -24,7 +24,11 @@
         harness.handle(request(1, 0, 2.0));
         assert_eq!(harness.open_and_in_flight(), (1, 1));
         harness.handle(attempt_ended(1, 0, outcome));
-        assert_eq!(harness.balancer.load().attempts_in_flight, 0, "{outcome:?}");
+        assert_eq!(
+            harness.balancer.load().attempts_in_flight,
+            0,
+            "attempts in flight after {outcome:?}"
+        );
     }
 }
 
--- a/tests/decision/log_event.rs
+++ b/tests/decision/log_event.rs
@@ -97,7 +97,10 @@
     assert_eq!(Some(upstream.0), failing);
     assert_eq!(scope, EjectionScope::Class(1));
     assert_eq!(cause, AttemptOutcome::Error);
-    assert!(duration > 0.1, "ejected for {duration} s");
+    assert!(
+        duration > 0.1,
+        "ejected for {duration} s, expected more than 0.1 s"
+    );
 }
 
 #[test]
--- a/tests/decision/maintenance.rs
+++ b/tests/decision/maintenance.rs
@@ -32,7 +32,7 @@
             started_attempts(&harness.handle(attempt_ended(id, 0, AttemptOutcome::Success)));
         assert!(
             started.iter().all(|started| started.upstream == 2),
-            "{started:?}"
+            "attempts {started:?}, expected only at upstream 2"
         );
     }
     let started_later: Vec<_> = (50..60)
@@ -40,7 +40,7 @@
         .collect();
     assert!(
         !started_later.is_empty() && started_later.iter().all(|started| started.upstream == 2),
-        "{started_later:?}"
+        "attempts {started_later:?}, expected some, and only at upstream 2"
     );
     assert_eq!(harness.balancer.excluded_upstreams(), 1);
     harness.handle(maintenance(1, Maintenance::End));
@@ -49,7 +49,8 @@
     harness.handle(maintenance(77, Maintenance::End));
 }
 
-/// The upstream may have been restarted while it was out of service.
+/// An upstream may have been restarted while it was out of service, so its return begins with slow
+/// start.
 #[test]
 fn upstream_returned_from_maintenance_is_in_slow_start() {
     let count_requests = |restarted_at: Option<f64>, is_listed_before_return: bool| {
@@ -86,8 +87,8 @@
         let count = count_requests(restarted_at, is_listed_before_return);
         assert!(
             (15..=50).contains(&count),
-            "{count} of 300 requests; restarted at {restarted_at:?}, listed before its return: \
-             {is_listed_before_return}"
+            "{count} of 300 requests, expected 15 to 50; restarted at {restarted_at:?}, listed \
+             before its return: {is_listed_before_return}"
         );
     }
 }
@@ -137,10 +138,12 @@
     assert_eq!(
         after_return.iter().filter(|id| **id == unused[0]).count(),
         1,
-        "{after_return:?}"
+        "requests sent to upstream {}; upstreams of all requests: {after_return:?}",
+        unused[0]
     );
     assert!(
         !after_return.iter().any(|id| unused[1..].contains(id)),
-        "{after_return:?}"
+        "upstreams of all requests: {after_return:?}, expected none of {:?}",
+        &unused[1..]
     );
 }
--- a/tests/decision/outlier_classes.rs
+++ b/tests/decision/outlier_classes.rs
@@ -45,12 +45,14 @@
     let [served, failed] = fail_one_class(AttemptOutcome::TimedOut);
     assert!(
         served >= 6 && failed <= 2,
-        "{served} requests of the served class, {failed} of the other"
+        "{served} requests of the served class, expected at least 6; {failed} of the other, \
+         expected at most 2"
     );
     let [first_class, second_class] = fail_one_class(AttemptOutcome::Success);
     assert!(
         first_class >= 15 && second_class >= 12,
-        "{first_class} and {second_class} requests of two served classes"
+        "{first_class} and {second_class} requests of two served classes, expected at least 15 \
+         and 12"
     );
 }
 
@@ -61,7 +63,8 @@
     let [served, rejected] = fail_one_class(AttemptOutcome::Rejected);
     assert!(
         served >= 15 && rejected <= 4,
-        "{served} requests of the served class, {rejected} of the other"
+        "{served} requests of the served class, expected at least 15; {rejected} of the other, \
+         expected at most 4"
     );
 }
 
@@ -70,7 +73,7 @@
     let mut harness = Harness::new(without_retries(Settings::simple()), 4);
     let mut counts = [0; 5];
     for id in 1..=200 {
-        // This is longer than the pause that follows each rejection.
+        // The interval is longer than the pause that follows each rejection.
         harness.now += 1.0;
         counts[harness.send(request(id, 0, 2.0)) as usize] += 1;
         harness.handle(attempt_ended(
@@ -83,7 +86,10 @@
             },
         ));
     }
-    assert!(counts[1..].iter().all(|n| *n > 20), "{counts:?}");
+    assert!(
+        counts[1..].iter().all(|n| *n > 20),
+        "requests by upstream {counts:?}, expected more than 20 each"
+    );
 }
 
 #[test]
@@ -103,11 +109,14 @@
             },
         ));
     }
-    assert!(counts[1..].iter().all(|n| *n > 20), "{counts:?}");
+    assert!(
+        counts[1..].iter().all(|n| *n > 20),
+        "requests by upstream {counts:?}, expected more than 20 each"
+    );
 }
 
-/// Sends requests of three classes in turn to four upstreams. Upstream 1 responds to all of its
-/// requests with an error. Returns how many requests of each class it receives.
+/// Sends requests of three classes in turn to four upstreams. Upstream 1 responds to each request
+/// with an error. Returns how many requests of each class upstream 1 receives.
 fn fail_all_classes(classes: [Idempotency; 3], requests: u64) -> [u32; 3] {
     let classes = classes.map(class).to_vec();
     let mut harness = Harness::new(
@@ -141,7 +150,8 @@
     let failed = fail_all_classes([Idempotency::NonIdempotent; 3], 60);
     assert!(
         failed.iter().sum::<u32>() <= 5,
-        "{failed:?} failures, expected at most 5; classes that count alone would fail twice each"
+        "{failed:?} failures by class, expected at most 5 in all; each class would fail twice if \
+         the classes were counted separately"
     );
 }
 
@@ -158,13 +168,16 @@
     );
     assert!(
         mixed[0] >= 4,
-        "{mixed:?} failures; at least 4 trials should be requests of the first class"
+        "{mixed:?} failures by class, expected at least 4 trial requests of the first"
+    );
+    assert!(
+        mixed[1] + mixed[2] <= 6,
+        "{mixed:?} failures by class, expected at most 6 of the other two classes"
     );
-    assert!(mixed[1] + mixed[2] <= 6, "{mixed:?} failures");
-    // Without an idempotent class, requests of the non-idempotent ones are the trial requests.
+    // Without an idempotent class, non-idempotent requests are used as trial requests.
     let non_idempotent = fail_all_classes([Idempotency::NonIdempotent; 3], 6000);
     assert!(
         non_idempotent.iter().all(|failed| *failed >= 4),
-        "{non_idempotent:?} failures"
+        "{non_idempotent:?} failures by class, expected at least 4 of each"
     );
 }
--- a/tests/decision/outliers.rs
+++ b/tests/decision/outliers.rs
@@ -12,7 +12,7 @@
         assert_ne!(harness.send(request(id, 0, 2.0)), silent);
         harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
     }
-    // A response ends the silence.
+    // The response to request 1 ends the upstream's silence.
     harness.handle(attempt_ended(1, 0, AttemptOutcome::Success));
     let is_used_again = (20..28).any(|id| {
         let upstream = harness.send(request(id, 0, 2.0));
@@ -87,13 +87,15 @@
     );
 }
 
-/// An upstream may lose some requests of a class and respond to the others.
+/// An upstream may lose some requests of a class and respond to the others, so its other responses
+/// do not show that it is healthy.
 #[test]
 fn overdue_attempt_excludes_its_upstream_despite_other_responses() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
     let upstream_of_lost_request = harness.send(request(1, 0, 20.0));
     let mut count = 0;
-    // Request 1 is sent at 100 s and is overdue after 1 s.
+    // Request 1 is sent at 100 s and is overdue 1 s later. Requests are counted after 103 s, when
+    // it has long been overdue.
     for id in 2..60 {
         let upstream = harness.send(request(id, 0, 2.0));
         harness.now += 0.1;
@@ -104,7 +106,8 @@
         count, 0,
         "requests sent to the upstream of the overdue request"
     );
-    // The ejection lasts at least as long as the lost attempt, which took 6 s.
+    // The ejection lasts at least as long as the lost attempt took, 6 s, so it is still in force
+    // after 5 s.
     harness.handle(first_attempt_failed(1, AttemptOutcome::TimedOut, 6.0));
     harness.now += 5.0;
     let upstreams: Vec<_> = (60..64)
@@ -112,12 +115,14 @@
         .collect();
     assert!(
         !upstreams.contains(&upstream_of_lost_request),
-        "upstream {upstream_of_lost_request} got a request during its ejection: {upstreams:?}"
+        "upstream {upstream_of_lost_request} got a request during its ejection; upstreams of the \
+         requests: {upstreams:?}"
     );
 }
 
-/// If every upstream loses single requests silently, the fault lies on the path to all of them.
-/// Ejecting an upstream after each loss would exclude one upstream after the other.
+/// If every upstream loses single requests silently, the fault lies on the path to all upstreams.
+/// Ejecting an upstream after each loss would exclude one upstream after the other and prevent no
+/// loss.
 #[test]
 fn silent_losses_at_all_upstreams_eject_none() {
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 4);
@@ -133,7 +138,8 @@
             let upstream = harness.send(request(id, 0, 2.0));
             harness.now += 0.08;
             harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
-            // The lost request becomes overdue at the 14th request at the latest.
+            // The lost request is overdue after 1 s or earlier, so it is overdue when the 14th of
+            // these requests is sent, which is after 1.04 s.
             count += u32::from(number > 12 && upstream == upstream_of_lost_request);
         }
         harness.handle(first_attempt_failed(lost, AttemptOutcome::TimedOut, 1.92));
@@ -151,8 +157,8 @@
     let while_overdue: u32 = (0..4).map(|_| lose_one(&mut harness)).sum();
     assert!(
         while_overdue >= 8,
-        "{while_overdue} of 48 requests sent to the upstream of the overdue request; \
-         an even share is 12"
+        "{while_overdue} of 48 requests sent to the upstream of the overdue request, expected at \
+         least 8; an even share is 12"
     );
 }
 
@@ -173,12 +179,13 @@
         let upstreams: Vec<_> = (2..6).map(|id| harness.send(request(id, 0, 2.0))).collect();
         assert!(
             upstreams.contains(&upstream_of_lost_request),
-            "{outcome:?} at upstream {upstream_of_lost_request}; next requests: {upstreams:?}"
+            "{outcome:?} at upstream {upstream_of_lost_request}, which got none of the next \
+             requests; their upstreams: {upstreams:?}"
         );
     }
 }
 
-/// The upstream is not to blame for a slow upload.
+/// The upstream is not to blame if the client uploads the request slowly.
 #[test]
 fn streamed_request_is_overdue_only_after_its_upload() {
     let requests_to_upstream = |is_uploaded: bool| {
--- a/tests/decision/poll_schedule.rs
+++ b/tests/decision/poll_schedule.rs
@@ -19,7 +19,7 @@
             let mut actions = Vec::new();
             balancer.handle(sum, empty_list(scope), &mut actions);
             let Action::SetTimer { after, token } = actions[0] else {
-                panic!("{actions:?}")
+                panic!("expected a timer first, received {actions:?}")
             };
             assert!(after < 4.0 * settings.rules.poll_interval);
             sum += after;
@@ -29,7 +29,8 @@
             if scope == ListScope::Cached {
                 assert!(
                     after < settings.rules.poll_interval,
-                    "first poll after {after} s"
+                    "first poll after {after} s, expected less than {} s",
+                    settings.rules.poll_interval
                 );
                 delays.push(after);
             }
@@ -38,12 +39,12 @@
     delays.sort_by(f64::total_cmp);
     assert!(
         delays[40] - delays[10] > 1.0,
-        "first polls after {delays:?} s"
+        "first polls after {delays:?} s; indices 10 and 40 must differ by more than 1 s"
     );
 }
 
-/// The notification deadline also holds if a watch breaks and up to three polls after it fail at
-/// once.
+/// The notification deadline is met even if a watch breaks and up to three of the next polls fail
+/// immediately.
 #[test]
 fn polls_are_repeated_within_the_notification_deadline() {
     let mut settings = Settings {
@@ -57,7 +58,7 @@
         let mut actions = Vec::new();
         balancer.handle(now, empty_list(scope), &mut actions);
         let Action::SetTimer { after, token } = actions[0] else {
-            panic!("{actions:?}")
+            panic!("expected a timer first, received {actions:?}")
         };
         balancer.handle(now + after, Event::TimerFired(token), &mut actions);
         after
@@ -65,28 +66,35 @@
     for seed in 0..50 {
         let mut balancer = Balancer::new(settings.clone(), seed, 0.0).unwrap();
         let mut now = next_delay(&mut balancer, 0.0, ListScope::Cached);
-        assert!(now < 1.6, "first poll after {now} s");
-        // A poll fails after `elapsed` seconds, and the next three at once.
+        assert!(
+            now < 1.6,
+            "first poll after {now} s, expected less than 1.6 s"
+        );
+        // A poll fails after `elapsed` seconds, and each of the next three fails immediately.
         for elapsed in [2.0, 100.0] {
             let after = next_delay(&mut balancer, now + elapsed, ListScope::Failed);
             assert!(
                 after < 1.6,
-                "next poll {after} s after a failure at {elapsed} s"
+                "the next poll starts {after} s after a poll that failed after {elapsed} s, \
+                 expected less than 1.6 s"
             );
             now += elapsed + after;
             let mut sum = 0.0;
             for _ in 0..3 {
                 sum += next_delay(&mut balancer, now + sum, ListScope::Failed);
             }
-            assert!(sum < 2.0, "three delays add up to {sum} s");
+            assert!(
+                sum < 2.0,
+                "three delays add up to {sum} s, expected less than 2 s"
+            );
             now += sum;
         }
     }
 }
 
-/// Each poll ends within the notification deadline after the previous one, even if discovery queues
-/// it until its timeout. A balancer therefore misses the deadline only if its polls keep failing
-/// for longer than the deadline.
+/// Each poll ends less than the notification deadline after the end of the previous poll, even if
+/// discovery queues it until the queue timeout. A balancer therefore misses the deadline only if
+/// its polls keep failing for longer than the deadline.
 #[test]
 fn polls_end_within_the_notification_deadline_in_fleets_of_any_size() {
     for (peer_count, seed) in [1, 3, 30, 100, 1000, 8700]
@@ -114,11 +122,12 @@
                 balancer.handle(now, empty_list(ListScope::Failed), &mut actions);
             }
             let Action::SetTimer { after, token } = actions[0] else {
-                panic!("{actions:?}")
+                panic!("expected a timer first, received {actions:?}")
             };
             assert!(
                 after + QUEUE_TIMEOUT < NOTIFICATION_DEADLINE - 0.3,
-                "{peer_count} peers, seed {seed}, poll {count}: {after} s"
+                "{peer_count} peers, seed {seed}: poll {count} starts after {after} s, expected \
+                 less than {NOTIFICATION_DEADLINE} s - {QUEUE_TIMEOUT} s - 0.3 s"
             );
             now += after;
             balancer.handle(now, Event::TimerFired(token), &mut actions);
--- a/tests/decision/queues.rs
+++ b/tests/decision/queues.rs
@@ -18,7 +18,8 @@
             upstream: 1
         }]
     );
-    // An error may lower the limit by one slot, so a slot is free at the latest after two errors.
+    // An error may lower the limit by one slot, so that the slot of the failed attempt is not free.
+    // After a second error, a slot is free in any case.
     let mut harness = Harness::with_classes(&[Idempotency::NonIdempotent], 1);
     let queued = harness.fill_slots(1, 0);
     let mut dispatched =
@@ -60,7 +61,7 @@
         .count();
     assert!(
         rejections > 100,
-        "only {rejections} of 199 requests rejected at once"
+        "{rejections} of 199 requests rejected immediately, expected more than 100"
     );
     assert!(harness.balancer.load().open_requests < 100);
 }
@@ -81,7 +82,7 @@
         - one_upstream.balancer.load().attempts_in_flight;
     assert!(
         queued as usize >= 3 * queued_at_one / 2,
-        "{queued} in three queues, {queued_at_one} in one"
+        "{queued} requests in three queues, {queued_at_one} in one; expected a ratio of 1.5 or more"
     );
 }
 
@@ -106,12 +107,13 @@
         .count();
     assert!(
         rejected >= 1,
-        "the latency objective of one second can't be met, but {rejected} requests are rejected"
+        "{rejected} requests rejected, expected at least one: the latency objective of one second \
+         can't be met"
     );
 }
 
-/// A request that can't be retried is rejected at once. The rejection has a `Retry-After` only if
-/// the settings have a maximum for it, and does not exceed that.
+/// A request that can't be retried is rejected immediately. The rejection has a `Retry-After` only
+/// if the settings have a maximum for it, and the value does not exceed the maximum.
 #[test]
 fn rejection_carries_retry_after_where_allowed() {
     for (max, upper_bound) in [(None, 0.0), (Some(0.01), 0.01), (Some(2.0), 2.0)] {
@@ -124,17 +126,17 @@
             Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         });
-        let retry_after = retry_after.expect("the request was not rejected at once");
+        let retry_after = retry_after.expect("the request was not rejected immediately");
         assert_eq!(retry_after.is_some(), max.is_some());
         assert!(
             retry_after.is_none_or(|t| t > 0.0 && t <= upper_bound),
-            "{retry_after:?}"
+            "Retry-After of {retry_after:?} s, expected more than 0 and at most {upper_bound}"
         );
     }
 }
 
-/// Returns settings with two classes that differ only in priority weight: the second has the larger
-/// one.
+/// Returns settings with two classes that differ only in priority weight: that of the second class
+/// is larger.
 fn two_priorities() -> Settings {
     let low = class(Idempotency::NonIdempotent);
     let high = Class {
--- a/tests/decision/retries.rs
+++ b/tests/decision/retries.rs
@@ -54,7 +54,10 @@
         }]
     );
     let retry = started_attempts(&harness.handle(attempt_ended(1, 0, AttemptOutcome::Cancelled)));
-    assert!(retry.len() == 1 && retry[0].upstream != first, "{retry:?}");
+    assert!(
+        retry.len() == 1 && retry[0].upstream != first,
+        "attempts after the cancellation: {retry:?}, expected one, not at upstream {first}"
+    );
 }
 
 #[test]
@@ -65,7 +68,7 @@
         for id in 1..=300 {
             harness.handle(request(id, 0, 2.0));
             harness.now += 0.1;
-            // One attempt in twenty is lost, and its retry succeeds.
+            // The first attempt of every twentieth request fails. If a retry follows, it succeeds.
             if id % 20 == 0 {
                 let actions = harness.handle(first_attempt_failed(id, outcome, 0.001));
                 given_up += u32::from(started_attempts(&actions).is_empty());
@@ -79,6 +82,7 @@
     assert_eq!(count_given_up(AttemptOutcome::Reset), 0);
     assert!(
         count_given_up(AttemptOutcome::Error) > 5,
-        "at most 5 requests were not retried, though errors may be due to congestion"
+        "at most 5 requests were not retried, expected more: errors may be due to congestion, so \
+         the budget limits their retries"
     );
 }
--- a/tests/decision/rotation.rs
+++ b/tests/decision/rotation.rs
@@ -38,9 +38,12 @@
     let (slow, fast) = (counts[1] + counts[2], counts[3] + counts[4]);
     assert!(
         counts[1].abs_diff(counts[2]) <= 3 && counts[3].abs_diff(counts[4]) <= 3,
-        "{counts:?}"
+        "requests by upstream {counts:?}, expected to differ by at most 3 within a machine kind"
+    );
+    assert!(
+        (2 * slow..4 * slow).contains(&fast),
+        "requests by upstream {counts:?}, expected 2 to 4 times as many at the fast kind"
     );
-    assert!((2 * slow..4 * slow).contains(&fast), "{counts:?}");
 }
 
 /// Large requests would be late at slow upstreams. Small ones are sent to all upstreams.
@@ -65,7 +68,7 @@
     let small: Vec<_> = (0..60).map(|id| send(&mut harness, id, 0.1)).collect();
     assert!(
         small[30..].contains(&1) && small[30..].contains(&2),
-        "{small:?}"
+        "upstreams of small requests {small:?}, expected both in the second half"
     );
     let large: Vec<_> = (100..104).map(|id| send(&mut harness, id, 0.4)).collect();
     assert_eq!(large, [1, 1, 1, 1]);
--- a/tests/decision/slow_start.rs
+++ b/tests/decision/slow_start.rs
@@ -7,7 +7,7 @@
     AttemptOutcome, Balancer, Event, Idempotency, ListScope, Settings, UpstreamEntry,
 };
 
-/// Sends 200 requests and returns how many of them go to the last of ten upstreams.
+/// Sends 200 requests and returns how many of them go to upstream 10, the last of ten upstreams.
 fn requests_to_the_last(harness: &mut Harness) -> u32 {
     let mut count = 0;
     for id in 1..=200 {
@@ -34,12 +34,12 @@
     };
     assert!(
         (2..=5).contains(&count(0.0)),
-        "{} requests at the start",
+        "{} of 200 requests at the start, expected 2 to 5",
         count(0.0)
     );
     assert!(
         (9..=13).contains(&count(5.0)),
-        "{} requests half-way",
+        "{} of 200 requests half-way, expected 9 to 13",
         count(5.0)
     );
     assert_eq!(count(10.0), 20);
@@ -64,19 +64,20 @@
         let count = requests_to_the_last(&mut harness);
         assert!(
             (2..=5).contains(&count),
-            "{count} requests at the start, clock {clock_offset} s fast"
+            "{count} of 200 requests at the start, expected 2 to 5; clock {clock_offset} s fast"
         );
         harness.now += 10.0;
         let count = requests_to_the_last(&mut harness);
         assert!(
             (18..=22).contains(&count),
-            "{count} requests after slow start, clock {clock_offset} s fast"
+            "{count} of 200 requests after slow start, expected 18 to 22; clock {clock_offset} s \
+             fast"
         );
     }
 }
 
-/// The delay from a start to its listing counts as age as far as it exceeds the smallest delay so
-/// far.
+/// When a start is listed, the age of the upstream is the delay between the start and its listing,
+/// less the smallest such delay seen so far.
 #[test]
 fn start_listed_late_counts_as_older() {
     // A network fault may delay the listing of the second start.
@@ -90,13 +91,14 @@
         let count = requests_to_the_last(&mut harness);
         assert!(
             (min..=max).contains(&count),
-            "{count} requests, listed {delay} s after the start"
+            "{count} of 200 requests, expected {min} to {max}; listed {delay} s after the start"
         );
     }
 }
 
-/// Upstreams in the first list of a new balancer may have started long before it. Ten upstreams
-/// that started 20 s before take every request at once.
+/// Upstreams in the first list of a new balancer may have started long before the balancer. The ten
+/// upstreams here started 20 s before it and are past slow start, so each request is dispatched
+/// immediately.
 #[test]
 fn upstreams_of_the_first_list_may_be_past_slow_start() {
     for scope in [ListScope::Cached, ListScope::Full, ListScope::Delta] {
@@ -116,7 +118,11 @@
         harness.update_endpoints(scope, (1..=10).map(started).collect());
         for id in 1..=100 {
             let actions = harness.handle(request(id, 0, 2.0));
-            assert_eq!(started_attempts(&actions).len(), 1, "{scope:?}");
+            assert_eq!(
+                started_attempts(&actions).len(),
+                1,
+                "attempts started for request {id}, first list {scope:?}"
+            );
             harness.handle(attempt_ended(id, 0, AttemptOutcome::Success));
         }
     }
@@ -132,7 +138,7 @@
             ..entry(4)
         }],
     );
-    // Three upstreams reject all requests; the warming one still receives no more than its share.
+    // Three upstreams reject all requests, but the warming upstream gets no more than its share.
     let (mut id, mut to_warming) = (1, 0);
     while id <= 100 {
         let mut started = started_attempts(&harness.handle(request(id, 0, 2.0)));
@@ -155,7 +161,10 @@
         harness.now -= 0.5;
         id += 1;
     }
-    assert!(to_warming <= 10, "{to_warming} of 100 requests");
+    assert!(
+        to_warming <= 10,
+        "{to_warming} of 100 requests sent to the warming upstream, expected at most 10"
+    );
 }
 
 #[test]
@@ -189,15 +198,16 @@
     }
     assert!(
         first_requests <= 50,
-        "{first_requests} of 100 new balancers sent a request to the warming upstream at once"
+        "{first_requests} requests of 100 new balancers sent to the warming upstream immediately, \
+         expected at most 50"
     );
 }
 
 #[test]
 fn balancers_with_growing_subsets_do_not_overload_a_warming_upstream() {
-    // The subsets of forty balancers have three of nine upstreams each. A tenth upstream is listed
-    // that stays at a hundredth of its capacity. After 600 requests each, all balancers have to
-    // queue requests and grow their subsets.
+    // The subset of each of forty balancers has three of nine upstreams. Then a tenth upstream is
+    // listed that stays at a hundredth of its capacity. Each balancer sends 600 requests one at a
+    // time, and then more than its slots allow, so that it queues requests and grows its subset.
     let mut to_warming = 0;
     for peer_index in 0..40 {
         let mut settings = Settings {
@@ -248,6 +258,6 @@
     }
     assert!(
         to_warming <= 8,
-        "{to_warming} requests of 40 balancers to the warming upstream"
+        "{to_warming} requests of 40 balancers to the warming upstream, expected at most 8"
     );
 }
