--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Number of the next request ID, so that those of a test process differ.
+/// The next number to use as a request ID, so that all request IDs of a test process differ.
 static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(0x1000);
 
 /// A client with one connection.
@@ -71,8 +71,8 @@
         let _ = self.output.write_all(text.as_bytes());
     }
 
-    /// Returns a function that sends text on the connection, for use on another thread while this
-    /// one waits for the response.
+    /// Returns a function that sends text on the connection. Another thread can call it while the
+    /// client's thread waits for the response.
     pub fn writer(&self) -> impl FnMut(&str) -> io::Result<()> + Send + 'static {
         let mut output = self.output.try_clone().unwrap();
         move |text| output.write_all(text.as_bytes())
--- a/tests/support/ports.rs
+++ b/tests/support/ports.rs
@@ -52,7 +52,8 @@
     }
 
     /// Closes the connections that fill the backlog, and starts an upstream that accepts the
-    /// pending ones. It also accepts and counts the closed ones, which are still in the backlog.
+    /// pending connections. The upstream also accepts and counts the closed connections, which are
+    /// still in the backlog.
     pub fn open(self, response: StubResponse) -> StubUpstream {
         drop(self.waiting);
         StubUpstream::with_listener(self.listener, response)
--- a/tests/support/program.rs
+++ b/tests/support/program.rs
@@ -9,8 +9,8 @@
 use std::sync::OnceLock;
 use std::thread;
 
-/// A running process, which is killed when dropped. The pipe of its log is closed as soon as the
-/// process listens.
+/// A running process, which is killed when dropped. The read end of the pipe for its log is closed
+/// as soon as the process listens for clients.
 pub struct Program {
     child: Child,
     config: PathBuf,
@@ -114,7 +114,8 @@
         Self::wait_until_listening(child, config)
     }
 
-    /// Starts the program with this limit on open files (`ulimit -n`) and waits until it listens.
+    /// Starts the program with this limit on open files (`ulimit -n`) and additional environment
+    /// variables, and waits until it listens.
     pub fn start_with_descriptor_limit(
         descriptors: usize,
         variables: &[(&str, &str)],
@@ -249,8 +250,8 @@
         self.signal("-HUP");
     }
 
-    /// Sends SIGSTOP and waits until the process is stopped. Data and signals for it are queued
-    /// until `resume` is called.
+    /// Sends SIGSTOP and waits until the process is stopped. Data and signals for the process are
+    /// queued until `resume` is called; SIGKILL takes effect immediately.
     pub fn suspend(&self) {
         self.signal("-STOP");
         let stat_path = format!("/proc/{}/stat", self.child.id());
--- a/tests/support/tcp_table.rs
+++ b/tests/support/tcp_table.rs
@@ -11,7 +11,7 @@
     pub(super) remote_port: u16,
     /// Number of the state, in hexadecimal digits.
     pub(super) state: String,
-    /// Whether a process has a descriptor for it; otherwise its inode is 0.
+    /// Whether a process has a descriptor for this endpoint; if none has, the row's inode is 0.
     pub(super) has_descriptor: bool,
 }
 
@@ -33,8 +33,8 @@
     rows.map(endpoint).collect()
 }
 
-/// Returns the local and the remote port of each endpoint of an established connection, which is
-/// one that has received neither a close nor a reset.
+/// Returns the local and the remote port of each endpoint in the state `ESTABLISHED`. Such an
+/// endpoint has neither closed its connection nor received a close or a reset.
 pub fn established_connections() -> Vec<(u16, u16)> {
     tcp_endpoints()
         .into_iter()
--- a/tests/support/upgrade.rs
+++ b/tests/support/upgrade.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Starts a process with an admin endpoint, which shares this folder with other processes.
+/// Starts a process that has an admin endpoint and shares this folder with other processes.
 pub fn start_in_folder(folder: &Path, config: &str, listen: &str) -> Program {
     start_in_folder_with(&[], folder, config, listen)
 }
--- a/tests/support/upstream.rs
+++ b/tests/support/upstream.rs
@@ -30,8 +30,8 @@
     RawThenClose(&'static str),
     /// Sends nothing until the peer closes the connection.
     NoResponse,
-    /// Sends no response until `release` is called, and then the one that is configured by that
-    /// time; `Hold` then means `Ok`.
+    /// Sends no response until `release` is called, then responds as configured at that time. If
+    /// `Hold` is still configured, the response is that of `Ok`.
     Hold,
 }
 
@@ -43,7 +43,8 @@
     pub closed: Receiver<()>,
     /// Number of connections that have been accepted.
     pub connection_count: Arc<AtomicU64>,
-    /// Number of responses that have been written, without those that close the connection.
+    /// Number of responses that have been written. Responses after which the upstream closes the
+    /// connection do not count.
     pub response_count: Arc<AtomicU64>,
     response: Arc<Mutex<StubResponse>>,
     gate: Arc<Gate>,
@@ -101,8 +102,9 @@
         *self.response.lock().unwrap() = response;
     }
 
-    /// Waits until a connection has ended and the kernel has delivered the close to the peer, which
-    /// on a busy machine may be later.
+    /// Waits until a connection has ended, and then until the kernel lists no established
+    /// connection to this upstream. On a busy machine, the close may reach the peer some time after
+    /// the upstream has sent it.
     pub fn wait_for_close(&self) {
         self.closed
             .recv_timeout(TEST_TIMEOUT)
@@ -114,13 +116,13 @@
         {
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
-                "the close did not reach the peer within {TEST_TIMEOUT:?}"
+                "a connection to the upstream is still established {TEST_TIMEOUT:?} after a close"
             );
             thread::yield_now();
         }
     }
 
-    /// Releases held responses, also those to later requests.
+    /// Releases held responses. Responses to later requests are not held any more.
     pub fn release(&self) {
         *self.gate.0.lock().unwrap() = true;
         self.gate.1.notify_all();
