--- a/tests/known_red/incomplete_output.rs
+++ b/tests/known_red/incomplete_output.rs
@@ -24,7 +24,7 @@
             "admin::hangs is listed and did not run",
         );
     }
-    // The tests ran and one failed. Cargo's exit code would be 101, so each of these is a fault.
+    // The tests ran and one failed. Cargo's exit code would be 101, so any other code is a fault.
     for code in [0, 1, 137] {
         expect_fail(
             ENTRY,
@@ -64,7 +64,7 @@
         ENTRY,
         &command_output(&[admin, failed]),
         101,
-        "1 test binaries tell of failures, cargo of 2",
+        "1 test binaries report failures, cargo reports 2",
     );
 }
 
@@ -76,7 +76,7 @@
         ENTRY,
         &output[..end],
         101,
-        "1 test binaries tell of failures, cargo of 0",
+        "1 test binaries report failures, cargo reports 0",
     );
 }
 
--- a/tests/known_red/script.rs
+++ b/tests/known_red/script.rs
@@ -51,7 +51,10 @@
 #[track_caller]
 pub fn expect_pass(list: &str, output: &str) {
     let (exit_code, printed) = run_with_list(list, output, 101);
-    assert_eq!(exit_code, 0, "printed: {printed:?}");
+    assert_eq!(
+        exit_code, 0,
+        "exit code of the script, which printed {printed:?}"
+    );
     for line in list.lines() {
         let parts: Vec<_> = line.split(';').map(str::trim).collect();
         let expected = format!(
--- a/tests/known_red/test_output.rs
+++ b/tests/known_red/test_output.rs
@@ -1,8 +1,8 @@
 //! Builds sample output of the test command, `cargo test`.
 
-/// Returns the output of one test binary, or of the doc tests if `name` is `doc`. Each test is
-/// given by its name and the result that is printed after it. The captured output of a failed test
-/// is `CAPTURED`.
+/// Returns the output of one test binary, or of the doc tests if `name` is `doc`. `tests` holds the
+/// name of each test and the result that is printed after the name. The captured output of a failed
+/// test is `CAPTURED`.
 pub fn binary_output(name: &str, tests: &[(&str, &str)]) -> String {
     let count = |ending| {
         tests
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -49,8 +49,8 @@
     }
 }
 
-/// Returns whether this file holds unit tests, which are in a file `tests.rs` or a folder `tests`
-/// beside their module.
+/// Returns whether this file belongs to unit tests: it is named `tests.rs` or is in a folder
+/// `tests`.
 fn is_test_file(path: &Path) -> bool {
     let is_tests = |part: &std::ffi::OsStr| part == "tests.rs" || part == "tests";
     let relative_path = path.strip_prefix(env!("CARGO_MANIFEST_DIR")).unwrap();
