--- a/tests/decision/invariants.rs
+++ b/tests/decision/invariants.rs
@@ -232,9 +232,9 @@
             Action::Reject { id, .. } => self.check_final_response(*id, true)?,
             Action::Fail { id } => self.check_final_response(*id, false)?,
             Action::CancelAttempt { .. } => {
-                let allowed = self.settings.limits.cancellation_allowed;
+                let is_allowed = self.settings.limits.cancellation_allowed;
                 prop_assert!(
-                    allowed,
+                    is_allowed,
                     "attempt cancelled though the settings do not allow it"
                 );
             }
