--- a/tests/decision/endpoint_list.rs
+++ b/tests/decision/endpoint_list.rs
@@ -108,39 +108,39 @@
     Stale,
 }
 
-/// Sends requests through a balancer whose list is stale or current. The first `rejecting` of its
-/// `upstreams` upstreams reject all requests. Returns the balancer and, by upstream id, how many
+/// Sends requests through a balancer whose list is stale or current. Upstreams with ids up to
+/// `rejecting_count` reject all requests. Returns the balancer and, by upstream id, how many
 /// attempts each upstream received.
 fn send_with_rejections(
     list: ListAge,
-    upstreams: u64,
-    rejecting: u64,
-    requests: u64,
+    upstream_count: u64,
+    rejecting_count: u64,
+    request_count: u64,
 ) -> (Harness, Vec<usize>) {
     let mut settings = Settings {
         discovery_mode: DiscoveryMode::Poll,
         ..Settings::simple()
     };
     settings.classes[0].deadline = 60.0;
-    let mut harness = Harness::new(settings, upstreams);
+    let mut harness = Harness::new(settings, upstream_count);
     if list == ListAge::Stale {
         harness.update_endpoints(ListScope::Failed, vec![]);
     }
-    let mut counts = vec![0; upstreams as usize + 1];
-    send_requests(&mut harness, 1, rejecting, requests, &mut counts);
+    let mut counts = vec![0; upstream_count as usize + 1];
+    send_requests(&mut harness, 1, rejecting_count, request_count, &mut counts);
     (harness, counts)
 }
 
-/// Sends requests with ids from `first` on, and adds the attempts that each upstream receives to
-/// `counts`.
+/// Sends requests with ids from `first` on. The upstreams with ids up to `rejecting_count` reject
+/// all of them. Adds the number of attempts that each upstream receives to `counts`.
 fn send_requests(
     harness: &mut Harness,
     first: u64,
-    rejecting: u64,
-    requests: u64,
+    rejecting_count: u64,
+    request_count: u64,
     counts: &mut [usize],
 ) {
-    for id in first..first + requests {
+    for id in first..first + request_count {
         harness.now += 0.5;
         let mut actions = harness.handle(request(id, 0, 60.0));
         let mut attempt = 0;
@@ -149,7 +149,7 @@
             .find(|started| started.request == id)
         {
             counts[upstream as usize] += 1;
-            let outcome = if upstream <= rejecting {
+            let outcome = if upstream <= rejecting_count {
                 AttemptOutcome::Rejected
             } else {
                 AttemptOutcome::Success
@@ -161,11 +161,14 @@
 }
 
 /// While the list is stale, the balancer does not learn which upstreams drain. A draining upstream
-/// rejects all requests.
+/// rejects all requests, so an upstream that does so is assumed to be draining.
 #[test]
 fn upstreams_that_reject_everything_are_left_out_while_the_list_is_stale() {
     let (mut harness, mut counts) = send_with_rejections(ListAge::Stale, 6, 2, 300);
-    assert!(counts[1] <= 3 && counts[2] <= 3, "{counts:?}");
+    assert!(
+        counts[1] <= 3 && counts[2] <= 3,
+        "attempts by upstream {counts:?}, expected at most 3 at upstreams 1 and 2"
+    );
     assert_eq!(
         harness.balancer.excluded_upstreams(),
         2,
@@ -175,18 +178,24 @@
     harness.update_endpoints(ListScope::Delta, vec![]);
     let before = counts.clone();
     send_requests(&mut harness, 1000, 0, 300, &mut counts);
-    assert!(counts[1] > before[1] && counts[2] > before[2], "{counts:?}");
+    assert!(
+        counts[1] > before[1] && counts[2] > before[2],
+        "attempts by upstream {counts:?}, expected more than {before:?} at upstreams 1 and 2"
+    );
 }
 
 /// A current list takes precedence over rejections. If most upstreams reject requests, they are
-/// overloaded, not draining.
+/// probably overloaded rather than draining, so at least three of six stay in use.
 #[test]
 fn rejecting_upstreams_stay_in_use_while_the_list_is_current_or_most_reject() {
     let (_, counts) = send_with_rejections(ListAge::Current, 6, 2, 300);
-    assert!(counts[1] > 3 && counts[2] > 3, "{counts:?}");
+    assert!(
+        counts[1] > 3 && counts[2] > 3,
+        "attempts by upstream {counts:?}, expected more than 3 at upstreams 1 and 2"
+    );
     let (_, counts) = send_with_rejections(ListAge::Stale, 6, 6, 300);
     assert!(
         counts[1..].iter().filter(|count| **count > 3).count() >= 3,
-        "{counts:?}"
+        "attempts by upstream {counts:?}, expected more than 3 at three or more upstreams"
     );
 }
--- a/tests/decision/maintenance.rs
+++ b/tests/decision/maintenance.rs
@@ -32,7 +32,7 @@
             started_attempts(&harness.handle(attempt_ended(id, 0, AttemptOutcome::Success)));
         assert!(
             started.iter().all(|started| started.upstream == 2),
-            "{started:?}"
+            "attempts {started:?}, expected only at upstream 2"
         );
     }
     let started_later: Vec<_> = (50..60)
@@ -40,7 +40,7 @@
         .collect();
     assert!(
         !started_later.is_empty() && started_later.iter().all(|started| started.upstream == 2),
-        "{started_later:?}"
+        "attempts {started_later:?}, expected some, and only at upstream 2"
     );
     assert_eq!(harness.balancer.excluded_upstreams(), 1);
     harness.handle(maintenance(1, Maintenance::End));
@@ -49,7 +49,8 @@
     harness.handle(maintenance(77, Maintenance::End));
 }
 
-/// The upstream may have been restarted while it was out of service.
+/// An upstream may have been restarted while it was out of service, so its return begins with slow
+/// start.
 #[test]
 fn upstream_returned_from_maintenance_is_in_slow_start() {
     let count_requests = |restarted_at: Option<f64>, is_listed_before_return: bool| {
@@ -86,8 +87,8 @@
         let count = count_requests(restarted_at, is_listed_before_return);
         assert!(
             (15..=50).contains(&count),
-            "{count} of 300 requests; restarted at {restarted_at:?}, listed before its return: \
-             {is_listed_before_return}"
+            "{count} of 300 requests, expected 15 to 50; restarted at {restarted_at:?}, listed \
+             before its return: {is_listed_before_return}"
         );
     }
 }
@@ -109,38 +110,40 @@
         upstream
     };
     let used: Vec<_> = (1..60).map(|id| send(&mut harness, id)).collect();
-    let idle: Vec<_> = (1..=12).filter(|id| !used.contains(id)).collect();
+    let unused: Vec<_> = (1..=12).filter(|id| !used.contains(id)).collect();
     assert!(
-        idle.len() > 5,
-        "the subset is too large: unused upstreams {idle:?}, more than 5 are needed"
+        unused.len() > 5,
+        "the subset is too large: unused upstreams {unused:?}, more than 5 are needed"
     );
-    harness.handle(maintenance(idle[0], Maintenance::Begin));
+    harness.handle(maintenance(unused[0], Maintenance::Begin));
     // The upstream is removed from the list while it restarts, and then listed again.
     harness.update_endpoints(
         ListScope::Delta,
         vec![UpstreamEntry {
             state: UpstreamState::Removed,
-            ..entry(idle[0])
+            ..entry(unused[0])
         }],
     );
     harness.update_endpoints(
         ListScope::Delta,
         vec![UpstreamEntry {
             started_at: harness.now,
-            ..entry(idle[0])
+            ..entry(unused[0])
         }],
     );
     // Ending maintenance a second time has no effect.
-    harness.handle(maintenance(idle[0], Maintenance::End));
-    harness.handle(maintenance(idle[0], Maintenance::End));
+    harness.handle(maintenance(unused[0], Maintenance::End));
+    harness.handle(maintenance(unused[0], Maintenance::End));
     let after_return: Vec<_> = (100..200).map(|id| send(&mut harness, id)).collect();
     assert_eq!(
-        after_return.iter().filter(|id| **id == idle[0]).count(),
+        after_return.iter().filter(|id| **id == unused[0]).count(),
         1,
-        "{after_return:?}"
+        "requests sent to upstream {}; upstreams of all requests: {after_return:?}",
+        unused[0]
     );
     assert!(
-        !after_return.iter().any(|id| idle[1..].contains(id)),
-        "{after_return:?}"
+        !after_return.iter().any(|id| unused[1..].contains(id)),
+        "upstreams of all requests: {after_return:?}, expected none of {:?}",
+        &unused[1..]
     );
 }
