--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -47,8 +47,8 @@
     assert!(output.status.success() && output.stderr.is_empty());
 }
 
-/// Returns a batch that consists of its first line and `lines`. It is incomplete unless `lines`
-/// has the `END`.
+/// Returns a batch that consists of its first line and `lines`. The batch is incomplete unless
+/// `lines` ends with `END`.
 fn batch(lines: &str) -> String {
     format!("SYNC\ttime=1\tseq=1\n{lines}")
 }
@@ -128,7 +128,8 @@
 
 #[test]
 fn closing_an_idle_connection_writes_let_go() {
-    // The requests arrive a second apart; two of them are reset, each on an idle connection.
+    // The requests arrive a second apart. Two of them are reset, each on a connection that has been
+    // idle for almost a second, so the balancer no longer reuses connections that old.
     let mut input = FIRST_BATCH.to_string();
     for (n, time) in [(1, 6.0), (2, 7.0), (3, 8.0), (4, 9.0), (5, 10.0)] {
         let outcome = if n == 2 || n == 4 { "R" } else { "S\tended=1" };
@@ -145,8 +146,8 @@
             took = if outcome == "R" { 0.001 } else { 0.1 },
         );
     }
-    // The last of them is served and leaves an idle connection, which is closed instead of being
-    // used for the request that arrives a second later.
+    // The last of these requests is served and leaves an idle connection. That connection is closed
+    // instead of being used for the request that arrives a second later.
     let last = "SYNC\ttime=11\tseq=20\nSWITCH_TO\ti=3\nARRIVAL\trid=9\tremaining=1.5\tcls=0\nEND\n";
     let output = String::from_utf8(run(&(input + last)).stdout).unwrap();
     assert!(
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -18,7 +18,7 @@
     }
     assert_eq!(program.admin_request("GET /healthcheck").0, 200);
     assert_eq!(program.admin_request("GET /stats").0, 200);
-    // The balancer closes the connections of the unfinished requests without a response.
+    // The balancer closes connections without a complete request, and sends no response on them.
     for admin_client in &mut unfinished {
         assert!(admin_client.is_closed_by_peer());
     }
@@ -103,7 +103,7 @@
     wait_until("the disconnect is noticed", || {
         program.metric("in_flight") == 0
     });
-    // A request without Request-Id is malformed.
+    // A request without Request-Id is malformed and counts for no class.
     assert_eq!(client.request("/pay", "", "coins").status(), 400);
     let counts = [
         ("served.read", 3),
@@ -250,12 +250,13 @@
     let health_check_clients: Vec<_> = (0..200)
         .map(|_| {
             let mut client = program.client();
-            // A client beyond the capacity gets an error response.
+            // Beyond the capacity, clients get an error response, so the status isn't checked.
             client.request("/healthz", "", "");
             client
         })
         .collect();
-    // After this time each connection may be evicted; a longer pause does no harm.
+    // Connections that have carried only health checks may be evicted once they have been idle for
+    // 30 ms. A longer pause does no harm.
     sleep(Duration::from_millis(60));
     let send_request = |mut client: Client| {
         assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 200);
@@ -282,7 +283,7 @@
     let mut rejected = 0;
     wait_until("a request is rejected", || {
         let mut client = program.client();
-        // The connection may be closed at once if there is no capacity even for a response.
+        // The connection may be closed immediately if there is no capacity even for a response.
         let response = client
             .send("/read", REQUEST_ID, "")
             .and_then(|()| client.receive());
@@ -312,8 +313,8 @@
         wait_until("the process is draining", || {
             program.admin_request("GET /healthcheck").0 == 503
         });
-        // This is longer than an idle connection stays open in a drain, and shorter than the time
-        // limit for a head.
+        // This is longer than the 0.7 s that an idle connection stays open in a drain, and shorter
+        // than the time limit of 2.5 s for a head.
         sleep(Duration::from_millis(1000));
         client.write("1\r\nContent-Length: 5\r\n\r\ncoins");
         let response = client.receive().unwrap().expect("no response");
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -115,7 +115,7 @@
         assert_eq!(client.receive().unwrap().unwrap().status(), 200, "{length}");
         assert!(upstream.next().body == body.as_bytes(), "{length}");
     }
-    // An empty chunked body.
+    // An empty chunked body is accepted as well.
     client
         .send(
             "/read",
@@ -176,7 +176,8 @@
             let mut longest_pause = last_write.elapsed();
             while stopped.recv_timeout(Duration::from_millis(20)) == Err(RecvTimeoutError::Timeout)
             {
-                // If the connection has been closed, the next request fails.
+                // A failed write is ignored, because the next request also fails if the connection
+                // has been closed.
                 let _ = write("1\r\nx\r\n");
                 longest_pause = longest_pause.max(last_write.elapsed());
                 last_write = Instant::now();
@@ -185,10 +186,11 @@
             longest_pause.max(last_write.elapsed())
         });
         let response = client.receive();
-        // Longer than the time limit for a head.
+        // This is longer than the time limit for a head, 2.5 s.
         sleep(Duration::from_secs(4));
         stop.send(()).unwrap();
-        // If the machine paused the client for too long, the balancer may close its connection.
+        // The balancer closes the connection of a client that pauses for 2.5 s, so a try in which
+        // the machine paused the client for at least 2 s is repeated.
         if sending.join().unwrap() < Duration::from_secs(2) {
             assert_eq!(response.unwrap().expect("no response").status(), 503);
             assert_eq!(client.request("/pay", REQUEST_ID, "coins").status(), 503);
@@ -198,7 +200,8 @@
     panic!("the machine paused the client for at least 2 s in each of 10 tries");
 }
 
-/// A body that is sent slowly but steadily may take longer than a first request may.
+/// A body that is sent slowly but steadily may take longer than 2.5 s, the time limit for the
+/// arrival of a request.
 #[test]
 fn a_slow_but_steady_body_is_accepted() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -230,7 +233,7 @@
     assert_eq!(client.receive().unwrap().unwrap().status(), 100);
     program.suspend();
     client.write(&body);
-    // Longer than the time limit for a body of this size.
+    // This is longer than the time limit for a body of this size, about 2.7 s.
     sleep(Duration::from_secs(4));
     program.resume();
     assert_eq!(client.receive().unwrap().unwrap().status(), 200);
@@ -319,7 +322,7 @@
             response.start_line
         );
     }
-    // Large request bodies.
+    // The requests below have large bodies.
     for _ in 0..8 {
         assert_eq!(
             program.client().request("/pay", REQUEST_ID, &body).status(),
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -7,8 +7,8 @@
 use support::*;
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
-/// How many bytes a client sends behind its request: none, few, and many more than the balancer
-/// reads ahead.
+/// Numbers of bytes that a client sends after its request: none, few, and many more than the
+/// balancer reads ahead.
 const TRAILING_BYTES: [usize; 3] = [0, 20, 200_000];
 /// Like `TRAILING_BYTES`, but limited to what the kernel buffers for a process that is stopped.
 const TRAILING_BYTES_WHILE_STOPPED: [usize; 3] = [0, 20, 30_000];
@@ -26,7 +26,8 @@
     )
 }
 
-/// Sends `trailing_bytes` bytes behind a client's request, and closes or resets its connection.
+/// Unless `trailing_bytes` is 0, sends a start line and that many bytes after a client's request.
+/// Then closes or resets the connection.
 fn disconnect(mut client: Client, trailing_bytes: usize, by_reset: bool) {
     if trailing_bytes > 0 {
         client.write("GET /read/behind HTTP/1.1\r\n");
@@ -37,8 +38,8 @@
     }
 }
 
-/// Disconnects a client as `disconnect` does, and waits until the kernel has received the close or
-/// the reset, which the stopped process has not read.
+/// Does the same as `disconnect` while the process is stopped, and waits until the kernel has
+/// received the close or the reset.
 fn disconnect_while_stopped(
     program: &Program,
     client: Client,
@@ -52,8 +53,9 @@
     });
 }
 
-/// Sends as many requests as an upstream's concurrency limit admits, two at the start, and one more
-/// that is queued. Returns the clients of the running requests and the client of the queued one.
+/// Sends two requests, as many as an upstream's concurrency limit admits at the start, and one
+/// more, which is queued. Returns the clients of the running requests and the client of the queued
+/// request.
 fn queue_one_request(
     program: &Program,
     upstream: &StubUpstream,
@@ -74,7 +76,7 @@
 }
 
 /// Fills an upstream's concurrency limit, and queues `count` requests. Returns the clients of the
-/// running requests and those of the queued ones.
+/// running requests and the clients of the queued requests.
 fn queue_many_requests(
     program: &Program,
     upstream: &StubUpstream,
@@ -118,8 +120,8 @@
     client
 }
 
-/// Sends a new request and expects the upstream to receive it next, not one of a client that has
-/// disconnected.
+/// Sends a new request and expects that it is the next request that the upstream receives. A
+/// request of a disconnected client must not arrive before it.
 fn expect_only_new_requests(program: &Program, upstream: &StubUpstream, context: &str) {
     assert_eq!(
         program
@@ -136,7 +138,7 @@
     );
 }
 
-/// Bytes behind a queued request must not hide that its client has disconnected.
+/// Bytes sent after a queued request must not hide that its client has disconnected.
 #[test]
 fn queued_request_of_a_disconnected_client_is_not_forwarded() {
     for trailing_bytes in TRAILING_BYTES {
@@ -162,8 +164,8 @@
     }
 }
 
-/// Many clients disconnect at once, by close and by reset, with and without bytes behind their
-/// requests.
+/// Many clients disconnect at the same time, by close and by reset, with and without bytes after
+/// their requests.
 #[test]
 fn queued_requests_are_not_forwarded_after_simultaneous_disconnects() {
     let upstream = StubUpstream::start(StubResponse::Hold);
@@ -225,7 +227,7 @@
 }
 
 /// The connection that a request waits for must not be used after the client has disconnected, even
-/// where requests in flight may not be cancelled.
+/// if the settings forbid cancelling attempts in flight.
 #[test]
 fn pending_connection_is_closed_when_its_client_disconnects() {
     for cancel in [true, false] {
@@ -310,8 +312,8 @@
     }
 }
 
-/// The request and the close of its connection are received while the process is stopped, so that
-/// it reads them together.
+/// The request and the close of its connection are received while the process is stopped. When it
+/// resumes, it reads them together.
 #[test]
 fn unread_request_of_a_disconnected_client_is_not_forwarded() {
     for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
@@ -409,7 +411,7 @@
             client.write("Content-Length: 150000\r\n\r\n");
             client.write(&"x".repeat(149_000));
             let (mut upstream, _) = listener.accept().unwrap();
-            // The head and nearly all of the body that has been sent so far.
+            // Reads the head and nearly all of the body that has been sent so far.
             upstream.read_exact(&mut [0; 149_000]).unwrap();
             program.suspend();
             client.write(&"x".repeat(1000));
@@ -427,7 +429,8 @@
 }
 
 /// The balancer can't distinguish a half-close from a close, so the client counts as disconnected:
-/// its request is not forwarded, and its connection is closed without a response.
+/// its request is not forwarded, and its connection is closed. If the balancer reads the request
+/// and the half-close together, the client may still get a 502.
 #[test]
 fn half_close_counts_as_a_disconnect() {
     for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -97,13 +97,14 @@
 
 impl Drop for SlowStartFixture {
     fn drop(&mut self) {
-        // A failure only leaves files behind.
+        // If this fails, only temporary files stay behind.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// An upstream that has just restarted gets only its slow-start share. If its age were computed
-/// with a wall clock that is ahead, its slow-start window would be over already.
+/// An upstream that has just restarted gets only its slow-start share, which is far below an even
+/// share, a quarter of the requests. If its age were computed with a wall clock that is ahead, its
+/// slow-start window would be over already.
 #[test]
 fn restarted_upstream_is_in_slow_start_despite_a_wrong_wall_clock() {
     for ahead_seconds in [0, 100, 3600, -100, -3600] {
@@ -119,8 +120,8 @@
     }
 }
 
-/// If the age of the upstream were computed with a wall clock that is behind, its slow-start window
-/// would not end before the clock reaches the time of the restart.
+/// If the age of the restarted upstream were computed with a wall clock that is behind, its
+/// slow-start window would not end before that clock reaches the time of the restart.
 #[test]
 fn slow_start_after_a_restart_ends_in_time_despite_a_wrong_wall_clock() {
     for ahead_seconds in [0, 3600, -100, -3600] {
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -50,7 +50,7 @@
     );
 }
 
-/// A client that is still sending would get no response if its connection were reset.
+/// A client that is still sending could lose the response if its connection were reset.
 #[test]
 fn large_request_rejected_before_its_body_is_read_gets_a_response() {
     let body = "x".repeat(3 << 20);
@@ -112,8 +112,8 @@
     }
 }
 
-/// Bytes behind a request in flight are buffered only up to a limit, otherwise clients that send
-/// large amounts would exhaust the memory.
+/// Bytes that are received after a request in flight are buffered only up to a limit. Otherwise
+/// clients that send large amounts would exhaust the memory.
 #[test]
 fn bytes_behind_requests_in_flight_use_little_memory() {
     let upstream = StubUpstream::start(StubResponse::NoResponse);
@@ -131,8 +131,8 @@
     );
 }
 
-/// When its connection is closed, the client sends the request again elsewhere, so the request
-/// would run twice if it were forwarded.
+/// A client whose connection is closed without a response sends its request again elsewhere. The
+/// request would run twice if it were forwarded.
 #[test]
 fn request_on_a_closed_idle_connection_is_not_forwarded() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -145,7 +145,7 @@
     program.terminate();
     for client in &mut clients {
         assert!(client.is_closed_by_peer());
-        // The write fails if the process has exited by now.
+        // A failed write is ignored, because the process may have exited by now.
         let _ = client.send("/pay", REQUEST_ID, "coins");
     }
     assert!(program.wait().success());
--- a/tests/descriptor_limits.rs
+++ b/tests/descriptor_limits.rs
@@ -15,11 +15,11 @@
 /// The smallest descriptor limit that is allowed, and larger ones.
 const DESCRIPTOR_LIMITS: [usize; 4] = [64, 128, 256, 1024];
 
-/// Waits until no other test of this file runs, as together the tests would exceed the descriptor
-/// limit of their process.
+/// Waits until no other test of this file runs, because all tests together would exceed the
+/// descriptor limit of the test process.
 fn run_exclusively() -> MutexGuard<'static, ()> {
     static EXCLUSIVE: Mutex<()> = Mutex::new(());
-    // A test that failed has poisoned the lock, but has ended.
+    // A failed test has poisoned the lock, but it has ended, so the lock can be used.
     EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -37,7 +37,7 @@
 }
 
 /// Idle clients that open more connections than the descriptor limit has room for, and keep
-/// replacing the oldest connection by a new one.
+/// replacing the oldest connection with a new connection.
 struct IdleClients {
     stop: Arc<AtomicBool>,
     reconnect_thread: Option<JoinHandle<()>>,
@@ -70,9 +70,9 @@
     }
 }
 
-/// A request may arrive among idle connections that are all accepted in one turn of the event loop,
-/// and among connections whose close has not been noticed. Its connection must not be evicted while
-/// there are others without a request.
+/// A request may arrive among idle connections that are all accepted in one event loop turn, and
+/// among connections whose close has not been noticed. The connection of the request must not be
+/// evicted while there are connections without a request.
 #[test]
 fn a_request_among_idle_connections_is_the_last_to_be_evicted() {
     let _exclusive = run_exclusively();
@@ -108,7 +108,7 @@
 }
 
 /// Descriptors may be lacking when a connection is accepted, but be free again when its request is
-/// read. The request must not be rejected then.
+/// read. In that case the request must not be rejected.
 #[test]
 fn client_accepted_over_capacity_is_served_if_its_request_finds_capacity() {
     let _exclusive = run_exclusively();
@@ -136,8 +136,8 @@
     );
 }
 
-/// The connections are all accepted in one turn of the event loop, and the one with the complete
-/// request is the last of them.
+/// All connections are accepted in one event loop turn. The connection with the complete request is
+/// accepted last.
 #[test]
 fn complete_request_is_served_after_any_number_of_partial_ones() {
     let _exclusive = run_exclusively();
@@ -185,7 +185,8 @@
             "GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n",
         ] {
             let mut idle_clients = open_idle(program.address, sockets * 2 / 3);
-            // Writing fails on connections that have been evicted already.
+            // Errors are ignored, because writing fails on connections that have been evicted
+            // already.
             for client in &mut idle_clients {
                 drop(client.write_all(text.as_bytes()));
             }
@@ -204,8 +205,8 @@
 }
 
 /// While discovery is down, idle clients must not take the descriptors of the watch and the admin
-/// endpoint. Requests are served once discovery is back and has sent a list. The endpoint list at
-/// the start is empty, or holds only an upstream that is gone.
+/// endpoint. Requests are served once discovery runs again and has sent a list. The endpoint list
+/// at the start is empty, or holds only an upstream that refuses connections.
 #[test]
 fn requests_are_served_despite_idle_clients_once_discovery_has_responded() {
     let _exclusive = run_exclusively();
@@ -239,7 +240,8 @@
         }
         let discovery = down.start_discovery();
         let mut watch = discovery.next();
-        // The watch is silent at first, so a second one is opened in push mode.
+        // In push mode the test waits for the second watch, which is opened because the first is
+        // silent.
         let second_watch = (mode == "push").then(|| discovery.next());
         assert_eq!(program.admin_request("GET /stats").0, 200);
         let new =
@@ -268,9 +270,9 @@
     }
 }
 
-/// A watch fails while a new process has half of the descriptors, and clients with requests in
-/// flight, which can't be evicted, hold more than the other half. It can reconnect because some
-/// descriptors are reserved for discovery.
+/// A watch fails while a successor has half of the 256 descriptors. The connections of requests in
+/// flight, which can't be evicted, hold more than the other half. The watch can be reopened because
+/// some descriptors are reserved for discovery.
 #[test]
 fn a_watch_reconnects_while_a_new_process_has_half_of_the_descriptors() {
     let _exclusive = run_exclusively();
@@ -324,8 +326,8 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// The system's limit may be smaller than the configured one. Clients must then not take the
-/// descriptors of discovery and the admin endpoint.
+/// The descriptor limit of the system may be smaller than the configured one. In that case clients
+/// must not take the descriptors of discovery and the admin endpoint.
 #[test]
 fn descriptor_limit_is_no_larger_than_that_of_the_system() {
     let _exclusive = run_exclusively();
--- a/tests/failed_attempts.rs
+++ b/tests/failed_attempts.rs
@@ -115,7 +115,8 @@
     assert_eq!(free.seen.try_iter().count(), 2);
 }
 
-/// A few malformed responses in a hundred do not use up the retry budget.
+/// One malformed response in 13 or more requests does not use up the retry budget, as its retry
+/// costs 0.2 and the 12 responses before it add 0.24.
 #[test]
 fn idempotent_requests_succeed_despite_rare_malformed_responses() {
     let upstreams = [
--- a/tests/failing_system_calls.rs
+++ b/tests/failing_system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls that fail with the transient errors that Linux documents for them.
+//! System calls that fail with transient errors that Linux documents for them.
 
 mod support;
 use std::net::SocketAddr;
@@ -22,11 +22,11 @@
 const ETIMEDOUT: i32 = 110;
 const EHOSTUNREACH: i32 = 113;
 
-/// A number of failures that no test reaches: the faults last until the test ends.
+/// A number of failures that no test reaches, so that the faults last until the test ends.
 const UNLIMITED: u32 = 1_000_000;
 
-/// Starts a program with these upstreams whose system calls fail as `faults` says, in the format of
-/// the variable `FAULTS` in `faults/faults.c`.
+/// Starts a program with these upstreams. The program's system calls fail as `faults` specifies;
+/// `faults/faults.c` describes the format under `FAULTS`.
 fn start(faults: &str, upstreams: &[SocketAddr], sockets: usize) -> (Program, StubDiscovery) {
     let discovery = StubDiscovery::start();
     let variables = [
@@ -43,7 +43,7 @@
     )
 }
 
-/// Idle clients must not be disconnected if the next connection can't be accepted at once.
+/// Idle clients must not be disconnected if the next connection can't be accepted immediately.
 #[test]
 fn a_transient_accept_error_closes_no_other_connection() {
     for error in [ECONNABORTED, ENOBUFS, EINTR, ENFILE, EMFILE] {
@@ -74,14 +74,14 @@
     }
 }
 
-/// An accepted connection that can't be registered with epoll at once is served later, even if
+/// An accepted connection that can't be registered with epoll immediately is served later, even if
 /// SIGTERM is received in the meantime.
 #[test]
 fn a_connection_is_served_after_transient_registration_errors() {
     for error in [ENOMEM, ENOSPC] {
         let upstream = StubUpstream::start(StubResponse::Ok);
-        // Registration fails for the first connection and for one of those around SIGTERM, for
-        // about 0.2 s each.
+        // Registration fails for the first connection and for one of the connections around
+        // SIGTERM. Each of these fails 20 times, which takes about 0.2 s.
         let faults =
             format!("epoll_ctl_accepted:{error}:1:1:20,epoll_ctl_accepted:{error}:25:1:20");
         let (mut program, _discovery) = start(&faults, &[upstream.address], 256);
@@ -137,8 +137,8 @@
     }
 }
 
-/// The listener closes 0.95 s after SIGTERM if the deadlines are 0.5 s. 200 queued connections must
-/// be accepted before that.
+/// With deadlines of 0.5 s, the listener closes at most 0.95 s after SIGTERM. All 200 queued
+/// connections must be accepted before that.
 #[test]
 fn queued_connections_are_accepted_in_time_though_every_second_accept_fails() {
     for error in [ENOBUFS, ENFILE, EMFILE] {
@@ -172,7 +172,7 @@
     }
 }
 
-/// Returns how long it takes to respond to 300 clients that connected before SIGTERM.
+/// Returns the time from SIGTERM until 300 clients that connected before it have their responses.
 fn time_to_serve_queued_clients(faults: &str) -> Duration {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = start(faults, &[upstream.address], 1024);
@@ -193,8 +193,8 @@
     started.elapsed()
 }
 
-/// Connections that can't be registered at once must not delay those behind them for long, as
-/// SIGKILL may follow soon.
+/// Connections that can't be registered immediately must not delay the connections queued after
+/// them for long, as SIGKILL may follow soon.
 #[test]
 fn registration_errors_hardly_delay_other_connections() {
     let without_faults = time_to_serve_queued_clients("");
@@ -221,20 +221,22 @@
             .into_iter()
             .chain([("connect", ENOMEM), ("socket", ENOBUFS), ("socket", ENFILE)]);
     for (call, error) in calls {
-        // Each request needs a new connection.
+        // The upstreams close each connection after one response, so each request needs a new
+        // connection.
         let upstreams: Vec<_> = (0..3)
             .map(|_| StubUpstream::start(StubResponse::OkThenClose))
             .collect();
         let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
-        // From the fifth call on, two of three fail. The first calls are made at startup.
+        // From the fifth call on, two of three calls fail. The first calls, which the program makes
+        // at startup, succeed.
         let faults = format!("{call}:{error}:5:3:{UNLIMITED},{call}:{error}:6:3:{UNLIMITED}");
         let (program, _discovery) = start(&faults, &addresses, 256);
         let mut client = program.client();
         for _ in 0..60 {
             let response = client.request("/pay", REQUEST_ID, "coins");
             assert_eq!(response.status(), 200, "{call}, error {error}");
-            // A request that is written before the close is received may have run, so it would not
-            // be retried.
+            // Waits for the close, because a request that is written to the connection before that
+            // may have run and would not be retried.
             let served_by = |upstream: &&StubUpstream| {
                 response
                     .body
@@ -247,8 +249,9 @@
         }
         for upstream in &upstreams {
             let seen = upstream.seen.try_iter().count();
-            // The rotation balances the time that requests take, which varies on a busy machine. An
-            // ejected upstream would receive far fewer requests.
+            // The rotation balances the time that requests take, which varies on a busy machine, so
+            // the counts may differ from an even share of 20. An ejected upstream would receive far
+            // fewer requests.
             assert!(
                 (12..=30).contains(&seen),
                 "{seen} of 60 requests at one of three upstreams, expected 12 to 30, \
@@ -272,8 +275,8 @@
     }
 }
 
-/// Of each system call that the process makes before it listens, the first call, a later one or
-/// every second one fails.
+/// The process makes these calls before it listens. In each run, two calls in a row or every second
+/// call fail, from the first call or a later one on.
 #[test]
 fn startup_retries_transient_errors_of_every_call() {
     let calls = [
@@ -323,7 +326,7 @@
         let config = |discovery: &StubDiscovery| {
             config_with_upstreams(&[upstream.address], discovery.address, 256)
         };
-        // The first open is made at startup.
+        // The first open is made at startup and succeeds; the faults begin with the reload.
         let faults = format!("open:{error}:2:1:3");
         let variables = [
             ("LD_PRELOAD", fault_injection_library()),
@@ -364,9 +367,10 @@
 /// A connection that breaks counts as reset whichever error reports it: a request that may have
 /// run is not retried, and a 503 means that the request did not run.
 ///
-/// A request with a fault makes nine calls of recv. Every ninth call may therefore be the same one
-/// of each request, even the one that reads the response after the request has run. Only one served
-/// request is required if every ninth call of recv fails.
+/// If a call fails during a request, the balancer makes nine calls of recv for that request. If
+/// every ninth call of recv fails, it may therefore fail at the same point of each request, even
+/// where the response is read after the request has run. In that case only one served request is
+/// required.
 #[test]
 fn request_runs_at_most_once_whichever_error_ends_its_connection() {
     for error in [ETIMEDOUT, EHOSTUNREACH, ECONNRESET] {
@@ -426,7 +430,7 @@
     }
 }
 
-/// A signal is passed on inside the process by send and recv, which may be interrupted.
+/// Signals are passed on inside the process by send and recv, and these calls may be interrupted.
 #[test]
 fn signals_are_handled_though_their_notification_is_interrupted() {
     for call in ["recv", "send"] {
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -14,8 +14,9 @@
     });
 }
 
-/// SIGTERM may be handled before requests that were sent earlier: requests on an idle connection or
-/// on one that is still in the accept queue, and a request of which only a part has been sent.
+/// SIGTERM may be handled before requests that were sent earlier: a request on an idle connection,
+/// requests on connections that are still in the accept queue, and a request that has been sent
+/// only in part.
 #[test]
 fn requests_sent_before_sigterm_was_handled_get_responses() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -147,8 +148,8 @@
     assert!(program.wait().success());
 }
 
-/// An idle connection may be chosen for eviction in the same event loop turn in which its next
-/// request arrives.
+/// The balancer may choose an idle connection for eviction and receive the next request on it in
+/// the same event loop turn.
 #[test]
 fn request_racing_with_eviction_of_its_connection_gets_a_response() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -157,7 +158,7 @@
     for client in &mut idle {
         assert_eq!(client.request("/read", REQUEST_ID, "").status(), 200);
     }
-    // The connections have now been idle for long enough to be evicted.
+    // Connections that have been idle for 2 s are evicted first.
     sleep(Duration::from_millis(2100));
     program.suspend();
     let new_connections: Vec<_> = (0..40).map(|_| program.client()).collect();
@@ -192,8 +193,8 @@
         idle.receive().unwrap().is_none(),
         "the idle connection received a message instead of its close"
     );
-    // A connection that was accepted before SIGTERM but not used yet gets a response to its first
-    // request.
+    // The first request on a connection that was opened but not used before SIGTERM gets a
+    // response.
     assert_eq!(fresh.request("/healthz", "", "").status(), 503);
     assert!(fresh.receive().unwrap().is_none());
     // New connections are still accepted; each carries one request.
@@ -215,7 +216,7 @@
 }
 
 /// SIGKILL may be sent 3.7 s after SIGTERM. Requests that arrive in between must get a response
-/// before it, whatever their deadline.
+/// before SIGKILL, whatever their deadline.
 #[test]
 fn requests_that_arrive_after_sigterm_get_responses_before_sigkill() {
     let upstream = StubUpstream::start(StubResponse::NoResponse);
@@ -242,7 +243,8 @@
             &format!("{REQUEST_ID}Request-Timeout: 10.0\r\n"),
             "coins",
         );
-        // A run that took too long to send its request proves nothing and is repeated.
+        // A client opens no connection later than 0.4 s after SIGTERM, so a run that took longer to
+        // send its request is repeated.
         if sent.is_ok() && begun.elapsed() < Duration::from_millis(400) {
             let timeout: f64 = upstream
                 .next()
--- a/tests/handover_failures.rs
+++ b/tests/handover_failures.rs
@@ -37,8 +37,7 @@
 #[test]
 fn a_failed_creation_of_the_handover_socket_is_retried() {
     let fixture = UpgradeFixture::new();
-    // The first two binds of a process are those of its listeners, the third is that of the
-    // handover socket.
+    // A process binds its two listeners first, and the handover socket with the third bind.
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", "bind:28:3:1:2"),
@@ -66,8 +65,8 @@
 }
 
 /// Without a connection to its predecessor, a successor would act as the only process and miss
-/// changes of the maintenance. Without the state file, it would not know of the maintenance. The
-/// calls fail with EIO, ENFILE, EAGAIN or ENOMEM.
+/// changes of the maintenance. Without the state file, it would not know which upstreams are in
+/// maintenance. The calls fail with EIO, ENFILE, EAGAIN or ENOMEM.
 #[test]
 fn successor_finds_its_predecessor_despite_transient_call_failures() {
     for faults in [
@@ -95,7 +94,7 @@
 
 #[test]
 fn changes_reach_the_peer_despite_failing_recv_and_send() {
-    // Every second call fails, with EINTR, ENOBUFS or ENOMEM.
+    // Every second call of recv or send fails with one of EINTR, ENOBUFS and ENOMEM.
     for (call, error) in ["recv", "send"]
         .iter()
         .flat_map(|call| [4, 105, 12].map(|error| (*call, error)))
@@ -134,9 +133,9 @@
     }
 }
 
-/// A successor may be started as soon as its predecessor logs that it is listening. The third bind
-/// of the predecessor, that of the handover socket, takes half a second, so a successor would miss
-/// a handover socket that is created only after the log line.
+/// A successor may be started as soon as its predecessor logs that it is listening. The
+/// predecessor's third bind, which creates the handover socket, takes half a second. A successor
+/// would therefore miss a socket that is created only after the log line.
 #[test]
 fn successor_can_connect_as_soon_as_listening_is_logged() {
     let fixture = UpgradeFixture::new();
@@ -178,8 +177,8 @@
 #[test]
 fn kill_during_a_state_file_write_keeps_the_previous_state() {
     let fixture = UpgradeFixture::new();
-    // The first rename is that of the handover socket, the second that of the first state file;
-    // the third takes a minute, so that the kill interrupts it.
+    // The first rename is for the handover socket, and the second for the first state file. The
+    // third, for the new state, takes a minute, so that the kill interrupts it.
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
         ("FAULTS", "rename:-60000:3:1:1"),
--- a/tests/idle_clients.rs
+++ b/tests/idle_clients.rs
@@ -26,8 +26,9 @@
     }
 }
 
-/// A client that stalls in the middle of a request is sent an error response, or its connection is
-/// closed, within 3 s. This also holds if it has received a response on that connection before.
+/// If a client stalls in the middle of a request, it is sent an error response or its connection is
+/// closed within 3 s. This also holds if the client has received a response on that connection
+/// before.
 #[test]
 fn a_client_that_stalls_in_a_later_request_is_rejected() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -64,7 +65,7 @@
 }
 
 /// A connection on which nothing or only a part of a request is sent is closed after a time limit.
-/// It is evicted earlier if other clients need its capacity.
+/// It may be evicted earlier if other clients need its capacity.
 #[test]
 fn a_client_that_stalls_in_its_first_request_is_closed() {
     let upstream = StubUpstream::start(StubResponse::Ok);
--- a/tests/invalid_requests.rs
+++ b/tests/invalid_requests.rs
@@ -91,8 +91,8 @@
     (400, "\0\0nonsense\r\n\r\n"),
 ];
 
-/// The bytes behind a rejected request cannot be framed, and a request that is hidden in its body
-/// must not be served, so the connection is closed after a 4xx.
+/// The connection is closed after a 4xx: the bytes after a rejected request cannot be framed, and a
+/// request that is hidden in its body must not be served.
 #[test]
 fn a_rejected_request_ends_its_connection() {
     let upstream = StubUpstream::start(StubResponse::Ok);
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -1,5 +1,5 @@
-//! Framing of requests and responses: all valid forms byte by byte, and incomplete, malformed and
-//! endless messages.
+//! Framing of requests and responses: valid forms that arrive byte by byte, and incomplete,
+//! malformed and endless messages.
 
 mod support;
 use socket2::SockRef;
@@ -27,7 +27,7 @@
 }
 
 /// A reset must not be mistaken for the end of a response that is delimited by the close of its
-/// connection, whether no part, all or a part of the body has arrived, and whether or not it is
+/// connection. This holds however much of the body has arrived, and whether or not the response is
 /// already being streamed to the client.
 #[test]
 fn reset_does_not_complete_a_response_without_a_length() {
@@ -78,8 +78,8 @@
     }
 }
 
-/// Every form of a response that HTTP/1.1 allows is accepted and delimited correctly when it
-/// arrives byte by byte.
+/// Responses in different valid forms of HTTP/1.1 are accepted and delimited correctly when they
+/// arrive byte by byte.
 #[test]
 fn responses_are_read_in_all_forms_byte_by_byte() {
     let forms = [
@@ -111,8 +111,8 @@
     }
 }
 
-/// The balancer must stop reading an endless chunk size before the request's deadline. The endless
-/// part is sent only after the balancer has read the head.
+/// The balancer must stop reading a chunk size line that never ends, before the request's deadline.
+/// The endless part of the line is sent only after the balancer has read the head.
 #[test]
 fn endless_chunk_size_is_malformed() {
     let responses = [
@@ -148,7 +148,7 @@
         for _ in 0..2 {
             assert_eq!(program.client().request("/healthz", "", "").status(), 200);
         }
-        // This is more than the buffers between the upstream and the balancer hold.
+        // These 40 MB are more than the buffers between the upstream and the balancer hold.
         let successful_writes =
             (0..400).take_while(|_| stream.write_all(filler.repeat(100_000).as_bytes()).is_ok());
         assert!(
@@ -163,8 +163,8 @@
     }
 }
 
-/// Every form of a request that HTTP/1.1 allows is accepted when it arrives byte by byte, and its
-/// path, body and id are forwarded unchanged.
+/// Requests in different valid forms of HTTP/1.1 are accepted when they arrive byte by byte, and
+/// their path, body and id are forwarded unchanged.
 #[test]
 fn requests_are_read_in_all_forms_byte_by_byte() {
     let forms = [
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Ejection of failing upstreams, and how requests are handled meanwhile.
+//! Ejection of failing upstreams, and how requests are handled while upstreams are ejected.
 
 mod support;
 use std::thread::sleep;
@@ -94,8 +94,8 @@
     }
 }
 
-/// A fault in a dependency of all upstreams makes all of them silent. Requests must then be queued
-/// as usual, not rejected at once.
+/// A fault in a dependency of all upstreams makes all of them silent. In that case requests must be
+/// queued as usual, not rejected immediately.
 #[test]
 fn request_is_queued_while_all_upstreams_are_ejected() {
     let upstream = StubUpstream::start(StubResponse::NoResponse);
@@ -106,12 +106,13 @@
     upstream.next();
     upstream.next();
     // The upstream is ejected when it has been silent for six times its latency estimate, which
-    // starts at a sixth of the latency objective.
+    // starts at a sixth of the latency objective of 5 s.
     sleep(Duration::from_millis(5200));
     upstream.set_response(StubResponse::Ok);
     let mut third = program.client();
     third.send("/pay", REQUEST_ID, "coins").unwrap();
-    // By now the request has been accepted, and would have been rejected if it were not queued.
+    // After this pause the request has been accepted, and would have been rejected if it were not
+    // queued.
     sleep(Duration::from_millis(300));
     drop(one);
     assert_eq!(third.receive().unwrap().unwrap().status(), 200);
@@ -140,8 +141,8 @@
         "{share} of 90, where an even share is 30"
     );
     bad.set_response(StubResponse::Ok);
-    // The upstream gets only a few requests until it has responded well for a while; then its share
-    // is even again.
+    // The upstream gets only a few requests until it has responded without errors for a while. Then
+    // its share is even again.
     let mut rounds = 0;
     while bad.seen.try_iter().count() < 25 {
         rounds += 1;
@@ -162,8 +163,8 @@
             .map(|upstream| upstream.seen.try_iter().count())
             .collect()
     };
-    // Requests are balanced by response time, which varies with the machine: one round with even
-    // shares is enough.
+    // Requests are balanced by response time, which varies with the machine, so one round in which
+    // each upstream receives more than 20 of the 90 requests is enough.
     for round in 0.. {
         let shares = shares_with(StubResponse::Status(500));
         if shares.iter().all(|count| *count > 20) {
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -22,8 +22,8 @@
     list(version, false, &entries)
 }
 
-/// A response that arrives as the timeout expires leads to exactly one final response, and its
-/// slot is freed exactly once.
+/// If a response arrives as the timeout expires, the client gets exactly one final response, and
+/// the slot of the attempt is freed exactly once.
 #[test]
 fn response_racing_with_the_timeout_ends_its_request_once() {
     for _ in 0..3 {
@@ -50,7 +50,7 @@
         });
         let total = program.metric("served.pay") + program.metric("failed.pay");
         assert_eq!((total, program.metric("attempts")), (1, 1));
-        // If the connection stays open, it carries the responses to its own requests.
+        // The next response on the connection is the response to the next request.
         let response = client.request("/pay/next", REQUEST_ID, "coins");
         assert!(
             String::from_utf8_lossy(&response.body).starts_with("POST /pay/next"),
@@ -151,10 +151,10 @@
     wait_until("both upstreams are known", || {
         program.metric("upstreams_known") == 2
     });
-    // A request leaves an idle connection to the upstream that will drain. The balancer closes it
-    // when it receives the drain. The clients stay connected, as requests of disconnected clients
-    // are not forwarded. They send one at a time, so that no request is on its way when the drain
-    // is sent.
+    // A request leaves an idle connection to the upstream that will drain. The balancer closes that
+    // connection when it receives the drain. The clients stay connected, as requests of
+    // disconnected clients are not forwarded. They send one request at a time, so that no request
+    // is on its way when the drain is sent.
     let mut others = Vec::new();
     let mut is_used = false;
     while !is_used {
@@ -199,7 +199,7 @@
         StubUpstream::start(StubResponse::Ok),
         StubDiscovery::start(),
     );
-    // Without slow start, as the test is about connections.
+    // Slow start is switched off, as the test is about connections.
     let config = config_with_upstreams(&[upstream.address], discovery.address, 1024)
         .replace("\"startCapacity\":0.3", "\"startCapacity\":1.0");
     let program = Program::start(&config, "127.0.0.1:0");
@@ -299,9 +299,9 @@
     New,
 }
 
-/// Suspends the process while it receives requests and an endpoint list. The list drains the first
-/// upstream in its last entry, behind `other_entries` others. The process is suspended
-/// `extra_suspensions` more times while it reads them.
+/// Suspends the process while requests and an endpoint list are sent to it. The last entry of the
+/// list, after `other_entries` other entries, drains the first upstream. The process is suspended
+/// `extra_suspensions` more times while it reads the requests and the list.
 fn check_drain_while_suspended(round: usize, other_entries: usize, extra_suspensions: usize) {
     let connections = [UpstreamConnections::Cached, UpstreamConnections::New][round % 2];
     let (draining_upstream, other_upstream) = (
@@ -351,8 +351,9 @@
     );
 }
 
-/// A request that was received before the drain must not be sent to the draining upstream after it,
-/// on a cached connection or on a new one. The order of reads may vary, hence several rounds.
+/// Requests that were received before the drain must not be sent to the draining upstream after the
+/// drain, on a cached connection or on a new one. The order in which the process reads may vary,
+/// hence several rounds.
 #[test]
 fn requests_received_while_suspended_avoid_a_draining_upstream() {
     for round in 0..16 {
@@ -360,7 +361,7 @@
     }
 }
 
-/// The drain is the last entry of a list that is read in many pieces.
+/// The drain is the last entry of a long list, which the process reads in many pieces.
 #[test]
 fn requests_received_while_suspended_wait_for_a_long_list() {
     for round in 0..4 {
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -107,7 +107,8 @@
     }
 }
 
-/// A slow discovery may send the list on the first watch after further ones have been opened.
+/// A slow discovery may send the list on the first watch, but only after further watches have been
+/// opened.
 #[test]
 fn first_watch_stays_open_while_further_ones_are_opened() {
     let (upstream, discovery) = (
@@ -173,15 +174,15 @@
         200
     );
     std::fs::remove_dir_all(&folder).unwrap();
-    // The folder does not exist any more.
+    // A folder that does not exist does not delay readiness either.
     assert_eq!(
         start(&folder, &address).admin_request("GET /healthcheck").0,
         200
     );
 }
 
-/// If the successor listened only once it is ready, no process would listen after the predecessor
-/// has exited.
+/// If a successor listened only once it is ready, no process would listen after the predecessor has
+/// ended early.
 #[test]
 fn unready_successor_accepts_clients_once_its_predecessor_is_gone() {
     let (upstream, silent, down) = (
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -9,7 +9,9 @@
 const REQUEST_ID: &str = "Request-Id: {id}\r\nIdempotency-Key: k\r\n";
 
 /// A retry that is decided within the deduplication window must not be written after the window,
-/// even if its connection is established late: the upstream would treat it as a new request.
+/// even if its connection is established late: the upstream would treat it as a new request. The
+/// client gets a 503 only if a repeat counts as safe at every upstream, as it does with the scope
+/// `all`, and otherwise a 502.
 #[test]
 fn a_retry_is_not_written_after_the_deduplication_window() {
     for (scope, status) in [("all", 503), ("zone", 502), ("cell", 502)] {
@@ -63,8 +65,9 @@
         .unwrap()
 }
 
-/// The remaining time that an attempt declares excludes the time spent on an earlier attempt, in
-/// the queue, or behind an earlier request on the same connection.
+/// The remaining time that an attempt declares excludes the time spent on an earlier attempt or in
+/// the queue. All requests sent after the pause of 0.5 s therefore declare at most 4.5 s of the 5
+/// s.
 #[test]
 fn attempt_declares_at_most_the_remaining_time_of_its_client() {
     let half_a_second = Duration::from_millis(500);
@@ -93,7 +96,7 @@
     for client in &mut clients {
         assert!(client.receive().unwrap().is_some());
     }
-    // These are all queued requests, and most of those that the first upstream rejected.
+    // These are all queued requests, and retries of requests that the first upstream rejected.
     let late: Vec<_> = one.seen.try_iter().chain(two.seen.try_iter()).collect();
     assert!(
         late.len() > 12 - early,
@@ -112,7 +115,8 @@
     }
 }
 
-/// Pipelined requests use up their time while they wait for the first one.
+/// The time of a pipelined request also runs while it waits for the first request on its
+/// connection. After a pause of 0.5 s, the later requests declare at most 4.5 s of the 5 s.
 #[test]
 fn timeout_of_a_pipelined_request_starts_at_its_arrival() {
     let upstream = StubUpstream::start(StubResponse::Hold);
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,8 +1,8 @@
 //! Soak test: runs the program from its start to SIGKILL, with load and faults drawn from a seed.
 //!
-//! Clients reuse their connections as long as they stay open, upstreams fail, and SIGHUP and
-//! SIGTERM are sent repeatedly. Some runs have many idle clients, and some have failing system
-//! calls. SIGKILL is sent at the earliest time that the protocol allows.
+//! Clients reuse connections that stay open, upstreams fail, and SIGHUP and SIGTERM are sent
+//! repeatedly. Some runs have many idle clients, and some have failing system calls. SIGKILL is
+//! sent at the earliest time that the protocol allows.
 //!
 //! A few seeds run by default. `SOAK_SEEDS=FIRST..END` selects others; END itself is not run.
 
@@ -20,11 +20,11 @@
 const DEFAULT_SEEDS: Range<u64> = 1..9;
 /// The longest deadline of the classes.
 const DEADLINE_SECONDS: f64 = 0.5;
-/// The time from the first SIGTERM to SIGKILL.
+/// The time from the first SIGTERM to SIGKILL: the longest deadline plus 0.7 s.
 const KILL_DELAY: Duration = Duration::from_millis(1200);
-/// How long after SIGTERM clients may open new connections by the protocol.
+/// Time after SIGTERM within which the protocol allows clients to open new connections.
 const NEW_CONNECTION_PERIOD: Duration = Duration::from_millis(400);
-/// How long after its deadline a request may get its final response.
+/// Time after its deadline within which a request has to get its final response.
 const LATE_TOLERANCE: Duration = Duration::from_millis(500);
 /// The additional delay that is allowed on a busy machine.
 const BUSY_TOLERANCE: Duration = Duration::from_millis(1000);
@@ -66,7 +66,7 @@
     std::env::var("SOAK_SEEDS").map_or(DEFAULT_SEEDS, parse)
 }
 
-/// A client that sends one request after the other and keeps its connection as long as it is open.
+/// A client that sends one request after the other and reuses its connection until it is closed.
 struct SoakClient {
     address: SocketAddr,
     rng: Pcg64Mcg,
@@ -90,8 +90,8 @@
         if outcome != Outcome::Closed || is_new_connection {
             return Some(outcome);
         }
-        // The idle connection was closed while the request was being sent, so the request is sent
-        // again unchanged.
+        // The reused connection was closed without a response, so the request is sent again
+        // unchanged on a new one.
         let new_connection = Client::connect(self.address).ok();
         Some(new_connection.map_or(Outcome::Undeliverable, |client| {
             self.request_on(client, path, &headers)
@@ -370,8 +370,9 @@
         Outcome::Responded(400..=499) => Some("rejected as invalid"),
         Outcome::Responded(_) if duration > latest => Some("response too late"),
         Outcome::Closed | Outcome::Undeliverable if runs > 0 => Some("run without a response"),
-        // A new connection may be closed unread while idle clients use up the descriptors. The
-        // platform opens none later than 0.4 s after SIGTERM.
+        // A new connection may be closed unread while idle clients use up the descriptors. Later
+        // than 0.4 s after SIGTERM, the protocol allows no new connections, so this rule does not
+        // apply to them.
         Outcome::Closed if !is_crowded && sent_after_sigterm < NEW_CONNECTION_PERIOD => {
             Some("new connection closed without a response")
         }
--- a/tests/state_file.rs
+++ b/tests/state_file.rs
@@ -1,4 +1,5 @@
-//! The state file: files from other versions are read, and malformed files are ignored.
+//! The state file: files of older versions are read, and malformed files and those of other
+//! balancers are ignored.
 
 mod support;
 use load_balancer::LearnedState;
@@ -12,8 +13,8 @@
 /// and operators had put `u0` into maintenance.
 const STATE_OF_47C951F: &str = include_str!("data/state-47c951f.json");
 
-/// Returns the paths of all fields of a JSON value. In them, `*` stands for each list element and
-/// for each key that is a number.
+/// Returns the paths of all fields of a JSON value. In a path, `*` stands for any list element and
+/// for any key that is a number.
 fn field_paths(value: &serde_json::Value) -> BTreeSet<String> {
     fn collect(path: &str, value: &serde_json::Value, paths: &mut BTreeSet<String>) {
         paths.insert(path.to_string());
@@ -33,8 +34,8 @@
     paths
 }
 
-/// Stored fields were renamed after older versions had written them. Both names are read and the
-/// older names are written, so that an older version can read a file of this version, and with it
+/// Some stored fields have a newer name in addition to the older one. Both names are read. The
+/// older names are written, so that an older version can read a file of this version and restore
 /// the maintenance.
 #[test]
 fn state_file_is_compatible_with_older_field_names() {
@@ -77,7 +78,7 @@
     );
 }
 
-/// Maintenance and learned state that the version in service has written are restored.
+/// Maintenance and learned state that version 47c951f has written are restored.
 #[test]
 fn a_state_file_of_the_version_in_service_is_read() {
     let recorded: serde_json::Value = serde_json::from_str(STATE_OF_47C951F).unwrap();
@@ -98,7 +99,7 @@
     );
 }
 
-/// The version in service finds all its fields in a state file of this version, and no others.
+/// A state file of this version has all fields that version 47c951f writes, and no others.
 #[test]
 fn a_state_file_has_the_fields_of_the_version_in_service() {
     let fixture = UpgradeFixture::new();
@@ -139,7 +140,8 @@
     }
 }
 
-/// An upgrade would undo a maintenance that is missing in the state file.
+/// An upgrade would undo a maintenance that is missing in the state file, so the operator must
+/// learn that it was not stored.
 #[test]
 fn maintenance_that_cannot_be_stored_is_answered_with_an_error() {
     let fixture = UpgradeFixture::new();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Upgrades: a successor is started beside its predecessor and takes over its clients.
+//! Upgrades: a successor is started while its predecessor still runs, and takes over its clients.
 
 mod support;
 use std::io::{BufRead, BufReader};
@@ -61,7 +61,8 @@
     }
 }
 
-/// Once the predecessor has stopped listening, all new connections go to the successor.
+/// Once the predecessor has stopped listening, all new connections go to the successor. The
+/// predecessor completes its requests before it exits.
 #[test]
 fn predecessor_stops_listening_and_completes_its_requests() {
     let fixture = UpgradeFixture::new();
@@ -175,7 +176,8 @@
 }
 
 /// While the predecessor is suspended, the successor knows the predecessor's maintenance only from
-/// the state file, and must keep it when it gets a maintenance request itself.
+/// the state file. The successor must keep that maintenance when it receives a maintenance request
+/// itself.
 #[test]
 fn early_maintenance_on_a_successor_keeps_that_of_the_predecessor() {
     let fixture = UpgradeFixture::new();
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams: when one is reused, and when it is not.
+//! Connections to upstreams: when they are reused, and when they are not.
 
 mod support;
 use std::sync::atomic::Ordering;
@@ -39,7 +39,7 @@
     assert_eq!(upstream.connection_count.load(Ordering::SeqCst), 1);
 }
 
-/// A request on a connection that the upstream closed while it was idle would be lost.
+/// A request would be lost on an idle connection that the upstream has closed.
 #[test]
 fn a_connection_that_the_upstream_closed_is_not_reused() {
     let upstream = StubUpstream::start(StubResponse::OkThenClose);
@@ -52,7 +52,8 @@
     assert_eq!(upstream.seen.try_iter().count(), 5);
 }
 
-/// Bytes behind a response belong to no request: a client that got them would get a wrong response.
+/// Bytes after a response belong to no request: a client that received them would take them for its
+/// response.
 #[test]
 fn bytes_behind_a_response_are_not_read_as_the_next_response() {
     let response = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -1,4 +1,4 @@
-//! Discovery watches that fail, fall silent or overlap: changes are received all the same.
+//! Discovery watches that fail, fall silent or overlap. Changes are received nevertheless.
 
 mod support;
 use std::net::SocketAddr;
@@ -107,8 +107,8 @@
     assert!(watch.is_open() && fixture.discovery.watches.try_recv().is_err());
 }
 
-/// A change may be sent between the close of a silent watch and the opening of the next one, which
-/// may be silent as well. At least one watch is therefore open at any time.
+/// If a silent watch were closed before another one receives data, a change that is sent in between
+/// would be missed. The silent watch therefore stays open until another one has received data.
 #[test]
 fn silent_watch_stays_open_until_another_receives_data() {
     for (mode, first_bytes) in [
@@ -143,7 +143,8 @@
     }
 }
 
-/// A watch that sends only empty lines behind an incomplete list is replaced like a silent one.
+/// If a watch receives only empty lines after the beginning of a list, another watch is opened, as
+/// for a silent watch.
 #[test]
 fn empty_lines_inside_a_list_do_not_count_as_heartbeats() {
     let fixture = WatchFixture::new("push");
@@ -166,8 +167,8 @@
     fixture.expect_change_in_force();
 }
 
-/// A watch that resumes after a silence may have missed a change and send only a later one. The
-/// balancer receives the missed change on the watch that it has opened in the meantime.
+/// Discovery may resume a silent watch with a later change and never send a change that the watch
+/// missed. The balancer receives the missed change on the watch that it has opened in the meantime.
 #[test]
 fn changes_missed_by_a_silent_watch_are_received_by_the_next_one() {
     let fixture = WatchFixture::new("push");
@@ -218,7 +219,8 @@
     }
 }
 
-/// An incomplete list is not applied, and the next watch still asks from the previous version.
+/// An incomplete list is not applied, and the next watch still asks for the changes since the
+/// previous version.
 #[test]
 fn an_incomplete_list_is_discarded_and_requested_again() {
     let fixture = WatchFixture::new("push");
@@ -274,8 +276,8 @@
     fixture.old_upstream.next();
 }
 
-/// Discovery may go down and come back at another address. The watches on the old address are used
-/// until the watch on the new one has received a list.
+/// Discovery may fall silent and move to another address. The watches on the old address are used
+/// until the watch on the new address has received a list.
 #[test]
 fn discovery_address_may_change_while_a_watch_is_silent() {
     let fixture = WatchFixture::new("push");
@@ -318,8 +320,8 @@
     fixture.new_upstream.next();
 }
 
-/// A failed reconnect is retried before the notification deadline. The silent watch stays open
-/// meanwhile.
+/// If the watch that is opened next to a silent one is reset, a third watch is opened. The silent
+/// watch stays open until the third has received data.
 #[test]
 fn failed_reconnect_is_retried_while_the_silent_watch_stays_open() {
     for mode in ["push", "ask"] {
@@ -351,8 +353,9 @@
     assert!(pending_poll.is_open());
 }
 
-/// The backoff must not grow beyond the notification deadline of 6 s while discovery is down. When
-/// discovery is back, its first poll gets no response and its second one is reset.
+/// The backoff must not grow beyond the notification deadline of 6 s while discovery is down, so
+/// the outage is longer than that. When discovery runs again, the first poll gets no response and
+/// the second poll is reset.
 #[test]
 fn changes_after_an_outage_of_8_s_are_received_though_the_first_polls_fail() {
     for is_moved in [false, true] {
@@ -409,8 +412,8 @@
     );
 }
 
-/// The watch of a server that has vanished receives nothing, and the endpoint list would become
-/// outdated.
+/// The watch on a server that has vanished receives nothing. If no other watch were opened, the
+/// endpoint list would become outdated.
 #[test]
 fn a_silent_watch_is_replaced() {
     let (_program, discovery) = Program::with_upstreams(&[refusing_address()]);
@@ -418,9 +421,9 @@
     assert!(discovery.next().request_line.contains("since=5"));
 }
 
-/// SIGHUP does not end the process, and the known list stays in force while the new discovery is
-/// connected. The changes of the new discovery are applied although their versions are lower than
-/// those of the old one.
+/// SIGHUP does not end the process, and the known list stays in force until the new discovery has
+/// sent a list. The changes from the new discovery are applied although their versions are lower
+/// than those from the old discovery.
 #[test]
 fn a_reload_moves_the_watch_to_another_discovery() {
     let (one, two) = (
@@ -440,7 +443,8 @@
     ));
     program.reload("not a configuration");
     program.reload(&config(&known, new.address, 1024));
-    // The first watch fails and is retried, and the known list stays in force.
+    // The first watch on the new discovery fails and another one is opened. The known list stays in
+    // force.
     drop(new.next());
     assert_eq!(
         program
