--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -449,15 +449,15 @@
             client.receive().unwrap().expect("no response");
         }
         program.suspend();
-        let mut early = program.client();
-        early.send("/pay", REQUEST_ID, "coins").unwrap();
-        early.half_close();
+        let mut half_closed = program.client();
+        half_closed.send("/pay", REQUEST_ID, "coins").unwrap();
+        half_closed.half_close();
         wait_until("the kernel has received the close", || {
-            program.has_received_close_from(early.port())
+            program.has_received_close_from(half_closed.port())
         });
         program.resume();
         assert!(
-            early
+            half_closed
                 .receive()
                 .unwrap()
                 .is_none_or(|response| response.status() == 502),
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -12,7 +12,7 @@
 /// The close of a connection with unread bytes resets it, and the client would lose the part of its
 /// response that it has not read yet.
 #[test]
-fn response_is_complete_despite_unread_bytes_behind_its_request() {
+fn response_is_complete_despite_unread_bytes_after_its_request() {
     // More than the socket buffers between the program and its client hold.
     let size = 24 << 20;
     let text = format!(
@@ -115,7 +115,7 @@
 /// Bytes that are received after a request in flight are buffered only up to a limit. Otherwise
 /// clients that send large amounts would exhaust the memory.
 #[test]
-fn bytes_behind_requests_in_flight_use_little_memory() {
+fn bytes_after_requests_in_flight_use_little_memory() {
     let upstream = StubUpstream::start(StubResponse::NoResponse);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut clients: Vec<_> = (0..60).map(|_| program.client()).collect();
@@ -194,9 +194,12 @@
         }
         upstream.release();
         expect_responses(&mut client, "requests sent before the drain");
-        let mut new = program.client();
-        new.write(&pipelined("b", 6));
-        expect_responses(&mut new, "requests on a new connection during the drain");
+        let mut new_client = program.client();
+        new_client.write(&pipelined("b", 6));
+        expect_responses(
+            &mut new_client,
+            "requests on a new connection during the drain",
+        );
     }
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
--- a/tests/descriptor_limits.rs
+++ b/tests/descriptor_limits.rs
@@ -274,7 +274,7 @@
 /// flight, which can't be evicted, hold more than the other half. The watch can be reopened because
 /// some descriptors are reserved for discovery.
 #[test]
-fn a_watch_reconnects_while_a_new_process_has_half_of_the_descriptors() {
+fn a_watch_is_reopened_while_a_successor_has_half_of_the_descriptors() {
     let _exclusive = run_exclusively();
     let upstreams: Vec<_> = (0..12)
         .map(|_| StubUpstream::start(StubResponse::Hold))
@@ -287,7 +287,7 @@
         true,
         &upstreams.iter().enumerate().map(entry).collect::<Vec<_>>(),
     );
-    let (folder, discovery, new_discovery) = (
+    let (folder, discovery, successor_discovery) = (
         create_temp_folder(),
         StubDiscovery::start(),
         StubDiscovery::start(),
@@ -304,25 +304,25 @@
         ("TMPDIR", folder.to_str().unwrap()),
         ("PROXY_CONSOLE", "127.0.0.1:0"),
     ];
-    let old = Program::start_with(&variables, &config(discovery.address), "127.0.0.1:0");
+    let predecessor = Program::start_with(&variables, &config(discovery.address), "127.0.0.1:0");
     let mut watch = discovery.next();
     watch.send_line("");
-    let mut busy: Vec<_> = (0..110).map(|_| old.client()).collect();
+    let mut busy: Vec<_> = (0..110).map(|_| predecessor.client()).collect();
     for client in &mut busy {
         client.send("/read", REQUEST_ID, "").unwrap();
     }
     wait_until("the requests are in flight", || {
-        old.metric("in_flight") == 110
+        predecessor.metric("in_flight") == 110
     });
-    let new = Program::start_with(
+    let successor = Program::start_with(
         &variables,
-        &config(new_discovery.address),
-        &old.address.to_string(),
+        &config(successor_discovery.address),
+        &predecessor.address.to_string(),
     );
     watch.reset();
     discovery.next();
-    assert_eq!(old.metric("in_flight"), 110);
-    assert_eq!(new.admin_request("GET /healthcheck").0, 200);
+    assert_eq!(predecessor.metric("in_flight"), 110);
+    assert_eq!(successor.admin_request("GET /healthcheck").0, 200);
     std::fs::remove_dir_all(folder).unwrap();
 }
 
--- a/tests/failed_attempts.rs
+++ b/tests/failed_attempts.rs
@@ -136,10 +136,10 @@
                 200
             );
         }
-        let bad = &upstreams[round % 3];
-        bad.seen.try_iter().count();
-        bad.set_response(StubResponse::Raw("what?\r\n\r\n"));
-        while bad.seen.try_iter().count() == 0 {
+        let failing = &upstreams[round % 3];
+        failing.seen.try_iter().count();
+        failing.set_response(StubResponse::Raw("what?\r\n\r\n"));
+        while failing.seen.try_iter().count() == 0 {
             assert_eq!(
                 program
                     .client()
@@ -148,7 +148,7 @@
                 200
             );
         }
-        bad.set_response(StubResponse::Ok);
+        failing.set_response(StubResponse::Ok);
     }
 }
 
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -179,7 +179,7 @@
 fn process_answers_accepted_requests_after_sigterm_and_exits_successfully() {
     let upstream = StubUpstream::start(StubResponse::NoResponse);
     let (mut program, _discovery) = Program::with_upstreams(&[upstream.address]);
-    let (mut busy, mut idle, mut fresh) = (program.client(), program.client(), program.client());
+    let (mut busy, mut idle, mut unused) = (program.client(), program.client(), program.client());
     assert_eq!(idle.request("/healthz", "", "").status(), 200);
     busy.send(
         "/pay",
@@ -195,8 +195,8 @@
     );
     // The first request on a connection that was opened but not used before SIGTERM gets a
     // response.
-    assert_eq!(fresh.request("/healthz", "", "").status(), 503);
-    assert!(fresh.receive().unwrap().is_none());
+    assert_eq!(unused.request("/healthz", "", "").status(), 503);
+    assert!(unused.receive().unwrap().is_none());
     // New connections are still accepted; each carries one request.
     let last = program.client().request("/healthz", "", "");
     assert_eq!(
--- a/tests/handover_failures.rs
+++ b/tests/handover_failures.rs
@@ -154,7 +154,7 @@
 /// The predecessor fails to register the successor's first connection with epoll (ENOMEM) and
 /// closes that connection.
 #[test]
-fn successor_reconnects_if_its_first_connection_ends_at_once() {
+fn successor_reconnects_if_its_first_connection_ends_immediately() {
     let fixture = UpgradeFixture::new();
     let variables = [
         ("LD_PRELOAD", fault_injection_library()),
--- a/tests/invalid_requests.rs
+++ b/tests/invalid_requests.rs
@@ -10,7 +10,7 @@
 fn an_invalid_request_is_rejected_and_not_forwarded() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
-    let large = format!("{REQUEST_ID}Content-Length: 33554433\r\n");
+    let oversized = format!("{REQUEST_ID}Content-Length: 33554433\r\n");
     let cases = [
         ("/other", REQUEST_ID.to_string(), "", 400),
         ("/read", String::new(), "", 400),
@@ -29,7 +29,7 @@
         ),
         ("/read", format!("{REQUEST_ID}Work-Hint: inf\r\n"), "", 400),
         ("/read", format!("{REQUEST_ID}no colon\r\n"), "", 400),
-        ("/pay", large, "", 413),
+        ("/pay", oversized, "", 413),
     ];
     for (path, headers, body, status) in cases {
         let mut client = program.client();
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -81,7 +81,7 @@
 /// Responses in different valid forms of HTTP/1.1 are accepted and delimited correctly when they
 /// arrive byte by byte.
 #[test]
-fn responses_are_read_in_all_forms_byte_by_byte() {
+fn responses_in_valid_forms_are_read_byte_by_byte() {
     let forms = [
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ncoins",
         "HTTP/1.1 200\r\ncONTENT-lENGTH:\t 5 \t\r\nNews:\r\nServer-Load: TEXT inflight=7\r\n\r\n\
@@ -166,7 +166,7 @@
 /// Requests in different valid forms of HTTP/1.1 are accepted when they arrive byte by byte, and
 /// their path, body and id are forwarded unchanged.
 #[test]
-fn requests_are_read_in_all_forms_byte_by_byte() {
+fn requests_in_valid_forms_are_read_byte_by_byte() {
     let forms = [
         "\r\nPOST /pay/a?b=c%20d HTTP/1.1\r\nHost: b\r\nrequest-id: f1\r\n\
             CONTENT-LENGTH:\t5 \r\n\r\ncoins",
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -11,7 +11,7 @@
 /// were restored only to just below its former value, the limit would stay one request lower
 /// permanently.
 #[test]
-fn good_responses_restore_the_concurrency_limit_after_a_malformed_one() {
+fn successful_responses_restore_the_concurrency_limit_after_a_malformed_one() {
     let upstream = StubUpstream::raw("what?\r\n\r\n");
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     assert_eq!(
@@ -122,12 +122,12 @@
 /// upstreams return eject none of them.
 #[test]
 fn upstream_is_ejected_for_errors_that_others_do_not_return() {
-    let (bad, good) = (
+    let (failing, working) = (
         StubUpstream::start(StubResponse::Status(500)),
         [(); 2].map(|()| StubUpstream::start(StubResponse::Ok)),
     );
     let (program, _discovery) =
-        Program::with_upstreams(&[bad.address, good[0].address, good[1].address]);
+        Program::with_upstreams(&[failing.address, working[0].address, working[1].address]);
     let mut client = program.client();
     let mut send = |times: usize| {
         (0..times)
@@ -135,16 +135,16 @@
             .count()
     };
     send(90);
-    let share = bad.seen.try_iter().count();
+    let failing_count = failing.seen.try_iter().count();
     assert!(
-        0 < share && share < 18,
-        "{share} of 90, where an even share is 30"
+        0 < failing_count && failing_count < 18,
+        "{failing_count} of 90, where an even share is 30"
     );
-    bad.set_response(StubResponse::Ok);
+    failing.set_response(StubResponse::Ok);
     // The upstream gets only a few requests until it has responded without errors for a while. Then
     // its share is even again.
     let mut rounds = 0;
-    while bad.seen.try_iter().count() < 25 {
+    while failing.seen.try_iter().count() < 25 {
         rounds += 1;
         assert!(
             rounds < 200,
@@ -152,8 +152,8 @@
         );
         send(90);
     }
-    let all_upstreams = || good.iter().chain([&bad]);
-    let mut shares_with = |response: StubResponse| -> Vec<_> {
+    let all_upstreams = || working.iter().chain([&failing]);
+    let mut request_counts_with = |response: StubResponse| -> Vec<_> {
         for upstream in all_upstreams() {
             upstream.set_response(response);
             upstream.seen.try_iter().count();
@@ -166,11 +166,11 @@
     // Requests are balanced by response time, which varies with the machine, so one round in which
     // each upstream receives more than 20 of the 90 requests is enough.
     for round in 0.. {
-        let shares = shares_with(StubResponse::Status(500));
-        if shares.iter().all(|count| *count > 20) {
+        let request_counts = request_counts_with(StubResponse::Status(500));
+        if request_counts.iter().all(|count| *count > 20) {
             break;
         }
-        assert!(round < 50, "uneven shares: {shares:?}");
-        shares_with(StubResponse::Ok);
+        assert!(round < 50, "uneven shares: {request_counts:?}");
+        request_counts_with(StubResponse::Ok);
     }
 }
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -110,7 +110,7 @@
 /// A slow discovery may send the list on the first watch, but only after further watches have been
 /// opened.
 #[test]
-fn first_watch_stays_open_while_further_ones_are_opened() {
+fn first_watch_stays_open_while_further_watches_are_opened() {
     let (upstream, discovery) = (
         StubUpstream::start(StubResponse::Ok),
         StubDiscovery::start(),
@@ -184,7 +184,7 @@
 /// If a successor listened only once it is ready, no process would listen after the predecessor has
 /// ended early.
 #[test]
-fn unready_successor_accepts_clients_once_its_predecessor_is_gone() {
+fn unready_successor_accepts_clients_once_its_predecessor_has_ended() {
     let (upstream, silent, down) = (
         StubUpstream::start(StubResponse::Ok),
         StubDiscovery::start(),
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -116,8 +116,8 @@
         let Ok(Some(response)) = client.receive() else {
             return Outcome::Closed;
         };
-        let closes = response.header("connection") == Some("close");
-        self.open_connection = Some(client).filter(|_| !closes);
+        let has_close_header = response.header("connection") == Some("close");
+        self.open_connection = Some(client).filter(|_| !has_close_header);
         Outcome::Responded(response.status())
     }
 
--- a/tests/state_file.rs
+++ b/tests/state_file.rs
@@ -80,7 +80,7 @@
 
 /// Maintenance and learned state that version 47c951f has written are restored.
 #[test]
-fn a_state_file_of_the_version_in_service_is_read() {
+fn state_file_of_version_47c951f_is_restored() {
     let recorded: serde_json::Value = serde_json::from_str(STATE_OF_47C951F).unwrap();
     let recorded_address = recorded["balancer"].as_str().unwrap();
     let fixture = UpgradeFixture::new();
@@ -101,7 +101,7 @@
 
 /// A state file of this version has all fields that version 47c951f writes, and no others.
 #[test]
-fn a_state_file_has_the_fields_of_the_version_in_service() {
+fn state_file_has_the_fields_of_version_47c951f() {
     let fixture = UpgradeFixture::new();
     let program = fixture.start("127.0.0.1:0");
     let mut client = program.client();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -179,7 +179,7 @@
 /// the state file. The successor must keep that maintenance when it receives a maintenance request
 /// itself.
 #[test]
-fn early_maintenance_on_a_successor_keeps_that_of_the_predecessor() {
+fn successor_keeps_the_maintenance_of_a_suspended_predecessor() {
     let fixture = UpgradeFixture::new();
     let other = StubUpstream::start(StubResponse::Ok);
     let known = [("u0", fixture.upstream.address), ("u1", other.address)];
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -55,7 +55,7 @@
 /// Bytes after a response belong to no request: a client that received them would take them for its
 /// response.
 #[test]
-fn bytes_behind_a_response_are_not_read_as_the_next_response() {
+fn bytes_after_a_response_are_not_read_as_the_next_response() {
     let response = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
     let upstream = StubUpstream::raw(&format!(
         "HTTP/1.1 103 Early Hints\r\n\r\n{response}{response}"
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -323,7 +323,7 @@
 /// If the watch that is opened next to a silent one is reset, a third watch is opened. The silent
 /// watch stays open until the third has received data.
 #[test]
-fn failed_reconnect_is_retried_while_the_silent_watch_stays_open() {
+fn silent_watch_stays_open_until_a_failed_second_watch_is_replaced() {
     for mode in ["push", "ask"] {
         let fixture = WatchFixture::new(mode);
         fixture.leave_idle_connection();
@@ -415,7 +415,7 @@
 /// The watch on a server that has vanished receives nothing. If no other watch were opened, the
 /// endpoint list would become outdated.
 #[test]
-fn a_silent_watch_is_replaced() {
+fn another_watch_is_opened_if_one_is_silent() {
     let (_program, discovery) = Program::with_upstreams(&[refusing_address()]);
     let _silent = discovery.next();
     assert!(discovery.next().request_line.contains("since=5"));
