--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -104,11 +104,14 @@
     for (input, line, field) in malformed_inputs() {
         let output = run(&input);
         let error = String::from_utf8(output.stderr).unwrap();
-        assert!(!output.status.success(), "{input}");
-        assert_eq!(error.lines().count(), 1, "{error}");
+        assert!(
+            !output.status.success(),
+            "the adapter succeeded on {input:?}"
+        );
+        assert_eq!(error.lines().count(), 1, "lines of the error {error:?}");
         assert!(
             error.contains(&format!("{line}: field {field}:")),
-            "{error} for {input}"
+            "expected an error for {line}, field {field}, received {error:?} for {input:?}"
         );
         let replies = String::from_utf8(output.stdout).unwrap();
         let expected = if input.starts_with(FIRST_BATCH) {
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -359,7 +359,7 @@
     );
     assert!(
         !sending.is_finished(),
-        "expected the response while the body was being sent"
+        "the client stopped sending its body before it received the response"
     );
     assert!(upstream.seen.try_recv().is_err());
 }
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -75,7 +75,7 @@
             let response = client.request("/read", REQUEST_ID, "");
             assert!(
                 response.status() == 200 && response.body == body.as_bytes(),
-                "{length}"
+                "body of {length} bytes"
             );
         }
     }
@@ -112,8 +112,15 @@
         let interim = client.receive().unwrap().unwrap();
         assert_eq!(interim.status(), 100);
         client.write(&chunked(&body, chunk_size));
-        assert_eq!(client.receive().unwrap().unwrap().status(), 200, "{length}");
-        assert!(upstream.next().body == body.as_bytes(), "{length}");
+        assert_eq!(
+            client.receive().unwrap().unwrap().status(),
+            200,
+            "body of {length} bytes"
+        );
+        assert!(
+            upstream.next().body == body.as_bytes(),
+            "body of {length} bytes"
+        );
     }
     // An empty chunked body is accepted as well.
     client
@@ -252,7 +259,7 @@
     upstream
         .closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the connection is closed");
+        .expect("the connection to the upstream is still open");
     assert!(upstream.seen.try_recv().is_err());
     assert_eq!(
         program
@@ -283,7 +290,7 @@
     upstream
         .closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the connection is closed");
+        .expect("the connection to the upstream is still open");
     assert!(upstream.seen.try_recv().is_err());
     assert_eq!(
         program
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -64,7 +64,9 @@
     let send_until = |count, metric| {
         let mut client = program.client();
         client.send(path, REQUEST_ID, "").unwrap();
-        wait_until(metric, || program.metric(metric) == count);
+        wait_until(&format!("{metric} is {count}"), || {
+            program.metric(metric) == count
+        });
         client
     };
     let running = vec![send_until(1, "attempts"), send_until(2, "attempts")];
@@ -104,7 +106,7 @@
             .send(&format!("/pay/{number}"), REQUEST_ID, "")
             .unwrap();
     }
-    wait_until("all requests are at an upstream", || {
+    wait_until("all 4 requests have been forwarded", || {
         program.metric("attempts") == 4
     });
     clients
@@ -156,7 +158,7 @@
                 assert_eq!(
                     client.receive().unwrap().unwrap().status(),
                     200,
-                    "{trailing_bytes} {by_reset}"
+                    "{trailing_bytes} trailing bytes, by reset: {by_reset}"
                 );
             }
             expect_only_new_requests(&program, &upstream, &format!("{trailing_bytes} {by_reset}"));
@@ -213,7 +215,7 @@
             assert_eq!(
                 client.receive().unwrap().unwrap().status(),
                 200,
-                "{trailing_bytes}"
+                "{trailing_bytes} trailing bytes"
             );
         }
         let disconnected_start_line = format!("POST /pay/{disconnecting_number} HTTP/1.1");
@@ -221,7 +223,7 @@
             busy.seen
                 .try_iter()
                 .all(|message| message.start_line != disconnected_start_line),
-            "{trailing_bytes}"
+            "{trailing_bytes} trailing bytes"
         );
     }
 }
@@ -306,7 +308,7 @@
             expect_only_new_requests(
                 &program,
                 &upstream,
-                &format!("{trailing_bytes} {free_first}"),
+                &format!("{trailing_bytes} trailing bytes, slots freed first: {free_first}"),
             );
         }
     }
@@ -327,7 +329,7 @@
             client.send("/pay", REQUEST_ID, "coins").unwrap();
             disconnect_while_stopped(&program, client, trailing_bytes, false);
             program.resume();
-            expect_only_new_requests(&program, &upstream, &trailing_bytes.to_string());
+            expect_only_new_requests(&program, &upstream, &format!("{trailing_bytes} bytes"));
         }
     }
 }
@@ -365,7 +367,7 @@
             busy.seen
                 .try_iter()
                 .all(|message| !disconnected.contains(&message.start_line)),
-            "{trailing_bytes}"
+            "{trailing_bytes} trailing bytes"
         );
     }
 }
@@ -420,7 +422,7 @@
             let mut rest = Vec::new();
             // The connection may end in a reset.
             let _ = upstream.take(1000).read_to_end(&mut rest);
-            assert!(rest.len() < 1000, "{cancel}");
+            assert!(rest.len() < 1000, "body forwarded, cancel: {cancel}");
         }
         wait_until("no request is in flight", || {
             program.metric("in_flight") == 0
@@ -439,7 +441,7 @@
         let (mut running, mut queued) = queue_one_request(&program, &upstream, "/pay");
         queued.write(&"x".repeat(trailing_bytes));
         queued.half_close();
-        assert!(queued.is_closed_by_peer(), "{trailing_bytes}");
+        assert!(queued.is_closed_by_peer(), "{trailing_bytes} bytes");
         let remaining = running.len() as u64;
         wait_until("the disconnect is noticed", || {
             program.metric("in_flight") == remaining
@@ -461,9 +463,9 @@
                 .receive()
                 .unwrap()
                 .is_none_or(|response| response.status() == 502),
-            "{trailing_bytes}"
+            "{trailing_bytes} trailing bytes"
         );
-        expect_only_new_requests(&program, &upstream, &trailing_bytes.to_string());
+        expect_only_new_requests(&program, &upstream, &format!("{trailing_bytes} bytes"));
         assert_eq!(program.metric("failed.pay"), 0);
     }
 }
@@ -479,7 +481,7 @@
     upstream
         .closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the attempt is cancelled");
+        .expect("the attempt was not cancelled");
     upstream.set_response(StubResponse::Ok);
     assert_eq!(
         program
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -126,7 +126,7 @@
     }
     assert!(
         program.peak_memory_bytes() < 40 << 20,
-        "peak memory: {} bytes",
+        "peak memory of {} bytes, expected less than 40 MiB",
         program.peak_memory_bytes()
     );
 }
--- a/tests/descriptor_limits.rs
+++ b/tests/descriptor_limits.rs
@@ -101,7 +101,7 @@
                 .receive()
                 .unwrap_or_default()
                 .map(|response| response.status());
-            assert_eq!(status, Some(200), "{sockets}");
+            assert_eq!(status, Some(200), "descriptor limit {sockets}");
         }
         assert!(program.open_descriptors() <= sockets);
     }
@@ -157,7 +157,7 @@
         assert_eq!(
             response.map(|response| response.status()),
             Some(200),
-            "{count}"
+            "{count} partial requests"
         );
     }
 }
@@ -197,7 +197,7 @@
                 assert_eq!(
                     response.map(|response| response.status()),
                     Some(200),
-                    "{sockets} {text}"
+                    "descriptor limit {sockets}, idle clients sent {text:?}"
                 );
             }
         }
@@ -236,7 +236,7 @@
                 if is_list_empty { 503 } else { 200 }
             );
             assert_eq!(program.admin_request("GET /stats").0, 200);
-            assert!(program.open_descriptors() <= sockets, "{sockets}");
+            assert!(program.open_descriptors() <= sockets, "limit {sockets}");
         }
         let discovery = down.start_discovery();
         let mut watch = discovery.next();
@@ -256,8 +256,8 @@
                 .receive()
                 .unwrap_or_default()
                 .map(|response| response.status());
-            assert_eq!(status, Some(200), "{sockets} {mode}");
-            assert!(program.open_descriptors() <= sockets, "{sockets}");
+            assert_eq!(status, Some(200), "limit {sockets}, discovery {mode}");
+            assert!(program.open_descriptors() <= sockets, "limit {sockets}");
         }
         if is_list_empty {
             // This request was queued until the list was received.
@@ -341,7 +341,7 @@
         assert_eq!(program.admin_request("GET /stats").0, 200);
         assert!(
             program.open_descriptors() < 128 - 8,
-            "more than 8 of 128 descriptors stay free"
+            "at least 120 of 128 descriptors are open"
         );
     }
     let mut watch = down.start_discovery().next();
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -17,7 +17,7 @@
     let mut watch = discovery.next();
     assert!(
         watch.request_line.contains("follow=1") && watch.request_line.contains("since=5"),
-        "request line of the watch: {}",
+        "request line {:?}, expected follow=1 and since=5",
         watch.request_line
     );
     watch.send_line("");
--- a/tests/failed_attempts.rs
+++ b/tests/failed_attempts.rs
@@ -76,7 +76,7 @@
     assert_eq!(
         response.status(),
         502,
-        "status of a request that may have run"
+        "the request may have run, so its status should be 502"
     );
     assert!(
         begin.elapsed() > Duration::from_secs(1),
@@ -100,7 +100,7 @@
     let retry_after: f64 = response.header("retry-after").unwrap().parse().unwrap();
     assert!(
         retry_after > 0.0 && retry_after <= 2.0,
-        "Retry-After: {retry_after}"
+        "Retry-After: {retry_after}, expected more than 0 and at most 2"
     );
 }
 
@@ -171,9 +171,12 @@
                     .request("/pay", REQUEST_ID, "coins")
                     .status(),
                 200,
-                "{status}"
+                "upstream status {status}"
             );
         }
-        assert!(busy.seen.try_iter().count() > 0, "no {status} was sent");
+        assert!(
+            busy.seen.try_iter().count() > 0,
+            "no response with status {status} was sent, expected at least one"
+        );
     }
 }
--- a/tests/failing_system_calls.rs
+++ b/tests/failing_system_calls.rs
@@ -203,7 +203,8 @@
             time_to_serve_queued_clients(&format!("epoll_ctl_accepted:{error}:1:2:{UNLIMITED}"));
         assert!(
             with_faults < 3 * without_faults + Duration::from_millis(500),
-            "{with_faults:?}, without faults {without_faults:?}, error {error}"
+            "took {with_faults:?}, expected less than 0.5 s plus three times {without_faults:?}, \
+             the time without faults, error {error}"
         );
     }
 }
@@ -244,7 +245,7 @@
             };
             let upstream = upstreams.iter().find(served_by);
             upstream
-                .expect("the response names its upstream")
+                .expect("the response names none of the upstreams")
                 .wait_for_close();
         }
         for upstream in &upstreams {
@@ -424,7 +425,7 @@
             assert!(
                 served > min_served,
                 "{served} of 60 requests served, expected more than {min_served}, \
-                    {call} {every}, error {error}"
+                    every {every}th call of {call} fails with error {error}"
             );
         }
     }
--- a/tests/faults/faults.c
+++ b/tests/faults/faults.c
@@ -1,19 +1,19 @@
 /*
- * Makes system calls of a program under test fail, and shifts its wall clock. Loaded with
- * LD_PRELOAD.
+ * Makes system calls of a program under test fail, and shifts the program's wall clock. The program
+ * loads this library through LD_PRELOAD.
  *
  * FAULTS       Comma-separated `call:error:first:every:times`: call number `first` of this name and
- *              every `every`-th one after it fail with the error number `error`, until `times`
- *              calls have failed. A negative `error` delays the call by that many milliseconds
- *              instead. Some names select only a part of the calls:
+ *              every `every`-th call after it fail with the error number `error`, until `times`
+ *              calls have failed. If `error` is negative, these calls are delayed by `-error`
+ *              milliseconds instead. Some names select only a part of the calls:
  *                poll                  only with a timeout of 0
  *                write                 only for regular files
  *                socket, connect       only for IPv4
  *                socket_unix, connect_unix
- *                                      for local sockets
- *                open                  for the configuration and for paths in $TMPDIR
- *                epoll_ctl             for descriptors that are added
- *                epoll_ctl_accepted    for clients' connections that are added
+ *                                      these calls, only for Unix sockets
+ *                open                  only for the configuration and for paths in $TMPDIR
+ *                epoll_ctl             only when a descriptor is added
+ *                epoll_ctl_accepted    only when an accepted connection is added
  * FAULTS_WALL  Seconds that are added to the wall clock.
  */
 #define _GNU_SOURCE
@@ -55,8 +55,8 @@
     }
 }
 
-/* Counts the call, and returns whether it has to fail, with errno set. Delays the call if the fault
- * has a negative error. */
+/* Counts the call and returns whether it has to fail. Sets errno if so. If the fault has a negative
+ * error, waits for that number of milliseconds and returns 0. */
 static int must_fail(const char *call) {
     long error = 0;
     for (int i = 0; i < fault_count; i++) {
@@ -144,7 +144,8 @@
     return must_fail("pthread_create") ? errno : real(thread, attributes, start_routine, argument);
 }
 
-/* Inodes of the sockets that were accepted last: a duplicated descriptor has the same inode. */
+/* Inodes of the sockets that were accepted last. They identify a connection even if it is
+ * registered through a duplicated descriptor, which has the same inode. */
 static ino_t accepted_inodes[MAX_ACCEPTED];
 static unsigned accepted_count;
 
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -252,7 +252,10 @@
                 .unwrap()
                 .parse()
                 .unwrap();
-            assert!(timeout < 3.7, "Request-Timeout: {timeout}");
+            assert!(
+                timeout < 3.7,
+                "Request-Timeout: {timeout}, expected less than 3.7"
+            );
             assert_eq!(
                 client
                     .receive()
--- a/tests/idle_clients.rs
+++ b/tests/idle_clients.rs
@@ -17,7 +17,10 @@
     for _ in 0..100 {
         let mut client = program.client();
         let status = client.request("/read", REQUEST_ID, "").status();
-        assert!(status == 200 || status == 503, "{status}");
+        assert!(
+            status == 200 || status == 503,
+            "status {status}, expected 200 or 503"
+        );
         idle.push(client);
     }
     drop(idle);
@@ -58,7 +61,7 @@
         // idle connections, which is 10 s.
         assert!(
             begun.elapsed() < Duration::from_secs(6),
-            "response or close after {:?}: {partial:.60}",
+            "response or close after {:?}, expected within 6 s: {partial:.60}",
             begun.elapsed()
         );
     }
--- a/tests/invalid_requests.rs
+++ b/tests/invalid_requests.rs
@@ -10,6 +10,7 @@
 fn an_invalid_request_is_rejected_and_not_forwarded() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
+    // One byte more than the largest body that is accepted, 32 MiB.
     let oversized = format!("{REQUEST_ID}Content-Length: 33554433\r\n");
     let cases = [
         ("/other", REQUEST_ID.to_string(), "", 400),
--- a/tests/message_framing.rs
+++ b/tests/message_framing.rs
@@ -239,7 +239,7 @@
         );
         assert!(
             begun.elapsed() < Duration::from_secs(9),
-            "the response to the client took 9 s or longer"
+            "the response took at least 9 s, as if the balancer had waited for the deadline, 10 s"
         );
     }
 }
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -85,7 +85,7 @@
     while seen.contains(&0) {
         assert!(
             begin.elapsed() < TEST_TIMEOUT,
-            "requests received after {TEST_TIMEOUT:?}: {seen:?}"
+            "requests per upstream after {TEST_TIMEOUT:?}: {seen:?}, expected at least one each"
         );
         send_cheap();
         seen[0] += lossy.seen.try_iter().count();
@@ -138,7 +138,8 @@
     let failing_count = failing.seen.try_iter().count();
     assert!(
         0 < failing_count && failing_count < 18,
-        "{failing_count} of 90, where an even share is 30"
+        "the failing upstream received {failing_count} of 90 requests, expected 1 to 17; an even \
+         share is 30"
     );
     failing.set_response(StubResponse::Ok);
     // The upstream gets only a few requests until it has responded without errors for a while. Then
@@ -148,7 +149,7 @@
         rounds += 1;
         assert!(
             rounds < 200,
-            "the upstream still gets too few requests after {rounds} rounds"
+            "fewer than 25 of 90 requests at the upstream in each of {rounds} rounds"
         );
         send(90);
     }
@@ -170,7 +171,10 @@
         if request_counts.iter().all(|count| *count > 20) {
             break;
         }
-        assert!(round < 50, "uneven shares: {request_counts:?}");
+        assert!(
+            round < 50,
+            "requests per upstream in round {round}: {request_counts:?}, expected over 20 each"
+        );
         request_counts_with(StubResponse::Ok);
     }
 }
--- a/tests/process_start.rs
+++ b/tests/process_start.rs
@@ -44,7 +44,7 @@
         let text = String::from_utf8(output.stderr).unwrap();
         assert!(
             !output.status.success() && text.lines().count() == 1 && text.contains(field),
-            "{text}"
+            "expected a failure with one line that names {field}, received {text:?}"
         );
     }
 }
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -44,7 +44,10 @@
         sleep(Duration::from_millis(1100));
         program.resume();
         let status = client.receive().unwrap().expect("no response").status();
-        assert!(status == 200 || status == 502, "{status}");
+        assert!(
+            status == 200 || status == 502,
+            "status {status}, expected 200 or 502"
+        );
         wait_until("no request is in flight", || {
             program.metric("in_flight") == 0
         });
@@ -181,7 +184,7 @@
     draining
         .closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the connection is closed");
+        .expect("the connection to the upstream is still open");
     first.set_response(StubResponse::Rejected);
     first.release();
     assert_eq!(
@@ -216,7 +219,7 @@
     upstream
         .closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the idle connection is closed");
+        .expect("the idle connection is still open");
     assert_eq!(
         program
             .client()
@@ -286,7 +289,7 @@
     upstream
         .closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the connection is closed");
+        .expect("the connection to the upstream is still open");
     wait_until("no request is in flight", || {
         program.metric("in_flight") == 0
     });
@@ -425,7 +428,7 @@
             .collect::<Vec<_>>();
         assert!(
             observed.iter().all(|observed| observed.len() == 1),
-            "expected one attempt at each upstream"
+            "connections at each attempt, per upstream: {observed:?}, expected one attempt each"
         );
         let ports: Vec<_> = addresses.iter().map(SocketAddr::port).collect();
         let has_both = |connections: &Vec<(u16, u16)>| {
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -44,14 +44,15 @@
         }
         first.set_response(StubResponse::Status(500));
         first.release();
+        // The window of 1.5 s has ended when the connection is established.
         sleep(Duration::from_millis(1700).saturating_sub(started.elapsed()));
         let late_upstream = blocked_port.open(StubResponse::Ok);
         assert_eq!(
             client.receive().unwrap().expect("no response").status(),
             status,
-            "{scope}"
+            "scope {scope}"
         );
-        assert!(late_upstream.seen.try_recv().is_err(), "{scope}");
+        assert!(late_upstream.seen.try_recv().is_err(), "scope {scope}");
     }
 }
 
@@ -66,8 +67,8 @@
 }
 
 /// The remaining time that an attempt declares excludes the time spent on an earlier attempt or in
-/// the queue. All requests sent after the pause of 0.5 s therefore declare at most 4.5 s of the 5
-/// s.
+/// the queue. Attempts that begin after the pause of 0.5 s therefore declare at most 4.5 of the
+/// 5 s.
 #[test]
 fn attempt_declares_at_most_the_remaining_time_of_its_client() {
     let half_a_second = Duration::from_millis(500);
@@ -87,7 +88,7 @@
     let early = one.seen.try_iter().count() + two.seen.try_iter().count();
     assert!(
         (2..12).contains(&early),
-        "{early} of 12 requests were sent, some should be queued"
+        "{early} of 12 requests were sent, expected 2 to 11, so that some are queued"
     );
     one.set_response(StubResponse::Rejected);
     two.set_response(StubResponse::Ok);
@@ -100,7 +101,7 @@
     let late: Vec<_> = one.seen.try_iter().chain(two.seen.try_iter()).collect();
     assert!(
         late.len() > 12 - early,
-        "{} attempts after the release",
+        "{} attempts after the release, expected more than 12 - {early}",
         late.len()
     );
     for request in late {
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -339,7 +339,8 @@
                 .count()
         };
         println!(
-            "seed {}: {} requests, {} served, {} closed, {} undeliverable, {} violations {} {}",
+            "seed {}: {} requests, {} served, {} closed, {} undeliverable, {} violations, \
+             faults {:?}, wall clock {} s ahead",
             self.seed,
             requests.len(),
             count(Outcome::Responded(200)),
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -34,7 +34,10 @@
             .unwrap()
             .parse()
             .unwrap();
-        assert!(timeout > 0.0 && timeout < 5.5, "Request-Timeout: {timeout}");
+        assert!(
+            timeout > 0.0 && timeout < 5.5,
+            "Request-Timeout: {timeout}, expected more than 0 and less than 5.5"
+        );
     }
     assert_eq!(upstream.connection_count.load(Ordering::SeqCst), 1);
 }
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -74,7 +74,7 @@
         self.old_upstream
             .closed
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the idle connection is closed");
+            .expect("the idle connection is still open");
         assert_eq!(
             self.program
                 .client()
@@ -126,10 +126,13 @@
         let mut second = fixture.discovery.next();
         assert!(
             second.request_line.contains("since=5"),
-            "{}",
+            "request line {:?}, expected since=5",
             second.request_line
         );
-        assert!(first.is_open(), "{mode} {first_bytes:?}");
+        assert!(
+            first.is_open(),
+            "the silent watch was closed, mode {mode}, first bytes {first_bytes:?}"
+        );
         if mode == "push" {
             // The second watch is silent as well.
             let mut third = fixture.discovery.next();
@@ -188,7 +191,7 @@
     let reconnected = fixture.discovery.next();
     assert!(
         reconnected.request_line.contains("since=6"),
-        "{}",
+        "request line {:?}, expected since=6",
         reconnected.request_line
     );
 }
@@ -212,7 +215,7 @@
             let reconnected = fixture.discovery.next();
             assert!(
                 reconnected.request_line.contains("since=6"),
-                "{}",
+                "request line {:?}, expected since=6",
                 reconnected.request_line
             );
         }
@@ -232,7 +235,7 @@
     let mut reconnected = fixture.discovery.next();
     assert!(
         reconnected.request_line.contains("since=5"),
-        "{}",
+        "request line {:?}, expected since=5",
         reconnected.request_line
     );
     assert_eq!(
@@ -294,7 +297,7 @@
     let mut moved_watch = new_discovery.next();
     assert!(
         moved_watch.request_line.contains("since=0"),
-        "{}",
+        "request line {:?}, expected since=0",
         moved_watch.request_line
     );
     assert!(silent.is_open() && second.is_open());
@@ -331,7 +334,7 @@
         silent.send_line("");
         fixture.discovery.next().reset();
         let mut third = fixture.discovery.next();
-        assert!(silent.is_open(), "{mode}");
+        assert!(silent.is_open(), "the silent watch was closed, mode {mode}");
         third.send_line(&fixture.change(6));
         fixture.expect_change_in_force();
         silent.wait_for_close();
@@ -376,7 +379,7 @@
             let mut unanswered = discovery
                 .watches
                 .recv_timeout(Duration::from_secs(6))
-                .expect("the first poll is sent within 6 s of the return");
+                .expect("no poll was sent within 6 s after discovery was started again");
             discovery.next().reset();
             let mut last = discovery.next();
             assert!(unanswered.is_open());
@@ -400,7 +403,7 @@
     let mut reconnected = discovery.next();
     assert!(
         reconnected.request_line.contains("since=9"),
-        "{}",
+        "request line {:?}, expected since=9",
         reconnected.request_line
     );
     // A malformed line ends the watch as well; the known list stays in force.
@@ -456,7 +459,7 @@
     let mut next = new.next();
     assert!(
         next.request_line.contains("since=0"),
-        "{}",
+        "request line {:?}, expected since=0",
         next.request_line
     );
     watch.send_line(&list(
@@ -473,7 +476,7 @@
     next.send_line(&list(4, false, &changes));
     one.closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the idle connection is closed");
+        .expect("the idle connection is still open");
     assert_eq!(
         program
             .client()
