--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -7,8 +7,8 @@
 use support::*;
 
 const REQUEST_ID: &str = "Request-Id: {id}\r\n";
-/// How many bytes a client sends behind its request: none, few, and many more than the balancer
-/// reads ahead.
+/// Numbers of bytes that a client sends after its request: none, few, and many more than the
+/// balancer reads ahead.
 const TRAILING_BYTES: [usize; 3] = [0, 20, 200_000];
 /// Like `TRAILING_BYTES`, but limited to what the kernel buffers for a process that is stopped.
 const TRAILING_BYTES_WHILE_STOPPED: [usize; 3] = [0, 20, 30_000];
@@ -26,7 +26,8 @@
     )
 }
 
-/// Sends `trailing_bytes` bytes behind a client's request, and closes or resets its connection.
+/// Unless `trailing_bytes` is 0, sends a start line and that many bytes after a client's request.
+/// Then closes or resets the connection.
 fn disconnect(mut client: Client, trailing_bytes: usize, by_reset: bool) {
     if trailing_bytes > 0 {
         client.write("GET /read/behind HTTP/1.1\r\n");
@@ -37,8 +38,8 @@
     }
 }
 
-/// Disconnects a client as `disconnect` does, and waits until the kernel has received the close or
-/// the reset, which the stopped process has not read.
+/// Does the same as `disconnect` while the process is stopped, and waits until the kernel has
+/// received the close or the reset.
 fn disconnect_while_stopped(
     program: &Program,
     client: Client,
@@ -52,8 +53,9 @@
     });
 }
 
-/// Sends as many requests as an upstream's concurrency limit admits, two at the start, and one more
-/// that is queued. Returns the clients of the running requests and the client of the queued one.
+/// Sends two requests, as many as an upstream's concurrency limit admits at the start, and one
+/// more, which is queued. Returns the clients of the running requests and the client of the queued
+/// request.
 fn queue_one_request(
     program: &Program,
     upstream: &StubUpstream,
@@ -62,7 +64,9 @@
     let send_until = |count, metric| {
         let mut client = program.client();
         client.send(path, REQUEST_ID, "").unwrap();
-        wait_until(metric, || program.metric(metric) == count);
+        wait_until(&format!("{metric} is {count}"), || {
+            program.metric(metric) == count
+        });
         client
     };
     let running = vec![send_until(1, "attempts"), send_until(2, "attempts")];
@@ -74,7 +78,7 @@
 }
 
 /// Fills an upstream's concurrency limit, and queues `count` requests. Returns the clients of the
-/// running requests and those of the queued ones.
+/// running requests and the clients of the queued requests.
 fn queue_many_requests(
     program: &Program,
     upstream: &StubUpstream,
@@ -102,7 +106,7 @@
             .send(&format!("/pay/{number}"), REQUEST_ID, "")
             .unwrap();
     }
-    wait_until("all requests are at an upstream", || {
+    wait_until("all 4 requests have been forwarded", || {
         program.metric("attempts") == 4
     });
     clients
@@ -118,8 +122,8 @@
     client
 }
 
-/// Sends a new request and expects the upstream to receive it next, not one of a client that has
-/// disconnected.
+/// Sends a new request and expects that it is the next request that the upstream receives. A
+/// request of a disconnected client must not arrive before it.
 fn expect_only_new_requests(program: &Program, upstream: &StubUpstream, context: &str) {
     assert_eq!(
         program
@@ -136,7 +140,7 @@
     );
 }
 
-/// Bytes behind a queued request must not hide that its client has disconnected.
+/// Bytes sent after a queued request must not hide that its client has disconnected.
 #[test]
 fn queued_request_of_a_disconnected_client_is_not_forwarded() {
     for trailing_bytes in TRAILING_BYTES {
@@ -154,7 +158,7 @@
                 assert_eq!(
                     client.receive().unwrap().unwrap().status(),
                     200,
-                    "{trailing_bytes} {by_reset}"
+                    "{trailing_bytes} trailing bytes, by reset: {by_reset}"
                 );
             }
             expect_only_new_requests(&program, &upstream, &format!("{trailing_bytes} {by_reset}"));
@@ -162,8 +166,8 @@
     }
 }
 
-/// Many clients disconnect at once, by close and by reset, with and without bytes behind their
-/// requests.
+/// Many clients disconnect at the same time, by close and by reset, with and without bytes after
+/// their requests.
 #[test]
 fn queued_requests_are_not_forwarded_after_simultaneous_disconnects() {
     let upstream = StubUpstream::start(StubResponse::Hold);
@@ -211,7 +215,7 @@
             assert_eq!(
                 client.receive().unwrap().unwrap().status(),
                 200,
-                "{trailing_bytes}"
+                "{trailing_bytes} trailing bytes"
             );
         }
         let disconnected_start_line = format!("POST /pay/{disconnecting_number} HTTP/1.1");
@@ -219,13 +223,13 @@
             busy.seen
                 .try_iter()
                 .all(|message| message.start_line != disconnected_start_line),
-            "{trailing_bytes}"
+            "{trailing_bytes} trailing bytes"
         );
     }
 }
 
 /// The connection that a request waits for must not be used after the client has disconnected, even
-/// where requests in flight may not be cancelled.
+/// if the settings forbid cancelling attempts in flight.
 #[test]
 fn pending_connection_is_closed_when_its_client_disconnects() {
     for cancel in [true, false] {
@@ -304,14 +308,14 @@
             expect_only_new_requests(
                 &program,
                 &upstream,
-                &format!("{trailing_bytes} {free_first}"),
+                &format!("{trailing_bytes} trailing bytes, slots freed first: {free_first}"),
             );
         }
     }
 }
 
-/// The request and the close of its connection are received while the process is stopped, so that
-/// it reads them together.
+/// The request and the close of its connection are received while the process is stopped. When it
+/// resumes, it reads them together.
 #[test]
 fn unread_request_of_a_disconnected_client_is_not_forwarded() {
     for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
@@ -325,7 +329,7 @@
             client.send("/pay", REQUEST_ID, "coins").unwrap();
             disconnect_while_stopped(&program, client, trailing_bytes, false);
             program.resume();
-            expect_only_new_requests(&program, &upstream, &trailing_bytes.to_string());
+            expect_only_new_requests(&program, &upstream, &format!("{trailing_bytes} bytes"));
         }
     }
 }
@@ -363,7 +367,7 @@
             busy.seen
                 .try_iter()
                 .all(|message| !disconnected.contains(&message.start_line)),
-            "{trailing_bytes}"
+            "{trailing_bytes} trailing bytes"
         );
     }
 }
@@ -409,7 +413,7 @@
             client.write("Content-Length: 150000\r\n\r\n");
             client.write(&"x".repeat(149_000));
             let (mut upstream, _) = listener.accept().unwrap();
-            // The head and nearly all of the body that has been sent so far.
+            // Reads the head and nearly all of the body that has been sent so far.
             upstream.read_exact(&mut [0; 149_000]).unwrap();
             program.suspend();
             client.write(&"x".repeat(1000));
@@ -418,7 +422,7 @@
             let mut rest = Vec::new();
             // The connection may end in a reset.
             let _ = upstream.take(1000).read_to_end(&mut rest);
-            assert!(rest.len() < 1000, "{cancel}");
+            assert!(rest.len() < 1000, "body forwarded, cancel: {cancel}");
         }
         wait_until("no request is in flight", || {
             program.metric("in_flight") == 0
@@ -427,7 +431,8 @@
 }
 
 /// The balancer can't distinguish a half-close from a close, so the client counts as disconnected:
-/// its request is not forwarded, and its connection is closed without a response.
+/// its request is not forwarded, and its connection is closed. If the balancer reads the request
+/// and the half-close together, the client may still get a 502.
 #[test]
 fn half_close_counts_as_a_disconnect() {
     for trailing_bytes in TRAILING_BYTES_WHILE_STOPPED {
@@ -436,7 +441,7 @@
         let (mut running, mut queued) = queue_one_request(&program, &upstream, "/pay");
         queued.write(&"x".repeat(trailing_bytes));
         queued.half_close();
-        assert!(queued.is_closed_by_peer(), "{trailing_bytes}");
+        assert!(queued.is_closed_by_peer(), "{trailing_bytes} bytes");
         let remaining = running.len() as u64;
         wait_until("the disconnect is noticed", || {
             program.metric("in_flight") == remaining
@@ -446,21 +451,21 @@
             client.receive().unwrap().expect("no response");
         }
         program.suspend();
-        let mut early = program.client();
-        early.send("/pay", REQUEST_ID, "coins").unwrap();
-        early.half_close();
+        let mut half_closed = program.client();
+        half_closed.send("/pay", REQUEST_ID, "coins").unwrap();
+        half_closed.half_close();
         wait_until("the kernel has received the close", || {
-            program.has_received_close_from(early.port())
+            program.has_received_close_from(half_closed.port())
         });
         program.resume();
         assert!(
-            early
+            half_closed
                 .receive()
                 .unwrap()
                 .is_none_or(|response| response.status() == 502),
-            "{trailing_bytes}"
+            "{trailing_bytes} trailing bytes"
         );
-        expect_only_new_requests(&program, &upstream, &trailing_bytes.to_string());
+        expect_only_new_requests(&program, &upstream, &format!("{trailing_bytes} bytes"));
         assert_eq!(program.metric("failed.pay"), 0);
     }
 }
@@ -476,7 +481,7 @@
     upstream
         .closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the attempt is cancelled");
+        .expect("the attempt was not cancelled");
     upstream.set_response(StubResponse::Ok);
     assert_eq!(
         program
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -12,7 +12,7 @@
 /// The close of a connection with unread bytes resets it, and the client would lose the part of its
 /// response that it has not read yet.
 #[test]
-fn response_is_complete_despite_unread_bytes_behind_its_request() {
+fn response_is_complete_despite_unread_bytes_after_its_request() {
     // More than the socket buffers between the program and its client hold.
     let size = 24 << 20;
     let text = format!(
@@ -50,7 +50,7 @@
     );
 }
 
-/// A client that is still sending would get no response if its connection were reset.
+/// A client that is still sending could lose the response if its connection were reset.
 #[test]
 fn large_request_rejected_before_its_body_is_read_gets_a_response() {
     let body = "x".repeat(3 << 20);
@@ -112,10 +112,10 @@
     }
 }
 
-/// Bytes behind a request in flight are buffered only up to a limit, otherwise clients that send
-/// large amounts would exhaust the memory.
+/// Bytes that are received after a request in flight are buffered only up to a limit. Otherwise
+/// clients that send large amounts would exhaust the memory.
 #[test]
-fn bytes_behind_requests_in_flight_use_little_memory() {
+fn bytes_after_requests_in_flight_use_little_memory() {
     let upstream = StubUpstream::start(StubResponse::NoResponse);
     let (program, _discovery) = Program::with_admin(&[upstream.address]);
     let mut clients: Vec<_> = (0..60).map(|_| program.client()).collect();
@@ -126,13 +126,13 @@
     }
     assert!(
         program.peak_memory_bytes() < 40 << 20,
-        "peak memory: {} bytes",
+        "peak memory of {} bytes, expected less than 40 MiB",
         program.peak_memory_bytes()
     );
 }
 
-/// When its connection is closed, the client sends the request again elsewhere, so the request
-/// would run twice if it were forwarded.
+/// A client whose connection is closed without a response sends its request again elsewhere. The
+/// request would run twice if it were forwarded.
 #[test]
 fn request_on_a_closed_idle_connection_is_not_forwarded() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -145,7 +145,7 @@
     program.terminate();
     for client in &mut clients {
         assert!(client.is_closed_by_peer());
-        // The write fails if the process has exited by now.
+        // A failed write is ignored, because the process may have exited by now.
         let _ = client.send("/pay", REQUEST_ID, "coins");
     }
     assert!(program.wait().success());
@@ -194,9 +194,12 @@
         }
         upstream.release();
         expect_responses(&mut client, "requests sent before the drain");
-        let mut new = program.client();
-        new.write(&pipelined("b", 6));
-        expect_responses(&mut new, "requests on a new connection during the drain");
+        let mut new_client = program.client();
+        new_client.write(&pipelined("b", 6));
+        expect_responses(
+            &mut new_client,
+            "requests on a new connection during the drain",
+        );
     }
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
--- a/tests/failed_attempts.rs
+++ b/tests/failed_attempts.rs
@@ -76,7 +76,7 @@
     assert_eq!(
         response.status(),
         502,
-        "status of a request that may have run"
+        "the request may have run, so its status should be 502"
     );
     assert!(
         begin.elapsed() > Duration::from_secs(1),
@@ -100,7 +100,7 @@
     let retry_after: f64 = response.header("retry-after").unwrap().parse().unwrap();
     assert!(
         retry_after > 0.0 && retry_after <= 2.0,
-        "Retry-After: {retry_after}"
+        "Retry-After: {retry_after}, expected more than 0 and at most 2"
     );
 }
 
@@ -115,7 +115,8 @@
     assert_eq!(free.seen.try_iter().count(), 2);
 }
 
-/// A few malformed responses in a hundred do not use up the retry budget.
+/// One malformed response in 13 or more requests does not use up the retry budget, as its retry
+/// costs 0.2 and the 12 responses before it add 0.24.
 #[test]
 fn idempotent_requests_succeed_despite_rare_malformed_responses() {
     let upstreams = [
@@ -135,10 +136,10 @@
                 200
             );
         }
-        let bad = &upstreams[round % 3];
-        bad.seen.try_iter().count();
-        bad.set_response(StubResponse::Raw("what?\r\n\r\n"));
-        while bad.seen.try_iter().count() == 0 {
+        let failing = &upstreams[round % 3];
+        failing.seen.try_iter().count();
+        failing.set_response(StubResponse::Raw("what?\r\n\r\n"));
+        while failing.seen.try_iter().count() == 0 {
             assert_eq!(
                 program
                     .client()
@@ -147,7 +148,7 @@
                 200
             );
         }
-        bad.set_response(StubResponse::Ok);
+        failing.set_response(StubResponse::Ok);
     }
 }
 
@@ -170,9 +171,12 @@
                     .request("/pay", REQUEST_ID, "coins")
                     .status(),
                 200,
-                "{status}"
+                "upstream status {status}"
             );
         }
-        assert!(busy.seen.try_iter().count() > 0, "no {status} was sent");
+        assert!(
+            busy.seen.try_iter().count() > 0,
+            "no response with status {status} was sent, expected at least one"
+        );
     }
 }
--- a/tests/idle_clients.rs
+++ b/tests/idle_clients.rs
@@ -17,7 +17,10 @@
     for _ in 0..100 {
         let mut client = program.client();
         let status = client.request("/read", REQUEST_ID, "").status();
-        assert!(status == 200 || status == 503, "{status}");
+        assert!(
+            status == 200 || status == 503,
+            "status {status}, expected 200 or 503"
+        );
         idle.push(client);
     }
     drop(idle);
@@ -26,8 +29,9 @@
     }
 }
 
-/// A client that stalls in the middle of a request is sent an error response, or its connection is
-/// closed, within 3 s. This also holds if it has received a response on that connection before.
+/// If a client stalls in the middle of a request, it is sent an error response or its connection is
+/// closed within 3 s. This also holds if the client has received a response on that connection
+/// before.
 #[test]
 fn a_client_that_stalls_in_a_later_request_is_rejected() {
     let upstream = StubUpstream::start(StubResponse::Ok);
@@ -57,14 +61,14 @@
         // idle connections, which is 10 s.
         assert!(
             begun.elapsed() < Duration::from_secs(6),
-            "response or close after {:?}: {partial:.60}",
+            "response or close after {:?}, expected within 6 s: {partial:.60}",
             begun.elapsed()
         );
     }
 }
 
 /// A connection on which nothing or only a part of a request is sent is closed after a time limit.
-/// It is evicted earlier if other clients need its capacity.
+/// It may be evicted earlier if other clients need its capacity.
 #[test]
 fn a_client_that_stalls_in_its_first_request_is_closed() {
     let upstream = StubUpstream::start(StubResponse::Ok);
--- a/tests/invalid_requests.rs
+++ b/tests/invalid_requests.rs
@@ -10,7 +10,8 @@
 fn an_invalid_request_is_rejected_and_not_forwarded() {
     let upstream = StubUpstream::start(StubResponse::Ok);
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
-    let large = format!("{REQUEST_ID}Content-Length: 33554433\r\n");
+    // One byte more than the largest body that is accepted, 32 MiB.
+    let oversized = format!("{REQUEST_ID}Content-Length: 33554433\r\n");
     let cases = [
         ("/other", REQUEST_ID.to_string(), "", 400),
         ("/read", String::new(), "", 400),
@@ -29,7 +30,7 @@
         ),
         ("/read", format!("{REQUEST_ID}Work-Hint: inf\r\n"), "", 400),
         ("/read", format!("{REQUEST_ID}no colon\r\n"), "", 400),
-        ("/pay", large, "", 413),
+        ("/pay", oversized, "", 413),
     ];
     for (path, headers, body, status) in cases {
         let mut client = program.client();
@@ -91,8 +92,8 @@
     (400, "\0\0nonsense\r\n\r\n"),
 ];
 
-/// The bytes behind a rejected request cannot be framed, and a request that is hidden in its body
-/// must not be served, so the connection is closed after a 4xx.
+/// The connection is closed after a 4xx: the bytes after a rejected request cannot be framed, and a
+/// request that is hidden in its body must not be served.
 #[test]
 fn a_rejected_request_ends_its_connection() {
     let upstream = StubUpstream::start(StubResponse::Ok);
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Ejection of failing upstreams, and how requests are handled meanwhile.
+//! Ejection of failing upstreams, and how requests are handled while upstreams are ejected.
 
 mod support;
 use std::thread::sleep;
@@ -11,7 +11,7 @@
 /// were restored only to just below its former value, the limit would stay one request lower
 /// permanently.
 #[test]
-fn good_responses_restore_the_concurrency_limit_after_a_malformed_one() {
+fn successful_responses_restore_the_concurrency_limit_after_a_malformed_one() {
     let upstream = StubUpstream::raw("what?\r\n\r\n");
     let (program, _discovery) = Program::with_upstreams(&[upstream.address]);
     assert_eq!(
@@ -85,7 +85,7 @@
     while seen.contains(&0) {
         assert!(
             begin.elapsed() < TEST_TIMEOUT,
-            "requests received after {TEST_TIMEOUT:?}: {seen:?}"
+            "requests per upstream after {TEST_TIMEOUT:?}: {seen:?}, expected at least one each"
         );
         send_cheap();
         seen[0] += lossy.seen.try_iter().count();
@@ -94,8 +94,8 @@
     }
 }
 
-/// A fault in a dependency of all upstreams makes all of them silent. Requests must then be queued
-/// as usual, not rejected at once.
+/// A fault in a dependency of all upstreams makes all of them silent. In that case requests must be
+/// queued as usual, not rejected immediately.
 #[test]
 fn request_is_queued_while_all_upstreams_are_ejected() {
     let upstream = StubUpstream::start(StubResponse::NoResponse);
@@ -106,12 +106,13 @@
     upstream.next();
     upstream.next();
     // The upstream is ejected when it has been silent for six times its latency estimate, which
-    // starts at a sixth of the latency objective.
+    // starts at a sixth of the latency objective of 5 s.
     sleep(Duration::from_millis(5200));
     upstream.set_response(StubResponse::Ok);
     let mut third = program.client();
     third.send("/pay", REQUEST_ID, "coins").unwrap();
-    // By now the request has been accepted, and would have been rejected if it were not queued.
+    // After this pause the request has been accepted, and would have been rejected if it were not
+    // queued.
     sleep(Duration::from_millis(300));
     drop(one);
     assert_eq!(third.receive().unwrap().unwrap().status(), 200);
@@ -121,12 +122,12 @@
 /// upstreams return eject none of them.
 #[test]
 fn upstream_is_ejected_for_errors_that_others_do_not_return() {
-    let (bad, good) = (
+    let (failing, working) = (
         StubUpstream::start(StubResponse::Status(500)),
         [(); 2].map(|()| StubUpstream::start(StubResponse::Ok)),
     );
     let (program, _discovery) =
-        Program::with_upstreams(&[bad.address, good[0].address, good[1].address]);
+        Program::with_upstreams(&[failing.address, working[0].address, working[1].address]);
     let mut client = program.client();
     let mut send = |times: usize| {
         (0..times)
@@ -134,25 +135,26 @@
             .count()
     };
     send(90);
-    let share = bad.seen.try_iter().count();
+    let failing_count = failing.seen.try_iter().count();
     assert!(
-        0 < share && share < 18,
-        "{share} of 90, where an even share is 30"
+        0 < failing_count && failing_count < 18,
+        "the failing upstream received {failing_count} of 90 requests, expected 1 to 17; an even \
+         share is 30"
     );
-    bad.set_response(StubResponse::Ok);
-    // The upstream gets only a few requests until it has responded well for a while; then its share
-    // is even again.
+    failing.set_response(StubResponse::Ok);
+    // The upstream gets only a few requests until it has responded without errors for a while. Then
+    // its share is even again.
     let mut rounds = 0;
-    while bad.seen.try_iter().count() < 25 {
+    while failing.seen.try_iter().count() < 25 {
         rounds += 1;
         assert!(
             rounds < 200,
-            "the upstream still gets too few requests after {rounds} rounds"
+            "fewer than 25 of 90 requests at the upstream in each of {rounds} rounds"
         );
         send(90);
     }
-    let all_upstreams = || good.iter().chain([&bad]);
-    let mut shares_with = |response: StubResponse| -> Vec<_> {
+    let all_upstreams = || working.iter().chain([&failing]);
+    let mut request_counts_with = |response: StubResponse| -> Vec<_> {
         for upstream in all_upstreams() {
             upstream.set_response(response);
             upstream.seen.try_iter().count();
@@ -162,14 +164,17 @@
             .map(|upstream| upstream.seen.try_iter().count())
             .collect()
     };
-    // Requests are balanced by response time, which varies with the machine: one round with even
-    // shares is enough.
+    // Requests are balanced by response time, which varies with the machine, so one round in which
+    // each upstream receives more than 20 of the 90 requests is enough.
     for round in 0.. {
-        let shares = shares_with(StubResponse::Status(500));
-        if shares.iter().all(|count| *count > 20) {
+        let request_counts = request_counts_with(StubResponse::Status(500));
+        if request_counts.iter().all(|count| *count > 20) {
             break;
         }
-        assert!(round < 50, "uneven shares: {shares:?}");
-        shares_with(StubResponse::Ok);
+        assert!(
+            round < 50,
+            "requests per upstream in round {round}: {request_counts:?}, expected over 20 each"
+        );
+        request_counts_with(StubResponse::Ok);
     }
 }
