--- a/src/bin/load-balancer/config/file.rs
+++ b/src/bin/load-balancer/config/file.rs
@@ -14,7 +14,8 @@
     pub listen: Option<String>,
     /// The address of discovery.
     pub discovery: Option<String>,
-    /// The address of the admin endpoint; without one, there is no admin endpoint.
+    /// The address of the admin endpoint. There is no admin endpoint if neither this field nor
+    /// `PROXY_CONSOLE` is set.
     #[serde(rename = "console")]
     pub admin: Option<String>,
     /// The seed of the random choices, in hexadecimal; an empty text stands for 0.
--- a/src/bin/load-balancer/server/timeouts.rs
+++ b/src/bin/load-balancer/server/timeouts.rs
@@ -1,4 +1,4 @@
-//! Time limits on clients that are used in several modules.
+//! Timeouts and intervals for client connections, shared by several modules.
 
 use std::time::Duration;
 
@@ -9,8 +9,9 @@
 /// Time after [`REQUEST_ARRIVAL_TIMEOUT`] in which the client can be sent an error response before
 /// its connection is closed.
 pub const TIMEOUT_RESPONSE_GRACE: Duration = Duration::from_millis(200);
-/// A connection is closed if its next request doesn't begin within this time, or if its client
-/// takes longer than this to receive the end of the last response.
+/// A connection is closed if its next request doesn't begin within this time. After its final
+/// response, a connection stays open for at most this time, so that the client can receive the
+/// response.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval at which a connection is checked for a client that has disconnected.
 pub const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
--- a/src/simulator/message.rs
+++ b/src/simulator/message.rs
@@ -87,8 +87,8 @@
     })
 }
 
-/// Parses a message whose event needs no data beyond its own line: all but `FLEET`, which refers to
-/// an endpoint list of an earlier `SHEET`.
+/// Parses a message whose event needs no data beyond its own line. The event of `FLEET` is not
+/// parsed here, as it refers to an endpoint list of an earlier `SHEET`.
 ///
 /// # Errors
 ///
--- a/tests/decision/maintenance.rs
+++ b/tests/decision/maintenance.rs
@@ -11,7 +11,8 @@
     let mut harness = Harness::with_classes(&[Idempotency::Idempotent], 2);
     harness.fill_slots(1, 0);
     let open = harness.balancer.load().open_requests as u64;
-    // Queued requests are reassigned; attempts in flight continue.
+    // Queued requests are reassigned, but start no attempt, as upstream 2 has no free slot.
+    // Attempts in flight continue.
     assert!(started_attempts(&harness.handle(maintenance(1, Maintenance::Begin))).is_empty());
     harness.handle(maintenance(1, Maintenance::Begin));
     let relisted = UpstreamEntry {
@@ -87,8 +88,8 @@
         let count = count_requests(restarted_at, is_listed_before_return);
         assert!(
             (15..=50).contains(&count),
-            "{count} of 300 requests, expected 15 to 50; restarted at {restarted_at:?}, listed \
-             before its return: {is_listed_before_return}"
+            "upstream 1 got {count} of 300 requests, expected 15 to 50; restarted at \
+             {restarted_at:?}, listed before its return: {is_listed_before_return}"
         );
     }
 }
